--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -196,7 +196,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.retryState(c, a.result, number, running, mayHaveRun)
-	state.FreeSlot = !a.choice.Waits()
+	state.FreeSlot = !a.choice.MustQueue()
 	return retry.Decide(e.now(), state, e.retryBudget(c.service))
 }
 
@@ -286,7 +286,7 @@
 		slog.String("server", a.choice.Server.ID), slog.String("service", c.service),
 		slog.String("result", a.result.String()), slog.Int64("took_ms", a.took.Milliseconds()),
 		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round(a.choice.Risk)),
-		slog.Int64("expected_ms", a.choice.Expected.Milliseconds()),
+		slog.Int64("expected_ms", a.choice.ExpectedLatency.Milliseconds()),
 	}
 	if a.answer.Err != nil {
 		attrs = append(attrs, slog.String("error", a.answer.Err.Error()))
--- a/edge/call.go
+++ b/edge/call.go
@@ -206,24 +206,24 @@
 	if v := e.charge(c, now); v != nil {
 		return choice, v
 	}
-	s.placer.Sent(choice.Server.ID, r, now)
+	s.placer.RecordSent(choice.Server.ID, r, now)
 	return choice, nil
 }
 
 // unplaceable is the refusal of a request that no server may get.
 func (e *Edge) unplaceable(r placement.Request, now time.Duration) *verdict {
 	v := &verdict{http.StatusServiceUnavailable, RuleNoServer, comeBackSoon}
-	obstacle, wait := e.state.placer.Obstacle(r, now)
+	obstacle, wait := e.state.placer.ExclusionReason(r, now)
 	switch obstacle {
-	case placement.Outside:
+	case placement.RegionNotAllowed:
 		v.rule = RuleOutside
 	case placement.Evacuated:
 		v.rule = RuleEvacuated
-	case placement.Limited:
+	case placement.RateLimited:
 		v.rule, v.retryAfter = RuleLimited, untilShare(wait)
 	case placement.Cold:
 		v.rule, v.retryAfter = RuleCold, untilShare(wait)
-	case placement.NoObstacle, placement.Draining:
+	case placement.NotExcluded, placement.DrainingOrTried:
 	}
 	return v
 }
@@ -239,16 +239,16 @@
 	repeatable := c.route.Kind.Repeatable()
 	allowed, _ := e.topology.Allowed(c.route, c.workspace)
 	return placement.Request{
-		Service:      c.service,
-		Repeatable:   repeatable,
-		RoomToRepeat: repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
-		Aim:          c.route.Aim - (now - c.start),
-		Left:         c.deadline - now,
-		Work:         stats.work,
-		KB:           stats.kb,
-		DataCentre:   e.settings.DataCentre,
-		Tried:        tried,
-		Allowed:      allowed,
+		Service:            c.service,
+		Retryable:          repeatable,
+		RetryBudgetAmple:   repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
+		LatencyTarget:      c.route.Aim - (now - c.start),
+		Remaining:          c.deadline - now,
+		ServiceTime:        stats.work,
+		SizeKB:             stats.kb,
+		DataCentre:         e.settings.DataCentre,
+		TriedServers:       tried,
+		AllowedDataCentres: allowed,
 	}
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -211,8 +211,8 @@
 		limiter:   warmup.NewLimiter(self),
 		throttle:  throttle.NewLimiter(self),
 	}
-	e.state.placer.SetLimiter(e.state.limiter)
-	e.state.placer.SetThrottle(e.state.throttle)
+	e.state.placer.SetWarmUpLimiter(e.state.limiter)
+	e.state.placer.SetRateLimiter(e.state.throttle)
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{
 		Self: e.member(), Epoch: e.epoch, Seeds: e.seeds(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
 	})
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -67,7 +67,7 @@
 		s.usage.SetLimit(workspaceHash(w.Name), e.limitOf(w), now)
 	}
 	for _, service := range c.Services {
-		s.placer.SetWarmUp(service.Name, placement.WarmUp{Time: service.WarmUp, Rate: service.WarmUpRate})
+		s.placer.SetWarmUp(service.Name, placement.WarmUp{Duration: service.WarmUp, Rate: service.WarmUpRate})
 	}
 	if c.Limits.IdleTimeout > 0 {
 		e.callers.SetIdle(c.Limits.IdleTimeout)
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -61,7 +61,7 @@
 	if len(begun) == 0 && len(ended) == 0 {
 		return
 	}
-	s.placer.Evacuate(begun, ended, now)
+	s.placer.UpdateEvacuations(begun, ended, now)
 	for _, dc := range begun {
 		event.EvacuationBegan.Log(e.log, slog.String("evacuated", dc), slog.Uint64("table_version", at.Version))
 	}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -40,7 +40,7 @@
 	case a.result == health.OK && a.answer.Header.Get(platform.HeaderProof) == "":
 		// An error that nobody has signed may not come from the server itself.
 		return e.knownLimit(hash)
-	case a.result == health.OK && e.state.throttle.HeardBefore(hash, a.start):
+	case a.result == health.OK && e.state.throttle.LimitOlderThan(hash, a.start):
 		e.unlimit(hash, now)
 	}
 	return nil
@@ -71,7 +71,7 @@
 		return
 	}
 	start := now - milliseconds(a.TookMS)
-	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.HeardBefore(a.Server, start-limitMargin) {
+	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.LimitOlderThan(a.Server, start-limitMargin) {
 		e.unlimit(a.Server, now)
 	}
 }
@@ -79,7 +79,7 @@
 func (e *Edge) limit(server, milli uint32, now time.Duration) {
 	perSecond := float64(milli) / perMilli
 	before, limited := e.state.throttle.Limit(server)
-	e.state.throttle.Named(server, perSecond, now)
+	e.state.throttle.SetLimit(server, perSecond, now)
 	if !limited || before != perSecond {
 		e.logLimit(server, slog.Float64("limit", perSecond), slog.Float64("before", before), now)
 	}
@@ -87,7 +87,7 @@
 
 func (e *Edge) unlimit(server uint32, now time.Duration) {
 	before, _ := e.state.throttle.Limit(server)
-	e.state.throttle.Withdrawn(server)
+	e.state.throttle.RemoveLimit(server)
 	e.logLimit(server, slog.Float64("limit", 0), slog.Float64("before", before), now)
 }
 
--- a/edge/members.go
+++ b/edge/members.go
@@ -76,12 +76,12 @@
 	s := &e.state
 	for _, m := range fell {
 		s.usage.Forget(m.ID)
-		s.placer.Forget(m.ID)
+		s.placer.RemoveInstance(m.ID)
 		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.Heard))
 	}
 	if float64(len(fell)) > manySilent*float64(all) {
-		s.placer.Disturbed(now)
+		s.placer.RecordInstanceLoss(now)
 	}
 	e.countShare()
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -76,7 +76,7 @@
 	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.list.Len()) }))
 	m.gauge("suspect_servers", "Backend servers that more likely fail than not.", e.locked(func() float64 {
 		n := 0
-		for _, v := range e.state.placer.Views(e.now()) {
+		for _, v := range e.state.placer.ServerStatuses(e.now()) {
 			if v.Risk > suspectRisk {
 				n++
 			}
@@ -84,7 +84,7 @@
 		return float64(n)
 	}))
 	m.gauge("limited_servers", "Backend servers that name a limit in their answers.", e.locked(func() float64 {
-		return float64(e.state.throttle.Limited())
+		return float64(e.state.throttle.LimitedServers())
 	}))
 	m.gauge("instances_alive", "Other instances that are heard.", e.locked(func() float64 {
 		n := 0
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -174,7 +174,7 @@
 func (e *Edge) applyMessage(m *fleet.Received, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
-		s.placer.Forget(m.Source)
+		s.placer.RemoveInstance(m.Source)
 	}
 	for _, u := range m.Usage {
 		s.usage.Heard(usage.Word{
@@ -185,7 +185,7 @@
 		e.applyAttempt(m.Source, a, m.Latest, now)
 	}
 	for _, service := range m.Refused {
-		s.placer.RefusedAt(service, now)
+		s.placer.RecordRefusal(service, now)
 	}
 	for _, n := range m.Notices {
 		if n.StampUS != 0 {
@@ -198,19 +198,19 @@
 func (e *Edge) applyAttempt(from uint32, a evidence.Attempt, latest bool, now time.Duration) {
 	s := &e.state
 	if latest {
-		s.placer.Outstanding(a.Server, from, int(a.Outstanding), now)
+		s.placer.SetOutstanding(a.Server, from, int(a.Outstanding), now)
 	}
 	if a.Number > 0 {
 		s.repeatsAt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
-		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.TookMS), milliseconds(a.WorkMS), now)
+		s.placer.RecordResult(a.Server, a.Result, false, milliseconds(a.TookMS), milliseconds(a.WorkMS), now)
 	}
 	if a.Ended {
 		e.applyLimit(a, now)
 	}
 	if a.Final != evidence.NotFinal {
-		s.placer.ServedAt(a.Server, a.Final == evidence.Served, now)
+		s.placer.RecordServerOutcome(a.Server, a.Final == evidence.Served, now)
 	}
 }
 
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -33,7 +33,7 @@
 	} else {
 		s.own[h] = n
 	}
-	s.placer.Outstanding(h, 0, int(n), e.now())
+	s.placer.SetOutstanding(h, 0, int(n), e.now())
 	return evidence.Attempt{Server: h, Outstanding: n}
 }
 
@@ -52,16 +52,16 @@
 	work := e.statsOf(c.route).work
 	took := a.took
 	if a.result == health.OK {
-		if a.choice.Waits() {
+		if a.choice.MustQueue() {
 			// It had to wait; its time says nothing of the server's speed.
 			took = 0
 		}
 		e.learnRoute(c, took, len(c.body)+len(a.answer.Body))
 	}
 	told.TookMS, told.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
-	e.state.placer.Learn(told.Server, told.Result, true, took, work, now)
+	e.state.placer.RecordResult(told.Server, told.Result, true, took, work, now)
 	if final != evidence.NotFinal {
-		e.state.placer.Served(c.service, final == evidence.Served, now)
+		e.state.placer.RecordOutcome(c.service, final == evidence.Served, now)
 	}
 	// The first failure of a spell must reach everybody at once: each request
 	// sent there for want of it may be lost.
@@ -93,7 +93,7 @@
 func (e *Edge) publishRefusal(c *call) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.placer.Served(c.service, false, e.now())
+	e.state.placer.RecordOutcome(c.service, false, e.now())
 	e.publish(evidence.Message{Refused: []uint32{placement.Hash(c.service)}}, false)
 }
 
@@ -103,6 +103,6 @@
 	defer e.mu.Unlock()
 	told := e.outstanding(a, 0)
 	told.Result = health.Late
-	e.state.placer.Learn(told.Server, health.Late, true, 0, 0, e.now())
+	e.state.placer.RecordResult(told.Server, health.Late, true, 0, 0, e.now())
 	e.publish(evidence.Message{Attempts: []evidence.Attempt{told}}, false)
 }
--- a/edge/status.go
+++ b/edge/status.go
@@ -127,13 +127,13 @@
 		})
 	}
 	slices.SortFunc(st.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.IP, b.IP) })
-	st.Services, st.Suspects = servers(s.placer.Views(now))
+	st.Services, st.Suspects = servers(s.placer.ServerStatuses(now))
 	st.Workspaces = e.nearRate(now)
 	return st
 }
 
 // servers sums up the servers of each service and names the suspects.
-func servers(views []placement.View) (services []ServiceStatus, suspects []SuspectStatus) {
+func servers(views []placement.ServerStatus) (services []ServiceStatus, suspects []SuspectStatus) {
 	sums := make(map[string]*ServiceStatus)
 	for _, v := range views {
 		sum, ok := sums[v.Server.Service]
@@ -149,7 +149,7 @@
 		if v.Cold {
 			sum.Cold++
 		}
-		if v.Limited {
+		if v.RateLimited {
 			sum.Limited++
 		}
 		if v.Evacuated {
@@ -168,7 +168,7 @@
 	return services, suspects
 }
 
-func suspect(v placement.View) SuspectStatus {
+func suspect(v placement.ServerStatus) SuspectStatus {
 	s := SuspectStatus{Server: v.Server.ID, Service: v.Server.Service, Risk: round(v.Risk), LastFailureMS: -1}
 	if v.LastFailure != health.OK {
 		s.LastFailure, s.LastFailureMS = v.LastFailure.String(), milli(v.SinceFailure)
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -77,8 +77,8 @@
 		c.refused(comeBackSoon)
 		return
 	}
-	if ok, wait := placement.Admit(choice, placement.Request{Left: c.deadline - w.now}, 1, c.instance.rng.Float64()); !ok {
-		c.instance.placer.Served(w.services[c.service].name, false, w.now)
+	if ok, wait := placement.Admit(choice, placement.Request{Remaining: c.deadline - w.now}, 1, c.instance.rng.Float64()); !ok {
+		c.instance.placer.RecordOutcome(w.services[c.service].name, false, w.now)
 		c.refused(wait)
 		return
 	}
@@ -159,7 +159,7 @@
 	c.ownError = r == health.ServerError && !a.server.ill(c.world.now)
 	state := c.state(r, len(c.running))
 	state.MayHaveRun = mayHaveRun
-	state.FreeSlot = !a.choice.Waits()
+	state.FreeSlot = !a.choice.MustQueue()
 	d := retry.Decide(c.world.now, state, c.instance.repeats[c.service].Budget(bound, c.world.now))
 	switch d.Action {
 	case retry.Wait:
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -76,7 +76,7 @@
 // outstanding changes the own work at a server and tells it.
 func (i *instance) outstanding(v *server, change int) {
 	i.own[v.hash] += change
-	i.placer.Outstanding(v.hash, 0, i.own[v.hash], i.world.now)
+	i.placer.SetOutstanding(v.hash, 0, i.own[v.hash], i.world.now)
 }
 
 // started takes in and tells that an attempt has begun.
@@ -85,7 +85,7 @@
 	i.repeats[c.service].Count(number > 1, i.world.now)
 	n, admitted := i.own[v.hash], i.usage.Own(uint32(c.workspace))
 	i.tell(func(o *instance) {
-		o.placer.Outstanding(v.hash, i.number, n, o.world.now)
+		o.placer.SetOutstanding(v.hash, i.number, n, o.world.now)
 		o.repeats[c.service].Count(number > 1, o.world.now)
 		o.usage.Heard(usage.Word{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
 	})
@@ -104,23 +104,23 @@
 		}
 	}
 	learn := func(o *instance, own bool) {
-		o.placer.Learn(a.server.hash, r, own, took, work, o.world.now)
+		o.placer.RecordResult(a.server.hash, r, own, took, work, o.world.now)
 		if final != evidence.NotFinal {
-			o.placer.ServedAt(a.server.hash, final == evidence.Served, o.world.now)
+			o.placer.RecordServerOutcome(a.server.hash, final == evidence.Served, o.world.now)
 		}
 	}
 	learn(i, true)
 	n := i.own[a.server.hash]
 	i.tell(func(o *instance) {
-		o.placer.Outstanding(a.server.hash, i.number, n, o.world.now)
+		o.placer.SetOutstanding(a.server.hash, i.number, n, o.world.now)
 		learn(o, false)
 	})
 }
 
 // late takes in and tells that an attempt takes longer than it should.
 func (i *instance) late(a *attempt) {
-	i.placer.Learn(a.server.hash, health.Late, true, 0, 0, i.world.now)
-	i.tell(func(o *instance) { o.placer.Learn(a.server.hash, health.Late, false, 0, 0, o.world.now) })
+	i.placer.RecordResult(a.server.hash, health.Late, true, 0, 0, i.world.now)
+	i.tell(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.world.now) })
 }
 
 func (i *instance) workOf(k Kind) time.Duration {
@@ -136,14 +136,14 @@
 func (i *instance) choose(c *caller) (placement.Choice, bool) {
 	now := i.world.now
 	r := placement.Request{
-		Service: i.world.services[c.service].name, Repeatable: c.kind.Repeatable,
-		RoomToRepeat: c.kind.Repeatable && i.repeats[c.service].Room(bound, now),
-		Aim:          c.kind.Aim - (now - c.sent), Left: c.deadline - now, Work: i.workOf(c.kind),
-		KB: 5, DataCentre: i.dataCentre, Tried: c.tried,
+		Service: i.world.services[c.service].name, Retryable: c.kind.Repeatable,
+		RetryBudgetAmple: c.kind.Repeatable && i.repeats[c.service].Room(bound, now),
+		LatencyTarget:    c.kind.Aim - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.workOf(c.kind),
+		SizeKB: 5, DataCentre: i.dataCentre, TriedServers: c.tried,
 	}
 	choice, ok := i.placer.Choose(r, now, i.rng.Float64)
 	if ok {
-		i.placer.Sent(choice.Server.ID, r, now)
+		i.placer.RecordSent(choice.Server.ID, r, now)
 	}
 	return choice, ok
 }
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -28,11 +28,11 @@
 // callers that were turned away together don't return together.
 func Admit(c Choice, r Request, rank int, random float64) (bool, time.Duration) {
 	part := max(waitMost-waitStep*float64(rank), waitLeast)
-	allowed := time.Duration(float64(r.Left) * part)
-	if c.Expected <= allowed {
+	allowed := time.Duration(float64(r.Remaining) * part)
+	if c.ExpectedLatency <= allowed {
 		return true, 0
 	}
-	over := c.Expected - allowed
+	over := c.ExpectedLatency - allowed
 	wait := time.Duration(float64(over) * (0.5 + random))
 	return false, min(max(wait, soonest), latest)
 }
--- a/placement/admit_test.go
+++ b/placement/admit_test.go
@@ -11,9 +11,9 @@
 
 func TestAdmitTurnsAwayWhatCantBeServedInTime(t *testing.T) {
 	r := order()
-	r.Left = time.Second
-	soon := placement.Choice{Expected: 300 * time.Millisecond}
-	late := placement.Choice{Expected: 800 * time.Millisecond}
+	r.Remaining = time.Second
+	soon := placement.Choice{ExpectedLatency: 300 * time.Millisecond}
+	late := placement.Choice{ExpectedLatency: 800 * time.Millisecond}
 	ok, _ := placement.Admit(soon, r, 0, 0)
 	must.True(t, ok)
 	ok, _ = placement.Admit(late, r, 0, 0)
@@ -21,7 +21,7 @@
 	ok, wait := placement.Admit(late, r, 3, 0)
 	must.False(t, ok)
 	must.Between(t, 100*time.Millisecond, wait, 3*time.Second)
-	ok, wait = placement.Admit(placement.Choice{Expected: time.Minute}, r, 0, 1)
+	ok, wait = placement.Admit(placement.Choice{ExpectedLatency: time.Minute}, r, 0, 1)
 	must.False(t, ok)
 	must.LessEq(t, 3*time.Second, wait)
 }
--- a/placement/obstacles.go
+++ b/placement/obstacles.go
@@ -10,8 +10,8 @@
 
 // WarmUp is what the servers of a service bear after a start.
 type WarmUp struct {
-	// Time from a start until a server bears its full load.
-	Time time.Duration
+	// Duration from a start until a server bears its full load.
+	Duration time.Duration
 	// Rate is how many requests a second it bears until then; 0 is no limit.
 	Rate float64
 }
@@ -21,21 +21,21 @@
 	return w.Rate > 0 && (now < s.coldTill || s.absent)
 }
 
-// Obstacle is why a request can't be sent to a server at all.
-type Obstacle int
+// Exclusion is why a request can't be sent to a server at all.
+type Exclusion int
 
 // The obstacles, from the one that is farthest from passing.
 const (
-	// NoObstacle: the request may be sent there.
-	NoObstacle Obstacle = iota
-	// Draining servers, and those that the request was sent to already.
-	Draining
-	// Outside of the regions that may handle the request.
-	Outside
+	// NotExcluded: the request may be sent there.
+	NotExcluded Exclusion = iota
+	// DrainingOrTried servers, and those that the request was sent to already.
+	DrainingOrTried
+	// RegionNotAllowed of the regions that may handle the request.
+	RegionNotAllowed
 	// Evacuated data centre.
 	Evacuated
-	// Limited server that gets as much as it names in its answers.
-	Limited
+	// RateLimited server that gets as much as it names in its answers.
+	RateLimited
 	// Cold server that gets as much as it bears.
 	Cold
 )
@@ -45,19 +45,19 @@
 // path would make others take a busy server for absent.
 const absentAfter = time.Second
 
-// SetLimiter has a limiter bound what cold servers get.
-func (p *Placer) SetLimiter(l *warmup.Limiter) { p.limiter = l }
+// SetWarmUpLimiter has a limiter bound what cold servers get.
+func (p *Placer) SetWarmUpLimiter(l *warmup.Limiter) { p.limiter = l }
 
-// SetThrottle has a limiter bound what servers get that name a limit.
-func (p *Placer) SetThrottle(l *throttle.Limiter) { p.throttle = l }
+// SetRateLimiter has a limiter bound what servers get that name a limit.
+func (p *Placer) SetRateLimiter(l *throttle.Limiter) { p.throttle = l }
 
 // SetWarmUp takes in what the servers of a service bear after a start.
 func (p *Placer) SetWarmUp(serviceName string, w WarmUp) { p.service(serviceName).warmUp = w }
 
-// Evacuate takes in that data centres are evacuated or taken back. Servers of
+// UpdateEvacuations takes in that data centres are evacuated or taken back. Servers of
 // one that is taken back have been idle and may be cold, which their entries
 // tell only with their next heartbeat.
-func (p *Placer) Evacuate(begun, ended []string, now time.Duration) {
+func (p *Placer) UpdateEvacuations(begun, ended []string, now time.Duration) {
 	for _, dc := range begun {
 		p.evacuated[dc] = true
 	}
@@ -65,35 +65,35 @@
 		delete(p.evacuated, dc)
 		for _, s := range p.byID {
 			if s.entry.DataCentre == dc {
-				s.coolUntil(now + p.service(s.entry.Service).warmUp.Time)
+				s.coolUntil(now + p.service(s.entry.Service).warmUp.Duration)
 			}
 		}
 	}
 }
 
-// Sent takes in that this instance sends a request to a server. It has to be
+// RecordSent takes in that this instance sends a request to a server. It has to be
 // called under the same lock as Choose: two requests that are placed at the
 // same moment would otherwise both take the same share of a cold server.
-func (p *Placer) Sent(id string, r Request, now time.Duration) {
+func (p *Placer) RecordSent(id string, r Request, now time.Duration) {
 	if p.limiter != nil {
-		p.limiter.Sent(Hash(id), now)
+		p.limiter.RecordSent(Hash(id), now)
 	}
 	if p.throttle != nil {
-		p.throttle.Sent(Hash(id), now)
+		p.throttle.RecordSent(Hash(id), now)
 	}
 	g, share := p.service(r.Service), 0.0
-	if r.Repeatable {
+	if r.Retryable {
 		share = 1
 	}
 	g.repeatable += repeatableSmoothing * (share - g.repeatable)
 }
 
-// Obstacle returns what keeps a request from all servers of its service: the
+// ExclusionReason returns what keeps a request from all servers of its service: the
 // obstacle that is likeliest to pass, and for cold and limited servers how long
 // this instance waits at least until it may send to one of them, 0 if unknown.
-func (p *Placer) Obstacle(r Request, now time.Duration) (Obstacle, time.Duration) {
+func (p *Placer) ExclusionReason(r Request, now time.Duration) (Exclusion, time.Duration) {
 	g := p.service(r.Service)
-	last, wait := NoObstacle, time.Duration(0)
+	last, wait := NotExcluded, time.Duration(0)
 	for _, s := range g.servers {
 		o := p.obstacle(g, s, r, now)
 		last = max(last, o)
@@ -104,33 +104,33 @@
 	return last, wait
 }
 
-func (p *Placer) obstacle(g *service, s *server, r Request, now time.Duration) Obstacle {
+func (p *Placer) obstacle(g *service, s *server, r Request, now time.Duration) Exclusion {
 	switch {
-	case s.entry.Draining || contains(r.Tried, s.entry.ID):
-		return Draining
-	case r.Allowed != nil && !r.Allowed[s.entry.DataCentre]:
-		return Outside
+	case s.entry.Draining || contains(r.TriedServers, s.entry.ID):
+		return DrainingOrTried
+	case r.AllowedDataCentres != nil && !r.AllowedDataCentres[s.entry.DataCentre]:
+		return RegionNotAllowed
 	case p.evacuated[s.entry.DataCentre]:
 		return Evacuated
 	}
 	if ok, _ := p.withinLimit(s, now); !ok {
-		return Limited
+		return RateLimited
 	}
 	if ok, _ := p.allowed(g, s, now); !ok {
 		return Cold
 	}
-	return NoObstacle
+	return NotExcluded
 }
 
 // untilAllowed is how long this instance waits at least until an obstacle no
 // longer keeps it from a server, 0 if unknown.
-func (p *Placer) untilAllowed(g *service, s *server, o Obstacle, now time.Duration) (wait time.Duration) {
+func (p *Placer) untilAllowed(g *service, s *server, o Exclusion, now time.Duration) (wait time.Duration) {
 	switch o {
-	case Limited:
+	case RateLimited:
 		_, wait = p.withinLimit(s, now)
 	case Cold:
 		_, wait = p.allowed(g, s, now)
-	case NoObstacle, Draining, Outside, Evacuated:
+	case NotExcluded, DrainingOrTried, RegionNotAllowed, Evacuated:
 	}
 	return wait
 }
--- a/placement/obstacles_test.go
+++ b/placement/obstacles_test.go
@@ -22,8 +22,8 @@
 	p := placement.New()
 	l := warmup.NewLimiter(1)
 	l.SetInstances(nil)
-	p.SetLimiter(l)
-	p.SetWarmUp("s", placement.WarmUp{Time: warming, Rate: 2})
+	p.SetWarmUpLimiter(l)
+	p.SetWarmUp("s", placement.WarmUp{Duration: warming, Rate: 2})
 	for id, dc := range dcs {
 		s := server(id)
 		s.DataCentre = dc
@@ -42,7 +42,7 @@
 			sent["refused"]++
 			continue
 		}
-		p.Sent(c.Server.ID, r, now)
+		p.RecordSent(c.Server.ID, r, now)
 		sent[c.Server.ID]++
 		use(p, c.Server.ID, health.OK, now)
 	}
@@ -56,11 +56,11 @@
 	for _, r := range []placement.Request{order(), lookup()} {
 		p := places(map[string]string{"a": "dc", "b": "dc", "c": "away", "new": "away"})
 		use(p, "c", health.OK, 0)
-		p.Evacuate([]string{"away"}, nil, time.Second)
+		p.UpdateEvacuations([]string{"away"}, nil, time.Second)
 		for range 100 {
-			p.Served("s", false, time.Second)
+			p.RecordOutcome("s", false, time.Second)
 		}
-		r.RoomToRepeat = true
+		r.RetryBudgetAmple = true
 		sent := sentTo(p, r, time.Second, 6*time.Second)
 		must.Zero(t, sent["c"]+sent["new"])
 		must.Positive(t, sent["a"])
@@ -71,23 +71,23 @@
 func TestObstacles(t *testing.T) {
 	p := places(map[string]string{"a": "dc", "b": "away"})
 	r := order()
-	r.Tried = []string{"a", "b"}
-	o, _ := p.Obstacle(r, 0)
-	must.Eq(t, placement.Draining, o)
+	r.TriedServers = []string{"a", "b"}
+	o, _ := p.ExclusionReason(r, 0)
+	must.Eq(t, placement.DrainingOrTried, o)
 	r = order()
-	r.Allowed = map[string]bool{"other": true}
+	r.AllowedDataCentres = map[string]bool{"other": true}
 	_, ok := p.Choose(r, 0, noJitter)
 	must.False(t, ok)
-	o, _ = p.Obstacle(r, 0)
-	must.Eq(t, placement.Outside, o)
-	p.Evacuate([]string{"dc", "away"}, nil, 0)
+	o, _ = p.ExclusionReason(r, 0)
+	must.Eq(t, placement.RegionNotAllowed, o)
+	p.UpdateEvacuations([]string{"dc", "away"}, nil, 0)
 	_, ok = p.Choose(order(), 0, noJitter)
 	must.False(t, ok)
-	o, _ = p.Obstacle(order(), 0)
+	o, _ = p.ExclusionReason(order(), 0)
 	must.Eq(t, placement.Evacuated, o)
-	p.Evacuate(nil, []string{"dc", "away"}, 0)
+	p.UpdateEvacuations(nil, []string{"dc", "away"}, 0)
 	sentTo(p, order(), 0, 20*time.Millisecond)
-	o, wait := p.Obstacle(order(), 20*time.Millisecond)
+	o, wait := p.ExclusionReason(order(), 20*time.Millisecond)
 	must.Eq(t, placement.Cold, o)
 	must.Positive(t, wait)
 	must.LessEq(t, time.Second, wait)
@@ -97,14 +97,14 @@
 // their next heartbeats; by then they would have broken down.
 func TestServersOfADataCentreThatReturnsAreCold(t *testing.T) {
 	p := places(map[string]string{"a": "dc", "b": "away"})
-	p.Evacuate([]string{"away"}, nil, time.Second)
-	p.Evacuate(nil, []string{"away"}, 5*time.Second)
+	p.UpdateEvacuations([]string{"away"}, nil, time.Second)
+	p.UpdateEvacuations(nil, []string{"away"}, 5*time.Second)
 	for s := range 3 {
 		from := 5*time.Second + time.Duration(s)*time.Second
 		must.LessEq(t, 2, sentTo(p, lookup(), from, from+time.Second)["b"])
 	}
 	r := lookup()
-	r.Allowed = map[string]bool{"away": true}
+	r.AllowedDataCentres = map[string]bool{"away": true}
 	must.Greater(t, 2, sentTo(p, r, 9*time.Second, 10*time.Second)["b"])
 }
 
@@ -113,7 +113,7 @@
 func TestServerThatWasAbsentIsCold(t *testing.T) {
 	p := places(map[string]string{"a": "dc", "b": "dc"})
 	use(p, "b", health.OK, 0)
-	p.Learn(placement.Hash("b"), health.ConnectFailed, false, 0, 0, 2*time.Second)
+	p.RecordResult(placement.Hash("b"), health.ConnectFailed, false, 0, 0, 2*time.Second)
 	use(p, "b", health.OK, 4*time.Second)
 	for s := range 3 {
 		from := 4*time.Second + time.Duration(s)*time.Second
@@ -126,7 +126,7 @@
 func TestServerThatOthersReachIsNotAbsent(t *testing.T) {
 	p := places(map[string]string{"a": "dc"})
 	use(p, "a", health.OK, time.Second)
-	p.Learn(placement.Hash("a"), health.ConnectFailed, false, 0, 0, 1500*time.Millisecond)
+	p.RecordResult(placement.Hash("a"), health.ConnectFailed, false, 0, 0, 1500*time.Millisecond)
 	must.Zero(t, sentTo(p, lookup(), 1500*time.Millisecond, 3*time.Second)["refused"])
 }
 
@@ -145,7 +145,7 @@
 // server: each that took the whole of what it bears would break it.
 func TestColdServersGetNothingUntilTheFleetIsKnown(t *testing.T) {
 	p := places(map[string]string{"a": "dc"})
-	p.SetLimiter(warmup.NewLimiter(1))
+	p.SetWarmUpLimiter(warmup.NewLimiter(1))
 	s := server("a")
 	s.WarmUp = warming
 	p.Apply(discovery.Change{Server: s}, 0)
@@ -159,11 +159,11 @@
 		p := places(map[string]string{"a": "dc", "limited": "dc"})
 		l := throttle.NewLimiter(1)
 		l.SetInstances(nil)
-		p.SetThrottle(l)
+		p.SetRateLimiter(l)
 		use(p, "limited", health.OK, time.Second)
-		l.Named(placement.Hash("limited"), 2, time.Second)
+		l.SetLimit(placement.Hash("limited"), 2, time.Second)
 		for range 100 {
-			p.Served("s", false, time.Second)
+			p.RecordOutcome("s", false, time.Second)
 		}
 		sent := sentTo(p, r, time.Second, 11*time.Second)
 		must.Between(t, 1, sent["limited"], 20)
@@ -177,12 +177,12 @@
 	p := places(map[string]string{"a": "dc"})
 	l := throttle.NewLimiter(1)
 	l.SetInstances(nil)
-	p.SetThrottle(l)
-	l.Named(placement.Hash("a"), 2, time.Second)
-	p.Sent("a", order(), time.Second)
+	p.SetRateLimiter(l)
+	l.SetLimit(placement.Hash("a"), 2, time.Second)
+	p.RecordSent("a", order(), time.Second)
 	_, ok := p.Choose(order(), 1200*time.Millisecond, func() float64 { return 0 })
 	must.False(t, ok)
-	obstacle, wait := p.Obstacle(order(), 1200*time.Millisecond)
-	must.Eq(t, placement.Limited, obstacle)
+	obstacle, wait := p.ExclusionReason(order(), 1200*time.Millisecond)
+	must.Eq(t, placement.RateLimited, obstacle)
 	must.Eq(t, 300*time.Millisecond, wait)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -41,34 +41,34 @@
 
 // Request is what a choice depends on.
 type Request struct {
-	Service    string
-	Repeatable bool
-	// RoomToRepeat says that there is ample room to repeat requests.
-	RoomToRepeat bool
-	// Aim is the time within which the answer is in time, from now.
-	Aim time.Duration
-	// Left is the time until the caller gives up or the route's timeout.
-	Left time.Duration
-	// Work is the usual time of such a request at a server of mean speed.
-	Work time.Duration
-	// KB is the expected size of request and answer in kilobytes.
-	KB float64
+	Service   string
+	Retryable bool
+	// RetryBudgetAmple says that there is ample room to repeat requests.
+	RetryBudgetAmple bool
+	// LatencyTarget is the time within which the answer is in time, from now.
+	LatencyTarget time.Duration
+	// Remaining is the time until the caller gives up or the route's timeout.
+	Remaining time.Duration
+	// ServiceTime is the usual time of such a request at a server of mean speed.
+	ServiceTime time.Duration
+	// SizeKB is the expected size of request and answer in kilobytes.
+	SizeKB float64
 	// DataCentre of the instance that asks.
 	DataCentre string
-	// Tried holds the servers that this request was sent to already.
-	Tried []string
-	// Allowed holds the data centres that it may be sent to; nil means any.
-	Allowed map[string]bool
+	// TriedServers holds the servers that this request was sent to already.
+	TriedServers []string
+	// AllowedDataCentres holds the data centres that it may be sent to; nil means any.
+	AllowedDataCentres map[string]bool
 }
 
-// Waits reports whether the request has to wait for a slot, as far as is known.
-func (c Choice) Waits() bool { return c.Outstanding >= c.Server.Slots }
+// MustQueue reports whether the request has to wait for a slot, as far as is known.
+func (c Choice) MustQueue() bool { return c.Outstanding >= c.Server.Slots }
 
 // Choice is a server and what was expected of it.
 type Choice struct {
 	Server discovery.Server
-	// Expected is the time until the answer.
-	Expected time.Duration
+	// ExpectedLatency is the time until the answer.
+	ExpectedLatency time.Duration
 	// Outstanding is the server's work before this request, over all instances.
 	Outstanding int
 	// Risk is the probability that the request fails.
@@ -188,10 +188,10 @@
 // is none that it may be sent to.
 func (p *Placer) Choose(r Request, now time.Duration, random func() float64) (Choice, bool) {
 	g := p.service(r.Service)
-	wide := p.wide(g, r.Repeatable, now)
+	wide := p.wide(g, r.Retryable, now)
 	best, found := Choice{Cost: math.Inf(1)}, false
 	for _, s := range g.servers {
-		if p.obstacle(g, s, r, now) != NoObstacle {
+		if p.obstacle(g, s, r, now) != NotExcluded {
 			continue
 		}
 		c := s.weigh(p.off, g, r, now, wide, random)
@@ -238,16 +238,16 @@
 	return float64(used) / float64(all)
 }
 
-// Disturbed takes in that many instances have fallen silent. What goes unserved
+// RecordInstanceLoss takes in that many instances have fallen silent. What goes unserved
 // there is told by nobody; for a while it is taken to be too much.
-func (p *Placer) Disturbed(now time.Duration) { p.disturbedUntil = now + disturbance }
+func (p *Placer) RecordInstanceLoss(now time.Duration) { p.disturbedUntil = now + disturbance }
 
 // disturbance is how long that is: callers have left a silent instance by then.
 const disturbance = 5 * time.Second
 
-// Outstanding takes in how many requests an instance has at a server; 0 is
+// SetOutstanding takes in how many requests an instance has at a server; 0 is
 // this instance.
-func (p *Placer) Outstanding(hash, instance uint32, n int, now time.Duration) {
+func (p *Placer) SetOutstanding(hash, instance uint32, n int, now time.Duration) {
 	s, ok := p.byHash[hash]
 	if !ok {
 		return
@@ -260,24 +260,24 @@
 	}
 }
 
-// Forget drops the work of an instance that has fallen silent.
-func (p *Placer) Forget(instance uint32) {
+// RemoveInstance drops the work of an instance that has fallen silent.
+func (p *Placer) RemoveInstance(instance uint32) {
 	for _, s := range p.byID {
 		s.sum -= s.outstanding[instance].n
 		delete(s.outstanding, instance)
 	}
 }
 
-// Learn takes in the result of an attempt. Took is the time until it, 0 if it is
+// RecordResult takes in the result of an attempt. Took is the time until it, 0 if it is
 // unknown or an answer had to wait for a slot; work is what a server of mean
 // speed takes for such a request. Own says that the attempt was this instance's.
-func (p *Placer) Learn(hash uint32, r health.Result, own bool, took, work, now time.Duration) {
+func (p *Placer) RecordResult(hash uint32, r health.Result, own bool, took, work, now time.Duration) {
 	s, ok := p.byHash[hash]
 	if !ok {
 		return
 	}
 	g := p.service(s.entry.Service)
-	s.noteAbsence(r, g.warmUp.Time, now)
+	s.noteAbsence(r, g.warmUp.Duration, now)
 	s.learn(&g.signs, r, own && p.off.On(mechanism.Paths), took, work, now)
 	if r == health.OK {
 		// A cold server's time says nothing of its usual speed.
@@ -288,22 +288,22 @@
 	}
 }
 
-// Served takes in the final outcome of a request to a service, whatever the
+// RecordOutcome takes in the final outcome of a request to a service, whatever the
 // reason of a refusal.
-func (p *Placer) Served(serviceName string, ok bool, now time.Duration) {
+func (p *Placer) RecordOutcome(serviceName string, ok bool, now time.Duration) {
 	p.service(serviceName).outcomes.count(ok, now)
 }
 
-// ServedAt is Served for the service of a server.
-func (p *Placer) ServedAt(hash uint32, ok bool, now time.Duration) {
+// RecordServerOutcome is Served for the service of a server.
+func (p *Placer) RecordServerOutcome(hash uint32, ok bool, now time.Duration) {
 	if s, known := p.byHash[hash]; known {
-		p.Served(s.entry.Service, ok, now)
+		p.RecordOutcome(s.entry.Service, ok, now)
 	}
 }
 
-// RefusedAt is Served for a request that was refused, by the hash of its
+// RecordRefusal is Served for a request that was refused, by the hash of its
 // service's name.
-func (p *Placer) RefusedAt(hash uint32, now time.Duration) {
+func (p *Placer) RecordRefusal(hash uint32, now time.Duration) {
 	for name, g := range p.services {
 		if Hash(name) == hash {
 			g.outcomes.count(false, now)
@@ -320,29 +320,29 @@
 	return s.entry, true
 }
 
-// View is what a status page shows of a server.
-type View struct {
+// ServerStatus is what a status page shows of a server.
+type ServerStatus struct {
 	Server      discovery.Server
 	Outstanding int
 	// Risk is the probability that a request sent there now fails.
 	Risk     float64
 	Slowness float64
-	// Cold servers get no more than they bear, Limited ones no more than their
+	// Cold servers get no more than they bear, RateLimited ones no more than their
 	// limit, and Evacuated ones nothing.
-	Cold, Limited, Evacuated bool
+	Cold, RateLimited, Evacuated bool
 	// LastFailure is how the last failed attempt went, SinceFailure ago; OK if
 	// none is known.
 	LastFailure  health.Result
 	SinceFailure time.Duration
 }
 
-// Views returns all servers.
-func (p *Placer) Views(now time.Duration) []View {
-	views := make([]View, 0, len(p.byID))
+// ServerStatuses returns all servers.
+func (p *Placer) ServerStatuses(now time.Duration) []ServerStatus {
+	views := make([]ServerStatus, 0, len(p.byID))
 	for _, s := range p.byID {
-		views = append(views, View{
+		views = append(views, ServerStatus{
 			Server: s.entry, Outstanding: s.count(now), Risk: s.risk(p.off, now), Slowness: s.slowness,
-			Cold: now < s.coldTill, Limited: p.limited(s), Evacuated: p.evacuated[s.entry.DataCentre],
+			Cold: now < s.coldTill, RateLimited: p.limited(s), Evacuated: p.evacuated[s.entry.DataCentre],
 			LastFailure: s.failure, SinceFailure: now - s.failedAt,
 		})
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -33,26 +33,26 @@
 
 func order() placement.Request {
 	return placement.Request{
-		Service: "s", Aim: 800 * time.Millisecond, Left: 2 * time.Second, Work: work, KB: 5, DataCentre: "dc",
+		Service: "s", LatencyTarget: 800 * time.Millisecond, Remaining: 2 * time.Second, ServiceTime: work, SizeKB: 5, DataCentre: "dc",
 	}
 }
 
 func lookup() placement.Request {
 	r := order()
-	r.Repeatable = true
+	r.Retryable = true
 	return r
 }
 
 func use(p *placement.Placer, id string, r health.Result, now time.Duration) {
 	h := placement.Hash(id)
-	p.Outstanding(h, 0, 1, now)
-	p.Outstanding(h, 0, 0, now)
+	p.SetOutstanding(h, 0, 1, now)
+	p.SetOutstanding(h, 0, 0, now)
 	took := work
 	if r == health.Incomplete || r == health.Mismatch {
 		// Servers in spells break connections off at once.
 		took = 2 * time.Millisecond
 	}
-	p.Learn(h, r, true, took, work, now)
+	p.RecordResult(h, r, true, took, work, now)
 }
 
 func choose(t *testing.T, p *placement.Placer, r placement.Request, now time.Duration) placement.Choice {
@@ -70,7 +70,7 @@
 	now := time.Second
 	use(p, "a", health.OK, now)
 	use(p, "b", health.OK, now)
-	p.Learn(placement.Hash("a"), health.Incomplete, true, 0, work, now)
+	p.RecordResult(placement.Hash("a"), health.Incomplete, true, 0, work, now)
 	for range 5 {
 		must.Eq(t, "b", choose(t, p, order(), now).Server.ID)
 	}
@@ -78,7 +78,7 @@
 }
 
 func withTried(r placement.Request, ids ...string) placement.Request {
-	r.Tried = ids
+	r.TriedServers = ids
 	return r
 }
 
@@ -100,7 +100,7 @@
 	now := 10 * time.Second
 	use(p, "known", health.OK, now)
 	use(p, "known", health.OK, now)
-	p.Outstanding(placement.Hash("known"), peer, 1, now)
+	p.SetOutstanding(placement.Hash("known"), peer, 1, now)
 	must.Eq(t, "known", choose(t, p, order(), now).Server.ID)
 }
 
@@ -131,10 +131,10 @@
 		use(p, "a", health.OK, now)
 		use(p, "b", health.OK, now)
 	}
-	p.Outstanding(placement.Hash("a"), peer, 6, now)
+	p.SetOutstanding(placement.Hash("a"), peer, 6, now)
 	must.Eq(t, "b", choose(t, p, order(), now).Server.ID)
-	p.Forget(peer)
-	p.Outstanding(placement.Hash("b"), peer, 6, now)
+	p.RemoveInstance(peer)
+	p.SetOutstanding(placement.Hash("b"), peer, 6, now)
 	must.Eq(t, "a", choose(t, p, order(), now).Server.ID)
 }
 
@@ -142,7 +142,7 @@
 // keep the server out of use for ever.
 func TestOldCountsOfOthersAreDropped(t *testing.T) {
 	p := placer("a")
-	p.Outstanding(placement.Hash("a"), peer, 5, time.Second)
+	p.SetOutstanding(placement.Hash("a"), peer, 5, time.Second)
 	must.Eq(t, 5, choose(t, p, order(), 2*time.Second).Outstanding)
 	must.Eq(t, 0, choose(t, p, order(), 8*time.Second).Outstanding)
 }
@@ -155,10 +155,10 @@
 	for range 200 {
 		use(p, "a", health.OK, now)
 	}
-	p.Outstanding(placement.Hash("a"), peer, 9, now)
+	p.SetOutstanding(placement.Hash("a"), peer, 9, now)
 	short := order()
-	short.Work = 3 * time.Millisecond
-	must.Between(t, 3*work, choose(t, p, short, now).Expected, 5*work)
+	short.ServiceTime = 3 * time.Millisecond
+	must.Between(t, 3*work, choose(t, p, short, now).ExpectedLatency, 5*work)
 }
 
 func TestDrainingAndGoneServersGetNothing(t *testing.T) {
@@ -197,12 +197,12 @@
 	here, there := placer("a", "b"), placer("a", "b")
 	h, now := placement.Hash("a"), 10*time.Second
 	for range 2 {
-		here.Learn(h, health.ConnectFailed, true, 0, work, now)
-		there.Learn(h, health.ConnectFailed, false, 0, work, now)
+		here.RecordResult(h, health.ConnectFailed, true, 0, work, now)
+		there.RecordResult(h, health.ConnectFailed, false, 0, work, now)
 	}
 	for range 20 {
-		here.Learn(h, health.OK, false, work, work, now)
-		there.Learn(h, health.OK, true, work, work, now)
+		here.RecordResult(h, health.OK, false, work, work, now)
+		there.RecordResult(h, health.OK, true, work, work, now)
 	}
 	must.Greater(t, 0.5, choose(t, here, withTried(order(), "b"), now).Risk)
 	must.Less(t, 0.05, choose(t, there, withTried(order(), "b"), now).Risk)
@@ -219,10 +219,10 @@
 	use(p, "far", health.OK, now)
 	use(p, "near", health.OK, now)
 	must.Eq(t, "near", choose(t, p, order(), now).Server.ID)
-	p.Outstanding(placement.Hash("near"), peer, 8, now)
+	p.SetOutstanding(placement.Hash("near"), peer, 8, now)
 	must.Eq(t, "far", choose(t, p, order(), now).Server.ID)
-	p.Outstanding(placement.Hash("near"), peer, 0, now)
-	p.Learn(placement.Hash("near"), health.Incomplete, true, 0, work, now)
+	p.SetOutstanding(placement.Hash("near"), peer, 0, now)
+	p.RecordResult(placement.Hash("near"), health.Incomplete, true, 0, work, now)
 	must.Eq(t, "far", choose(t, p, order(), now).Server.ID)
 }
 
@@ -231,8 +231,8 @@
 	warm := server("warm")
 	warm.WarmUp = 3 * time.Second
 	p.Apply(discovery.Change{Server: warm, New: true}, 0)
-	must.Eq(t, 2*work, choose(t, p, order(), time.Second).Expected)
-	must.Eq(t, work, choose(t, p, order(), 4*time.Second).Expected)
+	must.Eq(t, 2*work, choose(t, p, order(), time.Second).ExpectedLatency)
+	must.Eq(t, work, choose(t, p, order(), 4*time.Second).ExpectedLatency)
 }
 
 func TestSlowServerIsExpectedToBeSlow(t *testing.T) {
@@ -241,10 +241,10 @@
 	for range 10 {
 		use(p, "fast", health.OK, now)
 		use(p, "slow", health.OK, now)
-		p.Learn(placement.Hash("slow"), health.OK, true, 6*work, work, now)
+		p.RecordResult(placement.Hash("slow"), health.OK, true, 6*work, work, now)
 	}
 	must.Eq(t, "fast", choose(t, p, lookup(), now).Server.ID)
-	must.Greater(t, 3*work, choose(t, p, withTried(lookup(), "fast"), now).Expected)
+	must.Greater(t, 3*work, choose(t, p, withTried(lookup(), "fast"), now).ExpectedLatency)
 }
 
 func TestHashesOfIDsDiffer(t *testing.T) {
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -111,11 +111,11 @@
 
 func placed(w *world, instance int, now time.Duration) *replayServer {
 	r := order()
-	r.Repeatable = w.rng.Float64() < w.lookups
-	r.RoomToRepeat = r.Repeatable
-	w.repeatable = r.Repeatable
+	r.Retryable = w.rng.Float64() < w.lookups
+	r.RetryBudgetAmple = r.Retryable
+	w.repeatable = r.Retryable
 	c, _ := w.views[instance].Choose(r, now, w.rng.Float64)
-	w.views[instance].Sent(c.Server.ID, r, now)
+	w.views[instance].RecordSent(c.Server.ID, r, now)
 	for _, s := range w.servers {
 		if s.id == c.Server.ID {
 			return s
@@ -152,7 +152,7 @@
 		w.events.runUntil(now)
 		if w.rng.Float64() < w.refused {
 			for _, v := range w.views {
-				v.Served("s", false, now)
+				v.RecordOutcome("s", false, now)
 			}
 			continue
 		}
@@ -231,11 +231,11 @@
 	s.queue += change
 	s.number[instance] += change
 	n, h := s.number[instance], placement.Hash(s.id)
-	w.views[instance].Outstanding(h, 0, n, now)
+	w.views[instance].SetOutstanding(h, 0, n, now)
 	w.events.at(now+hearsAfter, func() {
 		for i, v := range w.views {
 			if i != instance {
-				v.Outstanding(h, uint32(instance+1), n, now+hearsAfter)
+				v.SetOutstanding(h, uint32(instance+1), n, now+hearsAfter)
 			}
 		}
 	})
@@ -245,13 +245,13 @@
 	w.events.at(at, func() {
 		w.count(s, instance, -1, at)
 		h := placement.Hash(s.id)
-		w.views[instance].Learn(h, r, true, took, 160*time.Millisecond, at)
-		w.views[instance].Served("s", r == health.OK, at)
+		w.views[instance].RecordResult(h, r, true, took, 160*time.Millisecond, at)
+		w.views[instance].RecordOutcome("s", r == health.OK, at)
 		w.events.at(at+hearsAfter, func() {
 			for i, v := range w.views {
 				if i != instance {
-					v.Learn(h, r, false, took, 160*time.Millisecond, at+hearsAfter)
-					v.Served("s", r == health.OK, at+hearsAfter)
+					v.RecordResult(h, r, false, took, 160*time.Millisecond, at+hearsAfter)
+					v.RecordOutcome("s", r == health.OK, at+hearsAfter)
 				}
 			}
 		})
--- a/placement/server.go
+++ b/placement/server.go
@@ -51,25 +51,25 @@
 func (s *server) weigh(off mechanism.Off, g *service, r Request, now time.Duration, wide bool, random func() float64) Choice {
 	out := s.count(now)
 	risk := s.risk(off, now)
-	expected := s.expected(r.Work, g.work, out, now)
+	expected := s.expected(r.ServiceTime, g.work, out, now)
 	cost := s.delayCost(off, r, expected, out)
-	if r.Repeatable {
+	if r.Retryable {
 		cost += risk * riskRepeatable
 	} else {
 		cost += risk
 	}
 	if s.entry.DataCentre != r.DataCentre && off.On(mechanism.Crossing) {
-		cost += math.Min(crossing+crossingPerKB*r.KB, crossingMost)
+		cost += math.Min(crossing+crossingPerKB*r.SizeKB, crossingMost)
 	}
-	if len(r.Tried) == 0 {
+	if len(r.TriedServers) == 0 {
 		cost -= s.pull(off, g, r, now, out, risk, wide, random)
 	}
-	return Choice{Server: s.entry, Expected: expected, Outstanding: out, Risk: risk, Cost: cost}
+	return Choice{Server: s.entry, ExpectedLatency: expected, Outstanding: out, Risk: risk, Cost: cost}
 }
 
 // delayCost is what the expected time costs a request that doesn't fail.
 func (s *server) delayCost(off mechanism.Off, r Request, expected time.Duration, out int) float64 {
-	late := float64(expected) / float64(max(r.Aim, time.Millisecond))
+	late := float64(expected) / float64(max(r.LatencyTarget, time.Millisecond))
 	cost := timeCost*math.Min(late, mostLate) + lateCost*clamp((late-0.8)/0.7)
 	if off.On(mechanism.Waiting) {
 		cost += waiting * s.ahead(out)
@@ -91,7 +91,7 @@
 		return newcomer
 	case off.On(mechanism.Keep) && s.used && risk < g.keepRisk(r) && due(now-s.lastUse-keepPause(risk), random):
 		return keep
-	case off.On(mechanism.Probe) && r.Repeatable && r.RoomToRepeat && !s.silent && due(now-s.lastUse-probeAfter, random):
+	case off.On(mechanism.Probe) && r.Retryable && r.RetryBudgetAmple && !s.silent && due(now-s.lastUse-probeAfter, random):
 		return probe
 	default:
 		return 0
@@ -101,7 +101,7 @@
 // keepRisk is the risk up to which a request keeps servers in use. Where enough
 // requests can be repeated, orders leave the doubtful servers to these.
 func (g *service) keepRisk(r Request) float64 {
-	if !r.Repeatable && g.repeatable >= enoughRepeatable {
+	if !r.Retryable && g.repeatable >= enoughRepeatable {
 		return keepRiskOrders
 	}
 	return keepRisk
--- a/placement/signs_test.go
+++ b/placement/signs_test.go
@@ -14,13 +14,13 @@
 // fresh is a server that nothing but good answers is known of.
 func fresh(p *placement.Placer, id string, now time.Duration) {
 	for range 10 {
-		p.Learn(placement.Hash(id), health.OK, false, work, work, now)
+		p.RecordResult(placement.Hash(id), health.OK, false, work, work, now)
 	}
 }
 
 func riskOf(t *testing.T, p *placement.Placer, id string, now time.Duration) float64 {
 	t.Helper()
-	for _, v := range p.Views(now) {
+	for _, v := range p.ServerStatuses(now) {
 		if v.Server.ID == id {
 			return v.Risk
 		}
@@ -37,8 +37,8 @@
 	now := 10 * time.Second
 	fresh(p, "quick", now)
 	fresh(p, "slow", now)
-	p.Learn(placement.Hash("quick"), health.ServerError, false, 2*time.Millisecond, work, now)
-	p.Learn(placement.Hash("slow"), health.ServerError, false, work, work, now)
+	p.RecordResult(placement.Hash("quick"), health.ServerError, false, 2*time.Millisecond, work, now)
+	p.RecordResult(placement.Hash("slow"), health.ServerError, false, work, work, now)
 	must.Greater(t, 0.5, riskOf(t, p, "quick", now))
 	must.Less(t, 0.12, riskOf(t, p, "slow", now))
 }
@@ -50,8 +50,8 @@
 	for i := range servers {
 		id := fmt.Sprintf("t-%d", i)
 		fresh(p, id, now)
-		p.Learn(placement.Hash(id), r, false, took, work, now)
-		p.Learn(placement.Hash(id), again, false, work, work, now+time.Second)
+		p.RecordResult(placement.Hash(id), r, false, took, work, now)
+		p.RecordResult(placement.Hash(id), again, false, work, work, now+time.Second)
 		now += 100 * time.Millisecond
 	}
 	return now + 2*time.Second
@@ -70,7 +70,7 @@
 	p := placer(trainees(30, "a")...)
 	now := train(p, health.ServerError, work, health.ServerError, 30)
 	fresh(p, "a", now)
-	p.Learn(placement.Hash("a"), health.ServerError, false, work, work, now)
+	p.RecordResult(placement.Hash("a"), health.ServerError, false, work, work, now)
 	must.Greater(t, 0.5, riskOf(t, p, "a", now))
 }
 
@@ -80,7 +80,7 @@
 	p := placer(trainees(60, "a")...)
 	now := train(p, health.Incomplete, 2*time.Millisecond, health.OK, 60)
 	fresh(p, "a", now)
-	p.Learn(placement.Hash("a"), health.Incomplete, false, 2*time.Millisecond, work, now)
+	p.RecordResult(placement.Hash("a"), health.Incomplete, false, 2*time.Millisecond, work, now)
 	must.Less(t, 0.15, riskOf(t, p, "a", now))
 }
 
@@ -91,11 +91,11 @@
 	now := 10 * time.Second
 	for i := range 60 {
 		h := placement.Hash(fmt.Sprintf("t-%d", i))
-		p.Learn(h, health.ServerError, false, 2*time.Millisecond, work, now)
-		p.Learn(h, health.OK, false, work, work, now+work/2)
+		p.RecordResult(h, health.ServerError, false, 2*time.Millisecond, work, now)
+		p.RecordResult(h, health.OK, false, work, work, now+work/2)
 	}
 	now += 10 * time.Second
 	fresh(p, "a", now)
-	p.Learn(placement.Hash("a"), health.ServerError, false, 2*time.Millisecond, work, now)
+	p.RecordResult(placement.Hash("a"), health.ServerError, false, 2*time.Millisecond, work, now)
 	must.Greater(t, 0.5, riskOf(t, p, "a", now))
 }
--- a/placement/use_test.go
+++ b/placement/use_test.go
@@ -62,10 +62,10 @@
 	must.Eq(t, "hot", choose(t, p, order(), now).Server.ID)
 	must.Eq(t, "hot", choose(t, p, lookup(), now).Server.ID)
 	r := lookup()
-	r.RoomToRepeat = true
+	r.RetryBudgetAmple = true
 	must.Eq(t, "failed", choose(t, p, r, now).Server.ID)
 	must.Eq(t, "hot", choose(t, p, withTried(r, "another"), now).Server.ID)
-	p.Learn(placement.Hash("failed"), health.Timeout, true, 5*work, work, now-1500*time.Millisecond)
+	p.RecordResult(placement.Hash("failed"), health.Timeout, true, 5*work, work, now-1500*time.Millisecond)
 	must.Eq(t, "hot", choose(t, p, r, now).Server.ID)
 }
 
@@ -74,12 +74,12 @@
 // again; if this instance's own path is cut, each would wait in vain.
 func TestOthersCutPathsDontKeepLookupsFromProbing(t *testing.T) {
 	r := lookup()
-	r.RoomToRepeat = true
+	r.RetryBudgetAmple = true
 	for own, chosen := range map[bool]string{false: "failed", true: "hot"} {
 		p := placer("hot", "failed")
 		now := 10 * time.Second
 		use(p, "failed", health.Incomplete, now-2*time.Second)
-		p.Learn(placement.Hash("failed"), health.ConnectFailed, own, 0, 0, now-1500*time.Millisecond)
+		p.RecordResult(placement.Hash("failed"), health.ConnectFailed, own, 0, 0, now-1500*time.Millisecond)
 		use(p, "hot", health.OK, now)
 		use(p, "hot", health.OK, now)
 		must.Eq(t, chosen, choose(t, p, r, now).Server.ID, must.Sprint("own ", own))
@@ -110,7 +110,7 @@
 	use(p, "hot", health.OK, now)
 	use(p, "hot", health.OK, now)
 	must.Eq(t, "hot", choose(t, p, order(), now).Server.ID)
-	p.Disturbed(now)
+	p.RecordInstanceLoss(now)
 	must.Eq(t, "idle", choose(t, p, order(), now).Server.ID)
 	now += 6 * time.Second
 	use(p, "hot", health.OK, now)
@@ -143,7 +143,7 @@
 	use(p, "failed", health.Incomplete, now-time.Second)
 	for i := range 20 {
 		use(p, "hot", health.OK, now)
-		p.Served("s", i >= 3, now)
+		p.RecordOutcome("s", i >= 3, now)
 	}
 	must.Eq(t, "idle", choose(t, p, order(), now).Server.ID)
 	use(p, "idle", health.OK, now)
@@ -180,13 +180,13 @@
 	found, sent := make(map[string]bool), 0
 	for now := begin; now < begin+2*time.Second; now += 4 * time.Millisecond {
 		if rng.Float64() < 0.25 {
-			p.Served("s", false, now)
+			p.RecordOutcome("s", false, now)
 			continue
 		}
 		c, ok := p.Choose(lookup(), now, rng.Float64)
 		must.True(t, ok)
 		use(p, c.Server.ID, health.OK, now)
-		p.Served("s", true, now)
+		p.RecordOutcome("s", true, now)
 		if again[c.Server.ID] {
 			found[c.Server.ID] = true
 			sent++
@@ -222,8 +222,8 @@
 		c, ok := p.Choose(order(), now, rng.Float64)
 		must.True(t, ok)
 		use(p, c.Server.ID, health.OK, now)
-		p.Served("s", rng.Float64() > 0.11, now)
-		p.Served("s", rng.Float64() > 0.11, now)
+		p.RecordOutcome("s", rng.Float64() > 0.11, now)
+		p.RecordOutcome("s", rng.Float64() > 0.11, now)
 		if slices.Contains(again, c.Server.ID) {
 			found[c.Server.ID] = true
 		}
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -4,8 +4,8 @@
 
 import "foxtailspoke/relay"
 
-// Ranks are the ranks of one instance. They aren't safe for concurrent use.
-type Ranks struct {
+// Ranker are the ranks of one instance. They aren't safe for concurrent use.
+type Ranker struct {
 	self uint32
 	// others are all instances that are known, heard or not, without this one.
 	others []uint32
@@ -13,25 +13,25 @@
 	cache  map[uint32]int
 }
 
-// NewRanks returns the ranks of an instance that doesn't know the fleet yet.
-func NewRanks(self uint32) *Ranks { return &Ranks{self: self, cache: make(map[uint32]int)} }
+// NewRanker returns the ranks of an instance that doesn't know the fleet yet.
+func NewRanker(self uint32) *Ranker { return &Ranker{self: self, cache: make(map[uint32]int)} }
 
 // SetInstances replaces the other instances of the fleet, heard or not.
-func (r *Ranks) SetInstances(ids []uint32) {
+func (r *Ranker) SetInstances(ids []uint32) {
 	r.others = ids
 	r.known = true
 	clear(r.cache)
 }
 
-// Known reports whether SetInstances was ever called. An instance that took
+// Initialized reports whether SetInstances was ever called. An instance that took
 // itself for the only one would rank first for every key.
-func (r *Ranks) Known() bool { return r.known }
+func (r *Ranker) Initialized() bool { return r.known }
 
-// Instances is how many instances the fleet has, with this one.
-func (r *Ranks) Instances() int { return len(r.others) + 1 }
+// InstanceCount is how many instances the fleet has, with this one.
+func (r *Ranker) InstanceCount() int { return len(r.others) + 1 }
 
-// Of returns the rank of this instance for a key, 0 the first.
-func (r *Ranks) Of(key uint32) int {
+// Rank returns the rank of this instance for a key, 0 the first.
+func (r *Ranker) Rank(key uint32) int {
 	if rank, known := r.cache[key]; known {
 		return rank
 	}
@@ -46,6 +46,6 @@
 }
 
 // Forget drops what is kept of a key.
-func (r *Ranks) Forget(key uint32) { delete(r.cache, key) }
+func (r *Ranker) Forget(key uint32) { delete(r.cache, key) }
 
 func weight(key, instance uint32) uint32 { return relay.Mix(relay.Mix(key) ^ instance) }
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -14,20 +14,20 @@
 	for key := range uint32(50) {
 		taken := make(map[int]bool)
 		for i, id := range ids {
-			r := rendezvous.NewRanks(id)
+			r := rendezvous.NewRanker(id)
 			r.SetInstances(append(append([]uint32(nil), ids[:i]...), ids[i+1:]...))
-			must.False(t, taken[r.Of(key)])
-			taken[r.Of(key)] = true
-			must.Between(t, 0, r.Of(key), len(ids)-1)
+			must.False(t, taken[r.Rank(key)])
+			taken[r.Rank(key)] = true
+			must.Between(t, 0, r.Rank(key), len(ids)-1)
 		}
 	}
 }
 
 func TestRanksAreUnknownAtFirst(t *testing.T) {
-	r := rendezvous.NewRanks(1)
-	must.False(t, r.Known())
+	r := rendezvous.NewRanker(1)
+	must.False(t, r.Initialized())
 	r.SetInstances(nil)
-	must.True(t, r.Known())
-	must.Eq(t, 1, r.Instances())
-	must.Eq(t, 0, r.Of(7))
+	must.True(t, r.Initialized())
+	must.Eq(t, 1, r.InstanceCount())
+	must.Eq(t, 0, r.Rank(7))
 }
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -16,7 +16,7 @@
 // smaller parts waste less, but may send more at once.
 //
 // Usage: give SetInstances the fleet as it becomes known, tell Named and Withdrawn
-// what answers say, ask Allow before a request is sent and tell Sent of those that
+// what answers say, ask Allow before a request is sent and tell RecordSent of those that
 // are. Decisions are pure: time is passed in.
 package throttle
 
@@ -40,7 +40,7 @@
 
 // Limiter is the part of one instance. It isn't safe for concurrent use.
 type Limiter struct {
-	ranks   *rendezvous.Ranks
+	ranks   *rendezvous.Ranker
 	servers map[uint32]*server
 }
 
@@ -57,14 +57,14 @@
 // NewLimiter returns a limiter that allows nothing to limited servers until the
 // fleet is known.
 func NewLimiter(self uint32) *Limiter {
-	return &Limiter{ranks: rendezvous.NewRanks(self), servers: make(map[uint32]*server)}
+	return &Limiter{ranks: rendezvous.NewRanker(self), servers: make(map[uint32]*server)}
 }
 
 // SetInstances replaces the other instances of the fleet, heard or not.
 func (l *Limiter) SetInstances(ids []uint32) { l.ranks.SetInstances(ids) }
 
-// Named takes in that a server names a limit in requests a second.
-func (l *Limiter) Named(id uint32, perSecond float64, now time.Duration) {
+// SetLimit takes in that a server names a limit in requests a second.
+func (l *Limiter) SetLimit(id uint32, perSecond float64, now time.Duration) {
 	s, known := l.servers[id]
 	if !known {
 		l.forgetOld(now)
@@ -74,8 +74,8 @@
 	s.limit, s.heard = perSecond, now
 }
 
-// Withdrawn takes in that a server names no limit any more.
-func (l *Limiter) Withdrawn(id uint32) {
+// RemoveLimit takes in that a server names no limit any more.
+func (l *Limiter) RemoveLimit(id uint32) {
 	delete(l.servers, id)
 	l.ranks.Forget(id)
 }
@@ -90,16 +90,16 @@
 	return s.limit, true
 }
 
-// HeardBefore reports whether a limit is known that the server last named before a
+// LimitOlderThan reports whether a limit is known that the server last named before a
 // moment. Only the answer to a request that was sent after that can end it: an
 // answer from before the limit may arrive later than one that names it.
-func (l *Limiter) HeardBefore(id uint32, at time.Duration) bool {
+func (l *Limiter) LimitOlderThan(id uint32, at time.Duration) bool {
 	s, limited := l.servers[id]
 	return limited && s.heard < at
 }
 
-// Limited is how many servers name a limit.
-func (l *Limiter) Limited() int { return len(l.servers) }
+// LimitedServers is how many servers name a limit.
+func (l *Limiter) LimitedServers() int { return len(l.servers) }
 
 // Allow reports whether this instance may send a request to a server now, or how
 // long it has to wait; false and 0 say that it isn't a holder.
@@ -109,19 +109,19 @@
 		return true, 0
 	}
 	holders := l.holders(s.limit)
-	if !l.ranks.Known() || l.ranks.Of(id) >= holders {
+	if !l.ranks.Initialized() || l.ranks.Rank(id) >= holders {
 		return false, 0
 	}
 	pause := time.Duration(float64(holders) / max(s.limit, leastRate) * float64(time.Second))
 	next := s.last + pause
 	if !s.sent {
-		next = s.since + pause*time.Duration(l.ranks.Of(id))/time.Duration(holders)
+		next = s.since + pause*time.Duration(l.ranks.Rank(id))/time.Duration(holders)
 	}
 	return next <= now, max(next-now, 0)
 }
 
-// Sent takes in that this instance sends a request to a server, limited or not.
-func (l *Limiter) Sent(id uint32, now time.Duration) {
+// RecordSent records that this instance sends a request to a server, limited or not.
+func (l *Limiter) RecordSent(id uint32, now time.Duration) {
 	if s, limited := l.servers[id]; limited {
 		s.last, s.sent = now, true
 	}
@@ -132,12 +132,12 @@
 func (l *Limiter) forgetOld(now time.Duration) {
 	for id, s := range l.servers {
 		if now-s.heard > forgetAfter {
-			l.Withdrawn(id)
+			l.RemoveLimit(id)
 		}
 	}
 }
 
 // holders is how many instances share a limit.
 func (l *Limiter) holders(perSecond float64) int {
-	return int(math.Min(math.Floor(perSecond)+extraHolders, float64(l.ranks.Instances())))
+	return int(math.Min(math.Floor(perSecond)+extraHolders, float64(l.ranks.InstanceCount())))
 }
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -21,7 +21,7 @@
 	ok, _ := l.Limiter.Allow(server, now)
 	return ok
 }
-func (l leases) Heard(uint32, time.Duration) {}
+func (l leases) RecordPeerSent(uint32, time.Duration) {}
 
 // fewHolders is the policy of package warmup, with one holder for each request a
 // second.
@@ -34,7 +34,7 @@
 	ok, _ := f.Limiter.Allow(server, f.limit, now)
 	return ok
 }
-func (f fewHolders) Heard(uint32, time.Duration) {}
+func (f fewHolders) RecordPeerSent(uint32, time.Duration) {}
 
 // bucket is a token bucket whose tokens all instances take, as far as they hear
 // each other; it counts on the share of the limit that belongs to those heard.
@@ -60,64 +60,64 @@
 	return b.tokens[server] >= 1
 }
 
-func (b *bucket) Sent(server uint32, now time.Duration) {
+func (b *bucket) RecordSent(server uint32, now time.Duration) {
 	b.refill(server, now)
 	b.tokens[server]--
 }
-func (b *bucket) Heard(server uint32, now time.Duration) { b.Sent(server, now) }
+func (b *bucket) RecordPeerSent(server uint32, now time.Duration) { b.RecordSent(server, now) }
 
 // scene is a fleet whose every request would go to a limited server if it may.
-type scene struct{ ratesim.Scene }
+type scene struct{ ratesim.Scenario }
 
 func (s scene) leases() []ratesim.Policy {
-	return s.Fleet(func(self uint32, others []uint32) ratesim.Policy {
+	return s.NewFleet(func(self uint32, others []uint32) ratesim.Policy {
 		l := throttle.NewLimiter(self)
 		l.SetInstances(others)
 		for k := range s.Servers {
-			l.Named(ratesim.Server(k), s.Rate, 0)
+			l.SetLimit(ratesim.ServerID(k), s.ServerRate, 0)
 		}
 		return leases{l}
 	})
 }
 
 func (s scene) fewHolders() []ratesim.Policy {
-	return s.Fleet(func(self uint32, others []uint32) ratesim.Policy {
+	return s.NewFleet(func(self uint32, others []uint32) ratesim.Policy {
 		l := warmup.NewLimiter(self)
 		l.SetInstances(others)
-		return fewHolders{l, s.Rate}
+		return fewHolders{l, s.ServerRate}
 	})
 }
 
 func (s scene) buckets() []ratesim.Policy {
 	share := 1.0
-	if s.Halves {
+	if s.Partitioned {
 		share = 0.5
 	}
-	return s.Fleet(func(uint32, []uint32) ratesim.Policy {
-		return &bucket{s.Rate, share, make(map[uint32]float64), make(map[uint32]time.Duration)}
+	return s.NewFleet(func(uint32, []uint32) ratesim.Policy {
+		return &bucket{s.ServerRate, share, make(map[uint32]float64), make(map[uint32]time.Duration)}
 	})
 }
 
 func (s scene) play(fleet []ratesim.Policy, seed uint64) (most int, used float64) {
-	s.Length, s.Window = 20*time.Second, window
-	return s.Play(fleet, seed)
+	s.Duration, s.Window = 20*time.Second, window
+	return s.Run(fleet, seed)
 }
 
 // allowed is how many requests a server bears within a window.
-func (s scene) allowed() float64 { return 1.5*s.Rate*window.Seconds() + 5 }
-
-var scenes = map[string]ratesim.Scene{
-	"two of fifteen servers":          {Instances: 36, Servers: 2, Rate: 1, PerSecond: 60},
-	"two servers, three a second":     {Instances: 36, Servers: 2, Rate: 3.1, PerSecond: 60},
-	"all servers of a small service":  {Instances: 36, Servers: 8, Rate: 2.5, PerSecond: 25},
-	"half don't hear each other":      {Instances: 36, Servers: 2, Rate: 2.5, PerSecond: 60, Halves: true},
-	"news takes long":                 {Instances: 36, Servers: 2, Rate: 2.5, PerSecond: 60, Hearing: 300 * time.Millisecond},
-	"one server under a large load":   {Instances: 133, Servers: 1, Rate: 2.5, PerSecond: 680},
-	"many servers under a large load": {Instances: 133, Servers: 33, Rate: 2.5, PerSecond: 680},
-	"large limits":                    {Instances: 133, Servers: 4, Rate: 20, PerSecond: 680},
-	"hundreds of instances":           {Instances: 293, Servers: 30, Rate: 1, PerSecond: 400},
-	"few instances":                   {Instances: 3, Servers: 4, Rate: 2.5, PerSecond: 30},
-	"less than one a second":          {Instances: 12, Servers: 4, Rate: 0.5, PerSecond: 60},
+func (s scene) allowed() float64 { return 1.5*s.ServerRate*window.Seconds() + 5 }
+
+var scenes = map[string]ratesim.Scenario{
+	"two of fifteen servers":          {Instances: 36, Servers: 2, ServerRate: 1, RequestRate: 60},
+	"two servers, three a second":     {Instances: 36, Servers: 2, ServerRate: 3.1, RequestRate: 60},
+	"all servers of a small service":  {Instances: 36, Servers: 8, ServerRate: 2.5, RequestRate: 25},
+	"half don't hear each other":      {Instances: 36, Servers: 2, ServerRate: 2.5, RequestRate: 60, Partitioned: true},
+	"news takes long":                 {Instances: 36, Servers: 2, ServerRate: 2.5, RequestRate: 60, PropagationDelay: 300 * time.Millisecond},
+	"one server under a large load":   {Instances: 133, Servers: 1, ServerRate: 2.5, RequestRate: 680},
+	"many servers under a large load": {Instances: 133, Servers: 33, ServerRate: 2.5, RequestRate: 680},
+	"large limits":                    {Instances: 133, Servers: 4, ServerRate: 20, RequestRate: 680},
+	"hundreds of instances":           {Instances: 293, Servers: 30, ServerRate: 1, RequestRate: 400},
+	"few instances":                   {Instances: 3, Servers: 4, ServerRate: 2.5, RequestRate: 30},
+	"less than one a second":          {Instances: 12, Servers: 4, ServerRate: 0.5, RequestRate: 60},
 }
 
 // A server in need gets more than it takes, because every instance finds it idle
@@ -147,10 +147,10 @@
 // A limit is named to all instances at once; their first requests must not come at
 // once as well.
 func TestFirstTurnsOfHoldersAreStaggered(t *testing.T) {
-	s := scene{ratesim.Scene{Instances: 36, Servers: 1, Rate: 2}}
+	s := scene{ratesim.Scenario{Instances: 36, Servers: 1, ServerRate: 2}}
 	first := make(map[time.Duration]int)
 	for _, p := range s.leases() {
-		if ok, wait := p.(leases).Limiter.Allow(ratesim.Server(0), 0); ok || wait > 0 {
+		if ok, wait := p.(leases).Limiter.Allow(ratesim.ServerID(0), 0); ok || wait > 0 {
 			first[wait]++
 		}
 	}
@@ -165,7 +165,7 @@
 // itself for the only holder.
 func TestNothingIsAllowedUntilTheFleetIsKnown(t *testing.T) {
 	l := throttle.NewLimiter(1)
-	l.Named(9, 5, 0)
+	l.SetLimit(9, 5, 0)
 	ok, wait := l.Allow(9, time.Minute)
 	must.False(t, ok)
 	must.Eq(t, 0, wait)
@@ -177,8 +177,8 @@
 func TestHolderKeepsToItsPart(t *testing.T) {
 	l := throttle.NewLimiter(1)
 	l.SetInstances(nil)
-	l.Named(9, 2, 0)
-	l.Sent(9, time.Second)
+	l.SetLimit(9, 2, 0)
+	l.RecordSent(9, time.Second)
 	ok, wait := l.Allow(9, 1300*time.Millisecond)
 	must.False(t, ok)
 	must.Eq(t, 200*time.Millisecond, wait)
@@ -191,8 +191,8 @@
 func TestServerWithoutAnyRoomIsAskedNowAndThen(t *testing.T) {
 	l := throttle.NewLimiter(1)
 	l.SetInstances(nil)
-	l.Named(9, 0, 0)
-	l.Sent(9, 0)
+	l.SetLimit(9, 0, 0)
+	l.RecordSent(9, 0)
 	ok, wait := l.Allow(9, 0)
 	must.False(t, ok)
 	must.Eq(t, 10*time.Second, wait)
@@ -203,9 +203,9 @@
 	ok, _ := l.Allow(9, 0)
 	must.True(t, ok)
 	l.SetInstances(nil)
-	l.Named(9, 1, 0)
-	l.Sent(9, 0)
-	l.Withdrawn(9)
+	l.SetLimit(9, 1, 0)
+	l.RecordSent(9, 0)
+	l.RemoveLimit(9)
 	ok, _ = l.Allow(9, 0)
 	must.True(t, ok)
 	_, limited := l.Limit(9)
@@ -216,8 +216,8 @@
 // names it. Taken for the end of the limit it would let everybody send at will.
 func TestOnlyAnAnswerToALaterRequestEndsALimit(t *testing.T) {
 	l := throttle.NewLimiter(1)
-	must.False(t, l.HeardBefore(9, time.Second))
-	l.Named(9, 2, time.Second)
-	must.False(t, l.HeardBefore(9, 900*time.Millisecond))
-	must.True(t, l.HeardBefore(9, 1100*time.Millisecond))
+	must.False(t, l.LimitOlderThan(9, time.Second))
+	l.SetLimit(9, 2, time.Second)
+	must.False(t, l.LimitOlderThan(9, 900*time.Millisecond))
+	must.True(t, l.LimitOlderThan(9, 1100*time.Millisecond))
 }
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -13,7 +13,7 @@
 // Trade-off: a share lies idle while its holder has no request for the service.
 //
 // Usage: give SetInstances the fleet as it becomes known, ask Allow before a
-// request is sent to a cold server, and tell Sent of those that are. Decisions
+// request is sent to a cold server, and tell RecordSent of those that are. Decisions
 // are pure: time is passed in.
 package warmup
 
@@ -30,7 +30,7 @@
 
 // Limiter is the part of one instance. It isn't safe for concurrent use.
 type Limiter struct {
-	ranks *rendezvous.Ranks
+	ranks *rendezvous.Ranker
 	// last is when this instance last sent to a server.
 	last map[uint32]time.Duration
 }
@@ -38,7 +38,7 @@
 // NewLimiter returns a limiter that allows nothing until the fleet is known: an
 // instance that took itself for the only one would use all shares.
 func NewLimiter(self uint32) *Limiter {
-	return &Limiter{ranks: rendezvous.NewRanks(self), last: make(map[uint32]time.Duration)}
+	return &Limiter{ranks: rendezvous.NewRanker(self), last: make(map[uint32]time.Duration)}
 }
 
 // SetInstances replaces the other instances of the fleet, heard or not.
@@ -49,7 +49,7 @@
 // that it holds no share.
 func (l *Limiter) Allow(server uint32, perSecond float64, now time.Duration) (ok bool, wait time.Duration) {
 	holders := l.holders(perSecond)
-	if !l.ranks.Known() || l.ranks.Of(server) >= holders {
+	if !l.ranks.Initialized() || l.ranks.Rank(server) >= holders {
 		return false, 0
 	}
 	last, sent := l.last[server]
@@ -72,8 +72,8 @@
 	return time.Duration(spacingMargin / perSecond * float64(time.Second))
 }
 
-// Sent takes in that this instance sends a request to a server, cold or not.
-func (l *Limiter) Sent(server uint32, now time.Duration) { l.last[server] = now }
+// RecordSent records that this instance sends a request to a server, cold or not.
+func (l *Limiter) RecordSent(server uint32, now time.Duration) { l.last[server] = now }
 
 // Forget drops what is kept of a server.
 func (l *Limiter) Forget(server uint32) {
@@ -84,5 +84,5 @@
 // holders is how many instances share a server that bears so many requests a
 // second.
 func (l *Limiter) holders(perSecond float64) int {
-	return min(l.ranks.Instances(), max(int(math.Floor(perSecond)), 1))
+	return min(l.ranks.InstanceCount(), max(int(math.Floor(perSecond)), 1))
 }
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -20,7 +20,7 @@
 	ok, _ := l.Limiter.Allow(server, l.rate, now)
 	return ok
 }
-func (l leases) Heard(uint32, time.Duration) {}
+func (l leases) RecordPeerSent(uint32, time.Duration) {}
 
 // sharedCount is the policy to compare with: an instance sends while it has
 // heard of fewer requests in the last second than the server bears, times the
@@ -40,50 +40,50 @@
 	return float64(recent)+1 <= s.rate
 }
 
-func (s sharedCount) Sent(server uint32, now time.Duration) {
+func (s sharedCount) RecordSent(server uint32, now time.Duration) {
 	s.log[server] = append(s.log[server], now)
 }
-func (s sharedCount) Heard(server uint32, now time.Duration) { s.Sent(server, now) }
+func (s sharedCount) RecordPeerSent(server uint32, now time.Duration) { s.RecordSent(server, now) }
 
 // scene is a fleet whose every request would go to a cold server if it may.
-type scene struct{ ratesim.Scene }
+type scene struct{ ratesim.Scenario }
 
 func (s scene) leases() []ratesim.Policy {
-	return s.Fleet(func(self uint32, others []uint32) ratesim.Policy {
+	return s.NewFleet(func(self uint32, others []uint32) ratesim.Policy {
 		l := warmup.NewLimiter(self)
 		l.SetInstances(others)
-		return leases{l, s.Rate}
+		return leases{l, s.ServerRate}
 	})
 }
 
 func (s scene) sharedCounts() []ratesim.Policy {
-	rate := s.Rate
+	rate := s.ServerRate
 	switch {
-	case s.Halves:
+	case s.Partitioned:
 		rate /= 2
-	case s.Alone:
+	case s.Isolated:
 		rate /= float64(s.Instances)
 	}
-	return s.Fleet(func(uint32, []uint32) ratesim.Policy {
+	return s.NewFleet(func(uint32, []uint32) ratesim.Policy {
 		return sharedCount{rate, make(map[uint32][]time.Duration)}
 	})
 }
 
 // play plays a scene for three seconds and counts what comes within one.
 func (s scene) play(fleet []ratesim.Policy, seed uint64) (most int, used float64) {
-	s.Length, s.Window = 3*time.Second, time.Second
-	return s.Play(fleet, seed)
+	s.Duration, s.Window = 3*time.Second, time.Second
+	return s.Run(fleet, seed)
 }
 
-var scenes = map[string]ratesim.Scene{
-	"a data centre returns":       {Instances: 99, Servers: 24, Rate: 7.5, PerSecond: 350},
-	"one server joins under load": {Instances: 99, Servers: 1, Rate: 7.5, PerSecond: 350},
-	"half don't hear each other":  {Instances: 99, Servers: 24, Rate: 7.5, PerSecond: 350, Halves: true},
-	"all were just killed":        {Instances: 99, Servers: 47, Rate: 7.5, PerSecond: 900, Alone: true},
-	"servers bear two a second":   {Instances: 36, Servers: 8, Rate: 2, PerSecond: 60},
-	"two a second, half unheard":  {Instances: 36, Servers: 8, Rate: 2, PerSecond: 60, Halves: true},
-	"few instances":               {Instances: 3, Servers: 4, Rate: 7.5, PerSecond: 100},
-	"less than one a second":      {Instances: 12, Servers: 4, Rate: 0.5, PerSecond: 60},
+var scenes = map[string]ratesim.Scenario{
+	"a data centre returns":       {Instances: 99, Servers: 24, ServerRate: 7.5, RequestRate: 350},
+	"one server joins under load": {Instances: 99, Servers: 1, ServerRate: 7.5, RequestRate: 350},
+	"half don't hear each other":  {Instances: 99, Servers: 24, ServerRate: 7.5, RequestRate: 350, Partitioned: true},
+	"all were just killed":        {Instances: 99, Servers: 47, ServerRate: 7.5, RequestRate: 900, Isolated: true},
+	"servers bear two a second":   {Instances: 36, Servers: 8, ServerRate: 2, RequestRate: 60},
+	"two a second, half unheard":  {Instances: 36, Servers: 8, ServerRate: 2, RequestRate: 60, Partitioned: true},
+	"few instances":               {Instances: 3, Servers: 4, ServerRate: 7.5, RequestRate: 100},
+	"less than one a second":      {Instances: 12, Servers: 4, ServerRate: 0.5, RequestRate: 60},
 }
 
 // A cold server gets more requests within a second than it bears and breaks
@@ -93,7 +93,7 @@
 		s := scene{drawn}
 		for seed := range uint64(5) {
 			most, _ := s.play(s.leases(), seed)
-			must.LessEq(t, max(s.Rate, 1), float64(most), must.Sprint(name, " seed ", seed))
+			must.LessEq(t, max(s.ServerRate, 1), float64(most), must.Sprint(name, " seed ", seed))
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		most, used := s.play(s.leases(), 1)
 		countMost, countUsed := s.play(s.sharedCounts(), 1)
 		t.Logf("%-28s bears %.1f: leases most %d, used %.2f; shared count most %d, used %.2f",
-			name, s.Rate, most, used, countMost, countUsed)
+			name, s.ServerRate, most, used, countMost, countUsed)
 	}
 }
 
@@ -125,7 +125,7 @@
 	l.SetInstances(nil)
 	ok, _ := l.Allow(9, 1, 0)
 	must.True(t, ok)
-	l.Sent(9, 0)
+	l.RecordSent(9, 0)
 	ok, wait := l.Allow(9, 1, 300*time.Millisecond)
 	must.False(t, ok)
 	must.Eq(t, 750*time.Millisecond, wait)
