--- a/edge/edge.go
+++ b/edge/edge.go
@@ -113,7 +113,7 @@
 	config        *replica.Table
 	servers       *replica.Table
 	instances     *replica.Table
-	recent        [evidence.Tables]replica.Recent
+	recent        [evidence.TableCount]replica.Recent
 	// configTold is the newest version of the configuration's row that another
 	// instance told of; its content comes by fetchConfig.
 	configTold replica.Point
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -37,7 +37,7 @@
 	must.True(t, e.observe(1, 100*time.Second, now))
 	_, ok := e.takeAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
 	must.True(t, ok)
-	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
+	e.applyNotice(evidence.TableUpdate{Table: evidence.Servers, Since: 5, Version: 80, StoreClockUS: 180_000_000}, now)
 	at, _ := e.state.servers.Point()
 	must.Eq(t, replica.Point{Era: 1, Version: 5}, at)
 	must.Eq(t, replica.Point{}, e.state.serversTold)
@@ -107,7 +107,7 @@
 	_, ok = e.takeAnswer(evidence.Config, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
 	must.True(t, ok)
 	now += 2 * rewriteWait
-	e.applyNotice(evidence.Notice{Table: evidence.Config, Era: 1, Version: 5, StampUS: 102_000_000}, now)
+	e.applyNotice(evidence.TableUpdate{Table: evidence.Config, Era: 1, Version: 5, StoreClockUS: 102_000_000}, now)
 	must.True(t, e.hasToldConfig())
 	must.Eq(t, 0, e.keyAge(now))
 	must.Eq(t, 31, e.state.table.Version)
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -34,7 +34,7 @@
 // applyEvacuations acts on the evacuations that a notice tells, whether or not
 // this instance has the configuration of that version. It returns the rows that
 // bring its copy to the same state.
-func (e *Edge) applyEvacuations(n evidence.Notice, told []evidence.Row, now time.Duration) []evidence.Row {
+func (e *Edge) applyEvacuations(n evidence.TableUpdate, told []evidence.Row, now time.Duration) []evidence.Row {
 	listed := make(map[string]bool, len(told))
 	var dataCentres []string
 	for _, r := range told {
@@ -46,7 +46,7 @@
 	e.evacuate(replica.Point{Era: n.Era, Version: n.Version}, dataCentres, now)
 	for _, r := range e.evacuationRows() {
 		if !listed[r.Key] {
-			told = append(told, evidence.Row{Key: r.Key, Gone: true})
+			told = append(told, evidence.Row{Key: r.Key, Deleted: true})
 		}
 	}
 	return told
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -92,16 +92,16 @@
 	must.True(t, limited)
 	must.Eq(t, 2.5, limit)
 	for _, a := range []evidence.Attempt{
-		{Server: 9, Ended: true, TookMS: 300},
-		{Server: 9, Ended: true, TookMS: 3000},
-		{Server: 9, Ended: true, Result: health.Incomplete, TookMS: 10},
+		{Server: 9, Ended: true, LatencyMS: 300},
+		{Server: 9, Ended: true, LatencyMS: 3000},
+		{Server: 9, Ended: true, Result: health.Incomplete, LatencyMS: 10},
 		{Server: 9, Ended: true},
 	} {
 		e.applyLimit(a, 11*time.Second)
 		_, limited = e.state.throttle.Limit(9)
 		must.True(t, limited)
 	}
-	e.applyLimit(evidence.Attempt{Server: 9, Ended: true, TookMS: 300}, 12*time.Second)
+	e.applyLimit(evidence.Attempt{Server: 9, Ended: true, LatencyMS: 300}, 12*time.Second)
 	_, limited = e.state.throttle.Limit(9)
 	must.False(t, limited)
 }
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -105,7 +105,7 @@
 	}
 	if s.poll.Troubled(now) {
 		// Others wait a moment before they ask, instead of all at once.
-		e.publish(evidence.Message{Notices: []evidence.Notice{{}}}, false)
+		e.publish(evidence.Message{TableUpdates: []evidence.TableUpdate{{}}}, false)
 	}
 	e.mu.Unlock()
 
@@ -161,7 +161,7 @@
 func (e *Edge) takePolled(answers []polled) (well bool) {
 	s := &e.state
 	now := e.now()
-	var notices []evidence.Notice
+	var notices []evidence.TableUpdate
 	well = true
 	for _, p := range answers {
 		if p.err != nil {
@@ -190,7 +190,7 @@
 		s.poll.Succeeded()
 	} else {
 		s.poll.Failed(now)
-		notices = append(notices, evidence.Notice{})
+		notices = append(notices, evidence.TableUpdate{})
 	}
 	e.countShare()
 	e.publishNotices(notices)
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -70,8 +70,8 @@
 		e.limit(a.Server, *a.LimitMilli, now)
 		return
 	}
-	start := now - milliseconds(a.TookMS)
-	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.HeardBefore(a.Server, start-limitMargin) {
+	start := now - milliseconds(a.LatencyMS)
+	if a.Result == health.OK && a.LatencyMS > 0 && e.state.throttle.HeardBefore(a.Server, start-limitMargin) {
 		e.unlimit(a.Server, now)
 	}
 }
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -26,29 +26,29 @@
 )
 
 // publishNotices tells notices with rows in a message each, the others together.
-func (e *Edge) publishNotices(notices []evidence.Notice) {
-	var together []evidence.Notice
+func (e *Edge) publishNotices(notices []evidence.TableUpdate) {
+	var together []evidence.TableUpdate
 	for _, n := range notices {
 		if len(n.Packed) > 0 {
-			e.publish(evidence.Message{Notices: []evidence.Notice{n}}, false)
+			e.publish(evidence.Message{TableUpdates: []evidence.TableUpdate{n}}, false)
 		} else {
 			together = append(together, n)
 		}
 	}
 	if len(together) > 0 {
-		e.publish(evidence.Message{Notices: together}, false)
+		e.publish(evidence.Message{TableUpdates: together}, false)
 	}
 }
 
 // notices are what the others are told of an answer: the rows that changed
 // anything, not those that only renewed themselves.
-func (e *Edge) notices(p polled, changed []replica.Row) []evidence.Notice {
+func (e *Edge) notices(p polled, changed []replica.Row) []evidence.TableUpdate {
 	s := &e.state
-	n := evidence.Notice{
-		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StampUS: p.answer.Stamp.Microseconds(),
+	n := evidence.TableUpdate{
+		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StoreClockUS: p.answer.Stamp.Microseconds(),
 	}
 	if p.table == evidence.Config {
-		n.Changed = e.configRow().Version
+		n.LatestRowVersion = e.configRow().Version
 		return e.withEvacuations(n)
 	}
 	recent := &s.recent[p.table]
@@ -56,7 +56,7 @@
 		// What was removed before isn't in it.
 		recent.Reset()
 		n.Since = p.answer.Version
-		return []evidence.Notice{n}
+		return []evidence.TableUpdate{n}
 	}
 	recent.Add(p.since, p.answer.Version, changed)
 	parts := recent.Parts(p.answer.Version, maxNoticeRows)
@@ -65,14 +65,14 @@
 		// The others notice that they lack something, and read it.
 		recent.Reset()
 		n.Since = p.answer.Version
-		return []evidence.Notice{n}
+		return []evidence.TableUpdate{n}
 	}
 	return all
 }
 
 // withEvacuations adds the rows that evacuate data centres to a notice of the
 // configuration's table.
-func (e *Edge) withEvacuations(n evidence.Notice) []evidence.Notice {
+func (e *Edge) withEvacuations(n evidence.TableUpdate) []evidence.TableUpdate {
 	parts := []replica.Part{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
 	all, err := packed(n, parts)
 	if err != nil {
@@ -83,13 +83,13 @@
 }
 
 // packed returns a notice for each part.
-func packed(n evidence.Notice, parts []replica.Part) ([]evidence.Notice, error) {
-	var all []evidence.Notice
+func packed(n evidence.TableUpdate, parts []replica.Part) ([]evidence.TableUpdate, error) {
+	var all []evidence.TableUpdate
 	for i, part := range parts {
 		n.Since, n.Version, n.More = part.Since, part.Version, i < len(parts)-1
 		rows := make([]evidence.Row, 0, len(part.Rows))
 		for _, r := range part.Rows {
-			rows = append(rows, evidence.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
+			rows = append(rows, evidence.Row{Key: r.Key, Value: r.Value, Deleted: r.Gone, Version: r.Version})
 		}
 		var err error
 		if n.Packed, err = evidence.Pack(rows); err != nil {
@@ -101,20 +101,20 @@
 }
 
 // applyNotice takes in what another instance read from the store.
-func (e *Edge) applyNotice(n evidence.Notice, now time.Duration) {
+func (e *Edge) applyNotice(n evidence.TableUpdate, now time.Duration) {
 	s := &e.state
-	if n.StampUS == 0 {
+	if n.StoreClockUS == 0 {
 		s.poll.Attempted(now)
 		return
 	}
-	if !e.observe(n.Era, n.Stamp(), now) {
+	if !e.observe(n.Era, n.StoreClock(), now) {
 		return
 	}
 	version, _ := e.copyOf(n.Table).Version()
 	complete := e.currentEra(e.copyOf(n.Table)) && version >= n.Since
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
-		changed := replica.Point{Era: n.Era, Version: n.Changed}
+		changed := replica.Point{Era: n.Era, Version: n.LatestRowVersion}
 		s.configTold = later(s.configTold, changed)
 		complete = e.currentEra(s.config) && !e.configRow().Before(changed)
 		n.Since = version
@@ -134,11 +134,11 @@
 		e.missed(n.Table, now)
 		return
 	}
-	a := replica.Answer{Era: n.Era, Version: n.Version, Stamp: n.Stamp()}
+	a := replica.Answer{Era: n.Era, Version: n.Version, Stamp: n.StoreClock()}
 	for _, r := range rows {
-		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
+		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Deleted, Version: r.Version})
 	}
-	e.noteReturn(n.Table, n.Stamp(), now)
+	e.noteReturn(n.Table, n.StoreClock(), now)
 	told, _ := e.takeAnswer(n.Table, a, n.Since, now)
 	if n.Version > version && n.Table != evidence.Config {
 		s.recent[n.Table].Add(version, n.Version, told)
@@ -146,7 +146,7 @@
 	if n.More {
 		return
 	}
-	e.prove(n.Table, n.Stamp(), now)
+	e.prove(n.Table, n.StoreClock(), now)
 	switch n.Table {
 	case evidence.Servers:
 		s.gapEnds = 0
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -187,8 +187,8 @@
 	for _, service := range m.Refused {
 		s.placer.RefusedAt(service, now)
 	}
-	for _, n := range m.Notices {
-		if n.StampUS != 0 {
+	for _, n := range m.TableUpdates {
+		if n.StoreClockUS != 0 {
 			s.reader = m.Source
 		}
 		e.applyNotice(n, now)
@@ -204,13 +204,13 @@
 		s.repeatsAt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
-		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.TookMS), milliseconds(a.WorkMS), now)
+		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.LatencyMS), milliseconds(a.TypicalLatencyMS), now)
 	}
 	if a.Ended {
 		e.applyLimit(a, now)
 	}
-	if a.Final != evidence.NotFinal {
-		s.placer.ServedAt(a.Server, a.Final == evidence.Served, now)
+	if a.RequestOutcome != evidence.RequestPending {
+		s.placer.ServedAt(a.Server, a.RequestOutcome == evidence.RequestServed, now)
 	}
 }
 
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -38,7 +38,7 @@
 }
 
 // publishEnd takes in and tells how an attempt ended.
-func (e *Edge) publishEnd(c *call, a *attempt, final evidence.Final) {
+func (e *Edge) publishEnd(c *call, a *attempt, final evidence.RequestOutcome) {
 	if a.ends {
 		return
 	}
@@ -48,7 +48,7 @@
 	now := e.now()
 	told := e.outstanding(a, -1)
 	told.LimitMilli = e.learnLimit(a, now)
-	told.Ended, told.Result, told.Final = true, evidenceOf(c, a), final
+	told.Ended, told.Result, told.RequestOutcome = true, evidenceOf(c, a), final
 	work := e.statsOf(c.route).work
 	took := a.took
 	if a.result == health.OK {
@@ -58,10 +58,10 @@
 		}
 		e.learnRoute(c, took, len(c.body)+len(a.answer.Body))
 	}
-	told.TookMS, told.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
+	told.LatencyMS, told.TypicalLatencyMS = wireMilliseconds(took), wireMilliseconds(work)
 	e.state.placer.Learn(told.Server, told.Result, true, took, work, now)
-	if final != evidence.NotFinal {
-		e.state.placer.Served(c.service, final == evidence.Served, now)
+	if final != evidence.RequestPending {
+		e.state.placer.Served(c.service, final == evidence.RequestServed, now)
 	}
 	// The first failure of a spell must reach everybody at once: each request
 	// sent there for want of it may be lost.
--- a/evidence/evidence.go
+++ b/evidence/evidence.go
@@ -34,18 +34,18 @@
 	Leaving bool
 	// Stopping says that it will be gone soon.
 	Stopping bool
-	// Roster are instances that the source hears, for one that greets it.
-	Roster   []Resident
+	// Members are instances that the source hears, for one that greets it.
+	Members   []Member
 	Attempts []Attempt
 	Usage    []Usage
-	Notices  []Notice
+	TableUpdates  []TableUpdate
 	// Refused holds the hash of a service for each request to it that was
 	// refused without an attempt.
 	Refused []uint32
 }
 
-// Resident is an instance that another one hears.
-type Resident struct {
+// Member is an instance that another one hears.
+type Member struct {
 	_          struct{} `cbor:",toarray"`
 	ID         uint32
 	DataCentre string
@@ -66,24 +66,24 @@
 	Result health.Result
 	// Number of the attempt within its request, set when it begins.
 	Number uint8
-	// TookMS until the result, and WorkMS that is usual for its kind of request.
-	TookMS uint16
-	WorkMS uint16
-	// Final is the outcome of the request that the attempt belonged to.
-	Final Final
+	// LatencyMS until the result, and WorkMS that is usual for its kind of request.
+	LatencyMS uint16
+	TypicalLatencyMS uint16
+	// RequestOutcome is the outcome of the request that the attempt belonged to.
+	RequestOutcome RequestOutcome
 	// LimitMilli is the limit that the server's answer named, in thousandths of a
 	// request a second; nil if it named none, or none came.
 	LimitMilli *uint32
 }
 
-// Final is how a request ended for its caller.
-type Final uint8
+// RequestOutcome is how a request ended for its caller.
+type RequestOutcome uint8
 
-// The ends of a request. NotFinal: it goes on.
+// The ends of a request. RequestPending: it goes on.
 const (
-	NotFinal Final = iota
-	Served
-	Unserved
+	RequestPending RequestOutcome = iota
+	RequestServed
+	RequestUnserved
 )
 
 // Usage is what a source has admitted for a workspace since its start.
@@ -94,8 +94,8 @@
 	Count     uint64
 }
 
-// Notice hands on what the store has said of a table.
-type Notice struct {
+// TableUpdate hands on what the store has said of a table.
+type TableUpdate struct {
 	_     struct{} `cbor:",toarray"`
 	Table Table
 	// Era of the store that the versions and the stamp belong to.
@@ -104,14 +104,14 @@
 	// answers of the store, so that one lost message isn't missed.
 	Since   uint64
 	Version uint64
-	// Changed is the version of the newest row of a table whose rows are too
+	// LatestRowVersion is the version of the newest row of a table whose rows are too
 	// large for a message: whoever has an older one reads the store.
-	Changed uint64
+	LatestRowVersion uint64
 	// Packed holds the changed rows; see Pack.
 	Packed []byte
-	// StampUS is the store's steady clock at its answer, in microseconds. 0
+	// StoreClockUS is the store's steady clock at its answer, in microseconds. 0
 	// says that the store is being asked, or didn't answer.
-	StampUS int64
+	StoreClockUS int64
 	// More says that further notices of the same answer follow; only the last
 	// proves that nothing else has changed.
 	More bool
@@ -125,18 +125,18 @@
 	Config Table = iota
 	Servers
 	Instances
-	// Tables is the number of tables.
-	Tables
+	// TableCount is the number of tables.
+	TableCount
 )
 
-// Stamp returns the store's clock at its answer.
-func (n Notice) Stamp() time.Duration { return time.Duration(n.StampUS) * time.Microsecond }
+// StoreClock returns the store's clock at its answer.
+func (n TableUpdate) StoreClock() time.Duration { return time.Duration(n.StoreClockUS) * time.Microsecond }
 
-// Uncounted is the sequence number of messages that aren't for all.
-const Uncounted = 0
+// Unsequenced is the sequence number of messages that aren't for all.
+const Unsequenced = 0
 
 // Errors of Decode.
-var ErrNoMessage = errors.New("datagram without a message")
+var ErrEmptyDatagram = errors.New("datagram without a message")
 
 // Encode returns a message's bytes, which may be put one after the other.
 func Encode(m Message) ([]byte, error) {
@@ -147,7 +147,7 @@
 // Decode returns the messages of a datagram, and the bytes of each.
 func Decode(b []byte) (messages []Message, parts [][]byte, err error) {
 	if len(b) == 0 {
-		return nil, nil, ErrNoMessage
+		return nil, nil, ErrEmptyDatagram
 	}
 	for len(b) > 0 {
 		var m Message
--- a/evidence/evidence_test.go
+++ b/evidence/evidence_test.go
@@ -13,11 +13,11 @@
 func message() evidence.Message {
 	return evidence.Message{
 		Source: 0x0a000001, Epoch: 7, Sequence: 9, DataCentre: "dc", Leaving: true,
-		Roster:   []evidence.Resident{{ID: 1, DataCentre: "dc", SlowLink: true}},
-		Attempts: []evidence.Attempt{{Server: 3, Outstanding: 2, Ended: true, Result: health.Incomplete, Final: evidence.Unserved}},
+		Members:   []evidence.Member{{ID: 1, DataCentre: "dc", SlowLink: true}},
+		Attempts: []evidence.Attempt{{Server: 3, Outstanding: 2, Ended: true, Result: health.Incomplete, RequestOutcome: evidence.RequestUnserved}},
 		Usage:    []evidence.Usage{{Workspace: 4, Count: 1 << 40}},
-		Notices: []evidence.Notice{{
-			Table: evidence.Servers, Since: 1, Version: 2, StampUS: 3,
+		TableUpdates: []evidence.TableUpdate{{
+			Table: evidence.Servers, Since: 1, Version: 2, StoreClockUS: 3,
 			Packed: []byte("rows"), More: true,
 		}},
 		Refused: []uint32{5},
--- a/evidence/rows.go
+++ b/evidence/rows.go
@@ -14,7 +14,7 @@
 	_     struct{} `cbor:",toarray"`
 	Key   string
 	Value []byte
-	Gone  bool
+	Deleted  bool
 	// Version of the row.
 	Version uint64
 }
--- a/fleet/messenger.go
+++ b/fleet/messenger.go
@@ -227,7 +227,7 @@
 	for first := true; first || len(alive) > 0; first = false {
 		msg := m.announcement()
 		n := min(len(alive), rosterEach)
-		msg.Roster, alive = alive[:n], alive[n:]
+		msg.Members, alive = alive[:n], alive[n:]
 		b, err := m.encode(msg)
 		if err != nil {
 			return out, err
@@ -238,10 +238,10 @@
 }
 
 // residents describes instances whose data centre is known.
-func residents(instances []*Instance) (list []evidence.Resident) {
+func residents(instances []*Instance) (list []evidence.Member) {
 	for _, i := range instances {
 		if i.DataCentre != "" {
-			list = append(list, evidence.Resident{ID: i.ID, DataCentre: i.DataCentre, SlowLink: i.Slow, Leaving: i.Leaving, Stopping: i.Stopping})
+			list = append(list, evidence.Member{ID: i.ID, DataCentre: i.DataCentre, SlowLink: i.Slow, Leaving: i.Leaving, Stopping: i.Stopping})
 		}
 	}
 	return list
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -235,7 +235,7 @@
 
 func (w *world) publish(n *node, urgent bool) word {
 	out, err := n.m.Publish(evidence.Message{
-		Attempts: []evidence.Attempt{{Server: w.rng.Uint32(), Outstanding: 1, Number: 1, TookMS: 300, WorkMS: 300}},
+		Attempts: []evidence.Attempt{{Server: w.rng.Uint32(), Outstanding: 1, Number: 1, LatencyMS: 300, TypicalLatencyMS: 300}},
 		Usage:    []evidence.Usage{{Workspace: w.rng.Uint32(), Count: 70000}},
 	}, urgent, w.now)
 	must.NoError(w.t, err)
--- a/fleet/take.go
+++ b/fleet/take.go
@@ -82,10 +82,10 @@
 	if msg.DataCentre != "" {
 		m.describe(i, msg.DataCentre, msg.SlowLink, i.Stopping)
 	}
-	if msg.Sequence == evidence.Uncounted {
+	if msg.Sequence == evidence.Unsequenced {
 		i.Leaving = msg.Leaving
 		m.describe(i, i.DataCentre, i.Slow, msg.Stopping)
-		m.applyRoster(t, msg.Roster, now)
+		m.applyRoster(t, msg.Members, now)
 		return notForAll
 	}
 	isFresh, restarted := i.Fresh(msg.Epoch, msg.Sequence)
@@ -98,7 +98,7 @@
 		i.Leaving = msg.Leaving
 		m.describe(i, i.DataCentre, i.Slow, msg.Stopping)
 	}
-	m.applyRoster(t, msg.Roster, now)
+	m.applyRoster(t, msg.Members, now)
 	t.Received = append(t.Received, Received{Message: *msg, From: i, Restarted: restarted, Latest: latest})
 	return fresh
 }
@@ -108,7 +108,7 @@
 // heartbeat. One that fell silent must speak itself, unless this instance heard
 // nobody until now: if only others hear it, it is no use here as a relay. What an
 // instance says of itself goes before what others say of it.
-func (m *Messenger) applyRoster(t *Taken, roster []evidence.Resident, now time.Duration) {
+func (m *Messenger) applyRoster(t *Taken, roster []evidence.Member, now time.Duration) {
 	for _, r := range roster {
 		if r.ID == m.Self.ID {
 			continue
@@ -158,7 +158,7 @@
 		}
 	}
 	if kind == relay.Join && len(t.Returned) > 0 {
-		if err := t.add(m.Publish(evidence.Message{Roster: residents(t.Returned)}, true, now)); err != nil {
+		if err := t.add(m.Publish(evidence.Message{Members: residents(t.Returned)}, true, now)); err != nil {
 			return err
 		}
 	}
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -149,7 +149,7 @@
 		}
 	}
 	if r == health.OK {
-		c.instance.ended(c, a, r, evidence.Served)
+		c.instance.ended(c, a, r, evidence.RequestServed)
 		c.settle()
 		c.world.tally.served(c)
 		return
@@ -163,16 +163,16 @@
 	d := retry.Decide(c.world.now, state, c.instance.repeats[c.service].Budget(bound, c.world.now))
 	switch d.Action {
 	case retry.Wait:
-		c.instance.ended(c, a, r, evidence.NotFinal)
+		c.instance.ended(c, a, r, evidence.RequestPending)
 		return
 	case retry.Retry:
-		c.instance.ended(c, a, r, evidence.NotFinal)
+		c.instance.ended(c, a, r, evidence.RequestPending)
 		if choice, ok := c.instance.choose(c); ok {
 			c.begin(choice)
 			return
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		c.instance.ended(c, a, r, evidence.Unserved)
+		c.instance.ended(c, a, r, evidence.RequestUnserved)
 	}
 	if c.mayHaveRun {
 		c.over = true
@@ -188,7 +188,7 @@
 		return
 	}
 	for _, a := range c.running {
-		c.instance.ended(c, a, health.Timeout, evidence.NotFinal)
+		c.instance.ended(c, a, health.Timeout, evidence.RequestPending)
 		a.server.cancel(a.job)
 	}
 	c.running = nil
@@ -200,7 +200,7 @@
 func (c *caller) settle() {
 	c.over = true
 	for _, a := range c.running {
-		c.instance.ended(c, a, health.Cancelled, evidence.NotFinal)
+		c.instance.ended(c, a, health.Cancelled, evidence.RequestPending)
 		a.server.cancel(a.job)
 	}
 	c.running = nil
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -92,7 +92,7 @@
 }
 
 // ended takes in and tells how an attempt ended.
-func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.Final) {
+func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.RequestOutcome) {
 	i.outstanding(a.server, -1)
 	work := i.workOf(c.kind)
 	took := i.world.now - a.start
@@ -105,8 +105,8 @@
 	}
 	learn := func(o *instance, own bool) {
 		o.placer.Learn(a.server.hash, r, own, took, work, o.world.now)
-		if final != evidence.NotFinal {
-			o.placer.ServedAt(a.server.hash, final == evidence.Served, o.world.now)
+		if final != evidence.RequestPending {
+			o.placer.ServedAt(a.server.hash, final == evidence.RequestServed, o.world.now)
 		}
 	}
 	learn(i, true)
