--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -107,13 +107,13 @@
 		}
 	}
 	slices.SortFunc(members, func(a, b relay.Member) int {
-		if a.Slow != b.Slow {
-			if b.Slow {
+		if a.SlowLink != b.SlowLink {
+			if b.SlowLink {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(relay.Mix(a.ID), relay.Mix(b.ID))
+		return cmp.Compare(relay.Hash(a.ID), relay.Hash(b.ID))
 	})
 	var ids []uint32
 	for _, m := range members[:min(len(members), readersEach)] {
--- a/edge/members.go
+++ b/edge/members.go
@@ -26,7 +26,7 @@
 
 // member is this instance as others see it.
 func (e *Edge) member() relay.Member {
-	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.slowLink()}
+	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, SlowLink: e.slowLink()}
 }
 
 // newUsage returns counters that admit nothing until countShare: as long as it
--- a/edge/register.go
+++ b/edge/register.go
@@ -96,7 +96,7 @@
 	var rows []replica.Row
 	for _, m := range members {
 		key := address(m.ID, 0).Addr().String()
-		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.Slow})
+		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.SlowLink})
 		if err != nil {
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
 			continue
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -172,7 +172,7 @@
 			ids = append(ids, id)
 		}
 	}
-	slices.SortFunc(ids, func(a, b uint32) int { return cmp.Compare(relay.Mix(a^turn), relay.Mix(b^turn)) })
+	slices.SortFunc(ids, func(a, b uint32) int { return cmp.Compare(relay.Hash(a^turn), relay.Hash(b^turn)) })
 	return ids[:min(most, len(ids))]
 }
 
@@ -189,12 +189,12 @@
 // Rank is the place of an instance among the living ones, 0 the first, in an
 // order that is the same for all. Those with a slow link come last.
 func (f *Fleet) Rank(self relay.Member) int {
-	if self.Slow {
+	if self.SlowLink {
 		return len(f.all)
 	}
-	own, rank := relay.Mix(self.ID), 0
+	own, rank := relay.Hash(self.ID), 0
 	for id, m := range f.all {
-		if m.Alive && !m.Leaving && !m.Slow && relay.Mix(id) < own {
+		if m.Alive && !m.Leaving && !m.SlowLink && relay.Hash(id) < own {
 			rank++
 		}
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -54,11 +54,11 @@
 func TestSlowLinkComesLast(t *testing.T) {
 	f := fleet.New()
 	slow, _ := f.Touch(2, 0)
-	slow.Slow = true
+	slow.SlowLink = true
 	f.Touch(3, 0)
 	f.Touch(4, 0)
 	self := relay.Member{ID: 1}
 	must.LessEq(t, 2, f.Rank(self))
-	self.Slow = true
+	self.SlowLink = true
 	must.Eq(t, 3, f.Rank(self))
 }
--- a/fleet/messenger.go
+++ b/fleet/messenger.go
@@ -88,9 +88,9 @@
 	i := m.fleet.Meet(id, now)
 	i.Listed = true
 	if i.DataCentre == "" {
-		i.DataCentre, i.Slow = dataCentre, slow
+		i.DataCentre, i.SlowLink = dataCentre, slow
 	}
-	m.hub.Changed()
+	m.hub.MembersChanged()
 }
 
 // Unlisted takes in that the store lists an instance no more.
@@ -124,7 +124,7 @@
 }
 
 func (m *Messenger) announcement() evidence.Message {
-	return evidence.Message{DataCentre: m.Self.DataCentre, SlowLink: m.Self.Slow}
+	return evidence.Message{DataCentre: m.Self.DataCentre, SlowLink: m.Self.SlowLink}
 }
 
 // Pulse does what time alone brings: it finds out who has fallen silent, sends
@@ -133,7 +133,7 @@
 	known := len(m.fleet.all)
 	fell = m.fleet.Check(now)
 	if len(fell) > 0 || len(m.fleet.all) != known {
-		m.hub.Changed()
+		m.hub.MembersChanged()
 	}
 	introduce := now-m.announced >= m.announceInterval(now)
 	switch {
@@ -154,12 +154,12 @@
 // with it do the same, and have each other's addresses from there.
 func (m *Messenger) joinTargets(now time.Duration) []uint32 {
 	m.turn++
-	turn := m.turn ^ relay.Mix(m.Self.ID)
+	turn := m.turn ^ relay.Hash(m.Self.ID)
 	if !m.fleet.Alone() {
 		return m.fleet.unheard(joinUsually, turn, now)
 	}
 	m.meetSeeds(now)
-	to := m.hub.Likely(joinRelays)
+	to := m.hub.CandidateRelays(joinRelays)
 	for _, id := range m.fleet.unheard(joinAlone, turn, now) {
 		if !slices.Contains(to, id) {
 			to = append(to, id)
@@ -197,7 +197,7 @@
 			m.fleet.Meet(id, now)
 		}
 	}
-	m.hub.Changed()
+	m.hub.MembersChanged()
 }
 
 // join asks instances for their rosters.
@@ -241,7 +241,7 @@
 func residents(instances []*Instance) (list []evidence.Member) {
 	for _, i := range instances {
 		if i.DataCentre != "" {
-			list = append(list, evidence.Member{ID: i.ID, DataCentre: i.DataCentre, SlowLink: i.Slow, Leaving: i.Leaving, Stopping: i.Stopping})
+			list = append(list, evidence.Member{ID: i.ID, DataCentre: i.DataCentre, SlowLink: i.SlowLink, Leaving: i.Leaving, Stopping: i.Stopping})
 		}
 	}
 	return list
--- a/fleet/messenger_test.go
+++ b/fleet/messenger_test.go
@@ -376,7 +376,7 @@
 	must.SliceNotEmpty(t, round)
 	told := relay.Datagram{Kind: relay.Publish, Messages: round[0].Messages}
 	whole := told.Encode()
-	for _, b := range [][]byte{nil, {0x7f}, {byte(relay.Publish)}, {byte(relay.Cross), 0xff}, whole[:len(whole)-1], append(whole, 0xff)} {
+	for _, b := range [][]byte{nil, {0x7f}, {byte(relay.Publish)}, {byte(relay.RemoteForward), 0xff}, whole[:len(whole)-1], append(whole, 0xff)} {
 		taken, err := n.m.Take(0x0a010001, b, w.now)
 		must.Error(t, err)
 		must.SliceEmpty(t, taken.Received)
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -132,7 +132,7 @@
 	n.stepAt = 0
 	started := w.now
 	n.m = fleet.NewMessenger(fleet.Settings{
-		Self: relay.Member{ID: n.id, DataCentre: n.dataCentre, Slow: n.slow}, Epoch: n.epoch, Seeds: n.seeds,
+		Self: relay.Member{ID: n.id, DataCentre: n.dataCentre, SlowLink: n.slow}, Epoch: n.epoch, Seeds: n.seeds,
 		// It isn't ready before it has read the store.
 		Leaving:  func() bool { return w.now < started+notReadyFor },
 		Stopping: func() bool { return false },
--- a/fleet/take.go
+++ b/fleet/take.go
@@ -34,7 +34,7 @@
 		return Taken{}, err
 	}
 	if d.Kind == relay.Ack {
-		m.hub.Take(relay.Received{From: sender, Kind: d.Kind}, now)
+		m.hub.Receive(relay.Received{From: sender, Kind: d.Kind}, now)
 		return Taken{}, nil
 	}
 	messages, parts, err := evidence.Decode(d.Messages)
@@ -52,12 +52,12 @@
 		case fresh:
 			r.New = append(r.New, parts[i])
 		case known:
-			r.Known = append(r.Known, parts[i])
+			r.Duplicates = append(r.Duplicates, parts[i])
 		case notForAll:
 		}
 	}
 	var astray bool
-	t.Send, astray = m.hub.Take(r, now)
+	t.Send, astray = m.hub.Receive(r, now)
 	return t, m.answer(&t, sender, d.Kind, astray, alone, now)
 }
 
@@ -74,7 +74,7 @@
 func (m *Messenger) receive(t *Taken, sender uint32, msg *evidence.Message, now time.Duration) news {
 	if msg.Source == m.Self.ID {
 		if msg.Epoch == m.Epoch {
-			m.hub.Returned(sender, msg.Sequence)
+			m.hub.MessageReturned(sender, msg.Sequence)
 		}
 		return notForAll
 	}
@@ -84,7 +84,7 @@
 	}
 	if msg.Sequence == evidence.Unsequenced {
 		i.Leaving = msg.Leaving
-		m.describe(i, i.DataCentre, i.Slow, msg.Stopping)
+		m.describe(i, i.DataCentre, i.SlowLink, msg.Stopping)
 		m.applyRoster(t, msg.Members, now)
 		return notForAll
 	}
@@ -96,7 +96,7 @@
 	if latest {
 		i.spoke = now
 		i.Leaving = msg.Leaving
-		m.describe(i, i.DataCentre, i.Slow, msg.Stopping)
+		m.describe(i, i.DataCentre, i.SlowLink, msg.Stopping)
 	}
 	m.applyRoster(t, msg.Members, now)
 	t.Received = append(t.Received, Received{Message: *msg, From: i, Restarted: restarted, Latest: latest})
@@ -128,16 +128,16 @@
 func (m *Messenger) touch(t *Taken, id uint32, now time.Duration) *Instance {
 	i, returned := m.fleet.Touch(id, now)
 	if returned {
-		m.hub.Changed()
+		m.hub.MembersChanged()
 		t.Returned = append(t.Returned, i)
 	}
 	return i
 }
 
 func (m *Messenger) describe(i *Instance, dataCentre string, slow, stopping bool) {
-	if i.DataCentre != dataCentre || i.Slow != slow || i.Stopping != stopping {
-		i.DataCentre, i.Slow, i.Stopping = dataCentre, slow, stopping
-		m.hub.Changed()
+	if i.DataCentre != dataCentre || i.SlowLink != slow || i.Stopping != stopping {
+		i.DataCentre, i.SlowLink, i.Stopping = dataCentre, slow, stopping
+		m.hub.MembersChanged()
 	}
 }
 
@@ -165,7 +165,7 @@
 	switch {
 	case alone && !m.fleet.Alone():
 		return t.add(m.Announce(true, now))
-	case m.hub.Moved(now):
+	case m.hub.RelayChanged(now):
 		return t.add(m.Publish(evidence.Message{}, false, now))
 	}
 	return nil
--- a/relay/cross.go
+++ b/relay/cross.go
@@ -65,14 +65,14 @@
 	if !urgent && !h.onProbation(to[0]) {
 		to = to[:1]
 	}
-	return pack(Cross, urgent, to[:min(len(to), 2)], messages)
+	return pack(RemoteForward, urgent, to[:min(len(to), 2)], messages)
 }
 
 // crossChoices orders the relays of another data centre for this one, so that
 // its relays spread over them. Where nobody is heard, all are tried in turn: a
 // cut may end for any of them.
 func (h *Hub) crossChoices(c centre, now time.Duration) []uint32 {
-	first := uint64(Mix(h.self.ID))
+	first := uint64(Hash(h.self.ID))
 	if !c.heard {
 		first += h.rounds
 	}
@@ -90,7 +90,7 @@
 
 // beside sends messages to the other relays of the data centre.
 func (h *Hub) beside(urgent bool, now time.Duration, lists ...[][]byte) []Datagram {
-	out := pack(Beside, urgent, h.siblings(now), lists...)
+	out := pack(LocalForward, urgent, h.siblings(now), lists...)
 	if len(out) > 0 {
 		for _, id := range h.siblings(now) {
 			h.expect(id, now)
--- a/relay/datagram.go
+++ b/relay/datagram.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// MaxDatagram is the most bytes of a datagram that links carry in one piece.
-	MaxDatagram = 1400
+	// MaxDatagramBytes is the most bytes of a datagram that links carry in one piece.
+	MaxDatagramBytes = 1400
 	// mostPacked is how many bytes of messages are tried to be packed into one
 	// datagram: messages are much alike, and take about half of their size.
 	mostPacked = 2400
@@ -41,8 +41,8 @@
 	encoded []byte
 }
 
-// ErrHeader means that bytes aren't a datagram of this package.
-var ErrHeader = errors.New("datagram without a known kind")
+// ErrUnknownKind means that bytes aren't a datagram of this package.
+var ErrUnknownKind = errors.New("datagram without a known kind")
 
 // Encode returns the bytes to write.
 func (d *Datagram) Encode() []byte {
@@ -70,7 +70,7 @@
 func Decode(b []byte) (Datagram, error) {
 	const bits = urgentBit | packedBit
 	if len(b) == 0 || b[0]&^bits >= kinds {
-		return Datagram{}, ErrHeader
+		return Datagram{}, ErrUnknownKind
 	}
 	d := Datagram{Kind: Kind(b[0] &^ bits), Urgent: b[0]&urgentBit != 0}
 	if b[0]&packedBit == 0 {
@@ -144,7 +144,7 @@
 		}
 		d := like
 		d.Messages = bytes.Join(all[:n], nil)
-		if n > 1 && len(d.Encode()) > MaxDatagram {
+		if n > 1 && len(d.Encode()) > MaxDatagramBytes {
 			out = append(out, packUpTo(size/2, like, all[:n])...)
 		} else {
 			out = append(out, d)
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Changed takes in that members have come, gone, or changed.
-func (h *Hub) Changed() { h.stale = true }
+// MembersChanged takes in that members have come, gone, or changed.
+func (h *Hub) MembersChanged() { h.stale = true }
 
 func (h *Hub) seen() *view {
 	if h.stale {
@@ -133,9 +133,9 @@
 	return []Datagram{w.datagram(to)}
 }
 
-// Moved reports that another relay is the best since this instance last said
+// RelayChanged reports that another relay is the best since this instance last said
 // something. It is a subscriber there only once it says something again.
-func (h *Hub) Moved(now time.Duration) bool {
+func (h *Hub) RelayChanged(now time.Duration) bool {
 	if !h.stale && !h.renewed {
 		return false
 	}
@@ -154,9 +154,9 @@
 	return good
 }
 
-// Likely returns the first members of the data centre in the order of relays,
+// CandidateRelays returns the first members of the data centre in the order of relays,
 // whether or not they are heard.
-func (h *Hub) Likely(most int) []uint32 {
+func (h *Hub) CandidateRelays(most int) []uint32 {
 	here := slices.DeleteFunc(h.members(), func(m Member) bool { return m.DataCentre != h.self.DataCentre })
 	order(here)
 	return ids(here[:min(most, len(here))])
@@ -167,23 +167,23 @@
 	From   uint32
 	Kind   Kind
 	Urgent bool
-	// New holds the messages that weren't taken in before, Known the others.
-	New, Known [][]byte
+	// New holds the messages that weren't taken in before, Duplicates the others.
+	New, Duplicates [][]byte
 }
 
-// Take keeps new messages for the next round, if they are to be sent on. It
+// Receive keeps new messages for the next round, if they are to be sent on. It
 // returns what to send at once, and whether the datagram was unexpected: one of
 // sender and receiver takes the other, or itself, for a relay, and the other
 // doesn't. One of them then knows too few members.
-func (h *Hub) Take(r Received, now time.Duration) (out []Datagram, unexpected bool) {
+func (h *Hub) Receive(r Received, now time.Duration) (out []Datagram, unexpected bool) {
 	switch r.Kind {
 	case Publish:
 		h.subscribers[r.From] = now
 		h.wait(published, r.Urgent, r.New...)
 		// What came by another relay won't be in a round any more. The sender
 		// waits for it all the same.
-		return pack(Deliver, false, []uint32{r.From}, r.Known), false
-	case Cross:
+		return pack(Deliver, false, []uint32{r.From}, r.Duplicates), false
+	case RemoteForward:
 		h.wait(crossed, r.Urgent, r.New...)
 		if h.deadEnd(now) {
 			return nil, false
@@ -191,7 +191,7 @@
 		return h.ack(r.From, now), false
 	case Ack:
 		h.acked(r.From)
-	case Beside:
+	case LocalForward:
 		return h.ack(r.From, now), h.takeBeside(r, now)
 	case Deliver:
 		// While relays change, one may get from another what its own subscribers
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -39,12 +39,12 @@
 	Deliver Kind = iota
 	// Publish is written by an instance to its relay, which sends it on.
 	Publish
-	// Cross is written by a relay to one of another data centre, which sends it
+	// RemoteForward is written by a relay to one of another data centre, which sends it
 	// on there.
-	Cross
-	// Beside is written by a relay to another of the same data centre, which
+	RemoteForward
+	// LocalForward is written by a relay to another of the same data centre, which
 	// sends it on to its subscribers.
-	Beside
+	LocalForward
 	// Ack is written by a relay to another whose messages arrive. It has no
 	// messages.
 	Ack
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -13,14 +13,14 @@
 
 // hub returns a hub of instance 1 in data centre "here".
 func hub(members *[]relay.Member) *relay.Hub {
-	return relay.NewHub(relay.Member{ID: 1, DataCentre: "here", Slow: true}, func() []relay.Member { return *members })
+	return relay.NewHub(relay.Member{ID: 1, DataCentre: "here", SlowLink: true}, func() []relay.Member { return *members })
 }
 
 // crossed says something and returns who gets it in other data centres.
 func crossed(h *relay.Hub, urgent bool, now time.Duration) (to []uint32) {
 	h.Publish(1, []byte("message"), urgent, now)
 	for _, d := range h.Step(now) {
-		if d.Kind == relay.Cross {
+		if d.Kind == relay.RemoteForward {
 			to = append(to, d.To...)
 		}
 	}
@@ -32,9 +32,9 @@
 func TestRelaysHaveFastLinks(t *testing.T) {
 	var members []relay.Member
 	for id := uint32(2); id < 22; id++ {
-		members = append(members, relay.Member{ID: id, DataCentre: "there", Alive: true, Slow: id%4 != 0})
+		members = append(members, relay.Member{ID: id, DataCentre: "there", Alive: true, SlowLink: id%4 != 0})
 	}
-	fast := func(id uint32) bool { return members[id-2].Alive && !members[id-2].Slow }
+	fast := func(id uint32) bool { return members[id-2].Alive && !members[id-2].SlowLink }
 	first := crossed(hub(&members), true, time.Second)
 	must.Len(t, 2, first)
 	for _, id := range first {
@@ -54,13 +54,13 @@
 func TestSlowLinksShareTheLoad(t *testing.T) {
 	var members []relay.Member
 	for id := uint32(2); id < 40; id++ {
-		members = append(members, relay.Member{ID: id, DataCentre: "here", Alive: true, Slow: true})
+		members = append(members, relay.Member{ID: id, DataCentre: "here", Alive: true, SlowLink: true})
 	}
 	told := make(map[uint32]bool)
 	for id := uint32(2); id < 40; id++ {
-		others := append([]relay.Member{{ID: 1, DataCentre: "here", Alive: true, Slow: true}}, members...)
+		others := append([]relay.Member{{ID: 1, DataCentre: "here", Alive: true, SlowLink: true}}, members...)
 		others = append(others[:id-1:id-1], others[id:]...)
-		h := relay.NewHub(relay.Member{ID: id, DataCentre: "here", Slow: true}, func() []relay.Member { return others })
+		h := relay.NewHub(relay.Member{ID: id, DataCentre: "here", SlowLink: true}, func() []relay.Member { return others })
 		h.Publish(1, []byte("message"), false, time.Second)
 		told[h.Relay()] = true
 	}
@@ -86,7 +86,7 @@
 	other := h.Step(now)
 	must.Len(t, 1, other)
 	must.NotEq(t, first, other[0].To[0])
-	h.Returned(other[0].To[0], 1)
+	h.MessageReturned(other[0].To[0], 1)
 	must.Greater(t, time.Hour, h.Due())
 }
 
@@ -105,10 +105,10 @@
 		}
 	}
 	must.Len(t, 1, second)
-	must.Eq(t, relay.Cross, second[0].Kind)
+	must.Eq(t, relay.RemoteForward, second[0].Kind)
 	must.NotEq(t, first[0], second[0].To[0])
 	must.Eq(t, []byte("message"), second[0].Messages)
-	h.Take(relay.Received{From: second[0].To[0], Kind: relay.Ack}, now)
+	h.Receive(relay.Received{From: second[0].To[0], Kind: relay.Ack}, now)
 	must.Greater(t, time.Hour, h.Due())
 }
 
@@ -126,10 +126,10 @@
 	var got []byte
 	for _, d := range h.Step(time.Second) {
 		b := d.Encode()
-		must.LessEq(t, relay.MaxDatagram, len(b))
+		must.LessEq(t, relay.MaxDatagramBytes, len(b))
 		back, err := relay.Decode(b)
 		must.NoError(t, err)
-		must.Eq(t, relay.Cross, back.Kind)
+		must.Eq(t, relay.RemoteForward, back.Kind)
 		got = append(got, back.Messages...)
 	}
 	must.True(t, bytes.Equal(all, got))
--- a/relay/unacked.go
+++ b/relay/unacked.go
@@ -67,9 +67,9 @@
 // well again. What it is sent goes to another one as well.
 func (h *Hub) onProbation(id uint32) bool { return h.suspects[id] != nil }
 
-// Returned takes in that the own message with this number came back from a
+// MessageReturned takes in that the own message with this number came back from a
 // relay.
-func (h *Hub) Returned(from, sequence uint32) {
+func (h *Hub) MessageReturned(from, sequence uint32) {
 	for i, w := range h.unacked {
 		if w.sequence != sequence {
 			continue
--- a/relay/view.go
+++ b/relay/view.go
@@ -14,8 +14,8 @@
 	Alive bool
 	// Stopping says that it will be gone soon.
 	Stopping bool
-	// Slow says that its link shouldn't carry the rounds of others.
-	Slow bool
+	// SlowLink says that its link shouldn't carry the rounds of others.
+	SlowLink bool
 }
 
 const (
@@ -93,7 +93,7 @@
 // those that stop, fast links before slow ones, then by a hash.
 func order(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(compare(a.Stopping, b.Stopping), compare(a.Slow, b.Slow), cmp.Compare(Mix(a.ID), Mix(b.ID)))
+		return cmp.Or(compare(a.Stopping, b.Stopping), compare(a.SlowLink, b.SlowLink), cmp.Compare(Hash(a.ID), Hash(b.ID)))
 	})
 }
 
@@ -111,7 +111,7 @@
 
 // count is how many of the ordered members are relays.
 func count(ordered []Member) int {
-	if len(ordered) >= relaysFast && !ordered[relaysFast-1].Slow {
+	if len(ordered) >= relaysFast && !ordered[relaysFast-1].SlowLink {
 		return relaysFast
 	}
 	return min(len(ordered), relaysSlow)
@@ -146,13 +146,13 @@
 	slices.SortFunc(relays, func(a, b Member) int {
 		own := v.self.ID
 		return cmp.Or(compare(a.ID != own, b.ID != own), compare(a.Stopping, b.Stopping),
-			cmp.Compare(Mix(a.ID^Mix(own)), Mix(b.ID^Mix(own))))
+			cmp.Compare(Hash(a.ID^Hash(own)), Hash(b.ID^Hash(own))))
 	})
 	return append(ids(relays), ids(v.here[len(relays):])...)
 }
 
-// Mix spreads addresses, which differ in few bits, over all numbers.
-func Mix(x uint32) uint32 {
+// Hash spreads addresses, which differ in few bits, over all numbers.
+func Hash(x uint32) uint32 {
 	x ^= x >> 16
 	x *= 0x7feb352d
 	x ^= x >> 15
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -48,4 +48,4 @@
 // Forget drops what is kept of a key.
 func (r *Ranks) Forget(key uint32) { delete(r.cache, key) }
 
-func weight(key, instance uint32) uint32 { return relay.Mix(relay.Mix(key) ^ instance) }
+func weight(key, instance uint32) uint32 { return relay.Hash(relay.Hash(key) ^ instance) }
