--- a/edge/entries.go
+++ b/edge/entries.go
@@ -168,7 +168,7 @@
 		return
 	}
 	if r.Gone {
-		e.state.messenger.Unlisted(id)
+		e.state.messenger.MarkUnlisted(id)
 		return
 	}
 	var d instanceDocument
@@ -176,5 +176,5 @@
 		event.EntryIgnored.Log(e.log, slog.String("instance", r.Key), slog.Any("error", err))
 		return
 	}
-	e.state.messenger.Listed(id, d.DataCentre, d.SlowLink, now)
+	e.state.messenger.MarkListed(id, d.DataCentre, d.SlowLink, now)
 }
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -24,10 +24,10 @@
 	e := &Edge{self: 1}
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{Self: e.member()})
 	others := e.state.messenger.Fleet()
-	others.Meet(2, time.Second).Listed = true
-	alive, _ := others.Touch(3, time.Second)
+	others.GetOrAdd(2, time.Second).Listed = true
+	alive, _ := others.MarkAlive(3, time.Second)
 	alive.Listed = true
-	others.Meet(4, time.Second)
+	others.GetOrAdd(4, time.Second)
 	must.Len(t, 0, e.goneRows(time.Minute))
 	rows := e.goneRows(time.Second + goneAfter + 1)
 	must.Len(t, 1, rows)
@@ -56,7 +56,7 @@
 func TestRestartWithinASecondIsHeardAtOnce(t *testing.T) {
 	var m fleet.Instance
 	for _, sequence := range []uint32{100, 1} {
-		fresh, restarted := m.Fresh(newEpoch(), sequence)
+		fresh, restarted := m.MarkSeen(newEpoch(), sequence)
 		must.True(t, fresh)
 		must.True(t, restarted)
 	}
--- a/edge/members.go
+++ b/edge/members.go
@@ -43,7 +43,7 @@
 func (e *Edge) countShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
-		e.state.usage.Share, e.state.usage.Fresh = fleet.Heard(), fleet.Fresh()
+		e.state.usage.Share, e.state.usage.Fresh = fleet.AliveShare(), fleet.AliveSinceStartShare()
 	}
 }
 
@@ -78,7 +78,7 @@
 		s.usage.Forget(m.ID)
 		s.placer.Forget(m.ID)
 		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
-			slog.Duration("silence", now-m.Heard))
+			slog.Duration("silence", now-m.LastHeard))
 	}
 	if float64(len(fell)) > manySilent*float64(all) {
 		s.placer.Disturbed(now)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -107,7 +107,7 @@
 
 // heart sends heartbeats, and looks at what time alone changes.
 func (e *Edge) heart(ctx context.Context) error {
-	ticker := time.NewTicker(fleet.PulseEvery)
+	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
@@ -124,7 +124,7 @@
 func (e *Edge) pulse(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
-	fell, out, err := s.messenger.Pulse(now)
+	fell, out, err := s.messenger.Tick(now)
 	e.lost(fell, all, now)
 	e.sendAll(out, err)
 	e.keepRounds(now)
@@ -158,27 +158,27 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	t, err := e.state.messenger.Take(number(from.Addr()), b, now)
+	t, err := e.state.messenger.Receive(number(from.Addr()), b, now)
 	if err != nil && e.budget.Take(now, quietShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
-	e.found(t.Returned)
-	for i := range t.Received {
-		e.applyMessage(&t.Received[i], now)
+	e.found(t.NewlyAlive)
+	for i := range t.Messages {
+		e.applyMessage(&t.Messages[i], now)
 	}
-	e.send(t.Send)
+	e.send(t.Outgoing)
 	e.keepRounds(now)
 }
 
 // applyMessage takes in one message.
-func (e *Edge) applyMessage(m *fleet.Received, now time.Duration) {
+func (e *Edge) applyMessage(m *fleet.ReceivedMessage, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
 		s.placer.Forget(m.Source)
 	}
 	for _, u := range m.Usage {
 		s.usage.Heard(usage.Word{
-			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, FromStart: m.From.FromStart,
+			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, FromStart: m.From.AliveSinceStart,
 		}, now)
 	}
 	for _, a := range m.Attempts {
--- a/edge/register.go
+++ b/edge/register.go
@@ -135,7 +135,7 @@
 func (e *Edge) goneRows(now time.Duration) []replica.Row {
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
-		if m.Listed && !m.Alive && now-m.Heard > goneAfter && len(rows) < maxRows {
+		if m.Listed && !m.Alive && now-m.LastHeard > goneAfter && len(rows) < maxRows {
 			rows = append(rows, replica.Row{Key: address(id, 0).Addr().String(), Gone: true})
 		}
 	}
--- a/edge/status.go
+++ b/edge/status.go
@@ -123,7 +123,7 @@
 	for id, m := range s.messenger.Fleet().All() {
 		st.Instances = append(st.Instances, InstanceStatus{
 			IP: address(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
-			HeardMS: milli(now - m.Heard), SlowLink: m.SlowLink,
+			HeardMS: milli(now - m.LastHeard), SlowLink: m.SlowLink,
 		})
 	}
 	slices.SortFunc(st.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.IP, b.IP) })
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// HeartbeatEvery is the longest silence of a living instance.
-	HeartbeatEvery = 400 * time.Millisecond
+	// HeartbeatInterval is the longest silence of a living instance.
+	HeartbeatInterval = 400 * time.Millisecond
 	// aliveFor is the silence after which an instance is taken for gone: three
 	// heartbeats, so that two lost datagrams don't do it. It leaves callers'
 	// addresses well within the two seconds that they keep an answer.
@@ -30,7 +30,7 @@
 	earlySequence = 20
 	// unheardFor is the time after its last message for which an instance is left
 	// alone: two heartbeats.
-	unheardFor = 2 * HeartbeatEvery
+	unheardFor = 2 * HeartbeatInterval
 	// rememberFor is how long a silent instance counts that isn't listed.
 	rememberFor = 10 * time.Second
 )
@@ -40,10 +40,10 @@
 	relay.Member
 	// Leaving says that callers must not be sent there.
 	Leaving bool
-	// Heard is when it last spoke; when it became known, if it never did.
-	Heard time.Duration
-	// FromStart says that it has been heard since its start without a pause.
-	FromStart bool
+	// LastHeard is when it last spoke; when it became known, if it never did.
+	LastHeard time.Duration
+	// AliveSinceStart says that it has been heard since its start without a pause.
+	AliveSinceStart bool
 	// Listed in the store.
 	Listed bool
 
@@ -55,13 +55,13 @@
 	window uint64
 }
 
-// Fresh reports whether a message is new, and marks it, and whether it is the
+// MarkSeen reports whether a message is new, and marks it, and whether it is the
 // first since a start of the instance. The same message may arrive from two
 // relays, or late.
-func (m *Instance) Fresh(epoch, sequence uint32) (fresh, restarted bool) {
+func (m *Instance) MarkSeen(epoch, sequence uint32) (fresh, restarted bool) {
 	if epoch != m.epoch {
 		m.epoch, m.sequence, m.window = epoch, sequence, 1
-		m.FromStart = sequence <= earlySequence
+		m.AliveSinceStart = sequence <= earlySequence
 		return true, true
 	}
 	if ahead := int64(sequence) - int64(m.sequence); ahead > 0 {
@@ -77,8 +77,8 @@
 	return true, false
 }
 
-// Latest reports whether no newer message of the instance was taken in.
-func (m *Instance) Latest(sequence uint32) bool { return sequence == m.sequence }
+// IsLatest reports whether no newer message of the instance was taken in.
+func (m *Instance) IsLatest(sequence uint32) bool { return sequence == m.sequence }
 
 // Fleet is all other instances that are known. It isn't safe for concurrent use.
 type Fleet struct {
@@ -100,43 +100,43 @@
 	return list
 }
 
-// Meet makes an instance known of which only the address is known, and returns
+// GetOrAdd makes an instance known of which only the address is known, and returns
 // it.
-func (f *Fleet) Meet(id uint32, now time.Duration) *Instance {
+func (f *Fleet) GetOrAdd(id uint32, now time.Duration) *Instance {
 	m, ok := f.all[id]
 	if !ok {
-		m = &Instance{Member: relay.Member{ID: id}, Heard: now, spoke: now - time.Hour}
+		m = &Instance{Member: relay.Member{ID: id}, LastHeard: now, spoke: now - time.Hour}
 		f.all[id] = m
 	}
 	return m
 }
 
-// Touch takes in a sign of life, and reports whether there was none before.
-func (f *Fleet) Touch(id uint32, now time.Duration) (m *Instance, returned bool) {
-	m = f.Meet(id, now)
-	m.Heard = now
+// MarkAlive takes in a sign of life, and reports whether there was none before.
+func (f *Fleet) MarkAlive(id uint32, now time.Duration) (m *Instance, returned bool) {
+	m = f.GetOrAdd(id, now)
+	m.LastHeard = now
 	returned = !m.Alive
 	m.Alive = true
 	return m, returned
 }
 
-// Check finds out who has fallen silent, and drops those that are forgotten.
-func (f *Fleet) Check(now time.Duration) (fell []*Instance) {
+// ExpireSilent finds out who has fallen silent, and drops those that are forgotten.
+func (f *Fleet) ExpireSilent(now time.Duration) (fell []*Instance) {
 	for id, m := range f.all {
-		if m.Alive && now-m.Heard > aliveFor {
+		if m.Alive && now-m.LastHeard > aliveFor {
 			m.Alive = false
-			m.FromStart = false
+			m.AliveSinceStart = false
 			fell = append(fell, m)
 		}
-		if !m.Alive && !m.Listed && now-m.Heard > rememberFor {
+		if !m.Alive && !m.Listed && now-m.LastHeard > rememberFor {
 			delete(f.all, id)
 		}
 	}
 	return fell
 }
 
-// Heard is the share of the instances that are heard, the own one included.
-func (f *Fleet) Heard() float64 {
+// AliveShare is the share of the instances that are heard, the own one included.
+func (f *Fleet) AliveShare() float64 {
 	all, heard := 1, 1
 	for _, m := range f.all {
 		all++
@@ -147,13 +147,13 @@
 	return float64(heard) / float64(all)
 }
 
-// Fresh is the share of the instances that are heard since they have started, the
+// AliveSinceStartShare is the share of the instances that are heard since they have started, the
 // own one included: of those that started together with this one, as long as it
 // has just started itself.
-func (f *Fleet) Fresh() float64 {
+func (f *Fleet) AliveSinceStartShare() float64 {
 	fresh := 1
 	for _, m := range f.all {
-		if m.Alive && m.FromStart {
+		if m.Alive && m.AliveSinceStart {
 			fresh++
 		}
 	}
@@ -176,8 +176,8 @@
 	return ids[:min(most, len(ids))]
 }
 
-// Alone reports that no other instance is heard.
-func (f *Fleet) Alone() bool {
+// Isolated reports that no other instance is heard.
+func (f *Fleet) Isolated() bool {
 	for _, m := range f.all {
 		if m.Alive {
 			return false
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 func TestEachMessageCountsOnce(t *testing.T) {
 	var m fleet.Instance
 	fresh := func(epoch, sequence uint32) bool {
-		is, _ := m.Fresh(epoch, sequence)
+		is, _ := m.MarkSeen(epoch, sequence)
 		return is
 	}
 	must.True(t, fresh(7, 10))
@@ -34,29 +34,29 @@
 // heartbeats are missing, and is forgotten unless the store lists it.
 func TestSilentInstancesAreFoundAndForgotten(t *testing.T) {
 	f := fleet.New()
-	_, returned := f.Touch(1, 0)
+	_, returned := f.MarkAlive(1, 0)
 	must.True(t, returned)
-	listed, _ := f.Touch(2, 0)
+	listed, _ := f.MarkAlive(2, 0)
 	listed.Listed = true
-	must.Len(t, 0, f.Check(3*fleet.HeartbeatEvery))
-	must.False(t, f.Alone())
-	must.Len(t, 2, f.Check(3*fleet.HeartbeatEvery+200*time.Millisecond))
-	must.True(t, f.Alone())
-	must.Eq(t, 1.0/3, f.Heard())
-	f.Check(time.Minute)
+	must.Len(t, 0, f.ExpireSilent(3*fleet.HeartbeatInterval))
+	must.False(t, f.Isolated())
+	must.Len(t, 2, f.ExpireSilent(3*fleet.HeartbeatInterval+200*time.Millisecond))
+	must.True(t, f.Isolated())
+	must.Eq(t, 1.0/3, f.AliveShare())
+	f.ExpireSilent(time.Minute)
 	must.MapLen(t, 1, f.All())
-	_, returned = f.Touch(2, time.Minute)
+	_, returned = f.MarkAlive(2, time.Minute)
 	must.True(t, returned)
-	must.Eq(t, 1, f.Heard())
+	must.Eq(t, 1, f.AliveShare())
 }
 
 // An instance with a slow link asks the store only if nobody else does.
 func TestSlowLinkComesLast(t *testing.T) {
 	f := fleet.New()
-	slow, _ := f.Touch(2, 0)
+	slow, _ := f.MarkAlive(2, 0)
 	slow.SlowLink = true
-	f.Touch(3, 0)
-	f.Touch(4, 0)
+	f.MarkAlive(3, 0)
+	f.MarkAlive(4, 0)
 	self := relay.Member{ID: 1}
 	must.LessEq(t, 2, f.Rank(self))
 	self.SlowLink = true
--- a/fleet/messenger.go
+++ b/fleet/messenger.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// PulseEvery is how often Pulse should be called.
-	PulseEvery = 200 * time.Millisecond
+	// TickInterval is how often Pulse should be called.
+	TickInterval = 200 * time.Millisecond
 	// announceEvery is how often an instance says its data centre, for those
 	// who missed the first time.
 	announceEvery = 2 * time.Second
@@ -28,7 +28,7 @@
 	rosterEach = 60
 	// rosterInterval is the least time between two rosters for one instance that
 	// didn't ask for them.
-	rosterInterval = HeartbeatEvery
+	rosterInterval = HeartbeatInterval
 )
 
 // Settings of a Messenger.
@@ -70,7 +70,7 @@
 	f := New()
 	return &Messenger{
 		Settings: s, fleet: f, hub: relay.NewHub(s.Self, f.Members),
-		spoke: -announceEvery, announced: -announceEvery, alone: -HeartbeatEvery, corrected: make(map[uint32]time.Duration),
+		spoke: -announceEvery, announced: -announceEvery, alone: -HeartbeatInterval, corrected: make(map[uint32]time.Duration),
 	}
 }
 
@@ -83,9 +83,9 @@
 // Rank is the place of this instance among the living ones, 0 the first.
 func (m *Messenger) Rank() int { return m.fleet.Rank(m.Self) }
 
-// Listed takes in that the store lists an instance, which may not be heard yet.
-func (m *Messenger) Listed(id uint32, dataCentre string, slow bool, now time.Duration) {
-	i := m.fleet.Meet(id, now)
+// MarkListed takes in that the store lists an instance, which may not be heard yet.
+func (m *Messenger) MarkListed(id uint32, dataCentre string, slow bool, now time.Duration) {
+	i := m.fleet.GetOrAdd(id, now)
 	i.Listed = true
 	if i.DataCentre == "" {
 		i.DataCentre, i.SlowLink = dataCentre, slow
@@ -93,8 +93,8 @@
 	m.hub.MembersChanged()
 }
 
-// Unlisted takes in that the store lists an instance no more.
-func (m *Messenger) Unlisted(id uint32) {
+// MarkUnlisted takes in that the store lists an instance no more.
+func (m *Messenger) MarkUnlisted(id uint32) {
 	if i, ok := m.fleet.all[id]; ok {
 		i.Listed = false
 	}
@@ -127,11 +127,11 @@
 	return evidence.Message{DataCentre: m.Self.DataCentre, SlowLink: m.Self.SlowLink}
 }
 
-// Pulse does what time alone brings: it finds out who has fallen silent, sends
+// Tick does what time alone brings: it finds out who has fallen silent, sends
 // a heartbeat if nothing else was said, and greets those that aren't heard.
-func (m *Messenger) Pulse(now time.Duration) (fell []*Instance, out []relay.Datagram, err error) {
+func (m *Messenger) Tick(now time.Duration) (fell []*Instance, out []relay.Datagram, err error) {
 	known := len(m.fleet.all)
-	fell = m.fleet.Check(now)
+	fell = m.fleet.ExpireSilent(now)
 	if len(fell) > 0 || len(m.fleet.all) != known {
 		m.hub.MembersChanged()
 	}
@@ -139,7 +139,7 @@
 	switch {
 	case introduce:
 		out, err = m.Announce(false, now)
-	case now-m.spoke >= HeartbeatEvery-PulseEvery/2:
+	case now-m.spoke >= HeartbeatInterval-TickInterval/2:
 		out, err = m.Publish(evidence.Message{}, false, now)
 	}
 	if err != nil {
@@ -155,7 +155,7 @@
 func (m *Messenger) joinTargets(now time.Duration) []uint32 {
 	m.turn++
 	turn := m.turn ^ relay.Hash(m.Self.ID)
-	if !m.fleet.Alone() {
+	if !m.fleet.Isolated() {
 		return m.fleet.unheard(joinUsually, turn, now)
 	}
 	m.meetSeeds(now)
@@ -172,7 +172,7 @@
 // the store has told who is listed: after a loss of everything callers come
 // before the next pulse.
 func (m *Messenger) Join(now time.Duration) ([]relay.Datagram, error) {
-	if !m.fleet.Alone() {
+	if !m.fleet.Isolated() {
 		return nil, nil
 	}
 	return m.join(m.joinTargets(now))
@@ -184,7 +184,7 @@
 		m.started, m.pulsed = now, true
 	}
 	if now-m.started < startFor {
-		return HeartbeatEvery - PulseEvery/2
+		return HeartbeatInterval - TickInterval/2
 	}
 	return announceEvery
 }
@@ -194,7 +194,7 @@
 func (m *Messenger) meetSeeds(now time.Duration) {
 	for _, id := range m.Seeds {
 		if id != m.Self.ID {
-			m.fleet.Meet(id, now)
+			m.fleet.GetOrAdd(id, now)
 		}
 	}
 	m.hub.MembersChanged()
--- a/fleet/messenger_test.go
+++ b/fleet/messenger_test.go
@@ -325,7 +325,7 @@
 	w.startAll()
 	w.run(start + startSpread + soon)
 	for _, n := range w.nodes {
-		must.GreaterEq(t, nearlyAllOfThem, n.m.Fleet().Heard())
+		must.GreaterEq(t, nearlyAllOfThem, n.m.Fleet().AliveShare())
 	}
 	w.untilKnown(time.Second)
 	at := w.now
@@ -377,10 +377,10 @@
 	told := relay.Datagram{Kind: relay.Publish, Messages: round[0].Messages}
 	whole := told.Encode()
 	for _, b := range [][]byte{nil, {0x7f}, {byte(relay.Publish)}, {byte(relay.RemoteForward), 0xff}, whole[:len(whole)-1], append(whole, 0xff)} {
-		taken, err := n.m.Take(0x0a010001, b, w.now)
+		taken, err := n.m.Receive(0x0a010001, b, w.now)
 		must.Error(t, err)
-		must.SliceEmpty(t, taken.Received)
-		must.SliceEmpty(t, taken.Send)
+		must.SliceEmpty(t, taken.Messages)
+		must.SliceEmpty(t, taken.Outgoing)
 	}
 	must.Eq(t, before, len(n.m.Fleet().All()))
 }
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -147,7 +147,7 @@
 func (w *world) list(n *node) {
 	for id, other := range w.nodes {
 		if id != n.id {
-			n.m.Listed(id, other.dataCentre, other.slow, w.now)
+			n.m.MarkListed(id, other.dataCentre, other.slow, w.now)
 		}
 	}
 	out, err := n.m.Join(w.now)
@@ -212,12 +212,12 @@
 
 func (w *world) pulse(n *node, life int) {
 	w.does(n, life, func() {
-		_, out, err := n.m.Pulse(w.now)
+		_, out, err := n.m.Tick(w.now)
 		must.NoError(w.t, err)
 		w.send(n, out)
 	})
 	if n.life == life {
-		w.at(w.now+fleet.PulseEvery, func() { w.pulse(n, life) })
+		w.at(w.now+fleet.TickInterval, func() { w.pulse(n, life) })
 	}
 }
 
@@ -269,15 +269,15 @@
 
 func (w *world) take(n *node, from uint32, b []byte) {
 	n.in++
-	t, err := n.m.Take(from, b, w.now)
+	t, err := n.m.Receive(from, b, w.now)
 	must.NoError(w.t, err)
-	for _, h := range t.Received {
+	for _, h := range t.Messages {
 		id := word{h.Source, h.Epoch, h.Sequence}
 		if at, ok := w.said[id]; ok {
 			w.heard[id][n.id] = w.now - at
 		}
 	}
-	w.send(n, t.Send)
+	w.send(n, t.Outgoing)
 }
 
 // knowsAll reports whether every running instance hears every other.
--- a/fleet/take.go
+++ b/fleet/take.go
@@ -7,8 +7,8 @@
 	"foxtailspoke/relay"
 )
 
-// Received is a message that is new.
-type Received struct {
+// ReceivedMessage is a message that is new.
+type ReceivedMessage struct {
 	evidence.Message
 	// From is the instance that says it.
 	From *Instance
@@ -18,37 +18,37 @@
 	Latest bool
 }
 
-// Taken is what a datagram brought.
-type Taken struct {
-	Received []Received
-	// Returned are instances that weren't heard before.
-	Returned []*Instance
-	// Send is what to answer or send on at once.
-	Send []relay.Datagram
+// ReceiveResult is what a datagram brought.
+type ReceiveResult struct {
+	Messages []ReceivedMessage
+	// NewlyAlive are instances that weren't heard before.
+	NewlyAlive []*Instance
+	// Outgoing is what to answer or send on at once.
+	Outgoing []relay.Datagram
 }
 
-// Take takes in one datagram. One that is damaged anywhere is dropped whole.
-func (m *Messenger) Take(sender uint32, b []byte, now time.Duration) (Taken, error) {
+// Receive takes in one datagram. One that is damaged anywhere is dropped whole.
+func (m *Messenger) Receive(sender uint32, b []byte, now time.Duration) (ReceiveResult, error) {
 	d, err := relay.Decode(b)
 	if err != nil {
-		return Taken{}, err
+		return ReceiveResult{}, err
 	}
 	if d.Kind == relay.Ack {
 		m.hub.Receive(relay.Received{From: sender, Kind: d.Kind}, now)
-		return Taken{}, nil
+		return ReceiveResult{}, nil
 	}
 	messages, parts, err := evidence.Decode(d.Messages)
 	if err != nil {
-		return Taken{}, err
+		return ReceiveResult{}, err
 	}
-	alone := m.fleet.Alone()
+	alone := m.fleet.Isolated()
 	if alone {
 		m.alone = now
 	}
-	var t Taken
+	var t ReceiveResult
 	r := relay.Received{From: sender, Kind: d.Kind, Urgent: d.Urgent}
 	for i := range messages {
-		switch m.receive(&t, sender, &messages[i], now) {
+		switch m.receiveMessage(&t, sender, &messages[i], now) {
 		case fresh:
 			r.New = append(r.New, parts[i])
 		case known:
@@ -57,7 +57,7 @@
 		}
 	}
 	var astray bool
-	t.Send, astray = m.hub.Receive(r, now)
+	t.Outgoing, astray = m.hub.Receive(r, now)
 	return t, m.answer(&t, sender, d.Kind, astray, alone, now)
 }
 
@@ -71,7 +71,7 @@
 	known
 )
 
-func (m *Messenger) receive(t *Taken, sender uint32, msg *evidence.Message, now time.Duration) news {
+func (m *Messenger) receiveMessage(t *ReceiveResult, sender uint32, msg *evidence.Message, now time.Duration) news {
 	if msg.Source == m.Self.ID {
 		if msg.Epoch == m.Epoch {
 			m.hub.MessageReturned(sender, msg.Sequence)
@@ -88,18 +88,18 @@
 		m.applyRoster(t, msg.Members, now)
 		return notForAll
 	}
-	isFresh, restarted := i.Fresh(msg.Epoch, msg.Sequence)
+	isFresh, restarted := i.MarkSeen(msg.Epoch, msg.Sequence)
 	if !isFresh {
 		return known
 	}
-	latest := i.Latest(msg.Sequence)
+	latest := i.IsLatest(msg.Sequence)
 	if latest {
 		i.spoke = now
 		i.Leaving = msg.Leaving
 		m.describe(i, i.DataCentre, i.SlowLink, msg.Stopping)
 	}
 	m.applyRoster(t, msg.Members, now)
-	t.Received = append(t.Received, Received{Message: *msg, From: i, Restarted: restarted, Latest: latest})
+	t.Messages = append(t.Messages, ReceivedMessage{Message: *msg, From: i, Restarted: restarted, Latest: latest})
 	return fresh
 }
 
@@ -108,13 +108,13 @@
 // heartbeat. One that fell silent must speak itself, unless this instance heard
 // nobody until now: if only others hear it, it is no use here as a relay. What an
 // instance says of itself goes before what others say of it.
-func (m *Messenger) applyRoster(t *Taken, roster []evidence.Member, now time.Duration) {
+func (m *Messenger) applyRoster(t *ReceiveResult, roster []evidence.Member, now time.Duration) {
 	for _, r := range roster {
 		if r.ID == m.Self.ID {
 			continue
 		}
-		i := m.fleet.Meet(r.ID, now)
-		if !i.Alive && (i.epoch == 0 || now-m.alone < HeartbeatEvery) {
+		i := m.fleet.GetOrAdd(r.ID, now)
+		if !i.Alive && (i.epoch == 0 || now-m.alone < HeartbeatInterval) {
 			m.touch(t, r.ID, now)
 		}
 		if now-i.spoke > unheardFor {
@@ -125,11 +125,11 @@
 }
 
 // touch takes in a sign of life.
-func (m *Messenger) touch(t *Taken, id uint32, now time.Duration) *Instance {
-	i, returned := m.fleet.Touch(id, now)
+func (m *Messenger) touch(t *ReceiveResult, id uint32, now time.Duration) *Instance {
+	i, returned := m.fleet.MarkAlive(id, now)
 	if returned {
 		m.hub.MembersChanged()
-		t.Returned = append(t.Returned, i)
+		t.NewlyAlive = append(t.NewlyAlive, i)
 	}
 	return i
 }
@@ -145,7 +145,7 @@
 // of a newcomer; one that went astray by the roster and a greeting, because
 // sender and receiver know different members. An instance that was alone
 // introduces itself.
-func (m *Messenger) answer(t *Taken, sender uint32, kind relay.Kind, astray, alone bool, now time.Duration) error {
+func (m *Messenger) answer(t *ReceiveResult, sender uint32, kind relay.Kind, astray, alone bool, now time.Duration) error {
 	correct := astray && m.mayCorrect(sender, now)
 	if kind == relay.Join || correct {
 		if err := t.add(m.roster(sender, now)); err != nil {
@@ -157,13 +157,13 @@
 			return err
 		}
 	}
-	if kind == relay.Join && len(t.Returned) > 0 {
-		if err := t.add(m.Publish(evidence.Message{Members: residents(t.Returned)}, true, now)); err != nil {
+	if kind == relay.Join && len(t.NewlyAlive) > 0 {
+		if err := t.add(m.Publish(evidence.Message{Members: residents(t.NewlyAlive)}, true, now)); err != nil {
 			return err
 		}
 	}
 	switch {
-	case alone && !m.fleet.Alone():
+	case alone && !m.fleet.Isolated():
 		return t.add(m.Announce(true, now))
 	case m.hub.RelayChanged(now):
 		return t.add(m.Publish(evidence.Message{}, false, now))
@@ -181,7 +181,7 @@
 	return true
 }
 
-func (t *Taken) add(out []relay.Datagram, err error) error {
-	t.Send = append(t.Send, out...)
+func (t *ReceiveResult) add(out []relay.Datagram, err error) error {
+	t.Outgoing = append(t.Outgoing, out...)
 	return err
 }
