--- a/edge/call.go
+++ b/edge/call.go
@@ -237,7 +237,7 @@
 func (e *Edge) wanted(c *call, tried []string, now time.Duration) placement.Request {
 	stats := e.statsOf(c.route)
 	repeatable := c.route.Kind.Repeatable()
-	allowed, _ := e.topology.Allowed(c.route, c.workspace)
+	allowed, _ := e.topology.AllowedDataCentres(c.route, c.workspace)
 	return placement.Request{
 		Service:      c.service,
 		Repeatable:   repeatable,
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -8,10 +8,10 @@
 // Topology maps each data centre to its region.
 type Topology map[string]string
 
-// Allowed returns the data centres that may handle a request, and true, or
+// AllowedDataCentres returns the data centres that may handle a request, and true, or
 // false if neither its route nor its workspace restricts them. Where both do,
 // a data centre has to satisfy both. The workspace may be nil.
-func (t Topology) Allowed(r *Route, w *Workspace) (map[string]bool, bool) {
+func (t Topology) AllowedDataCentres(r *Route, w *Workspace) (map[string]bool, bool) {
 	var ofWorkspace []string
 	if w != nil {
 		ofWorkspace = w.Regions
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -23,11 +23,11 @@
 		{"disjoint", []string{"a"}, []string{"b"}, true, map[string]bool{}},
 		{"unknown region", []string{"x"}, nil, true, map[string]bool{}},
 	} {
-		got, restricted := topology.Allowed(&routing.Route{Regions: tc.route}, &routing.Workspace{Regions: tc.workspace})
+		got, restricted := topology.AllowedDataCentres(&routing.Route{Regions: tc.route}, &routing.Workspace{Regions: tc.workspace})
 		must.Eq(t, tc.restricted, restricted, must.Sprint(tc.name))
 		must.Eq(t, tc.want, got, must.Sprint(tc.name))
 	}
-	got, restricted := topology.Allowed(&routing.Route{Regions: []string{"c"}}, nil)
+	got, restricted := topology.AllowedDataCentres(&routing.Route{Regions: []string{"c"}}, nil)
 	must.True(t, restricted)
 	must.Eq(t, map[string]bool{"c1": true}, got)
 }
