--- a/edge/answer.go
+++ b/edge/answer.go
@@ -135,7 +135,7 @@
 	}
 	if c.route != nil {
 		attrs = append(attrs, slog.String("route", c.route.Name), slog.String("service", c.service),
-			slog.Int64("aim_ms", c.route.Aim.Milliseconds()))
+			slog.Int64("aim_ms", c.route.LatencyTarget.Milliseconds()))
 	}
 	if c.workspace != nil {
 		e.mu.Lock()
--- a/edge/call.go
+++ b/edge/call.go
@@ -106,7 +106,7 @@
 	if v := e.checkKey(c, r.Header); v != nil {
 		return c, v
 	}
-	if limit := s.table.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
+	if limit := s.table.Limits.MaxBodyBytes; limit > 0 && r.ContentLength > limit {
 		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleTooLarge}
 	}
 	c.service = s.split.Pick(c.route)
@@ -151,7 +151,7 @@
 	if c.keyAge > s.bounds.Keys {
 		return &verdict{http.StatusServiceUnavailable, RuleStale, comeBackSoon}
 	}
-	c.workspace = s.table.Workspace(platform.Key(h.Get(platform.HeaderKey)))
+	c.workspace = s.table.WorkspaceByKey(platform.Key(h.Get(platform.HeaderKey)))
 	if c.workspace == nil {
 		return &verdict{status: http.StatusUnauthorized, rule: RuleNoKey}
 	}
@@ -166,7 +166,7 @@
 	}
 	body := r.Body
 	e.mu.Lock()
-	if limit := e.state.table.Limits.BodyBytes; limit > 0 {
+	if limit := e.state.table.Limits.MaxBodyBytes; limit > 0 {
 		body = http.MaxBytesReader(w, body, limit)
 	}
 	e.mu.Unlock()
@@ -196,7 +196,7 @@
 	if !ok {
 		return choice, e.unplaceable(r, now)
 	}
-	rank := routing.Rank(c.route, c.workspace)
+	rank := routing.Priority(c.route, c.workspace)
 	if !e.off.On(mechanism.Rank) {
 		rank = 0
 	}
@@ -242,7 +242,7 @@
 		Service:      c.service,
 		Repeatable:   repeatable,
 		RoomToRepeat: repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
-		Aim:          c.route.Aim - (now - c.start),
+		Aim:          c.route.LatencyTarget - (now - c.start),
 		Left:         c.deadline - now,
 		Work:         stats.work,
 		KB:           stats.kb,
@@ -269,7 +269,7 @@
 func (e *Edge) statsOf(r *routing.Route) *routeStats {
 	st, ok := e.state.routes[r.Name]
 	if !ok {
-		st = &routeStats{work: time.Duration(firstWork * float64(r.Aim)), kb: firstKB}
+		st = &routeStats{work: time.Duration(firstWork * float64(r.LatencyTarget)), kb: firstKB}
 		e.state.routes[r.Name] = st
 	}
 	return st
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Kind says what may be repeated.
-type Kind int
+// RouteKind says what may be repeated.
+type RouteKind int
 
 const (
 	// NonIdempotent requests run at most once. It is the zero value, so that a
 	// route whose kind isn't understood is treated with the most care.
-	NonIdempotent Kind = iota
+	NonIdempotent RouteKind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 	// Upload is a non-idempotent request with a large body.
@@ -27,10 +27,10 @@
 )
 
 // Repeatable reports whether a request that may have run may be sent again.
-func (k Kind) Repeatable() bool { return k == Idempotent }
+func (k RouteKind) Repeatable() bool { return k == Idempotent }
 
-// Share is one service of a route and its weight among the others.
-type Share struct {
+// WeightedService is one service of a route and its weight among the others.
+type WeightedService struct {
 	Service string
 	// Weight is a positive number without unit.
 	Weight float64
@@ -43,11 +43,11 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout bounds the time until the final answer.
 	Timeout time.Duration
-	// Aim is the time within which an answer is in time.
-	Aim time.Duration
+	// LatencyTarget is the time within which an answer is in time.
+	LatencyTarget time.Duration
 	// Priority is the rank; 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds the backend servers that one request is sent to.
@@ -56,8 +56,8 @@
 	Public bool
 	// Regions are the only ones that may handle its requests; none means any.
 	Regions []string
-	// Shares has at least one entry.
-	Shares []Share
+	// Services has at least one entry.
+	Services []WeightedService
 }
 
 // Service is a group of backend servers that run the same program.
@@ -89,8 +89,8 @@
 
 // Limits bound what callers may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
 	// HeaderTimeout bounds the reading of a request's headers.
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a connection may stay without a request.
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// Workspace returns the holder of a key, or nil.
-func (t *Table) Workspace(key string) *Workspace {
+// WorkspaceByKey returns the holder of a key, or nil.
+func (t *Table) WorkspaceByKey(key string) *Workspace {
 	i, ok := t.keys[HashKey(key)]
 	if !ok {
 		return nil
@@ -180,9 +180,9 @@
 // Workspaces returns all workspaces; the caller must not change them.
 func (t *Table) Workspaces() []Workspace { return t.workspaces }
 
-// Rank returns the priority of a request: the workspace's own, if it has one,
+// Priority returns the priority of a request: the workspace's own, if it has one,
 // else the route's.
-func Rank(r *Route, w *Workspace) int {
+func Priority(r *Route, w *Workspace) int {
 	if w != nil && w.HasPriority {
 		return w.Priority
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -9,15 +9,15 @@
 )
 
 func table() *routing.Table {
-	share := []routing.Share{{Service: "s", Weight: 1}}
+	share := []routing.WeightedService{{Service: "s", Weight: 1}}
 	return routing.NewTable(routing.Config{
 		Version: 7,
 		Keyed:   true,
 		Routes: []routing.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Shares: share},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Shares: share},
-			{Name: "flat", Host: "a.example", Prefix: "/x/", Shares: share},
-			{Name: "other", Host: "b.example", Prefix: "/x/", Shares: share},
+			{Name: "all", Host: "a.example", Prefix: "/", Services: share},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Services: share},
+			{Name: "flat", Host: "a.example", Prefix: "/x/", Services: share},
+			{Name: "other", Host: "b.example", Prefix: "/x/", Services: share},
 		},
 		Workspaces: []routing.Workspace{{Name: "w"}},
 		Keys:       map[routing.Key]int{routing.HashKey("secret"): 0},
@@ -48,23 +48,23 @@
 }
 
 func TestKeyNamesItsWorkspace(t *testing.T) {
-	must.Eq(t, "w", table().Workspace("secret").Name)
-	must.Nil(t, table().Workspace("Secret"))
-	must.Nil(t, table().Workspace(""))
+	must.Eq(t, "w", table().WorkspaceByKey("secret").Name)
+	must.Nil(t, table().WorkspaceByKey("Secret"))
+	must.Nil(t, table().WorkspaceByKey(""))
 }
 
 func TestWorkspacesRankReplacesTheRoutes(t *testing.T) {
 	r := &routing.Route{Priority: 2}
-	must.Eq(t, 2, routing.Rank(r, nil))
-	must.Eq(t, 2, routing.Rank(r, &routing.Workspace{}))
-	must.Eq(t, 0, routing.Rank(r, &routing.Workspace{HasPriority: true}))
+	must.Eq(t, 2, routing.Priority(r, nil))
+	must.Eq(t, 2, routing.Priority(r, &routing.Workspace{}))
+	must.Eq(t, 0, routing.Priority(r, &routing.Workspace{HasPriority: true}))
 }
 
 // The shares of a split must show after few requests already: an operator who
 // gives a new service a tenth looks for one request in ten, not for a chance of
 // a tenth.
 func TestSplitKeepsItsSharesAfterEveryFewRequests(t *testing.T) {
-	r := &routing.Route{Name: "r", Shares: []routing.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
+	r := &routing.Route{Name: "r", Services: []routing.WeightedService{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	for _, offset := range []float64{0, 0.3, 0.9} {
 		s := routing.Splitter{Offset: offset}
 		fresh := 0
--- a/routing/split.go
+++ b/routing/split.go
@@ -15,12 +15,12 @@
 
 // Pick returns the service for the next request of a route.
 func (s *Splitter) Pick(r *Route) string {
-	if len(r.Shares) == 1 {
-		return r.Shares[0].Service
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
 	credits := s.credits(r)
 	total, best := 0.0, 0
-	for i, share := range r.Shares {
+	for i, share := range r.Services {
 		credits[i] += share.Weight
 		total += share.Weight
 		if credits[i] > credits[best] {
@@ -28,7 +28,7 @@
 		}
 	}
 	credits[best] -= total
-	return r.Shares[best].Service
+	return r.Services[best].Service
 }
 
 func (s *Splitter) credits(r *Route) []float64 {
@@ -36,11 +36,11 @@
 		s.current = make(map[string][]float64)
 	}
 	c, ok := s.current[r.Name]
-	if ok && len(c) == len(r.Shares) {
+	if ok && len(c) == len(r.Services) {
 		return c
 	}
-	c = make([]float64, len(r.Shares))
-	for i, share := range r.Shares {
+	c = make([]float64, len(r.Services))
+	for i, share := range r.Services {
 		c[i] = share.Weight * s.Offset * float64(1-2*(i%2))
 	}
 	s.current[r.Name] = c
