--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -18,14 +18,14 @@
 	"time"
 )
 
-// Grace is how long after the store's return a missing entry may still come
+// RemovalGracePeriod is how long after the store's return a missing entry may still come
 // back. The platform promises about two seconds.
-const Grace = 2 * time.Second
+const RemovalGracePeriod = 2 * time.Second
 
-// Outage is the silence of the store after which entries may have run out by
+// OutageThreshold is the silence of the store after which entries may have run out by
 // its fault. Servers write every 1.5 s and entries last three writes; a
 // shorter silence can't make a living server's entry run out.
-const Outage = 2 * time.Second
+const OutageThreshold = 2 * time.Second
 
 // warmUpJitter is how far the ends of one warm-up may lie apart by what two
 // writes of an entry say, since each arrives with another delay. A later end
@@ -49,16 +49,16 @@
 	Draining bool
 	// WarmUp is how long it stays slow, counted from the entry's arrival.
 	WarmUp time.Duration
-	// Born is when the server started, in Unix milliseconds. A restart under
+	// StartTimeMS is when the server started, in Unix milliseconds. A restart under
 	// the same id has a later one.
-	Born int64
+	StartTimeMS int64
 	// Seq counts the writes of its entry since its start; 0 if it doesn't say.
 	Seq int64
 }
 
-// Same reports whether two entries tell the same of a server, the time that
+// EqualExceptRenewal reports whether two entries tell the same of a server, the time that
 // is left to warm up and the count of writes aside.
-func (s Server) Same(o Server) bool {
+func (s Server) EqualExceptRenewal(o Server) bool {
 	s.WarmUp, o.WarmUp = 0, 0
 	s.Seq, o.Seq = 0, 0
 	return s == o
@@ -66,19 +66,19 @@
 
 // counted reports whether an entry tells which of the server's writes it is. The
 // count begins anew with each start, so that it says nothing without that.
-func (s Server) counted() bool { return s.Born > 0 && s.Seq > 0 }
+func (s Server) counted() bool { return s.StartTimeMS > 0 && s.Seq > 0 }
 
 // olderThan reports whether an entry was written before another one of the same
 // server.
 func (s Server) olderThan(o Server) bool {
-	return s.Born < o.Born || (s.Born == o.Born && s.counted() && s.Seq < o.Seq)
+	return s.StartTimeMS < o.StartTimeMS || (s.StartTimeMS == o.StartTimeMS && s.counted() && s.Seq < o.Seq)
 }
 
 // Change is what became of one server.
 type Change struct {
 	Server Server
-	// Gone: its entry has left the list.
-	Gone bool
+	// Removed: its entry has left the list.
+	Removed bool
 	// New: it wasn't known before, or has started again.
 	New bool
 }
@@ -111,12 +111,12 @@
 	}
 }
 
-// Restore takes in an entry of a store that came back from a copy. A server that
+// PutAfterRestore takes in an entry of a store that came back from a copy. A server that
 // has left stays out until it writes again: how often it had written isn't known by
 // then, because entries that only renew themselves aren't handed on.
-func (l *List) Restore(s Server, now time.Duration) (Change, bool) {
+func (l *List) PutAfterRestore(s Server, now time.Duration) (Change, bool) {
 	left, ok := l.left[s.ID]
-	if ok && now-left.at < leftFor && s.Born <= left.Born && s.counted() {
+	if ok && now-left.at < leftFor && s.StartTimeMS <= left.StartTimeMS && s.counted() {
 		l.ignored[s.ID] = s
 		return Change{}, false
 	}
@@ -140,10 +140,10 @@
 	delete(l.left, s.ID)
 	colder := l.turnsCold(s, now)
 	l.servers[s.ID] = s
-	if known && old.Same(s) && !colder {
+	if known && old.EqualExceptRenewal(s) && !colder {
 		return Change{}, false
 	}
-	return Change{Server: s, New: !known || s.Born != old.Born}, true
+	return Change{Server: s, New: !known || s.StartTimeMS != old.StartTimeMS}, true
 }
 
 // turnsCold notes the warm-up that an entry reports, and reports whether it is
@@ -175,7 +175,7 @@
 	delete(l.missing, id)
 	delete(l.warm, id)
 	l.leave(s, now)
-	return Change{Server: s, Gone: true}, true
+	return Change{Server: s, Removed: true}, true
 }
 
 // leave remembers a server that has left, and forgets those of long ago.
@@ -188,10 +188,10 @@
 	l.left[s.ID] = departed{s, now}
 }
 
-// Unsettled reports whether the store and this list differ about a server: it is
+// DiffersFromStore reports whether the store and this list differ about a server: it is
 // no longer listed there and its return waited for, or listed as it was before.
 // The next entry has to be handed on, even if it says what the list has.
-func (l *List) Unsettled(id string) bool {
+func (l *List) DiffersFromStore(id string) bool {
 	_, missing := l.missing[id]
 	_, ignored := l.ignored[id]
 	return missing || ignored
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 )
 
 func server(id string, born int64) discovery.Server {
-	return discovery.Server{ID: id, Service: "s", Address: "10.0.0.1:80", Slots: 2, Born: born}
+	return discovery.Server{ID: id, Service: "s", Address: "10.0.0.1:80", Slots: 2, StartTimeMS: born}
 }
 
 func TestPutTellsWhatChanged(t *testing.T) {
@@ -65,7 +65,7 @@
 	l := discovery.NewList()
 	l.Put(server("a", 1), 0)
 	c, ok := l.Remove("a", time.Second, 0)
-	must.True(t, ok && c.Gone)
+	must.True(t, ok && c.Removed)
 	must.Zero(t, l.Len())
 	_, ok = l.Remove("a", time.Second, 0)
 	must.False(t, ok)
@@ -80,13 +80,13 @@
 	l.Put(server("lost", 1), 0)
 	now := 10 * time.Second
 	for _, id := range l.IDs() {
-		_, ok := l.Remove(id, now, now+discovery.Grace)
+		_, ok := l.Remove(id, now, now+discovery.RemovalGracePeriod)
 		must.False(t, ok)
 	}
 	must.Eq(t, 2, l.Len())
 	l.Put(server("back", 1), 0)
-	must.Len(t, 0, l.Expire(now+discovery.Grace-1))
-	gone := l.Expire(now + discovery.Grace)
+	must.Len(t, 0, l.Expire(now+discovery.RemovalGracePeriod-1))
+	gone := l.Expire(now + discovery.RemovalGracePeriod)
 	must.Len(t, 1, gone)
 	must.Eq(t, "lost", gone[0].Server.ID)
 	must.Eq(t, 1, l.Len())
@@ -100,9 +100,9 @@
 	l := discovery.NewList()
 	l.Put(server("leaving", 1), 0)
 	returned := 10 * time.Second
-	_, ok := l.Remove("leaving", returned+1500*time.Millisecond, returned+discovery.Grace)
+	_, ok := l.Remove("leaving", returned+1500*time.Millisecond, returned+discovery.RemovalGracePeriod)
 	must.False(t, ok)
-	gone := l.Expire(returned + discovery.Grace)
+	gone := l.Expire(returned + discovery.RemovalGracePeriod)
 	must.Len(t, 1, gone)
 	must.Zero(t, l.Len())
 }
--- a/discovery/restore_test.go
+++ b/discovery/restore_test.go
@@ -22,14 +22,14 @@
 	l := discovery.NewList()
 	l.Put(written("a", 18, false), 0)
 	l.Put(written("a", 20, true), 0)
-	_, ok := l.Restore(written("a", 18, false), time.Second)
+	_, ok := l.PutAfterRestore(written("a", 18, false), time.Second)
 	must.False(t, ok)
 	s, _ := l.Get("a")
 	must.True(t, s.Draining)
-	must.True(t, l.Unsettled("a"))
+	must.True(t, l.DiffersFromStore("a"))
 	_, ok = l.Put(written("a", 20, true), 2*time.Second)
 	must.False(t, ok)
-	must.False(t, l.Unsettled("a"))
+	must.False(t, l.DiffersFromStore("a"))
 }
 
 // Instances that were told of a server's leaving don't know how often it had written
@@ -39,7 +39,7 @@
 	l.Put(written("a", 5, false), 0)
 	l.Remove("a", time.Second, 0)
 	for _, seq := range []int64{18, 18, 17} {
-		_, ok := l.Restore(written("a", seq, false), 2*time.Second)
+		_, ok := l.PutAfterRestore(written("a", seq, false), 2*time.Second)
 		must.False(t, ok)
 		_, ok = l.Put(written("a", seq, false), 2*time.Second)
 		must.False(t, ok)
@@ -47,7 +47,7 @@
 	}
 	c, ok := l.Put(written("a", 19, false), 3*time.Second)
 	must.True(t, ok && c.New)
-	must.False(t, l.Unsettled("a"))
+	must.False(t, l.DiffersFromStore("a"))
 }
 
 func TestServerThatLeftStartsAgainUnderItsID(t *testing.T) {
@@ -56,7 +56,7 @@
 	l.Remove("a", time.Second, 0)
 	again := server("a", 2)
 	again.Seq = 1
-	c, ok := l.Restore(again, 2*time.Second)
+	c, ok := l.PutAfterRestore(again, 2*time.Second)
 	must.True(t, ok && c.New)
 }
 
@@ -74,7 +74,7 @@
 	l := discovery.NewList()
 	l.Put(written("a", 5, false), 0)
 	l.Remove("a", time.Second, 0)
-	_, ok := l.Restore(written("a", 5, false), 2*time.Minute)
+	_, ok := l.PutAfterRestore(written("a", 5, false), 2*time.Minute)
 	must.True(t, ok)
 }
 
@@ -83,11 +83,11 @@
 	l := discovery.NewList()
 	l.Put(written("a", 5, false), 0)
 	l.Remove("a", time.Second, 0)
-	l.Restore(written("a", 18, false), 2*time.Second)
-	must.True(t, l.Unsettled("a"))
+	l.PutAfterRestore(written("a", 18, false), 2*time.Second)
+	must.True(t, l.DiffersFromStore("a"))
 	_, ok := l.Remove("a", 3*time.Second, 0)
 	must.False(t, ok)
-	must.False(t, l.Unsettled("a"))
+	must.False(t, l.DiffersFromStore("a"))
 }
 
 // A server that doesn't count its writes, or not since when, can't show that it has
@@ -97,7 +97,7 @@
 		l := discovery.NewList()
 		l.Put(s, 0)
 		l.Remove("a", time.Second, 0)
-		_, ok := l.Restore(s, 2*time.Second)
+		_, ok := l.PutAfterRestore(s, 2*time.Second)
 		must.True(t, ok)
 	}
 }
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -104,11 +104,11 @@
 	s := &e.state
 	var keepUntil time.Duration
 	if s.outageEnd > 0 {
-		keepUntil = s.outageEnd + discovery.Grace
+		keepUntil = s.outageEnd + discovery.RemovalGracePeriod
 	}
 	var changed []replica.Row
 	for _, r := range rows {
-		unsettled := s.list.Unsettled(r.Key)
+		unsettled := s.list.DiffersFromStore(r.Key)
 		c, ok := e.serverChange(r, restored, now, keepUntil)
 		if ok {
 			e.applyServer(c, now)
@@ -134,18 +134,18 @@
 		return s.list.Remove(r.Key, now, now)
 	}
 	if restored {
-		return s.list.Restore(entry, now)
+		return s.list.PutAfterRestore(entry, now)
 	}
 	return s.list.Put(entry, now)
 }
 
 func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
-	if c.Gone {
+	if c.Removed {
 		e.pool.Drop(c.Server.Address)
 	}
 	event.ServerChanged.Log(e.log, slog.String("server", c.Server.ID), slog.String("service", c.Server.Service),
-		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Gone),
+		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Removed),
 		slog.Int64("warm_up_ms", c.Server.WarmUp.Milliseconds()))
 }
 
--- a/edge/era.go
+++ b/edge/era.go
@@ -42,7 +42,7 @@
 	s.era, s.eraSince = era, stamp
 	// Entries that were first written after the copy are missing.
 	s.outageEnd = now
-	s.restoredUntil = now + discovery.Grace
+	s.restoredUntil = now + discovery.RemovalGracePeriod
 	s.nextListed = 0
 	for i := range s.recent {
 		s.recent[i].Reset()
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -226,7 +226,7 @@
 func (e *Edge) noteReturn(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
-	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.Outage {
+	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.OutageThreshold {
 		s.outageEnd = now
 	}
 }
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -91,7 +91,7 @@
 	stamp += 500 * time.Millisecond
 	polls(one, two, answer(12, entry(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
-		for _, c := range e.state.list.Expire(at + discovery.Grace) {
+		for _, c := range e.state.list.Expire(at + discovery.RemovalGracePeriod) {
 			t.Errorf("%s is dropped although its entry is back", c.Server.ID)
 		}
 		must.Len(t, 1, e.state.servers.Rows())
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -129,11 +129,11 @@
 // Apply takes in a change of the list of servers.
 func (p *Placer) Apply(c discovery.Change, now time.Duration) {
 	old := p.byID[c.Server.ID]
-	if old != nil && (c.Gone || c.New || old.entry.Service != c.Server.Service) {
+	if old != nil && (c.Removed || c.New || old.entry.Service != c.Server.Service) {
 		p.remove(old)
 		old = nil
 	}
-	if c.Gone {
+	if c.Removed {
 		return
 	}
 	if old == nil {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -170,7 +170,7 @@
 	must.False(t, ok)
 	p.Apply(discovery.Change{Server: server("a"), New: true}, 0)
 	choose(t, p, order(), 0)
-	p.Apply(discovery.Change{Server: server("a"), Gone: true}, 0)
+	p.Apply(discovery.Change{Server: server("a"), Removed: true}, 0)
 	_, ok = p.Choose(order(), 0, noJitter)
 	must.False(t, ok)
 }
