--- a/edge/answer.go
+++ b/edge/answer.go
@@ -139,7 +139,7 @@
 	}
 	if c.workspace != nil {
 		e.mu.Lock()
-		tokens, share := e.state.usage.Tokens(workspaceHash(c.workspace.Name), now), e.state.usage.Share
+		tokens, share := e.state.usage.Tokens(workspaceHash(c.workspace.Name), now), e.state.usage.RateShare
 		e.mu.Unlock()
 		attrs = append(attrs, slog.String("workspace", c.workspace.Name),
 			slog.Float64("rate", c.workspace.Rate), slog.Float64("burst", c.workspace.Burst),
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -87,11 +87,11 @@
 // limitOf is the limit that a workspace is held to.
 func (e *Edge) limitOf(w routing.Workspace) usage.Limit {
 	if !e.off.On(mechanism.Tolerance) {
-		return usage.Strict(w.Rate, w.Burst)
+		return usage.StrictLimit(w.Rate, w.Burst)
 	}
 	b := e.settings.Bounds
 	t := usage.Tolerance{Overshoot: b.RateOvershoot, Slack: b.RateSlack, Window: settings.Seconds(b.RateWindowS)}
-	return t.Loosen(usage.Strict(w.Rate, w.Burst))
+	return t.Loosen(usage.StrictLimit(w.Rate, w.Burst))
 }
 
 // takeServers takes in changed entries of backend servers, and returns those
--- a/edge/members.go
+++ b/edge/members.go
@@ -34,7 +34,7 @@
 // whole of every rate.
 func newUsage() *usage.Counters {
 	c := usage.NewCounters()
-	c.Share, c.Fresh = 0, 0
+	c.RateShare, c.StartupShare = 0, 0
 	return c
 }
 
@@ -43,7 +43,7 @@
 func (e *Edge) countShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
-		e.state.usage.Share, e.state.usage.Fresh = fleet.Heard(), fleet.Fresh()
+		e.state.usage.RateShare, e.state.usage.StartupShare = fleet.Heard(), fleet.Fresh()
 	}
 }
 
@@ -75,7 +75,7 @@
 func (e *Edge) lost(fell []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
 	for _, m := range fell {
-		s.usage.Forget(m.ID)
+		s.usage.ForgetInstance(m.ID)
 		s.placer.Forget(m.ID)
 		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.Heard))
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -71,7 +71,7 @@
 		return float64(e.state.table.Version)
 	}))
 	m.gauge("rate_share", "Part of the workspaces' rates that this instance may count on.", e.locked(func() float64 {
-		return e.state.usage.Share
+		return e.state.usage.RateShare
 	}))
 	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.list.Len()) }))
 	m.gauge("suspect_servers", "Backend servers that more likely fail than not.", e.locked(func() float64 {
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -177,8 +177,8 @@
 		s.placer.Forget(m.Source)
 	}
 	for _, u := range m.Usage {
-		s.usage.Heard(usage.Word{
-			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, FromStart: m.From.FromStart,
+		s.usage.ApplyReport(usage.Report{
+			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, ReceivedSinceStart: m.From.FromStart,
 		}, now)
 	}
 	for _, a := range m.Attempts {
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -18,7 +18,7 @@
 	m := evidence.Message{Attempts: []evidence.Attempt{told}}
 	if c.workspace != nil {
 		h := workspaceHash(c.workspace.Name)
-		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.Own(h)}}
+		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.AdmittedTotal(h)}}
 	}
 	e.publish(m, false)
 }
--- a/edge/repeats.go
+++ b/edge/repeats.go
@@ -28,7 +28,7 @@
 // use it.
 func (e *Edge) repeatBound() retry.Bound {
 	b := e.settings.Bounds
-	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.Share}
+	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.RateShare}
 }
 
 // retryBudget is what may still be repeated at a service.
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -83,11 +83,11 @@
 func (i *instance) started(c *caller, v *server, number int) {
 	i.outstanding(v, 1)
 	i.repeats[c.service].Count(number > 1, i.world.now)
-	n, admitted := i.own[v.hash], i.usage.Own(uint32(c.workspace))
+	n, admitted := i.own[v.hash], i.usage.AdmittedTotal(uint32(c.workspace))
 	i.tell(func(o *instance) {
 		o.placer.Outstanding(v.hash, i.number, n, o.world.now)
 		o.repeats[c.service].Count(number > 1, o.world.now)
-		o.usage.Heard(usage.Word{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
+		o.usage.ApplyReport(usage.Report{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
 	})
 }
 
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -38,13 +38,13 @@
 	Rate float64
 	// Burst in requests.
 	Burst float64
-	// Start is what a bucket holds at first, in requests.
-	Start float64
+	// InitialTokens is what a bucket holds at first, in requests.
+	InitialTokens float64
 }
 
-// Strict returns the limit of a workspace where nothing may exceed it.
-func Strict(rate, burst float64) Limit {
-	return Limit{Rate: rate, Burst: burst, Start: startBurst * burst}
+// StrictLimit returns the limit of a workspace where nothing may exceed it.
+func StrictLimit(rate, burst float64) Limit {
+	return Limit{Rate: rate, Burst: burst, InitialTokens: startBurst * burst}
 }
 
 // Tolerance is by how much the platform lets the sum over all instances exceed
@@ -80,7 +80,7 @@
 		return l
 	}
 	forgotten := t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
-	l.Start = math.Max(l.Start, math.Min(l.Burst, startUse*forgotten))
+	l.InitialTokens = math.Max(l.InitialTokens, math.Min(l.Burst, startUse*forgotten))
 	l.Rate *= 1 + toleranceUse*t.Overshoot
 	if t.Window > 0 {
 		l.Rate += toleranceUse * t.Slack / t.Window.Seconds()
@@ -112,17 +112,17 @@
 // use.
 type Counters struct {
 	buckets map[uint32]*Bucket
-	// Share is the part of each rate that this instance may count on, from 0
+	// RateShare is the part of each rate that this instance may count on, from 0
 	// to 1: the instances heard, itself included, among all that are listed.
-	Share float64
-	// Fresh is the same for those that have started together with this one. The
+	RateShare float64
+	// StartupShare is the same for those that have started together with this one. The
 	// others know what was admitted before.
-	Fresh float64
+	StartupShare float64
 }
 
 // NewCounters returns counters without workspaces.
 func NewCounters() *Counters {
-	return &Counters{buckets: make(map[uint32]*Bucket), Share: 1, Fresh: 1}
+	return &Counters{buckets: make(map[uint32]*Bucket), RateShare: 1, StartupShare: 1}
 }
 
 // SetLimit sets the limit of a workspace. A lower limit holds at once; a
@@ -147,9 +147,9 @@
 // so would every other one; if it got only a part then, it would keep that for
 // good.
 func (c *Counters) grant(b *Bucket, now time.Duration) {
-	if b.limit != (Limit{}) && c.Fresh > b.granted && now-b.first < startFor {
-		b.tokens += (c.Fresh - b.granted) * b.limit.Start
-		b.granted = c.Fresh
+	if b.limit != (Limit{}) && c.StartupShare > b.granted && now-b.first < startFor {
+		b.tokens += (c.StartupShare - b.granted) * b.limit.InitialTokens
+		b.granted = c.StartupShare
 	}
 }
 
@@ -172,30 +172,30 @@
 	}
 	c.refill(b, now)
 	if b.tokens < 1 {
-		return false, b.wait(c.Share)
+		return false, b.wait(c.RateShare)
 	}
 	b.tokens--
 	b.own++
 	return true, 0
 }
 
-// Return gives a token back for a request that was admitted and never sent.
-func (c *Counters) Return(workspace uint32) {
+// Refund gives a token back for a request that was admitted and never sent.
+func (c *Counters) Refund(workspace uint32) {
 	if b := c.bucket(workspace); b.own > 0 {
 		b.tokens++
 		b.own--
 	}
 }
 
-// Own is the total admitted here since the start.
-func (c *Counters) Own(workspace uint32) uint64 { return c.bucket(workspace).own }
+// AdmittedTotal is the total admitted here since the start.
+func (c *Counters) AdmittedTotal(workspace uint32) uint64 { return c.bucket(workspace).own }
 
-// Heard takes in the total that another instance has admitted in its epoch,
+// ApplyReport takes in the total that another instance has admitted in its epoch,
 // which is new with each start. The first word of an instance on a workspace
 // is charged whole if all of its words since its start could be heard: earlier
 // ones were lost then. Otherwise it is charged as one request, the one it
 // speaks of; what it admitted before this instance listened lies in the past.
-func (c *Counters) Heard(w Word, now time.Duration) {
+func (c *Counters) ApplyReport(w Report, now time.Duration) {
 	b := c.bucket(w.Workspace)
 	last, known := b.seen[w.Instance]
 	charge := uint64(1)
@@ -204,7 +204,7 @@
 		return
 	case known && last.epoch == w.Epoch:
 		charge = w.Count - last.count
-	case known || w.FromStart:
+	case known || w.ReceivedSinceStart:
 		charge = w.Count
 	}
 	c.refill(b, now)
@@ -212,20 +212,20 @@
 	b.seen[w.Instance] = total{epoch: w.Epoch, count: w.Count}
 }
 
-// Word is what an instance says of a workspace.
-type Word struct {
+// Report is what an instance says of a workspace.
+type Report struct {
 	Instance  uint32
 	Epoch     uint32
 	Workspace uint32
 	Count     uint64
-	// FromStart: the instance has been listened to since its start.
-	FromStart bool
+	// ReceivedSinceStart: the instance has been listened to since its start.
+	ReceivedSinceStart bool
 }
 
-// Forget drops what was heard of an instance that has fallen silent. Share no
+// ForgetInstance drops what was heard of an instance that has fallen silent. Share no
 // longer counts its part, so that what it admits meanwhile must not be charged
 // a second time once it is heard again.
-func (c *Counters) Forget(instance uint32) {
+func (c *Counters) ForgetInstance(instance uint32) {
 	for _, b := range c.buckets {
 		delete(b.seen, instance)
 	}
@@ -239,8 +239,8 @@
 		return
 	}
 	c.grant(b, now)
-	most := math.Max(b.limit.Burst*c.Share, 1)
-	b.tokens = math.Min(b.tokens+passed*b.limit.Rate*c.Share, most)
+	most := math.Max(b.limit.Burst*c.RateShare, 1)
+	b.tokens = math.Min(b.tokens+passed*b.limit.Rate*c.RateShare, most)
 }
 
 // charge takes off what others admitted. The debt is bounded: after a burst
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -62,7 +62,7 @@
 func (f *fleet) tell(i int, now time.Duration) {
 	for j := range f.counters {
 		if j != i && !f.cut(i, j, now) && f.rng.Float64() >= f.lost {
-			f.queue = append(f.queue, word{now + f.delay, i, j, f.epochs[i], f.counters[i].Own(workspace)})
+			f.queue = append(f.queue, word{now + f.delay, i, j, f.epochs[i], f.counters[i].AdmittedTotal(workspace)})
 		}
 	}
 }
@@ -74,8 +74,8 @@
 			rest = append(rest, w)
 			continue
 		}
-		f.counters[w.to].Heard(usage.Word{
-			Instance: uint32(w.from + 1), Epoch: w.epoch, Workspace: workspace, Count: w.count, FromStart: true,
+		f.counters[w.to].ApplyReport(usage.Report{
+			Instance: uint32(w.from + 1), Epoch: w.epoch, Workspace: workspace, Count: w.count, ReceivedSinceStart: true,
 		}, w.at)
 	}
 	f.queue = rest
@@ -114,7 +114,7 @@
 // others' admissions 15 ms late, and one message in fifty never. The sum over
 // any five seconds must stay within what the platform tolerates.
 func TestHotWorkspaceGetsItsRateAndNoMore(t *testing.T) {
-	l := usage.Strict(20, 20)
+	l := usage.StrictLimit(20, 20)
 	for seed := range uint64(10) {
 		f := newFleet(36, l, seed)
 		f.lost = 0.02
@@ -127,7 +127,7 @@
 // A workspace stays inside its rate. A caller refused here would be refused
 // although its plan allows it.
 func TestNobodyInsideTheRateIsRefused(t *testing.T) {
-	l := usage.Strict(36, 36)
+	l := usage.StrictLimit(36, 36)
 	refused, all := 0, 0
 	for seed := range uint64(10) {
 		f := newFleet(36, l, seed)
@@ -142,14 +142,14 @@
 // sending too much to all. Neither side knows what the other admits; each must
 // keep to the part of the rate that belongs to those it hears.
 func TestTwoSidesOfACutShareTheRate(t *testing.T) {
-	l := usage.Strict(30, 30)
+	l := usage.StrictLimit(30, 30)
 	f := newFleet(36, l, 3)
 	side := func(i int) bool { return i < 12 }
 	f.cut = func(from, to int, _ time.Duration) bool { return side(from) != side(to) }
 	for i, c := range f.counters {
-		c.Share = 24.0 / 36
+		c.RateShare = 24.0 / 36
 		if side(i) {
-			c.Share = 12.0 / 36
+			c.RateShare = 12.0 / 36
 		}
 	}
 	f.run(0, 30*time.Second, 200)
@@ -160,7 +160,7 @@
 // admitted. A full burst for the fresh start would be a second one within the
 // same window.
 func TestKillOfAllGivesNoSecondBurst(t *testing.T) {
-	l := usage.Strict(20, 60)
+	l := usage.StrictLimit(20, 60)
 	f := newFleet(36, l, 5)
 	f.run(0, 10*time.Second, 200)
 	before := f.admitted
@@ -180,18 +180,18 @@
 func TestCallersWhoWaitedForARestartAreServed(t *testing.T) {
 	tolerance := usage.Tolerance{Overshoot: overshoot, Slack: slack, Window: window}
 	for _, tc := range []struct{ rate, waited float64 }{{8, 8}, {36, 30}, {187, 90}} {
-		l := tolerance.Loosen(usage.Strict(tc.rate, tc.rate))
+		l := tolerance.Loosen(usage.StrictLimit(tc.rate, tc.rate))
 		before := newFleet(99, l, 7)
 		before.run(0, 10*time.Second, tc.rate/1.6)
 		f := newFleet(99, usage.Limit{}, 8)
 		for _, c := range f.counters {
-			c.Share, c.Fresh = 1.0/99, 1.0/99
+			c.RateShare, c.StartupShare = 1.0/99, 1.0/99
 			c.SetLimit(workspace, l, 11*time.Second)
 		}
 		f.admitted = before.admitted
 		heard := func() {
 			for _, c := range f.counters {
-				c.Share, c.Fresh = 1, 1
+				c.RateShare, c.StartupShare = 1, 1
 			}
 		}
 		f.run(11*time.Second, 11200*time.Millisecond, 0.1*tc.waited/0.2)
@@ -199,7 +199,7 @@
 		f.run(11200*time.Millisecond, 11700*time.Millisecond, (0.9*tc.waited+tc.rate/1.6*0.5)/0.5)
 		f.run(11700*time.Millisecond, 16*time.Second, tc.rate/1.6)
 		must.LessEq(t, 0.1, float64(f.refused)/float64(f.refused+len(f.admitted)-len(before.admitted)))
-		must.LessEq(t, tolerated(usage.Strict(tc.rate, tc.rate)), float64(f.most(window)))
+		must.LessEq(t, tolerated(usage.StrictLimit(tc.rate, tc.rate)), float64(f.most(window)))
 	}
 }
 
@@ -208,14 +208,14 @@
 // a start of its own, the workspace would get all of them.
 func TestNewcomersBringNoStartOfTheirOwn(t *testing.T) {
 	tolerance := usage.Tolerance{Overshoot: overshoot, Slack: slack, Window: window}
-	l := usage.Strict(10, 10)
+	l := usage.StrictLimit(10, 10)
 	loose := tolerance.Loosen(l)
 	f := newFleet(5, loose, 11)
 	f.run(9*time.Second, 10*time.Second, 100)
 	for k := range 12 {
 		at := 10*time.Second + time.Duration(k)*300*time.Millisecond
 		c := usage.NewCounters()
-		c.Fresh = 1.0 / 5
+		c.StartupShare = 1.0 / 5
 		c.SetLimit(workspace, loose, at)
 		f.counters[k%5] = c
 		f.epochs[k%5]++
@@ -232,7 +232,7 @@
 		rate  float64
 		kills int
 	}{{10, 3}, {36, 2}} {
-		l := usage.Strict(tc.rate, tc.rate)
+		l := usage.StrictLimit(tc.rate, tc.rate)
 		loose := tolerance.Loosen(l)
 		f := newFleet(36, loose, 9)
 		// Nothing was asked for so far, so that the buckets are full.
@@ -253,18 +253,18 @@
 }
 
 // said is what instance 2 says, to somebody who hasn't heard it from its start.
-func said(epoch uint32, count uint64) usage.Word {
-	return usage.Word{Instance: 2, Epoch: epoch, Workspace: workspace, Count: count}
+func said(epoch uint32, count uint64) usage.Report {
+	return usage.Report{Instance: 2, Epoch: epoch, Workspace: workspace, Count: count}
 }
 
 // Words are lost when links are full, the first ones as well. What they told
 // must not go uncharged: over 133 instances that was half of the tolerance.
 func TestLostFirstWordsAreMadeGood(t *testing.T) {
 	c := usage.NewCounters()
-	c.SetLimit(workspace, usage.Strict(10, 10), 0)
+	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
 	w := said(1, 4)
-	w.FromStart = true
-	c.Heard(w, 10*time.Second)
+	w.ReceivedSinceStart = true
+	c.ApplyReport(w, 10*time.Second)
 	must.Eq(t, 6, c.Tokens(workspace, 10*time.Second))
 }
 
@@ -273,12 +273,12 @@
 // would refuse callers that are inside the rate.
 func TestForgottenInstanceIsntChargedTwice(t *testing.T) {
 	c := usage.NewCounters()
-	c.SetLimit(workspace, usage.Strict(10, 10), 0)
-	c.Heard(said(1, 5), 10*time.Second)
-	c.Forget(2)
-	c.Heard(said(1, 500), 20*time.Second)
+	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
+	c.ApplyReport(said(1, 5), 10*time.Second)
+	c.ForgetInstance(2)
+	c.ApplyReport(said(1, 500), 20*time.Second)
 	must.Eq(t, 9, c.Tokens(workspace, 20*time.Second))
-	c.Heard(said(1, 503), 20*time.Second)
+	c.ApplyReport(said(1, 503), 20*time.Second)
 	must.Eq(t, 6, c.Tokens(workspace, 20*time.Second))
 }
 
@@ -286,26 +286,26 @@
 // all the same, and a late word of its former start must not.
 func TestRestartedInstanceIsChargedFromZero(t *testing.T) {
 	c := usage.NewCounters()
-	c.SetLimit(workspace, usage.Strict(10, 10), 0)
-	c.Heard(said(1, 100), 10*time.Second)
-	c.Heard(said(2, 4), 10*time.Second)
+	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
+	c.ApplyReport(said(1, 100), 10*time.Second)
+	c.ApplyReport(said(2, 4), 10*time.Second)
 	must.Eq(t, 5, c.Tokens(workspace, 10*time.Second))
 }
 
 func TestLateTotalsBuildNoLongDebt(t *testing.T) {
 	c := usage.NewCounters()
-	c.SetLimit(workspace, usage.Strict(10, 10), 0)
-	c.Heard(said(1, 1), 10*time.Second)
-	c.Heard(said(1, 1000), 10*time.Second)
+	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
+	c.ApplyReport(said(1, 1), 10*time.Second)
+	c.ApplyReport(said(1, 1000), 10*time.Second)
 	ok, _ := c.Take(workspace, 12500*time.Millisecond)
 	must.True(t, ok)
 }
 
 func TestLowerLimitHoldsAtOnce(t *testing.T) {
 	c := usage.NewCounters()
-	c.SetLimit(workspace, usage.Strict(100, 100), 0)
+	c.SetLimit(workspace, usage.StrictLimit(100, 100), 0)
 	c.Tokens(workspace, 10*time.Second)
-	c.SetLimit(workspace, usage.Strict(5, 5), 10*time.Second)
+	c.SetLimit(workspace, usage.StrictLimit(5, 5), 10*time.Second)
 	must.Eq(t, 5, c.Tokens(workspace, 10*time.Second))
 }
 
@@ -319,7 +319,7 @@
 
 func TestRefusalSaysWhenTheNextTokenIsThere(t *testing.T) {
 	c := usage.NewCounters()
-	c.SetLimit(workspace, usage.Strict(2, 1), 0)
+	c.SetLimit(workspace, usage.StrictLimit(2, 1), 0)
 	ok, _ := c.Take(workspace, 10*time.Second)
 	must.True(t, ok)
 	ok, wait := c.Take(workspace, 10*time.Second)
