--- a/edge/answer.go
+++ b/edge/answer.go
@@ -168,7 +168,7 @@
 
 // ageOf is the attribute of an age, left out if it isn't known.
 func ageOf(d time.Duration) slog.Attr {
-	if d == freshness.Unknown {
+	if d == freshness.UnknownAge {
 		return slog.Attr{}
 	}
 	return slog.Int64("age_ms", d.Milliseconds())
--- a/edge/call.go
+++ b/edge/call.go
@@ -148,7 +148,7 @@
 	if !s.table.Keyed || c.route.Public {
 		return nil
 	}
-	if c.keyAge > s.bounds.Keys {
+	if c.keyAge > s.bounds.MaxKeyAge {
 		return &verdict{http.StatusServiceUnavailable, RuleStale, comeBackSoon}
 	}
 	c.workspace = s.table.WorkspaceByKey(platform.Key(h.Get(platform.HeaderKey)))
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -108,8 +108,8 @@
 	// restoredUntil is how long what the store had confirmed may be missing
 	// since it came back from a copy.
 	restoredUntil time.Duration
-	clock         freshness.Clock
-	poll          freshness.Poll
+	clock         freshness.StoreClock
+	poll          freshness.PollSchedule
 	config        *replica.Table
 	servers       *replica.Table
 	instances     *replica.Table
--- a/edge/era.go
+++ b/edge/era.go
@@ -37,7 +37,7 @@
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
 	age := e.keyAge(now)
-	s.clock.Restart()
+	s.clock.Reset()
 	s.configProof = stamp - age
 	s.era, s.eraSince = era, stamp
 	// Entries that were first written after the copy are missing.
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -41,7 +41,7 @@
 	at, _ := e.state.servers.Point()
 	must.Eq(t, replica.Point{Era: 1, Version: 5}, at)
 	must.Eq(t, replica.Point{}, e.state.serversTold)
-	clock, _ := e.state.clock.Store(now)
+	clock, _ := e.state.clock.Now(now)
 	must.Eq(t, 100*time.Second, clock)
 }
 
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -65,7 +65,7 @@
 // An instance that has just started knows nothing yet. Its lines leave the age
 // out; a number in its place reads like an age of a hundred years.
 func TestUnknownAgesAreLeftOutOfLines(t *testing.T) {
-	must.True(t, ageOf((&freshness.Poll{}).Age(time.Minute)).Equal(slog.Attr{}))
+	must.True(t, ageOf((&freshness.PollSchedule{}).Age(time.Minute)).Equal(slog.Attr{}))
 	must.True(t, ageOf(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
 }
 
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -98,12 +98,12 @@
 	s := &e.state
 	missed := s.gapEnds > 0
 	s.gapEnds = 0
-	s.poll.Attempted(now)
+	s.poll.ObserveAttempt(now)
 	tables := []evidence.Table{evidence.Config, evidence.Servers}
 	if now >= s.nextListed {
 		tables = append(tables, evidence.Instances)
 	}
-	if s.poll.Troubled(now) {
+	if s.poll.Overdue(now) {
 		// Others wait a moment before they ask, instead of all at once.
 		e.publish(evidence.Message{Notices: []evidence.Notice{{}}}, false)
 	}
@@ -187,9 +187,9 @@
 	}
 	if well {
 		s.reader = e.self
-		s.poll.Succeeded()
+		s.poll.OwnCallSucceeded()
 	} else {
-		s.poll.Failed(now)
+		s.poll.OwnCallFailed(now)
 		notices = append(notices, evidence.Notice{})
 	}
 	e.countShare()
@@ -244,7 +244,7 @@
 		}
 	case evidence.Servers:
 		s.serversProof = max(s.serversProof, at)
-		s.poll.Proved(now-at, now)
+		s.poll.ObserveResponse(now-at, now)
 	case evidence.Instances:
 	}
 }
@@ -252,7 +252,7 @@
 // keyAge is how old the proof of the configuration in force is.
 func (e *Edge) keyAge(now time.Duration) time.Duration {
 	if !e.state.proved {
-		return freshness.Unknown
+		return freshness.UnknownAge
 	}
 	return e.state.clock.Age(e.state.configProof, now)
 }
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -104,7 +104,7 @@
 func (e *Edge) applyNotice(n evidence.Notice, now time.Duration) {
 	s := &e.state
 	if n.StampUS == 0 {
-		s.poll.Attempted(now)
+		s.poll.ObserveAttempt(now)
 		return
 	}
 	if !e.observe(n.Era, n.Stamp(), now) {
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -111,7 +111,7 @@
 	// The store may have told the configuration and not yet the servers. An
 	// instance that took itself for ready then refused every request.
 	_, serversKnown := s.servers.Version()
-	return !e.stopping.Load() && s.table != nil && serversKnown && !s.misread && e.keyAge(e.now()) < s.bounds.Keys
+	return !e.stopping.Load() && s.table != nil && serversKnown && !s.misread && e.keyAge(e.now()) < s.bounds.MaxKeyAge
 }
 
 // answerReady answers the platform.
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -139,7 +139,7 @@
 func (e *Edge) snapshot(now time.Duration) Snapshot {
 	s := &e.state
 	all := Snapshot{Era: s.era}
-	if clock, known := s.clock.Store(now); known {
+	if clock, known := s.clock.Now(now); known {
 		all.Clock = clock
 	}
 	for _, t := range []evidence.Table{evidence.Config, evidence.Servers, evidence.Instances} {
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -14,10 +14,10 @@
 // Bounds are the ages up to which knowledge may be acted on. They come from
 // the platform's settings.
 type Bounds struct {
-	// Keys is how old the proof of the configuration may be when a request
+	// MaxKeyAge is how old the proof of the configuration may be when a request
 	// with a key is admitted. A key that was taken away must stop working
 	// everywhere within the platform's bound, in touch with the store or not.
-	Keys time.Duration
+	MaxKeyAge time.Duration
 }
 
 // keysMargin is the part of the platform's bound on withdrawn keys that is
@@ -26,13 +26,13 @@
 
 // NewBounds derives the bounds from the platform's bound on withdrawn keys.
 func NewBounds(revoke time.Duration) Bounds {
-	return Bounds{Keys: revoke - time.Duration(float64(revoke)*keysMargin)}
+	return Bounds{MaxKeyAge: revoke - time.Duration(float64(revoke)*keysMargin)}
 }
 
-// Clock estimates the store's steady clock. The smallest difference between
+// StoreClock estimates the store's steady clock. The smallest difference between
 // the arrival of an answer here and its stamp is the best estimate, since
 // every delay makes it larger.
-type Clock struct {
+type StoreClock struct {
 	offset time.Duration
 	at     time.Duration
 	known  bool
@@ -42,7 +42,7 @@
 const drift = 500e-6
 
 // Observe takes in an answer with its stamp that arrived now.
-func (c *Clock) Observe(stamp, now time.Duration) {
+func (c *StoreClock) Observe(stamp, now time.Duration) {
 	seen := now - stamp
 	if c.known {
 		c.offset += time.Duration(float64(now-c.at) * drift)
@@ -54,16 +54,16 @@
 	c.at = now
 }
 
-// Restart forgets the estimate: the store's clock has begun anew.
-func (c *Clock) Restart() { *c = Clock{} }
+// Reset forgets the estimate: the store's clock has begun anew.
+func (c *StoreClock) Reset() { *c = StoreClock{} }
 
-// Store returns what the store's clock shows now, and whether that is known.
-func (c *Clock) Store(now time.Duration) (time.Duration, bool) { return now - c.offset, c.known }
+// Now returns what the store's clock shows now, and whether that is known.
+func (c *StoreClock) Now(now time.Duration) (time.Duration, bool) { return now - c.offset, c.known }
 
 // Age is how long ago the store made the answer with this stamp.
-func (c *Clock) Age(stamp, now time.Duration) time.Duration {
+func (c *StoreClock) Age(stamp, now time.Duration) time.Duration {
 	if !c.known {
-		return Unknown
+		return UnknownAge
 	}
 	return now - c.offset - stamp
 }
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -15,7 +15,7 @@
 // and reads it. Counted from its arrival the answer would be fresh, and a key
 // that was taken away meanwhile would still open.
 func TestAnswerThatWaitedInABufferIsOld(t *testing.T) {
-	var c freshness.Clock
+	var c freshness.StoreClock
 	c.Observe(100*time.Second, 10*time.Second)
 	c.Observe(101*time.Second, 11*time.Second)
 	c.Observe(102*time.Second, 20*time.Second)
@@ -23,35 +23,35 @@
 }
 
 func TestAgeOfAFreshAnswerIsItsWay(t *testing.T) {
-	var c freshness.Clock
+	var c freshness.StoreClock
 	c.Observe(100*time.Second, 10*time.Second+2*ms)
 	c.Observe(101*time.Second, 11*time.Second+30*ms)
 	must.Between(t, 20*ms, c.Age(101*time.Second, 11*time.Second+30*ms), 30*ms)
 }
 
 func TestUnknownClockMeansUnknownAge(t *testing.T) {
-	var c freshness.Clock
+	var c freshness.StoreClock
 	must.Greater(t, time.Hour, c.Age(time.Second, time.Second))
 	c.Observe(time.Second, time.Second)
-	c.Restart()
+	c.Reset()
 	must.Greater(t, time.Hour, c.Age(time.Second, time.Second))
 }
 
 func TestKeysBoundLeavesAMargin(t *testing.T) {
 	b := freshness.NewBounds(5 * time.Second)
-	must.Between(t, 4*time.Second, b.Keys, 4500*ms)
+	must.Between(t, 4*time.Second, b.MaxKeyAge, 4500*ms)
 }
 
 // The first in rank asks for all; nobody else reaches its threshold as long as
 // it tells what it learns.
 func TestFirstInRankAsksForAll(t *testing.T) {
-	var first, third freshness.Poll
+	var first, third freshness.PollSchedule
 	calls := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		if first.Next(0, 0.5, now) <= now {
 			calls++
-			first.Proved(5*ms, now)
-			third.Proved(7*ms, now)
+			first.ObserveResponse(5*ms, now)
+			third.ObserveResponse(7*ms, now)
 		}
 		must.Greater(t, now, third.Next(2, 0, now))
 	}
@@ -61,9 +61,9 @@
 // The first in rank is killed. The next must ask before anybody acts on
 // something too old: well within the two seconds in which a change is in force.
 func TestNextInRankTakesOver(t *testing.T) {
-	var second, last freshness.Poll
-	second.Proved(0, 0)
-	last.Proved(0, 0)
+	var second, last freshness.PollSchedule
+	second.ObserveResponse(0, 0)
+	last.ObserveResponse(0, 0)
 	must.LessEq(t, 700*ms, second.Next(1, 1, 0))
 	must.LessEq(t, 1200*ms, last.Next(30, 1, 0))
 	must.Greater(t, second.Next(1, 1, 0), last.Next(30, 0, 0))
@@ -72,19 +72,19 @@
 // The store is away. All instances would ask it at once and again; each call
 // is refused and paid for all the same.
 func TestAttemptsKeepApartWhileTheStoreIsAway(t *testing.T) {
-	var p freshness.Poll
-	p.Proved(0, 0)
+	var p freshness.PollSchedule
+	p.ObserveResponse(0, 0)
 	now := 10 * time.Second
 	must.LessEq(t, now, p.Next(3, 0, now))
-	p.Attempted(now)
+	p.ObserveAttempt(now)
 	must.GreaterEq(t, now+120*ms, p.Next(3, 0, now))
-	p.Failed(now)
+	p.OwnCallFailed(now)
 	must.GreaterEq(t, now+250*ms, p.Next(3, 0, now))
 	for range 10 {
-		p.Failed(now)
+		p.OwnCallFailed(now)
 	}
 	must.Between(t, now+900*ms, p.Next(3, 0, now), now+1100*ms)
-	must.True(t, p.Troubled(now))
+	must.True(t, p.Overdue(now))
 }
 
 // The store refuses just this instance, which is first in rank. It must leave
@@ -94,11 +94,11 @@
 // others must not wait for a pause among them: a server left meanwhile, and got
 // requests 2.2 s later.
 func TestRefusedInstancesDontKeepOthersFromAsking(t *testing.T) {
-	var p freshness.Poll
-	p.Proved(0, 0)
+	var p freshness.PollSchedule
+	p.ObserveResponse(0, 0)
 	for now := time.Duration(0); now < 1300*ms; now += 10 * ms {
 		if now >= time.Second && now%(60*ms) == 40*ms {
-			p.Attempted(now)
+			p.ObserveAttempt(now)
 		}
 		if p.Next(20, 0.5, now) <= now {
 			return
@@ -108,16 +108,16 @@
 }
 
 func TestRefusedInstanceComesLast(t *testing.T) {
-	var p freshness.Poll
-	p.Proved(0, 10*time.Second)
-	p.Failed(10 * time.Second)
-	p.Succeeded()
+	var p freshness.PollSchedule
+	p.ObserveResponse(0, 10*time.Second)
+	p.OwnCallFailed(10 * time.Second)
+	p.OwnCallSucceeded()
 	p.Yield()
 	now := 11 * time.Second
-	p.Proved(0, now)
+	p.ObserveResponse(0, now)
 	must.GreaterEq(t, now+900*ms, p.Next(0, 0, now))
 	now = 20 * time.Second
-	p.Proved(0, now)
+	p.ObserveResponse(0, now)
 	must.LessEq(t, now+500*ms, p.Next(0, 0, now))
 }
 
@@ -125,20 +125,20 @@
 // must go on asking without waiting for its own long threshold each time, until
 // somebody else brings a newer answer.
 func TestWhoGotTheAnswerGoesOnAsking(t *testing.T) {
-	var p freshness.Poll
+	var p freshness.PollSchedule
 	now := 10 * time.Second
-	p.Proved(0, now)
+	p.ObserveResponse(0, now)
 	must.GreaterEq(t, now+900*ms, p.Next(40, 0, now))
-	p.Succeeded()
+	p.OwnCallSucceeded()
 	must.Eq(t, now+450*ms, p.Next(40, 0, now))
 	p.Yield()
 	must.GreaterEq(t, now+900*ms, p.Next(40, 0, now))
-	p.Succeeded()
-	p.Failed(now)
+	p.OwnCallSucceeded()
+	p.OwnCallFailed(now)
 	must.GreaterEq(t, now+900*ms, p.Next(40, 0, now))
 }
 
 func TestInstanceThatKnowsNothingAsksAtOnce(t *testing.T) {
-	var p freshness.Poll
+	var p freshness.PollSchedule
 	must.Eq(t, time.Second, p.Next(30, 0.9, time.Second))
 }
--- a/freshness/poll.go
+++ b/freshness/poll.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Unknown is the age of what was never heard: older than any bound.
-const Unknown = time.Duration(1<<62 - 1)
+// UnknownAge is the age of what was never heard: older than any bound.
+const UnknownAge = time.Duration(1<<62 - 1)
 
-// Poll says when this instance asks the store itself.
+// PollSchedule says when this instance asks the store itself.
 //
 // There are no elected readers: whoever finds that its knowledge is older than
 // its own threshold asks, and tells everybody. Thresholds rise with the rank
@@ -14,7 +14,7 @@
 // still or is refused by the store, the next in rank takes over within a
 // tenth of a second, without anything having to be agreed on. An instance that
 // hears nobody asks for itself.
-type Poll struct {
+type PollSchedule struct {
 	proof   time.Duration
 	proved  bool
 	attempt time.Duration
@@ -55,8 +55,8 @@
 	demotion = 5 * time.Second
 )
 
-// Proved takes in that the store answered, to whomever, what is now this old.
-func (p *Poll) Proved(age, now time.Duration) {
+// ObserveResponse takes in that the store answered, to whomever, what is now this old.
+func (p *PollSchedule) ObserveResponse(age, now time.Duration) {
 	if at := now - age; !p.proved || at > p.proof {
 		p.proof = at
 		p.proved = true
@@ -64,8 +64,8 @@
 	}
 }
 
-// Attempted takes in that somebody asks or has asked the store.
-func (p *Poll) Attempted(now time.Duration) {
+// ObserveAttempt takes in that somebody asks or has asked the store.
+func (p *PollSchedule) ObserveAttempt(now time.Duration) {
 	p.attempt = now
 	p.tried = true
 	if p.heldFrom == 0 {
@@ -73,35 +73,35 @@
 	}
 }
 
-// Succeeded takes in that an own call brought the newest proof. This instance
+// OwnCallSucceeded takes in that an own call brought the newest proof. This instance
 // goes on asking as if it were first in rank: where the first in rank are all
 // refused, everybody would else wait for the longest threshold each time.
-func (p *Poll) Succeeded() {
+func (p *PollSchedule) OwnCallSucceeded() {
 	p.failures = 0
 	p.asking = true
 }
 
 // Yield takes in that another instance brought the newest proof.
-func (p *Poll) Yield() { p.asking = false }
+func (p *PollSchedule) Yield() { p.asking = false }
 
-// Failed takes in that an own call had no useful answer.
-func (p *Poll) Failed(now time.Duration) {
+// OwnCallFailed takes in that an own call had no useful answer.
+func (p *PollSchedule) OwnCallFailed(now time.Duration) {
 	p.failures++
 	p.failed = now
 	p.asking = false
 }
 
 // Age of the newest proof.
-func (p *Poll) Age(now time.Duration) time.Duration {
+func (p *PollSchedule) Age(now time.Duration) time.Duration {
 	if !p.proved {
-		return Unknown
+		return UnknownAge
 	}
 	return now - p.proof
 }
 
 // Next returns when this instance should ask, given its rank among those
 // alive and a random number from 0 to 1.
-func (p *Poll) Next(rank int, random float64, now time.Duration) time.Duration {
+func (p *PollSchedule) Next(rank int, random float64, now time.Duration) time.Duration {
 	switch {
 	case p.asking:
 		rank = 0
@@ -130,12 +130,12 @@
 }
 
 // refused reports whether the store failed this instance lately.
-func (p *Poll) refused(now time.Duration) bool {
+func (p *PollSchedule) refused(now time.Duration) bool {
 	return p.failures > 0 || (p.failed > 0 && now-p.failed < demotion)
 }
 
-// Troubled reports that the store hasn't answered anybody for longer than it
+// Overdue reports that the store hasn't answered anybody for longer than it
 // should, so that attempts are worth telling before they end.
-func (p *Poll) Troubled(now time.Duration) bool {
+func (p *PollSchedule) Overdue(now time.Duration) bool {
 	return p.proved && p.Age(now) > 2*every
 }
