--- a/discovery/evacuations.go
+++ b/discovery/evacuations.go
@@ -14,13 +14,13 @@
 // version of its table, so that a lost message is made good by the next. What
 // is known stays in force while the store is away.
 type Evacuations struct {
-	at          replica.Point
+	at          replica.Position
 	dataCentres map[string]bool
 }
 
 // Replace takes in the whole set as of a version of the table and returns what
 // it changes. A set that is older than the known one is ignored.
-func (e *Evacuations) Replace(at replica.Point, dataCentres []string) (begun, ended []string) {
+func (e *Evacuations) Replace(at replica.Position, dataCentres []string) (begun, ended []string) {
 	if at.Before(e.at) {
 		return nil, nil
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -113,13 +113,13 @@
 	config        *replica.Table
 	servers       *replica.Table
 	instances     *replica.Table
-	recent        [evidence.Tables]replica.Recent
+	recent        [evidence.Tables]replica.RecentChanges
 	// configTold is the newest version of the configuration's row that another
 	// instance told of; its content comes by fetchConfig.
-	configTold replica.Point
+	configTold replica.Position
 	// serversTold is the newest version of the list of servers that another
 	// instance told of.
-	serversTold replica.Point
+	serversTold replica.Position
 	// configProof is the store's stamp up to which the configuration in force
 	// is proved to be the newest.
 	configProof time.Duration
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -80,7 +80,7 @@
 // a row of that version that is older: instances that start learn it from there.
 func (e *Edge) keepConfig(version uint64) {
 	if e.state.configInForce != nil {
-		e.state.config.Note(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
+		e.state.config.ApplyOwnWrite(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
 	}
 }
 
--- a/edge/era.go
+++ b/edge/era.go
@@ -57,6 +57,6 @@
 
 // currentEra reports whether a copy is of the store's present era.
 func (e *Edge) currentEra(t *replica.Table) bool {
-	at, known := t.Point()
+	at, known := t.Position()
 	return known && at.Era == e.state.era
 }
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -35,12 +35,12 @@
 	e := newQuiet(t)
 	now := e.now()
 	must.True(t, e.observe(1, 100*time.Second, now))
-	_, ok := e.takeAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
+	_, ok := e.takeAnswer(evidence.Servers, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
 	must.True(t, ok)
 	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
-	at, _ := e.state.servers.Point()
-	must.Eq(t, replica.Point{Era: 1, Version: 5}, at)
-	must.Eq(t, replica.Point{}, e.state.serversTold)
+	at, _ := e.state.servers.Position()
+	must.Eq(t, replica.Position{Era: 1, Version: 5}, at)
+	must.Eq(t, replica.Position{}, e.state.serversTold)
 	clock, _ := e.state.clock.Now(now)
 	must.Eq(t, 100*time.Second, clock)
 }
@@ -52,16 +52,16 @@
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
 	must.True(t, e.observe(0, 100*time.Second, now))
-	_, ok := e.takeAnswer(evidence.Instances, replica.Answer{Version: 3, Whole: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.takeAnswer(evidence.Instances, replica.ReadResult{Version: 3, Full: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	listed := func() bool { return e.state.messenger.Fleet().All()[0x0a000007].Listed }
 	must.True(t, listed())
 	must.True(t, e.observe(1, 103*time.Second, now))
-	_, ok = e.takeAnswer(evidence.Instances, replica.Answer{Era: 1, Version: 1, Whole: true}, 0, now)
+	_, ok = e.takeAnswer(evidence.Instances, replica.ReadResult{Era: 1, Version: 1, Full: true}, 0, now)
 	must.True(t, ok)
 	must.True(t, listed())
-	removed := replica.Answer{Era: 1, Version: 2, Rows: []replica.Row{{Key: "10.0.0.7", Gone: true, Version: 2}}}
-	e.state.instances.Note(row)
+	removed := replica.ReadResult{Era: 1, Version: 2, Rows: []replica.Row{{Key: "10.0.0.7", Gone: true, Version: 2}}}
+	e.state.instances.ApplyOwnWrite(row)
 	_, ok = e.takeAnswer(evidence.Instances, removed, 1, now)
 	must.True(t, ok)
 	must.False(t, listed())
@@ -81,7 +81,7 @@
 	take := func(era uint64, row replica.Row) {
 		t.Helper()
 		must.True(t, e.observe(era, 100*time.Second, now))
-		a := replica.Answer{Era: era, Version: row.Version, Whole: true, Rows: []replica.Row{row}}
+		a := replica.ReadResult{Era: era, Version: row.Version, Full: true, Rows: []replica.Row{row}}
 		_, ok := e.takeAnswer(evidence.Config, a, 0, now)
 		must.True(t, ok)
 	}
@@ -90,7 +90,7 @@
 	must.Eq(t, 31, e.state.table.Version)
 	newcomer.takeSnapshot(e.snapshot(now), now)
 	must.Eq(t, 31, newcomer.state.table.Version)
-	must.Eq(t, replica.Point{Era: 1, Version: 20}, newcomer.configRow())
+	must.Eq(t, replica.Position{Era: 1, Version: 20}, newcomer.configRow())
 }
 
 // The store comes back from a copy of before the first configuration. Instances
@@ -101,10 +101,10 @@
 	now := e.now()
 	row := configRow("0000001f", 30)
 	must.True(t, e.observe(0, 100*time.Second, now))
-	_, ok := e.takeAnswer(evidence.Config, replica.Answer{Version: 30, Whole: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.takeAnswer(evidence.Config, replica.ReadResult{Version: 30, Full: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	must.True(t, e.observe(1, 100*time.Second, now))
-	_, ok = e.takeAnswer(evidence.Config, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
+	_, ok = e.takeAnswer(evidence.Config, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
 	must.True(t, ok)
 	now += 2 * rewriteWait
 	e.applyNotice(evidence.Notice{Table: evidence.Config, Era: 1, Version: 5, StampUS: 102_000_000}, now)
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -25,7 +25,7 @@
 
 // takeEvacuations acts on the evacuations that the copy of the table holds.
 func (e *Edge) takeEvacuations(now time.Duration) {
-	at, known := e.state.config.Point()
+	at, known := e.state.config.Position()
 	if known {
 		e.evacuate(at, dataCentresOf(e.evacuationRows()), now)
 	}
@@ -43,7 +43,7 @@
 			listed[r.Key] = true
 		}
 	}
-	e.evacuate(replica.Point{Era: n.Era, Version: n.Version}, dataCentres, now)
+	e.evacuate(replica.Position{Era: n.Era, Version: n.Version}, dataCentres, now)
 	for _, r := range e.evacuationRows() {
 		if !listed[r.Key] {
 			told = append(told, evidence.Row{Key: r.Key, Gone: true})
@@ -52,7 +52,7 @@
 	return told
 }
 
-func (e *Edge) evacuate(at replica.Point, dataCentres []string, now time.Duration) {
+func (e *Edge) evacuate(at replica.Position, dataCentres []string, now time.Duration) {
 	s := &e.state
 	if now < s.restoredUntil {
 		dataCentres = append(dataCentres, s.evacuations.List()...)
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -77,23 +77,23 @@
 func (e *Edge) hasToldConfig() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, known := e.state.config.Point()
+	_, known := e.state.config.Position()
 	return known && !e.configRow().Before(e.state.configTold)
 }
 
 // configRow is the version of the configuration's row in this instance's copy.
-func (e *Edge) configRow() replica.Point {
-	at, _ := e.state.config.Point()
+func (e *Edge) configRow() replica.Position {
+	at, _ := e.state.config.Position()
 	// A copy of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
-	return replica.Point{Era: at.Era, Version: row.Version}
+	return replica.Position{Era: at.Era, Version: row.Version}
 }
 
 // hasToldServers is the same for the list of servers.
 func (e *Edge) hasToldServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, known := e.state.servers.Point()
+	at, known := e.state.servers.Position()
 	return known && !at.Before(e.state.serversTold)
 }
 
@@ -139,13 +139,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.observe(p.answer.Era, p.answer.Stamp, now) {
+	if !e.observe(p.answer.Era, p.answer.StoreTime, now) {
 		return false
 	}
 	if _, ok := e.takeAnswer(p.table, p.answer, p.since, now); !ok {
 		return false
 	}
-	e.prove(p.table, p.answer.Stamp, now)
+	e.prove(p.table, p.answer.StoreTime, now)
 	return true
 }
 
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -46,7 +46,7 @@
 	s.clock.Observe(time.Second, e.now())
 	s.configProof, s.proved = time.Second, true
 	must.False(t, e.readyLocked())
-	s.servers.Apply(replica.Answer{Whole: true, Version: 1}, 0)
+	s.servers.Apply(replica.ReadResult{Full: true, Version: 1}, 0)
 	must.True(t, e.readyLocked())
 }
 
@@ -113,7 +113,7 @@
 	source, newcomer := newQuiet(t), newQuiet(t)
 	now := source.now()
 	source.state.clock.Observe(100*time.Second, now)
-	source.state.config.Apply(replica.Answer{Version: 5, Whole: true}, 0)
+	source.state.config.Apply(replica.ReadResult{Version: 5, Full: true}, 0)
 	source.prove(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	newcomer.takeSnapshot(source.snapshot(now), now)
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -133,7 +133,7 @@
 type polled struct {
 	table  evidence.Table
 	since  uint64
-	answer replica.Answer
+	answer replica.ReadResult
 	asked  time.Duration
 	err    error
 }
@@ -141,14 +141,14 @@
 // ask reads the changes of a table, or all of it if that isn't possible.
 func (e *Edge) ask(ctx context.Context, t evidence.Table) polled {
 	e.mu.Lock()
-	at, known := e.copyOf(t).Point()
+	at, known := e.copyOf(t).Position()
 	p := polled{table: t, since: at.Version, asked: e.now()}
 	e.mu.Unlock()
 	if known {
 		p.answer, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
 		// Versions of another era say nothing of what has changed since this one.
 		otherEra := p.err == nil && p.answer.Era != at.Era
-		if !otherEra && !errors.Is(p.err, replica.ErrHistoryGone) {
+		if !otherEra && !errors.Is(p.err, replica.ErrHistoryCompacted) {
 			return p
 		}
 	}
@@ -169,18 +169,18 @@
 			e.logStoreError(p, now)
 			continue
 		}
-		if !e.observe(p.answer.Era, p.answer.Stamp, now) {
+		if !e.observe(p.answer.Era, p.answer.StoreTime, now) {
 			well = false
 			continue
 		}
-		e.noteReturn(p.table, p.answer.Stamp, now)
+		e.noteReturn(p.table, p.answer.StoreTime, now)
 		told, ok := e.takeAnswer(p.table, p.answer, p.since, now)
 		if !ok {
 			well = false
 			continue
 		}
 		notices = append(notices, e.notices(p, told)...)
-		e.prove(p.table, p.answer.Stamp, now)
+		e.prove(p.table, p.answer.StoreTime, now)
 		if p.table == evidence.Instances {
 			s.nextListed = now + listedEvery
 		}
@@ -200,9 +200,9 @@
 // takeAnswer takes in what the store said of a table, to this instance or another
 // one, and returns the rows that others must hear of. It reports false if this
 // instance's copy lacks something from before the answer.
-func (e *Edge) takeAnswer(t evidence.Table, a replica.Answer, since uint64, now time.Duration) ([]replica.Row, bool) {
-	e.noteIgnored(t, a.Point(), now)
-	before, known := e.copyOf(t).Point()
+func (e *Edge) takeAnswer(t evidence.Table, a replica.ReadResult, since uint64, now time.Duration) ([]replica.Row, bool) {
+	e.noteIgnored(t, a.Position(), now)
+	before, known := e.copyOf(t).Position()
 	changed, ok := e.copyOf(t).Apply(a, since)
 	if !ok {
 		return nil, false
@@ -212,8 +212,8 @@
 }
 
 // noteIgnored logs an answer that is older than what is known.
-func (e *Edge) noteIgnored(t evidence.Table, at replica.Point, now time.Duration) {
-	known, ok := e.copyOf(t).Point()
+func (e *Edge) noteIgnored(t evidence.Table, at replica.Position, now time.Duration) {
+	known, ok := e.copyOf(t).Position()
 	if ok && at.Before(known) && e.budget.Take(now, quietShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -45,21 +45,21 @@
 func (e *Edge) notices(p polled, changed []replica.Row) []evidence.Notice {
 	s := &e.state
 	n := evidence.Notice{
-		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StampUS: p.answer.Stamp.Microseconds(),
+		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StampUS: p.answer.StoreTime.Microseconds(),
 	}
 	if p.table == evidence.Config {
 		n.Changed = e.configRow().Version
 		return e.withEvacuations(n)
 	}
 	recent := &s.recent[p.table]
-	if p.answer.Whole {
+	if p.answer.Full {
 		// What was removed before isn't in it.
 		recent.Reset()
 		n.Since = p.answer.Version
 		return []evidence.Notice{n}
 	}
 	recent.Add(p.since, p.answer.Version, changed)
-	parts := recent.Parts(p.answer.Version, maxNoticeRows)
+	parts := recent.Batches(p.answer.Version, maxNoticeRows)
 	all, err := packed(n, parts)
 	if err != nil || len(parts) > maxNoticeParts {
 		// The others notice that they lack something, and read it.
@@ -73,7 +73,7 @@
 // withEvacuations adds the rows that evacuate data centres to a notice of the
 // configuration's table.
 func (e *Edge) withEvacuations(n evidence.Notice) []evidence.Notice {
-	parts := []replica.Part{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
+	parts := []replica.ChangeBatch{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
 	all, err := packed(n, parts)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
@@ -83,7 +83,7 @@
 }
 
 // packed returns a notice for each part.
-func packed(n evidence.Notice, parts []replica.Part) ([]evidence.Notice, error) {
+func packed(n evidence.Notice, parts []replica.ChangeBatch) ([]evidence.Notice, error) {
 	var all []evidence.Notice
 	for i, part := range parts {
 		n.Since, n.Version, n.More = part.Since, part.Version, i < len(parts)-1
@@ -114,7 +114,7 @@
 	complete := e.currentEra(e.copyOf(n.Table)) && version >= n.Since
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
-		changed := replica.Point{Era: n.Era, Version: n.Changed}
+		changed := replica.Position{Era: n.Era, Version: n.Changed}
 		s.configTold = later(s.configTold, changed)
 		complete = e.currentEra(s.config) && !e.configRow().Before(changed)
 		n.Since = version
@@ -123,7 +123,7 @@
 		}
 	}
 	if n.Table == evidence.Servers {
-		s.serversTold = later(s.serversTold, replica.Point{Era: n.Era, Version: n.Version})
+		s.serversTold = later(s.serversTold, replica.Position{Era: n.Era, Version: n.Version})
 	}
 	if !complete {
 		e.missed(n.Table, now)
@@ -134,7 +134,7 @@
 		e.missed(n.Table, now)
 		return
 	}
-	a := replica.Answer{Era: n.Era, Version: n.Version, Stamp: n.Stamp()}
+	a := replica.ReadResult{Era: n.Era, Version: n.Version, StoreTime: n.Stamp()}
 	for _, r := range rows {
 		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
 	}
@@ -187,7 +187,7 @@
 	}
 }
 
-func later(a, b replica.Point) replica.Point {
+func later(a, b replica.Position) replica.Position {
 	if a.Before(b) {
 		return b
 	}
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -32,16 +32,16 @@
 
 // polls feeds a table's answer to the instance that asked, and the notices of
 // it to the other.
-func polls(asker, other *Edge, a replica.Answer, at time.Duration) {
+func polls(asker, other *Edge, a replica.ReadResult, at time.Duration) {
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
 	p := polled{table: evidence.Servers, since: since, answer: a}
-	asker.observe(a.Era, a.Stamp, at)
-	asker.noteReturn(p.table, a.Stamp, at)
+	asker.observe(a.Era, a.StoreTime, at)
+	asker.noteReturn(p.table, a.StoreTime, at)
 	told, _ := asker.takeAnswer(p.table, a, since, at)
 	notices := asker.notices(p, told)
-	asker.prove(p.table, a.Stamp, at)
+	asker.prove(p.table, a.StoreTime, at)
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	for _, n := range notices {
@@ -74,11 +74,11 @@
 	}
 	at := one.now()
 	stamp := 100 * time.Second
-	answer := func(version uint64, rows ...replica.Row) replica.Answer {
-		return replica.Answer{Version: version, Stamp: stamp, Rows: rows}
+	answer := func(version uint64, rows ...replica.Row) replica.ReadResult {
+		return replica.ReadResult{Version: version, StoreTime: stamp, Rows: rows}
 	}
 	whole := answer(10, entry(t, "i-1", 10))
-	whole.Whole = true
+	whole.Full = true
 	polls(one, two, whole, at)
 	polls(two, one, whole, at)
 	must.True(t, usable(one) && usable(two))
--- a/edge/register.go
+++ b/edge/register.go
@@ -112,7 +112,7 @@
 // them.
 func (e *Edge) noteListed(rows []replica.Row) {
 	for _, r := range rows {
-		e.state.instances.Note(r)
+		e.state.instances.ApplyOwnWrite(r)
 		e.takeInstance(r, e.now())
 	}
 }
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -69,7 +69,7 @@
 	// config is the packed configuration of row version configRow with these
 	// evacuations.
 	config      Packed
-	configRow   replica.Point
+	configRow   replica.Position
 	evacuations []string
 	// all is everything, packed at allAt.
 	all   Packed
@@ -107,7 +107,7 @@
 	defer s.mu.Unlock()
 	s.edge.mu.Lock()
 	row := s.edge.configRow()
-	at, _ := s.edge.state.config.Point()
+	at, _ := s.edge.state.config.Position()
 	era := s.edge.state.era
 	rows := s.edge.state.config.Rows()
 	evacuations := s.edge.state.evacuations.List()
@@ -146,7 +146,7 @@
 		if !e.currentEra(e.copyOf(t)) {
 			continue
 		}
-		at, _ := e.copyOf(t).Point()
+		at, _ := e.copyOf(t).Position()
 		table := SnapshotTable{Table: t, Era: at.Era, Version: at.Version, Rows: e.copyOf(t).Rows()}
 		switch t {
 		case evidence.Config:
@@ -228,7 +228,7 @@
 		return
 	}
 	for _, t := range snapshot.Tables {
-		a := replica.Answer{Rows: t.Rows, Era: t.Era, Version: t.Version, Stamp: t.Stamp, Whole: true}
+		a := replica.ReadResult{Rows: t.Rows, Era: t.Era, Version: t.Version, StoreTime: t.Stamp, Full: true}
 		if _, ok := e.takeAnswer(t.Table, a, 0, now); ok && t.Stamp > 0 {
 			e.prove(t.Table, t.Stamp, now)
 		}
--- a/replica/recent.go
+++ b/replica/recent.go
@@ -2,10 +2,10 @@
 
 import "sort"
 
-// Recent gathers the rows that changed in the last few answers about a table,
+// RecentChanges gathers the rows that changed in the last few answers about a table,
 // to be told together. A receiver that missed a message is then brought up to
 // date by the next one, without a call of the store.
-type Recent struct {
+type RecentChanges struct {
 	spans []span
 }
 
@@ -14,9 +14,9 @@
 	rows           []Row
 }
 
-// Part is a run of changes: the newest state of each row that changed after
+// ChangeBatch is a run of changes: the newest state of each row that changed after
 // version Since and up to Version.
-type Part struct {
+type ChangeBatch struct {
 	Since, Version uint64
 	Rows           []Row
 }
@@ -29,7 +29,7 @@
 // whether the store or another instance told them. If something before that is
 // missing, what was gathered is dropped: told together, the two sides of a hole
 // would pass for all changes, and receivers would never learn those in between.
-func (r *Recent) Add(since, version uint64, rows []Row) {
+func (r *RecentChanges) Add(since, version uint64, rows []Row) {
 	if n := len(r.spans); n > 0 && r.spans[n-1].version < since {
 		r.spans = nil
 	}
@@ -40,21 +40,21 @@
 }
 
 // Reset forgets everything: the changes before the next answer aren't known.
-func (r *Recent) Reset() { r.spans = nil }
+func (r *RecentChanges) Reset() { r.spans = nil }
 
-// Parts returns what changed up to a version, in runs that follow each other,
+// Batches returns what changed up to a version, in runs that follow each other,
 // each of at most so many bytes of keys and values. All rows of one version
 // stay together: a receiver that has a part has all of its versions.
-func (r *Recent) Parts(version uint64, most int) []Part {
+func (r *RecentChanges) Batches(version uint64, most int) []ChangeBatch {
 	rows, since := r.rows()
-	parts := []Part{{Since: since, Version: version}}
+	parts := []ChangeBatch{{Since: since, Version: version}}
 	size := 0
 	for i, row := range rows {
 		last := &parts[len(parts)-1]
 		bytes := len(row.Key) + len(row.Value)
 		if len(last.Rows) > 0 && size+bytes > most && row.Version > rows[i-1].Version {
 			last.Version = rows[i-1].Version
-			parts = append(parts, Part{Since: last.Version, Version: version})
+			parts = append(parts, ChangeBatch{Since: last.Version, Version: version})
 			last, size = &parts[len(parts)-1], 0
 		}
 		last.Rows = append(last.Rows, row)
@@ -65,7 +65,7 @@
 
 // rows returns the newest state of each row that has changed, in the order of
 // their versions, and the version since which that is complete.
-func (r *Recent) rows() (rows []Row, since uint64) {
+func (r *RecentChanges) rows() (rows []Row, since uint64) {
 	if len(r.spans) == 0 {
 		return nil, 0
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -18,9 +18,9 @@
 
 // Errors of a Store. Anything else is a call without a useful answer.
 var (
-	// ErrHistoryGone means that the changes since a version aren't to be had
+	// ErrHistoryCompacted means that the changes since a version aren't to be had
 	// any more; only a whole read helps.
-	ErrHistoryGone = errors.New("the store no longer has the changes since that version")
+	ErrHistoryCompacted = errors.New("the store no longer has the changes since that version")
 	// ErrRefused means that the store turned the call away undone.
 	ErrRefused = errors.New("the store refused the call")
 )
@@ -34,46 +34,46 @@
 	Version uint64
 }
 
-// Point is a moment in the history of the store.
-type Point struct {
+// Position is a moment in the history of the store.
+type Position struct {
 	// Era counts how often the store came back from a copy.
 	Era     uint64
 	Version uint64
 }
 
 // Before reports whether p is earlier than o.
-func (p Point) Before(o Point) bool {
+func (p Position) Before(o Position) bool {
 	return p.Era < o.Era || (p.Era == o.Era && p.Version < o.Version)
 }
 
-// Answer is what the store said about a table at one moment.
-type Answer struct {
+// ReadResult is what the store said about a table at one moment.
+type ReadResult struct {
 	Rows []Row
 	// Version is the newest version of Era at that moment.
 	Version uint64
 	Era     uint64
-	// Stamp is that moment on the store's steady clock.
-	Stamp time.Duration
-	// Whole says that Rows is the whole table, not the changes.
-	Whole bool
+	// StoreTime is that moment on the store's steady clock.
+	StoreTime time.Duration
+	// Full says that Rows is the whole table, not the changes.
+	Full bool
 }
 
-// Point is the moment of the answer.
-func (a Answer) Point() Point { return Point{a.Era, a.Version} }
+// Position is the moment of the answer.
+func (a ReadResult) Position() Position { return Position{a.Era, a.Version} }
 
 // Store is where tables are read and written.
 type Store interface {
 	// Read returns a whole table.
-	Read(ctx context.Context, table string) (Answer, error)
+	Read(ctx context.Context, table string) (ReadResult, error)
 	// Changes returns what has changed in a table since a version.
-	Changes(ctx context.Context, table string, since uint64) (Answer, error)
+	Changes(ctx context.Context, table string, since uint64) (ReadResult, error)
 	// Write puts the rows, or removes those that are gone, in one transaction.
 	Write(ctx context.Context, table string, rows ...Row) error
 }
 
 // Table is the copy of one table. It isn't safe for concurrent use.
 type Table struct {
-	at    Point
+	at    Position
 	known bool
 	rows  map[string]Row
 }
@@ -84,8 +84,8 @@
 // Version up to which the copy is complete, and whether it ever was.
 func (t *Table) Version() (uint64, bool) { return t.at.Version, t.known }
 
-// Point up to which the copy is complete, and whether it ever was.
-func (t *Table) Point() (Point, bool) { return t.at, t.known }
+// Position up to which the copy is complete, and whether it ever was.
+func (t *Table) Position() (Position, bool) { return t.at, t.known }
 
 // Row returns the row of a key.
 func (t *Table) Row(key string) (Row, bool) {
@@ -105,11 +105,11 @@
 // Apply takes in an answer whose changes begin at version since of its era, and
 // returns the rows that differ from what the copy held. It reports false if the
 // copy lacks something from before since; nothing is taken in then.
-func (t *Table) Apply(a Answer, since uint64) ([]Row, bool) {
-	if t.known && a.Point().Before(t.at) {
+func (t *Table) Apply(a ReadResult, since uint64) ([]Row, bool) {
+	if t.known && a.Position().Before(t.at) {
 		return nil, true
 	}
-	if a.Whole {
+	if a.Full {
 		return t.replace(a), true
 	}
 	if !t.known || a.Era != t.at.Era || since > t.at.Version {
@@ -121,14 +121,14 @@
 			changed = append(changed, r)
 		}
 	}
-	t.at = a.Point()
+	t.at = a.Position()
 	return changed, true
 }
 
-// Note takes in a row that was just written, before any answer tells of it.
-func (t *Table) Note(r Row) { t.put(r) }
+// ApplyOwnWrite takes in a row that was just written, before any answer tells of it.
+func (t *Table) ApplyOwnWrite(r Row) { t.put(r) }
 
-func (t *Table) replace(a Answer) []Row {
+func (t *Table) replace(a ReadResult) []Row {
 	var changed []Row
 	listed := make(map[string]bool, len(a.Rows))
 	for _, r := range a.Rows {
@@ -143,7 +143,7 @@
 			changed = append(changed, Row{Key: k, Gone: true})
 		}
 	}
-	t.at = a.Point()
+	t.at = a.Position()
 	t.known = true
 	return changed
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -12,12 +12,12 @@
 
 func gone(key string) replica.Row { return replica.Row{Key: key, Gone: true} }
 
-func whole(version uint64, rows ...replica.Row) replica.Answer {
-	return replica.Answer{Rows: rows, Version: version, Whole: true}
+func whole(version uint64, rows ...replica.Row) replica.ReadResult {
+	return replica.ReadResult{Rows: rows, Version: version, Full: true}
 }
 
-func changes(version uint64, rows ...replica.Row) replica.Answer {
-	return replica.Answer{Rows: rows, Version: version}
+func changes(version uint64, rows ...replica.Row) replica.ReadResult {
+	return replica.ReadResult{Rows: rows, Version: version}
 }
 
 func TestApplyTellsWhatDiffers(t *testing.T) {
@@ -55,7 +55,7 @@
 func TestOlderAnswersChangeNothing(t *testing.T) {
 	c := replica.NewTable()
 	c.Apply(whole(9, put("a", "new")), 0)
-	for _, a := range []replica.Answer{whole(8, put("a", "old")), changes(8, put("a", "old"))} {
+	for _, a := range []replica.ReadResult{whole(8, put("a", "old")), changes(8, put("a", "old"))} {
 		changed, ok := c.Apply(a, 7)
 		must.True(t, ok)
 		must.Len(t, 0, changed)
@@ -68,38 +68,38 @@
 }
 
 func TestRecentTellsSeveralAnswersTogether(t *testing.T) {
-	var r replica.Recent
+	var r replica.RecentChanges
 	a1, b1, a2 := versioned("a", "1", 2), versioned("b", "1", 3), versioned("a", "2", 4)
 	r.Add(1, 2, []replica.Row{a1})
 	r.Add(2, 3, []replica.Row{b1})
 	r.Add(3, 9, []replica.Row{a2})
-	must.Eq(t, []replica.Part{{Since: 1, Version: 9, Rows: []replica.Row{b1, a2}}}, r.Parts(9, 1000))
+	must.Eq(t, []replica.ChangeBatch{{Since: 1, Version: 9, Rows: []replica.Row{b1, a2}}}, r.Batches(9, 1000))
 	r.Add(9, 10, nil)
 	r.Add(10, 11, nil)
-	must.Eq(t, []replica.Part{{Since: 2, Version: 11, Rows: []replica.Row{b1, a2}}}, r.Parts(11, 1000))
+	must.Eq(t, []replica.ChangeBatch{{Since: 2, Version: 11, Rows: []replica.Row{b1, a2}}}, r.Batches(11, 1000))
 	r.Reset()
 	r.Add(11, 12, nil)
-	must.Eq(t, []replica.Part{{Since: 11, Version: 12}}, r.Parts(12, 1000))
+	must.Eq(t, []replica.ChangeBatch{{Since: 11, Version: 12}}, r.Batches(12, 1000))
 }
 
 // Many servers change at once, too many for one message. Each part must be
 // whole in itself: a receiver that gets only the first must notice at the
 // next that something is missing.
 func TestManyChangesAreToldInPartsThatFollowEachOther(t *testing.T) {
-	var r replica.Recent
+	var r replica.RecentChanges
 	var rows []replica.Row
 	for v := range uint64(40) {
 		rows = append(rows, versioned(string(rune('A'+v)), "0123456789", 10+v/2))
 	}
 	r.Add(9, 50, rows)
-	parts := r.Parts(50, 100)
+	parts := r.Batches(50, 100)
 	must.Greater(t, 3, len(parts))
 	c := replica.NewTable()
 	c.Apply(whole(9), 0)
 	since := uint64(9)
 	for _, p := range parts {
 		must.Eq(t, since, p.Since)
-		_, ok := c.Apply(replica.Answer{Rows: p.Rows, Version: p.Version}, p.Since)
+		_, ok := c.Apply(replica.ReadResult{Rows: p.Rows, Version: p.Version}, p.Since)
 		must.True(t, ok)
 		since = p.Version
 	}
@@ -107,7 +107,7 @@
 	must.Len(t, 40, c.Rows())
 	missed := replica.NewTable()
 	missed.Apply(whole(9), 0)
-	_, ok := missed.Apply(replica.Answer{Rows: parts[1].Rows, Version: parts[1].Version}, parts[1].Since)
+	_, ok := missed.Apply(replica.ReadResult{Rows: parts[1].Rows, Version: parts[1].Version}, parts[1].Since)
 	must.False(t, ok)
 }
 
@@ -115,10 +115,10 @@
 // first one's turn and after it doesn't join up; told as one run, a receiver
 // that missed the first one's notice would go on using a server that has left.
 func TestRunsWithAHoleBetweenArentJoined(t *testing.T) {
-	var r replica.Recent
+	var r replica.RecentChanges
 	r.Add(80, 90, []replica.Row{versioned("a", "1", 85)})
 	r.Add(110, 120, []replica.Row{versioned("b", "1", 115)})
-	parts := r.Parts(120, 1000)
+	parts := r.Batches(120, 1000)
 	must.Len(t, 1, parts)
 	must.Eq(t, 110, parts[0].Since)
 	must.Len(t, 1, parts[0].Rows)
@@ -141,6 +141,6 @@
 	changed, ok = c.Apply(whole(57, put("a", "1")), 0)
 	must.True(t, ok)
 	must.Len(t, 0, changed)
-	at, _ := c.Point()
-	must.Eq(t, replica.Point{Era: 1, Version: 40}, at)
+	at, _ := c.Position()
+	must.Eq(t, replica.Position{Era: 1, Version: 40}, at)
 }
