--- a/edge/serve.go
+++ b/edge/serve.go
@@ -75,10 +75,10 @@
 // newCallers returns the server of callers' connections.
 func (e *Edge) newCallers() *pipeline.Server {
 	s := &pipeline.Server{
-		Handler: http.HandlerFunc(e.answerCaller), Beside: e.repeatable, MostAhead: mostAhead,
+		Handler: http.HandlerFunc(e.answerCaller), AllowConcurrent: e.repeatable, MaxPipelined: mostAhead,
 		HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	s.SetIdle(idleTimeoutFirst)
+	s.SetIdleTimeout(idleTimeoutFirst)
 	return s
 }
 
@@ -179,7 +179,7 @@
 // requests, and ends once it has finished those that it has.
 func (e *Edge) stop() {
 	e.stopping.Store(true)
-	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callers.Open()))
+	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callers.OpenConnections()))
 	start := e.now()
 	grace := settings.Seconds(e.settings.Bounds.GraceS)
 	e.mu.Lock()
--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -68,7 +68,7 @@
 			c.refuse(err)
 			return
 		}
-		beside := r.Body == http.NoBody && c.server.Beside != nil && c.server.Beside(r)
+		beside := r.Body == http.NoBody && c.server.AllowConcurrent != nil && c.server.AllowConcurrent(r)
 		x := c.start(r, beside)
 		if x == nil {
 			return
@@ -83,7 +83,7 @@
 func (c *conn) awaitRoom() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.queue) >= max(c.server.MostAhead, 1) && !c.ended {
+	for len(c.queue) >= max(c.server.MaxPipelined, 1) && !c.ended {
 		c.changed.Wait()
 	}
 	return !c.ended
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -34,12 +34,12 @@
 // serves.
 type Server struct {
 	Handler http.Handler
-	// Beside reports whether a request without a body may run beside others
+	// AllowConcurrent reports whether a request without a body may run beside others
 	// of its connection. All run alone if it is nil.
-	Beside func(*http.Request) bool
-	// MostAhead is how many requests of a connection may be at work or wait
+	AllowConcurrent func(*http.Request) bool
+	// MaxPipelined is how many requests of a connection may be at work or wait
 	// for their turn to be answered; at least 1.
-	MostAhead int
+	MaxPipelined int
 	// HeaderTimeout bounds the reading of a request's headers, from their
 	// first byte.
 	HeaderTimeout time.Duration
@@ -54,15 +54,15 @@
 	closed bool
 }
 
-// SetIdle sets how long a connection may stay without a request. It holds for
+// SetIdleTimeout sets how long a connection may stay without a request. It holds for
 // connections that become idle from now on; 0 sets no bound.
-func (s *Server) SetIdle(d time.Duration) { s.idle.Store(int64(d)) }
+func (s *Server) SetIdleTimeout(d time.Duration) { s.idle.Store(int64(d)) }
 
 // InFlight is the number of requests that were read and aren't answered yet.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Open is the number of open connections.
-func (s *Server) Open() int {
+// OpenConnections is the number of open connections.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -39,7 +39,7 @@
 
 func newServer(h http.HandlerFunc) *pipeline.Server {
 	return &pipeline.Server{
-		Handler: h, Beside: func(*http.Request) bool { return true }, MostAhead: 4,
+		Handler: h, AllowConcurrent: func(*http.Request) bool { return true }, MaxPipelined: 4,
 		HeaderTimeout: 200 * time.Millisecond, MaxHeaderBytes: 8 << 10,
 	}
 }
@@ -145,7 +145,7 @@
 		time.Sleep(300 * time.Millisecond)
 		echo(w, r)
 	})
-	s.SetIdle(100 * time.Millisecond)
+	s.SetIdleTimeout(100 * time.Millisecond)
 	dial := serve(t, s)
 	c, in := dial()
 	write(t, c, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -166,7 +166,7 @@
 	stuck, _ := dial()
 	write(t, stuck, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
 	_, idle := dial()
-	for s.Open() < 2 || s.InFlight() < 1 {
+	for s.OpenConnections() < 2 || s.InFlight() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond)
