--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -19,7 +19,7 @@
 // attempt is one try of a call at one server.
 type attempt struct {
 	choice placement.Choice
-	answer upstream.Answer
+	answer upstream.Response
 	result health.Result
 	took   time.Duration
 	number int
@@ -232,7 +232,7 @@
 }
 
 // classify says what an attempt's end tells of the server.
-func classify(a upstream.Answer) health.Result {
+func classify(a upstream.Response) health.Result {
 	switch a.Outcome {
 	case upstream.NotSent:
 		return health.ConnectFailed
@@ -242,7 +242,7 @@
 		return health.Timeout
 	case upstream.Cancelled:
 		return health.Cancelled
-	case upstream.Answered:
+	case upstream.Completed:
 	}
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
@@ -271,7 +271,7 @@
 	return upstream.Request{
 		Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body,
 		IDHeader: platform.HeaderAttempt, ID: c.id,
-		Once: !c.route.Kind.Repeatable() && e.off.On(mechanism.Fresh),
+		NonIdempotent: !c.route.Kind.Repeatable() && e.off.On(mechanism.Fresh),
 	}
 }
 
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -142,7 +142,7 @@
 func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
 	if c.Removed {
-		e.pool.Drop(c.Server.Address)
+		e.pool.CloseIdle(c.Server.Address)
 	}
 	event.ServerChanged.Log(e.log, slog.String("server", c.Server.ID), slog.String("service", c.Server.Service),
 		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Removed),
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -22,7 +22,7 @@
 // learnLimit takes in what an answer says of its server's limit, and returns the
 // limit that it names for the other instances. The lock must be held.
 func (e *Edge) learnLimit(a *attempt, now time.Duration) *uint32 {
-	if a.answer.Outcome != upstream.Answered || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
+	if a.answer.Outcome != upstream.Completed || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
 		return nil
 	}
 	hash := placement.Hash(a.choice.Server.ID)
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -57,7 +57,7 @@
 		return float64(e.state.messenger.Hub().Subscribers())
 	}))
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
-	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.Opened()) })
+	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.ConnectionsOpened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
 		return float64(e.budget.LeftOut() + e.lines.Dropped())
 	})
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -25,16 +25,16 @@
 	// belongs, and ID is its value.
 	IDHeader string
 	ID       string
-	// Once says that it can't be sent again if its connection turns out dead.
-	Once bool
+	// NonIdempotent says that it can't be sent again if its connection turns out dead.
+	NonIdempotent bool
 }
 
 // Outcome says how an attempt ended.
 type Outcome int
 
 const (
-	// Answered: a whole answer came.
-	Answered Outcome = iota
+	// Completed: a whole answer came.
+	Completed Outcome = iota
 	// NotSent: no byte was written; the server can't have run it.
 	NotSent
 	// Broken: the connection or the answer broke off, or was no answer to
@@ -46,8 +46,8 @@
 	Cancelled
 )
 
-// Answer of a backend server.
-type Answer struct {
+// Response of a backend server.
+type Response struct {
 	Outcome Outcome
 	Status  int
 	Header  http.Header
@@ -71,17 +71,17 @@
 )
 
 // Do sends the request to the address and reads the whole answer.
-func (p *Pool) Do(ctx context.Context, address string, r Request) Answer {
-	c, err := p.get(ctx, address, r.Once)
+func (p *Pool) Do(ctx context.Context, address string, r Request) Response {
+	c, err := p.get(ctx, address, r.NonIdempotent)
 	if err != nil {
-		return Answer{Outcome: NotSent, Err: err}
+		return Response{Outcome: NotSent, Err: err}
 	}
 	w := &countingConn{Conn: c.Conn}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	written := r.start(w)
 	a, reusable := c.read(r)
-	if a.Outcome != Answered {
+	if a.Outcome != Completed {
 		_ = c.Close()
 		a.Outcome = outcome(ctx, <-written, w, a)
 		return a
@@ -102,7 +102,7 @@
 	return a
 }
 
-func outcome(ctx context.Context, writeErr error, w *countingConn, a Answer) Outcome {
+func outcome(ctx context.Context, writeErr error, w *countingConn, a Response) Outcome {
 	switch {
 	case writeErr != nil && w.sent.Load() == 0:
 		return NotSent
@@ -156,10 +156,10 @@
 
 // read returns the answer to the request and whether the connection may be
 // used again.
-func (c *conn) read(r Request) (Answer, bool) {
+func (c *conn) read(r Request) (Response, bool) {
 	for range maxStrayAnswers + 1 {
 		a, closes := c.readOne(r)
-		if a.Outcome != Answered {
+		if a.Outcome != Completed {
 			return a, false
 		}
 		if r.owns(a) {
@@ -171,35 +171,35 @@
 			break
 		}
 	}
-	return Answer{Outcome: Broken, Err: ErrForeign}, false
+	return Response{Outcome: Broken, Err: ErrResponseMismatch}, false
 }
 
-// ErrForeign is the cause of an attempt whose connection brought answers to
+// ErrResponseMismatch is the cause of an attempt whose connection brought answers to
 // other requests only.
-var ErrForeign = errors.New("the answer belongs to another request")
+var ErrResponseMismatch = errors.New("the answer belongs to another request")
 
 // owns reports whether the answer names this request. One that names none is
 // taken: servers may refuse without having read the id.
-func (r Request) owns(a Answer) bool {
+func (r Request) owns(a Response) bool {
 	id := a.Header.Get(r.IDHeader)
 	return id == "" && a.Status >= http.StatusBadRequest || id == r.ID
 }
 
 // readOne returns the next answer and whether the server closes after it.
-func (c *conn) readOne(r Request) (a Answer, closes bool) {
+func (c *conn) readOne(r Request) (a Response, closes bool) {
 	resp, err := readFinal(c.reader, r.Method)
 	if err != nil {
-		return Answer{Outcome: Broken, Err: errors.Wrap(err, "answer")}, true
+		return Response{Outcome: Broken, Err: errors.Wrap(err, "answer")}, true
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	_ = resp.Body.Close()
 	if err != nil {
-		return Answer{Outcome: Broken, Err: errors.Wrap(err, "body of the answer")}, true
+		return Response{Outcome: Broken, Err: errors.Wrap(err, "body of the answer")}, true
 	}
 	if len(body) > maxAnswerBytes {
-		return Answer{Outcome: Broken, Err: errors.New("the answer is too large")}, true
+		return Response{Outcome: Broken, Err: errors.New("the answer is too large")}, true
 	}
-	return Answer{Outcome: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}, resp.Close
+	return Response{Outcome: Completed, Status: resp.StatusCode, Header: resp.Header, Body: body}, resp.Close
 }
 
 // readFinal reads past interim answers.
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -51,8 +51,8 @@
 // NewPool returns a pool without connections.
 func NewPool() *Pool { return &Pool{idle: make(map[string][]*conn)} }
 
-// Opened is how many connections were opened.
-func (p *Pool) Opened() uint64 {
+// ConnectionsOpened is how many connections were opened.
+func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
@@ -139,8 +139,8 @@
 	p.idle[address] = list
 }
 
-// Drop closes the kept connections to an address.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the kept connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *script) do(t *testing.T, p *upstream.Pool, r upstream.Request) upstream.Answer {
+func (s *script) do(t *testing.T, p *upstream.Pool, r upstream.Request) upstream.Response {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -90,10 +90,10 @@
 	p := upstream.NewPool()
 	for _, id := range []string{"1", "2", "3"} {
 		a := s.do(t, p, order(id))
-		must.Eq(t, upstream.Answered, a.Outcome)
+		must.Eq(t, upstream.Completed, a.Outcome)
 		must.Eq(t, "ok", string(a.Body))
 	}
-	must.Eq(t, 1, p.Opened())
+	must.Eq(t, 1, p.ConnectionsOpened())
 }
 
 // The server forgets connections that rested for 0.3 s and resets what comes on
@@ -116,15 +116,15 @@
 	p := upstream.NewPool()
 	once := func(id string) upstream.Request {
 		r := order(id)
-		r.Once = true
+		r.NonIdempotent = true
 		return r
 	}
-	must.Eq(t, upstream.Answered, s.do(t, p, once("1")).Outcome)
-	must.Eq(t, upstream.Answered, s.do(t, p, once("2")).Outcome)
-	must.Eq(t, 1, p.Opened())
+	must.Eq(t, upstream.Completed, s.do(t, p, once("1")).Outcome)
+	must.Eq(t, upstream.Completed, s.do(t, p, once("2")).Outcome)
+	must.Eq(t, 1, p.ConnectionsOpened())
 	time.Sleep(350 * time.Millisecond)
-	must.Eq(t, upstream.Answered, s.do(t, p, once("3")).Outcome)
-	must.Eq(t, 2, p.Opened())
+	must.Eq(t, upstream.Completed, s.do(t, p, once("3")).Outcome)
+	must.Eq(t, 2, p.ConnectionsOpened())
 	time.Sleep(350 * time.Millisecond)
 	must.Eq(t, upstream.Broken, s.do(t, p, order("4")).Outcome)
 }
@@ -149,7 +149,7 @@
 		s.request(r)
 	})
 	p := upstream.NewPool()
-	must.Eq(t, upstream.Answered, s.do(t, p, order("1")).Outcome)
+	must.Eq(t, upstream.Completed, s.do(t, p, order("1")).Outcome)
 	must.Eq(t, upstream.Broken, s.do(t, p, order("2")).Outcome)
 	must.Eq(t, 2, s.arrived.Load())
 }
@@ -163,11 +163,11 @@
 	})
 	p := upstream.NewPool()
 	for _, id := range []string{"1", "2", "3"} {
-		must.Eq(t, upstream.Answered, s.do(t, p, order(id)).Outcome)
+		must.Eq(t, upstream.Completed, s.do(t, p, order(id)).Outcome)
 		time.Sleep(20 * time.Millisecond)
 	}
 	must.Eq(t, 3, s.arrived.Load())
-	must.Eq(t, 3, p.Opened())
+	must.Eq(t, 3, p.ConnectionsOpened())
 }
 
 // A second answer to the first request arrives where the answer to the second
@@ -182,7 +182,7 @@
 	p := upstream.NewPool()
 	s.do(t, p, order("1"))
 	a := s.do(t, p, order("2"))
-	must.Eq(t, upstream.Answered, a.Outcome)
+	must.Eq(t, upstream.Completed, a.Outcome)
 	must.Eq(t, "two", string(a.Body))
 }
 
@@ -206,10 +206,10 @@
 		_, _ = r.ReadByte()
 	})
 	p := upstream.NewPool()
-	must.Eq(t, upstream.Answered, s.do(t, p, order("1")).Outcome)
+	must.Eq(t, upstream.Completed, s.do(t, p, order("1")).Outcome)
 	time.Sleep(30 * time.Millisecond)
-	must.Eq(t, upstream.Answered, s.do(t, p, order("2")).Outcome)
-	must.Eq(t, 2, p.Opened())
+	must.Eq(t, upstream.Completed, s.do(t, p, order("2")).Outcome)
+	must.Eq(t, 2, p.ConnectionsOpened())
 }
 
 func TestAnswersThatBreakOffAreNoAnswers(t *testing.T) {
@@ -247,7 +247,7 @@
 		if reset {
 			must.Eq(t, upstream.Broken, a.Outcome)
 		} else {
-			must.Eq(t, upstream.Answered, a.Outcome)
+			must.Eq(t, upstream.Completed, a.Outcome)
 			must.Eq(t, "body", string(a.Body))
 		}
 	}
@@ -270,9 +270,9 @@
 	p := upstream.NewPool()
 	long := order("1")
 	long.Body = []byte(strings.Repeat("x", 16<<20))
-	must.Eq(t, upstream.Answered, s.do(t, p, long).Outcome)
-	must.Eq(t, upstream.Answered, s.do(t, p, order("2")).Outcome)
-	must.Eq(t, 2, p.Opened())
+	must.Eq(t, upstream.Completed, s.do(t, p, long).Outcome)
+	must.Eq(t, upstream.Completed, s.do(t, p, order("2")).Outcome)
+	must.Eq(t, 2, p.ConnectionsOpened())
 }
 
 func TestNoConnectionMeansNotSent(t *testing.T) {
@@ -330,8 +330,8 @@
 	p := upstream.NewPool()
 	s.do(t, p, order("1"))
 	s.do(t, p, order("2"))
-	must.Eq(t, 1, p.Opened())
+	must.Eq(t, 1, p.ConnectionsOpened())
 	time.Sleep(550 * time.Millisecond)
 	s.do(t, p, order("3"))
-	must.Eq(t, 2, p.Opened())
+	must.Eq(t, 2, p.ConnectionsOpened())
 }
