--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -89,7 +89,7 @@
 	a := &attempt{choice: choice, number: len(r.tried) + 1, start: r.e.now(), cancel: cancel}
 	r.tried = append(r.tried, choice.Server.ID)
 	r.running = append(r.running, a)
-	r.e.publishStart(r.c, a)
+	r.e.publishAttemptStart(r.c, a)
 	go func() {
 		a.answer = r.e.pool.Do(ctx, choice.Server.Address, r.e.upstreamRequest(r.c, choice))
 		a.took = r.e.now() - a.start
@@ -113,7 +113,7 @@
 // refusal, or neither while it goes on.
 func (r *runner) ended(a *attempt) (*attempt, *verdict) {
 	if a.result == health.OK {
-		r.e.publishEnd(r.c, a, evidence.Served)
+		r.e.publishAttemptEnd(r.c, a, evidence.Served)
 		return a, nil
 	}
 	mayHaveRun := r.mayHaveRun
@@ -124,15 +124,15 @@
 	d := r.e.decide(r.c, a, len(r.tried), len(r.running), mayHaveRun)
 	switch d.Action {
 	case retry.Wait:
-		r.e.publishEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
 		return nil, nil
 	case retry.Retry:
-		r.e.publishEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
 		if v := r.begin(); v == nil {
 			return nil, nil
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		r.e.publishEnd(r.c, a, evidence.Unserved)
+		r.e.publishAttemptEnd(r.c, a, evidence.Unserved)
 	}
 	if r.last != nil {
 		return r.last, nil
@@ -186,7 +186,7 @@
 			if a.result != health.OK && !timedOut {
 				a.result = health.Cancelled
 			}
-			r.e.publishEnd(r.c, a, evidence.NotFinal)
+			r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
 		}
 	}()
 }
--- a/edge/call.go
+++ b/edge/call.go
@@ -97,7 +97,7 @@
 		return c, &verdict{http.StatusServiceUnavailable, RuleNoConfig, comeBackSoon}
 	}
 	c.version = s.table.Version
-	c.keyAge = e.keyAge(c.start)
+	c.keyAge = e.configAge(c.start)
 	c.route = s.table.Route(r.Host, path)
 	if c.route == nil {
 		return c, &verdict{status: http.StatusNotFound, rule: RuleNoRoute}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -204,7 +204,7 @@
 		instances: replica.NewTable(),
 		list:      discovery.NewList(),
 		placer:    placement.NewWithout(s.Trial.Off()),
-		usage:     newUsage(),
+		usage:     newUsageCounters(),
 		budgets:   make(map[string]*retry.Shared),
 		routes:    make(map[string]*routeStats),
 		own:       make(map[uint32]uint16),
@@ -214,7 +214,7 @@
 	e.state.placer.SetLimiter(e.state.limiter)
 	e.state.placer.SetThrottle(e.state.throttle)
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{
-		Self: e.member(), Epoch: e.epoch, Seeds: e.seeds(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
+		Self: e.selfMember(), Epoch: e.epoch, Seeds: e.seedIDs(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
 	})
 	if err := e.listen(); err != nil {
 		return nil, err
@@ -297,11 +297,11 @@
 		Timeout: time.Second,
 	})
 	e.tree.Add(part{"log", e.lines.Serve})
-	e.tree.Add(part{"receiver", e.receive})
-	e.tree.Add(part{"heart", e.heart})
+	e.tree.Add(part{"receiver", e.receiveDatagrams})
+	e.tree.Add(part{"heart", e.sendHeartbeats})
 	e.tree.Add(part{"poller", e.pollStore})
 	e.tree.Add(part{"fetcher", e.fetchConfig})
-	e.tree.Add(part{"register", e.register})
+	e.tree.Add(part{"register", e.registerInstances})
 	e.tree.Add(part{"snapshots", e.serveSnapshots})
 	e.tree.Add(part{"settings", e.watchSettings})
 	e.tree.Add(part{"callers", e.serveCallers})
--- a/edge/era.go
+++ b/edge/era.go
@@ -36,7 +36,7 @@
 func (e *Edge) beginEra(era uint64, stamp, now time.Duration) {
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
-	age := e.keyAge(now)
+	age := e.configAge(now)
 	s.clock.Restart()
 	s.configProof = stamp - age
 	s.era, s.eraSince = era, stamp
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -20,13 +20,13 @@
 	e.prove(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	must.True(t, e.observe(1, 20*time.Second, now))
-	must.Eq(t, 3*time.Second, e.keyAge(now))
+	must.Eq(t, 3*time.Second, e.configAge(now))
 	e.prove(evidence.Config, 20*time.Second, now)
-	must.Eq(t, 3*time.Second, e.keyAge(now))
+	must.Eq(t, 3*time.Second, e.configAge(now))
 	now += rewriteWait
 	must.True(t, e.observe(1, 20*time.Second+rewriteWait, now))
 	e.prove(evidence.Config, 20*time.Second+rewriteWait, now)
-	must.Eq(t, 0, e.keyAge(now))
+	must.Eq(t, 0, e.configAge(now))
 }
 
 // A message of before the store's return arrives after it. It must not bring back
@@ -109,7 +109,7 @@
 	now += 2 * rewriteWait
 	e.applyNotice(evidence.Notice{Table: evidence.Config, Era: 1, Version: 5, StampUS: 102_000_000}, now)
 	must.True(t, e.hasToldConfig())
-	must.Eq(t, 0, e.keyAge(now))
+	must.Eq(t, 0, e.configAge(now))
 	must.Eq(t, 31, e.state.table.Version)
 	newcomer := newQuiet(t)
 	newcomer.takeSnapshot(e.snapshot(now), now)
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -40,7 +40,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !pause(ctx, time.Duration(rand.Float64()*float64(fetchSpread))) {
+		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchSpread))) {
 			return ctx.Err()
 		}
 		if e.hasToldConfig() || e.askReaders(ctx, methodConfig, configTimeout, e.hasToldConfig) {
@@ -48,7 +48,7 @@
 		}
 		if !e.readConfig(ctx) {
 			e.askPeer(ctx)
-			pause(ctx, fetchRetry)
+			sleepContext(ctx, fetchRetry)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	e.mu.Lock()
 	readers := e.readers()
 	e.mu.Unlock()
-	if slices.Contains(readers, e.self) || !pause(ctx, readersFirst) {
+	if slices.Contains(readers, e.self) || !sleepContext(ctx, readersFirst) {
 		return false
 	}
 	for _, reader := range readers {
@@ -100,7 +100,7 @@
 // readers are the instances of the own data centre that read the store for the
 // others, the same for all of them: those with fast links first.
 func (e *Edge) readers() []uint32 {
-	members := []relay.Member{e.member()}
+	members := []relay.Member{e.selfMember()}
 	for _, m := range e.state.messenger.Fleet().All() {
 		if m.Alive && !m.Stopping && m.DataCentre == e.settings.DataCentre {
 			members = append(members, m.Member)
@@ -149,7 +149,7 @@
 	return true
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -22,7 +22,7 @@
 // row of the first stands, every workspace lacks its part of the rate.
 func TestInstancesThatAreGoneForGoodLeaveTheList(t *testing.T) {
 	e := &Edge{self: 1}
-	e.state.messenger = fleet.NewMessenger(fleet.Settings{Self: e.member()})
+	e.state.messenger = fleet.NewMessenger(fleet.Settings{Self: e.selfMember()})
 	others := e.state.messenger.Fleet()
 	others.Meet(2, time.Second).Listed = true
 	alive, _ := others.Touch(3, time.Second)
@@ -117,5 +117,5 @@
 	source.prove(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	newcomer.takeSnapshot(source.snapshot(now), now)
-	must.Eq(t, 3*time.Second, newcomer.keyAge(now))
+	must.Eq(t, 3*time.Second, newcomer.configAge(now))
 }
--- a/edge/join.go
+++ b/edge/join.go
@@ -31,7 +31,7 @@
 	start := e.now()
 	spread := rand.Float64()
 	for !e.knowsServers() && e.now()-start < e.joinWithin(spread) {
-		if !pause(ctx, joinStep) {
+		if !sleepContext(ctx, joinStep) {
 			return
 		}
 		if e.othersAreReady() && !e.askReaders(ctx, methodGet, snapshotTimeout, e.knowsServers) {
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -249,8 +249,8 @@
 	}
 }
 
-// keyAge is how old the proof of the configuration in force is.
-func (e *Edge) keyAge(now time.Duration) time.Duration {
+// configAge is how old the proof of the configuration in force is.
+func (e *Edge) configAge(now time.Duration) time.Duration {
 	if !e.state.proved {
 		return freshness.Unknown
 	}
--- a/edge/members.go
+++ b/edge/members.go
@@ -20,19 +20,19 @@
 // what goes out once for each of many: rounds, and what the store said.
 const slowBelow = 80
 
-func (e *Edge) slowLink() bool {
+func (e *Edge) hasSlowLink() bool {
 	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowBelow
 }
 
-// member is this instance as others see it.
-func (e *Edge) member() relay.Member {
-	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.slowLink()}
+// selfMember is this instance as others see it.
+func (e *Edge) selfMember() relay.Member {
+	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.hasSlowLink()}
 }
 
-// newUsage returns counters that admit nothing until countShare: as long as it
+// newUsageCounters returns counters that admit nothing until countShare: as long as it
 // knows no other instance, each one of a fleet that starts would count on the
 // whole of every rate.
-func newUsage() *usage.Counters {
+func newUsageCounters() *usage.Counters {
 	c := usage.NewCounters()
 	c.Share, c.Fresh = 0, 0
 	return c
@@ -47,8 +47,8 @@
 	}
 }
 
-// seeds are the instances that the settings name.
-func (e *Edge) seeds() []uint32 {
+// seedIDs are the instances that the settings name.
+func (e *Edge) seedIDs() []uint32 {
 	var ids []uint32
 	for _, seed := range e.settings.Seeds {
 		a, err := netip.ParseAddrPort(seed)
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -62,7 +62,7 @@
 		return float64(e.budget.LeftOut() + e.lines.Dropped())
 	})
 	m.gauge("configuration_age_seconds", "Age of the proof that the configuration in force is the newest.", e.locked(func() float64 {
-		return e.keyAge(e.now()).Seconds()
+		return e.configAge(e.now()).Seconds()
 	}))
 	m.gauge("configuration_version", "Version of the configuration in force.", e.locked(func() float64 {
 		if e.state.table == nil {
@@ -134,7 +134,7 @@
 func (e *Edge) watchSettings(ctx context.Context) error {
 	current := e.settings
 	var seen os.FileInfo
-	for pause(ctx, settingsEvery) {
+	for sleepContext(ctx, settingsEvery) {
 		info, err := os.Stat(e.file)
 		if err != nil || (seen != nil && info.ModTime().Equal(seen.ModTime()) && info.Size() == seen.Size()) {
 			continue
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -30,8 +30,8 @@
 	e.keepRounds(now)
 }
 
-// announce tells everybody at once whether this instance is ready.
-func (e *Edge) announce() {
+// announceReadiness tells everybody at once whether this instance is ready.
+func (e *Edge) announceReadiness() {
 	now := e.now()
 	e.sendAll(e.state.messenger.Announce(true, now))
 	e.keepRounds(now)
@@ -46,7 +46,7 @@
 	e.sendAll(s.messenger.Join(now))
 	if ready := e.readyLocked(); ready != s.announcedReady {
 		s.announcedReady = ready
-		e.announce()
+		e.announceReadiness()
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// heart sends heartbeats, and looks at what time alone changes.
-func (e *Edge) heart(ctx context.Context) error {
+// sendHeartbeats sends heartbeats, and looks at what time alone changes.
+func (e *Edge) sendHeartbeats(ctx context.Context) error {
 	ticker := time.NewTicker(fleet.PulseEvery)
 	defer ticker.Stop()
 	for {
@@ -135,8 +135,8 @@
 	e.noteLeftOut(now)
 }
 
-// receive takes in datagrams.
-func (e *Edge) receive(ctx context.Context) error {
+// receiveDatagrams takes in datagrams.
+func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.socket.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	b := make([]byte, maxDatagramIn)
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -8,8 +8,8 @@
 	"foxtailspoke/placement"
 )
 
-// publishStart takes in and tells that an attempt has begun.
-func (e *Edge) publishStart(c *call, a *attempt) {
+// publishAttemptStart takes in and tells that an attempt has begun.
+func (e *Edge) publishAttemptStart(c *call, a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	told := e.outstanding(a, 1)
@@ -37,8 +37,8 @@
 	return evidence.Attempt{Server: h, Outstanding: n}
 }
 
-// publishEnd takes in and tells how an attempt ended.
-func (e *Edge) publishEnd(c *call, a *attempt, final evidence.Final) {
+// publishAttemptEnd takes in and tells how an attempt ended.
+func (e *Edge) publishAttemptEnd(c *call, a *attempt, final evidence.Final) {
 	if a.ends {
 		return
 	}
--- a/edge/register.go
+++ b/edge/register.go
@@ -29,18 +29,18 @@
 	maxRows = 100
 )
 
-// register has the instances of this data centre listed in the store, so that
+// registerInstances has the instances of this data centre listed in the store, so that
 // those of a later start find them, and a cut doesn't double any rate: what
 // belongs to a listed instance that isn't heard isn't counted on. One call
 // writes the rows of all that lack them.
-func (e *Edge) register(ctx context.Context) error {
+func (e *Edge) registerInstances(ctx context.Context) error {
 	select {
 	case <-e.joined:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	lacking := time.Duration(0)
-	for pause(ctx, registerEvery) {
+	for sleepContext(ctx, registerEvery) {
 		e.mu.Lock()
 		rows := e.unlistedRows()
 		patience := e.registerPatience()
@@ -83,7 +83,7 @@
 	if _, known := e.state.instances.Version(); !known {
 		return nil
 	}
-	members := []relay.Member{e.member()}
+	members := []relay.Member{e.selfMember()}
 	for _, m := range e.state.messenger.Fleet().All() {
 		if m.Alive && !m.Stopping && m.DataCentre == e.settings.DataCentre {
 			members = append(members, m.Member)
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -111,7 +111,7 @@
 	// The store may have told the configuration and not yet the servers. An
 	// instance that took itself for ready then refused every request.
 	_, serversKnown := s.servers.Version()
-	return !e.stopping.Load() && s.table != nil && serversKnown && !s.misread && e.keyAge(e.now()) < s.bounds.Keys
+	return !e.stopping.Load() && s.table != nil && serversKnown && !s.misread && e.configAge(e.now()) < s.bounds.Keys
 }
 
 // answerReady answers the platform.
@@ -183,7 +183,7 @@
 	start := e.now()
 	grace := settings.Seconds(e.settings.Bounds.GraceS)
 	e.mu.Lock()
-	e.announce()
+	e.announceReadiness()
 	e.mu.Unlock()
 	for e.now()-start < time.Duration(acceptPart*float64(grace)) {
 		time.Sleep(lingerStep)
--- a/edge/status.go
+++ b/edge/status.go
@@ -106,7 +106,7 @@
 	s, now := &e.state, e.now()
 	st := Status{
 		Instance: e.settings.Name, DataCentre: e.settings.DataCentre, Ready: e.readyLocked(),
-		ConfigAgeMS: milli(e.keyAge(now)), ServersAgeMS: -1, RateShare: round(s.usage.Share),
+		ConfigAgeMS: milli(e.configAge(now)), ServersAgeMS: -1, RateShare: round(s.usage.Share),
 		Evacuated: s.evacuations.List(),
 	}
 	if s.table != nil {
