--- a/edge/answer.go
+++ b/edge/answer.go
@@ -13,9 +13,9 @@
 	"foxtailspoke/platform"
 )
 
-// quietShare of the log's budget is for lines that tell the usual; the rest is
+// routineLogShare of the log's budget is for lines that tell the usual; the rest is
 // kept for refusals and failures.
-const quietShare = 0.5
+const routineLogShare = 0.5
 
 // hopHeaders concern one connection only and are never passed on.
 var hopHeaders = []string{
@@ -45,7 +45,7 @@
 	a, v := e.run(r.Context(), c)
 	switch {
 	case r.Context().Err() != nil:
-		e.logRequest(c, 0, RuleLeft, a)
+		e.logRequest(c, 0, RuleCallerLeft, a)
 	case v != nil:
 		e.refuse(w, c, v)
 	default:
@@ -123,7 +123,7 @@
 	e.metrics.ended(rule, now-c.start)
 	weight := 1.0
 	if rule == RuleServed {
-		weight = quietShare
+		weight = routineLogShare
 	}
 	if !e.budget.Take(now, weight) {
 		return
@@ -131,7 +131,7 @@
 	attrs := []slog.Attr{
 		slog.String("request", c.id), slog.Int("status", status), slog.String("rule", string(rule)),
 		slog.Int64("took_ms", (now - c.start).Milliseconds()),
-		slog.Uint64("version", uint64(c.version)), ageOf(c.keyAge),
+		slog.Uint64("version", uint64(c.version)), ageAttr(c.keyAge),
 	}
 	if c.route != nil {
 		attrs = append(attrs, slog.String("route", c.route.Name), slog.String("service", c.service),
@@ -155,8 +155,8 @@
 // leftOutEvery is how often the number of lines that were left out is logged.
 const leftOutEvery = 10 * time.Second
 
-// noteLeftOut logs how many lines were left out, if any were.
-func (e *Edge) noteLeftOut(now time.Duration) {
+// logDroppedLines logs how many lines were left out, if any were.
+func (e *Edge) logDroppedLines(now time.Duration) {
 	s := &e.state
 	count := e.budget.LeftOut() + e.lines.Dropped()
 	if count == s.leftOut || now-s.leftOutAt < leftOutEvery {
@@ -166,8 +166,8 @@
 	event.LinesLeftOut.Log(e.log, slog.Uint64("count", count))
 }
 
-// ageOf is the attribute of an age, left out if it isn't known.
-func ageOf(d time.Duration) slog.Attr {
+// ageAttr is the attribute of an age, left out if it isn't known.
+func ageAttr(d time.Duration) slog.Attr {
 	if d == freshness.Unknown {
 		return slog.Attr{}
 	}
--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -26,8 +26,8 @@
 	// start is when it was sent.
 	start  time.Duration
 	cancel context.CancelFunc
-	// ends says that its end was told.
-	ends bool
+	// endPublished says that its end was told.
+	endPublished bool
 }
 
 // run sends the call to servers until one has answered or nothing more may be
@@ -203,7 +203,7 @@
 func (e *Edge) mayHedge(c *call, number int, mayHaveRun bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !c.route.Kind.Repeatable() || !e.off.On(mechanism.Hedge) {
+	if !c.route.Kind.Repeatable() || !e.mechanisms.On(mechanism.Hedge) {
 		return false
 	}
 	a := e.retryState(c, health.Late, number, 1, mayHaveRun)
@@ -228,7 +228,7 @@
 func (e *Edge) patience(c *call) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return retry.Patience(e.statsOf(c.route).work)
+	return retry.Patience(e.routeStatsFor(c.route).work)
 }
 
 // classify says what an attempt's end tells of the server.
@@ -271,7 +271,7 @@
 	return upstream.Request{
 		Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body,
 		IDHeader: platform.HeaderAttempt, ID: c.id,
-		Once: !c.route.Kind.Repeatable() && e.off.On(mechanism.Fresh),
+		Once: !c.route.Kind.Repeatable() && e.mechanisms.On(mechanism.Fresh),
 	}
 }
 
--- a/edge/call.go
+++ b/edge/call.go
@@ -21,21 +21,21 @@
 	RuleServed       Rule = "served"
 	RuleNoConfig     Rule = "no-configuration"
 	RuleNoRoute      Rule = "no-route"
-	RuleNoKey        Rule = "unknown-key"
-	RuleStale        Rule = "configuration-too-old"
-	RuleTooLarge     Rule = "body-too-large"
-	RuleBody         Rule = "body-unreadable"
+	RuleUnknownKey        Rule = "unknown-key"
+	RuleConfigTooOld        Rule = "configuration-too-old"
+	RuleBodyTooLarge     Rule = "body-too-large"
+	RuleBodyUnreadable         Rule = "body-unreadable"
 	RuleOverRate     Rule = "over-rate"
 	RuleNoServer     Rule = "no-server"
-	RuleOutside      Rule = "no-server-in-allowed-regions"
-	RuleEvacuated    Rule = "servers-evacuated"
-	RuleCold         Rule = "servers-cold"
-	RuleLimited      Rule = "servers-at-their-limit"
+	RuleNoServerInRegions      Rule = "no-server-in-allowed-regions"
+	RuleServersEvacuated    Rule = "servers-evacuated"
+	RuleServersCold         Rule = "servers-cold"
+	RuleServersAtLimit      Rule = "servers-at-their-limit"
 	RuleNoRoom       Rule = "no-room"
 	RuleServerFailed Rule = "server-failed"
 	RuleNotRun       Rule = "not-run"
 	RuleTimeout      Rule = "timeout"
-	RuleLeft         Rule = "caller-left"
+	RuleCallerLeft         Rule = "caller-left"
 	RuleStopping     Rule = "stopping"
 )
 
@@ -107,7 +107,7 @@
 		return c, v
 	}
 	if limit := s.table.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
-		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleTooLarge}
+		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	c.service = s.split.Pick(c.route)
 	return c, nil
@@ -149,11 +149,11 @@
 		return nil
 	}
 	if c.keyAge > s.bounds.Keys {
-		return &verdict{http.StatusServiceUnavailable, RuleStale, comeBackSoon}
+		return &verdict{http.StatusServiceUnavailable, RuleConfigTooOld, comeBackSoon}
 	}
 	c.workspace = s.table.Workspace(platform.Key(h.Get(platform.HeaderKey)))
 	if c.workspace == nil {
-		return &verdict{status: http.StatusUnauthorized, rule: RuleNoKey}
+		return &verdict{status: http.StatusUnauthorized, rule: RuleUnknownKey}
 	}
 	return nil
 }
@@ -172,10 +172,10 @@
 	e.mu.Unlock()
 	b, err := io.ReadAll(body)
 	if _, tooLarge := err.(*http.MaxBytesError); tooLarge { //nolint:errorlint // the reader returns it bare
-		return &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleTooLarge}
+		return &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	if err != nil {
-		return &verdict{status: http.StatusBadRequest, rule: RuleBody}
+		return &verdict{status: http.StatusBadRequest, rule: RuleBodyUnreadable}
 	}
 	c.body = b
 	return nil
@@ -197,7 +197,7 @@
 		return choice, e.unplaceable(r, now)
 	}
 	rank := routing.Rank(c.route, c.workspace)
-	if !e.off.On(mechanism.Rank) {
+	if !e.mechanisms.On(mechanism.Rank) {
 		rank = 0
 	}
 	if ok, wait := placement.Admit(choice, r, rank, rand.Float64()); !ok {
@@ -216,13 +216,13 @@
 	obstacle, wait := e.state.placer.Obstacle(r, now)
 	switch obstacle {
 	case placement.Outside:
-		v.rule = RuleOutside
+		v.rule = RuleNoServerInRegions
 	case placement.Evacuated:
-		v.rule = RuleEvacuated
+		v.rule = RuleServersEvacuated
 	case placement.Limited:
-		v.rule, v.retryAfter = RuleLimited, untilShare(wait)
+		v.rule, v.retryAfter = RuleServersAtLimit, untilShare(wait)
 	case placement.Cold:
-		v.rule, v.retryAfter = RuleCold, untilShare(wait)
+		v.rule, v.retryAfter = RuleServersCold, untilShare(wait)
 	case placement.NoObstacle, placement.Draining:
 	}
 	return v
@@ -235,7 +235,7 @@
 }
 
 func (e *Edge) wanted(c *call, tried []string, now time.Duration) placement.Request {
-	stats := e.statsOf(c.route)
+	stats := e.routeStatsFor(c.route)
 	repeatable := c.route.Kind.Repeatable()
 	allowed, _ := e.topology.Allowed(c.route, c.workspace)
 	return placement.Request{
@@ -266,7 +266,7 @@
 	return nil
 }
 
-func (e *Edge) statsOf(r *routing.Route) *routeStats {
+func (e *Edge) routeStatsFor(r *routing.Route) *routeStats {
 	st, ok := e.state.routes[r.Name]
 	if !ok {
 		st = &routeStats{work: time.Duration(firstWork * float64(r.Aim)), kb: firstKB}
@@ -275,10 +275,10 @@
 	return st
 }
 
-// learnRoute takes in the time and size of an answered request. A request that
+// updateRouteStats takes in the time and size of an answered request. A request that
 // had to wait for a slot tells nothing of its work.
-func (e *Edge) learnRoute(c *call, took time.Duration, bytes int) {
-	st := e.statsOf(c.route)
+func (e *Edge) updateRouteStats(c *call, took time.Duration, bytes int) {
+	st := e.routeStatsFor(c.route)
 	if took > 0 {
 		st.work += time.Duration(routeSmoothing * float64(took-st.work))
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -66,21 +66,21 @@
 	callerPort uint16
 	// topology is the region of each data centre.
 	topology routing.Topology
-	// off are the mechanisms that a trial has switched off.
-	off mechanism.Off
+	// mechanisms are the mechanisms that a trial has switched mechanisms.
+	mechanisms mechanism.Off
 
 	// stopping is set by the signal to stop.
 	stopping atomic.Bool
 	// closing is set when a stopping instance takes no more requests.
 	closing atomic.Bool
 	callers *pipeline.Server
-	// kicked wakes the poller.
-	kicked chan struct{}
-	// fetches wakes the fetcher of the configuration.
-	fetches chan struct{}
-	// joined is closed when the store may be read.
-	joined  chan struct{}
-	joining sync.Once
+	// pollNow wakes the poller.
+	pollNow chan struct{}
+	// fetchNow wakes the fetcher of the configuration.
+	fetchNow chan struct{}
+	// storeReadable is closed when the store may be read.
+	storeReadable  chan struct{}
+	joinOnce sync.Once
 
 	mu    sync.Mutex
 	state state
@@ -94,9 +94,9 @@
 	// configInForce is the configuration that table was made of, as operators
 	// wrote it.
 	configInForce []byte
-	// misread says that the newest configuration in the store couldn't be
+	// configUnreadable says that the newest configuration in the store couldn't be
 	// understood: what is in force is older, and its age can't be proved.
-	misread bool
+	configUnreadable bool
 	split   routing.Splitter
 
 	// era of the store in the newest answer; eraKnown says that there was one.
@@ -104,7 +104,7 @@
 	// instance started.
 	era      uint64
 	eraKnown bool
-	eraSince time.Duration
+	eraStart time.Duration
 	// restoredUntil is how long what the store had confirmed may be missing
 	// since it came back from a copy.
 	restoredUntil time.Duration
@@ -114,45 +114,45 @@
 	servers       *replica.Table
 	instances     *replica.Table
 	recent        [evidence.Tables]replica.Recent
-	// configTold is the newest version of the configuration's row that another
+	// announcedConfig is the newest version of the configuration's row that another
 	// instance told of; its content comes by fetchConfig.
-	configTold replica.Point
-	// serversTold is the newest version of the list of servers that another
+	announcedConfig replica.Point
+	// announcedServers is the newest version of the list of servers that another
 	// instance told of.
-	serversTold replica.Point
+	announcedServers replica.Point
 	// configProof is the store's stamp up to which the configuration in force
 	// is proved to be the newest.
 	configProof time.Duration
-	proved      bool
+	configProved      bool
 	// serversProof is when the list of servers was last known to be complete.
 	serversProof time.Duration
 	// outageEnd is when the store last came back after an outage.
 	outageEnd time.Duration
-	// reader is the instance that read the store last, as far as is known.
-	reader uint32
-	// gapEnds is when to read the changes of the servers that were missed; 0
+	// lastReader is the instance that read the store last, as far as is known.
+	lastReader uint32
+	// missedServersDue is when to read the changes of the servers that were missed; 0
 	// if none were.
-	gapEnds    time.Duration
-	storeLost  bool
-	nextListed time.Duration
+	missedServersDue    time.Duration
+	storeUnavailable  bool
+	nextInstancesRead time.Duration
 	// leftOut is the number of log lines left out that was logged last.
 	leftOut   uint64
 	leftOutAt time.Duration
 
-	list    *discovery.List
+	serverList    *discovery.List
 	placer  *placement.Placer
 	usage   *usage.Counters
 	budgets map[string]*retry.Shared
 	routes  map[string]*routeStats
 
 	messenger *fleet.Messenger
-	// rounds goes off when messenger has something to do, at roundsAt; 0 if it
+	// roundTimer goes off when messenger has something to do, at roundsAt; 0 if it
 	// is stopped.
-	rounds   *time.Timer
-	roundsAt time.Duration
+	roundTimer   *time.Timer
+	roundDue time.Duration
 	// announcedReady says that the others were told that this instance is ready.
 	announcedReady bool
-	own            map[uint32]uint16
+	ownOutstanding            map[uint32]uint16
 
 	evacuations discovery.Evacuations
 	// limiter bounds what cold servers get, shared among holders.
@@ -173,13 +173,13 @@
 // New returns an instance that listens on its addresses and serves once Run
 // is called.
 func New(file string, s settings.Settings, lines *logging.Writer) (*Edge, error) {
-	self, err := addressNumber(s.IP)
+	self, err := parseIPv4(s.IP)
 	if err != nil {
 		return nil, err
 	}
 	e := &Edge{
 		settings: s,
-		off:      s.Trial.Off(),
+		mechanisms:      s.Trial.Disabled(),
 		file:     file,
 		lines:    lines,
 		log:      slog.New(slog.NewJSONHandler(lines, nil)).With(slog.String("instance", s.Name)),
@@ -190,9 +190,9 @@
 		self:     self,
 		topology: s.Regions,
 		epoch:    newEpoch(),
-		kicked:   make(chan struct{}, 1),
-		fetches:  make(chan struct{}, 1),
-		joined:   make(chan struct{}),
+		pollNow:   make(chan struct{}, 1),
+		fetchNow:  make(chan struct{}, 1),
+		storeReadable:   make(chan struct{}),
 	}
 	e.callers = e.newCallers()
 	e.metrics = newMetrics(e)
@@ -202,12 +202,12 @@
 		config:    replica.NewTable(),
 		servers:   replica.NewTable(),
 		instances: replica.NewTable(),
-		list:      discovery.NewList(),
-		placer:    placement.NewWithout(s.Trial.Off()),
+		serverList:      discovery.NewList(),
+		placer:    placement.NewWithout(s.Trial.Disabled()),
 		usage:     newUsage(),
 		budgets:   make(map[string]*retry.Shared),
 		routes:    make(map[string]*routeStats),
-		own:       make(map[uint32]uint16),
+		ownOutstanding:       make(map[uint32]uint16),
 		limiter:   warmup.NewLimiter(self),
 		throttle:  throttle.NewLimiter(self),
 	}
@@ -322,23 +322,23 @@
 // String names the part in logs.
 func (p part) String() string { return p.name }
 
-// addressNumber is the short form of an IPv4 address in messages.
-func addressNumber(ip string) (uint32, error) {
+// parseIPv4 is the short form of an IPv4 address in messages.
+func parseIPv4(ip string) (uint32, error) {
 	a, err := netip.ParseAddr(ip)
 	if err != nil || !a.Is4() {
 		return 0, errors.Newf("%q isn't an IPv4 address", ip)
 	}
-	return number(a), nil
+	return ipv4Number(a), nil
 }
 
-// number is addressNumber of an address that is known to be IPv4.
-func number(a netip.Addr) uint32 {
+// ipv4Number is addressNumber of an address that is known to be IPv4.
+func ipv4Number(a netip.Addr) uint32 {
 	b := a.Unmap().As4()
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// address is the opposite of addressNumber, with a port.
-func address(n uint32, port uint16) netip.AddrPort {
+// addrPort is the opposite of addressNumber, with a port.
+func addrPort(n uint32, port uint16) netip.AddrPort {
 	var b [4]byte
 	binary.BigEndian.PutUint32(b[:], n)
 	return netip.AddrPortFrom(netip.AddrFrom4(b), port)
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -53,11 +53,11 @@
 	}
 	c, err := platform.DecodeConfig(r.Value)
 	if err != nil {
-		s.misread = true
+		s.configUnreadable = true
 		event.ConfigRejected.Log(e.log, slog.Any("error", err))
 		return
 	}
-	s.misread = false
+	s.configUnreadable = false
 	if s.table != nil && c.Version < s.table.Version {
 		e.keepConfig(r.Version)
 		return
@@ -86,7 +86,7 @@
 
 // limitOf is the limit that a workspace is held to.
 func (e *Edge) limitOf(w routing.Workspace) usage.Limit {
-	if !e.off.On(mechanism.Tolerance) {
+	if !e.mechanisms.On(mechanism.Tolerance) {
 		return usage.Strict(w.Rate, w.Burst)
 	}
 	b := e.settings.Bounds
@@ -108,7 +108,7 @@
 	}
 	var changed []replica.Row
 	for _, r := range rows {
-		unsettled := s.list.Unsettled(r.Key)
+		unsettled := s.serverList.Unsettled(r.Key)
 		c, ok := e.serverChange(r, restored, now, keepUntil)
 		if ok {
 			e.applyServer(c, now)
@@ -123,20 +123,20 @@
 func (e *Edge) serverChange(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
 	s := &e.state
 	if r.Gone {
-		return s.list.Remove(r.Key, now, keepUntil)
+		return s.serverList.Remove(r.Key, now, keepUntil)
 	}
 	entry, err := platform.DecodeServer(r.Key, r.Value)
 	if err != nil {
 		// An entry that somebody else wrote, or half wrote, names no server.
-		if e.budget.Take(now, quietShare) {
+		if e.budget.Take(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", r.Key), slog.Any("error", err))
 		}
-		return s.list.Remove(r.Key, now, now)
+		return s.serverList.Remove(r.Key, now, now)
 	}
 	if restored {
-		return s.list.Restore(entry, now)
+		return s.serverList.Restore(entry, now)
 	}
-	return s.list.Put(entry, now)
+	return s.serverList.Put(entry, now)
 }
 
 func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
@@ -151,7 +151,7 @@
 
 // expireServers drops servers that didn't come back after an outage.
 func (e *Edge) expireServers(now time.Duration) {
-	for _, c := range e.state.list.Expire(now) {
+	for _, c := range e.state.serverList.Expire(now) {
 		e.applyServer(c, now)
 	}
 }
@@ -163,7 +163,7 @@
 }
 
 func (e *Edge) takeInstance(r replica.Row, now time.Duration) {
-	id, err := addressNumber(r.Key)
+	id, err := parseIPv4(r.Key)
 	if err != nil || id == e.self {
 		return
 	}
--- a/edge/era.go
+++ b/edge/era.go
@@ -39,11 +39,11 @@
 	age := e.keyAge(now)
 	s.clock.Restart()
 	s.configProof = stamp - age
-	s.era, s.eraSince = era, stamp
+	s.era, s.eraStart = era, stamp
 	// Entries that were first written after the copy are missing.
 	s.outageEnd = now
 	s.restoredUntil = now + discovery.Grace
-	s.nextListed = 0
+	s.nextInstancesRead = 0
 	for i := range s.recent {
 		s.recent[i].Reset()
 	}
@@ -52,7 +52,7 @@
 // rewriting reports whether at this moment of the store's clock the configuration
 // may lack what operators have to write again.
 func (e *Edge) rewriting(stamp time.Duration) bool {
-	return e.state.eraSince > 0 && stamp < e.state.eraSince+rewriteWait
+	return e.state.eraStart > 0 && stamp < e.state.eraStart+rewriteWait
 }
 
 // currentEra reports whether a copy is of the store's present era.
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -40,7 +40,7 @@
 	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
 	at, _ := e.state.servers.Point()
 	must.Eq(t, replica.Point{Era: 1, Version: 5}, at)
-	must.Eq(t, replica.Point{}, e.state.serversTold)
+	must.Eq(t, replica.Point{}, e.state.announcedServers)
 	clock, _ := e.state.clock.Store(now)
 	must.Eq(t, 100*time.Second, clock)
 }
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -30,13 +30,13 @@
 // a newer one.
 func (e *Edge) fetchConfig(ctx context.Context) error {
 	select {
-	case <-e.joined:
+	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for {
 		select {
-		case <-e.fetches:
+		case <-e.fetchNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -78,7 +78,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, known := e.state.config.Point()
-	return known && !e.configRow().Before(e.state.configTold)
+	return known && !e.configRow().Before(e.state.announcedConfig)
 }
 
 // configRow is the version of the configuration's row in this instance's copy.
@@ -94,7 +94,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at, known := e.state.servers.Point()
-	return known && !at.Before(e.state.serversTold)
+	return known && !at.Before(e.state.announcedServers)
 }
 
 // readers are the instances of the own data centre that read the store for the
--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -21,7 +21,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(0, key)
-	f.up(fleetSize)
+	f.startAll(fleetSize)
 	time.Sleep(time.Second)
 	before := f.store.Calls()
 	f.configure(0, "new-key")
--- a/edge/fixture_test.go
+++ b/edge/fixture_test.go
@@ -83,7 +83,7 @@
 
 func (f *fleet) ip(n int) string { return fmt.Sprintf("127.%d.0.%d", f.net, n+1) }
 
-func (f *fleet) at(n, port int) string { return fmt.Sprintf("%s:%d", f.ip(n), f.ports[port]) }
+func (f *fleet) address(n, port int) string { return fmt.Sprintf("%s:%d", f.ip(n), f.ports[port]) }
 
 // end stops all instances, together: each takes a while for a planned stop.
 func (f *fleet) end() {
@@ -98,9 +98,9 @@
 	}
 }
 
-// storeFor returns an address of the store for one instance. The kernel has
+// storeAddress returns an address of the store for one instance. The kernel has
 // all of them call from the same address; this one tells the store who calls.
-func (f *fleet) storeFor(ip string) string {
+func (f *fleet) storeAddress(ip string) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.RemoteAddr = net.JoinHostPort(ip, "1")
 		f.store.ServeHTTP(w, r)
@@ -116,16 +116,16 @@
 	s := settings.Settings{
 		Name: fmt.Sprintf("edge-%d", n), DataCentre: "dc", IP: f.ip(n),
 		Listen: settings.Listen{
-			Callers: f.at(n, 0), Readiness: f.at(n, 1), Directory: f.at(n, 2), Peers: f.at(n, 3), Metrics: f.at(n, 4),
+			Callers: f.address(n, 0), Readiness: f.address(n, 1), Directory: f.address(n, 2), Peers: f.address(n, 3), Metrics: f.address(n, 4),
 		},
-		Store: settings.Store{Address: f.storeFor(f.ip(n))},
+		Store: settings.Store{Address: f.storeAddress(f.ip(n))},
 		Bounds: settings.Bounds{
 			RevokeS: revokeS, GraceS: 3, AddressTTLS: 5, RetryRatio: 0.2, RetrySlack: 50, RateWindowS: 5,
 		},
 		Log: settings.Log{LinesPerSecond: 1000},
 	}
 	if n > 0 {
-		s.Seeds = []string{f.at(0, 3)}
+		s.Seeds = []string{f.address(0, 3)}
 	}
 	if change != nil {
 		change(&s)
@@ -197,14 +197,14 @@
 	b := &backend{id: id, zone: zone, ran: make(map[string]int), answer: answer}
 	b.server = httptest.NewServer(b)
 	f.t.Cleanup(b.server.Close)
-	f.list(b, "ready")
+	f.writeEntry(b, "ready")
 	return b
 }
 
-func (f *fleet) list(b *backend, state string) { f.listCold(b, state, 0) }
+func (f *fleet) writeEntry(b *backend, state string) { f.writeColdEntry(b, state, 0) }
 
-// listCold writes the entry of a server that is cold for some seconds yet.
-func (f *fleet) listCold(b *backend, state string, coldS float64) {
+// writeColdEntry writes the entry of a server that is cold for some seconds yet.
+func (f *fleet) writeColdEntry(b *backend, state string, coldS float64) {
 	b.writes++
 	v, err := json.Marshal(map[string]any{
 		"service": "s", "address": strings.TrimPrefix(b.server.URL, "http://"), "zone": b.zone, "version": "v1",
@@ -250,9 +250,9 @@
 	return n
 }
 
-func reset(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func resetConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func full(w http.ResponseWriter, _ *http.Request) {
+func rejectNotExecuted(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -273,7 +273,7 @@
 func (f *fleet) call(n int, method, path, body string, change func(*http.Request)) (result, string) {
 	f.t.Helper()
 	id := fmt.Sprintf("attempt-%d", attempts.Add(1))
-	req, err := http.NewRequest(method, "http://"+f.at(n, 0)+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+f.address(n, 0)+path, strings.NewReader(body))
 	must.NoError(f.t, err)
 	req.Host = "h.example"
 	req.Header.Set("X-Attempt-Id", id)
@@ -302,7 +302,7 @@
 }
 
 func (f *fleet) ready(n int) bool {
-	resp, err := http.Get("http://" + f.at(n, 1) + "/api/readyz")
+	resp, err := http.Get("http://" + f.address(n, 1) + "/api/readyz")
 	if err != nil {
 		return false
 	}
@@ -311,7 +311,7 @@
 }
 
 func (f *fleet) addresses(n int) []string {
-	resp, err := http.Get("http://" + f.at(n, 2) + "/api/resolve?name=h.example&zone=dc")
+	resp, err := http.Get("http://" + f.address(n, 2) + "/api/resolve?name=h.example&zone=dc")
 	if err != nil {
 		return nil
 	}
@@ -334,8 +334,8 @@
 	t.Fatalf("not within %v: %s", within, what)
 }
 
-// up starts instances and waits until they are ready and know each other.
-func (f *fleet) up(n int) {
+// startAll starts instances and waits until they are ready and know each other.
+func (f *fleet) startAll(n int) {
 	f.t.Helper()
 	for range n {
 		f.start(nil)
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -44,7 +44,7 @@
 	s.servers = replica.NewTable()
 	s.table = routing.NewTable(routing.Config{})
 	s.clock.Observe(time.Second, e.now())
-	s.configProof, s.proved = time.Second, true
+	s.configProof, s.configProved = time.Second, true
 	must.False(t, e.readyLocked())
 	s.servers.Apply(replica.Answer{Whole: true, Version: 1}, 0)
 	must.True(t, e.readyLocked())
@@ -65,8 +65,8 @@
 // An instance that has just started knows nothing yet. Its lines leave the age
 // out; a number in its place reads like an age of a hundred years.
 func TestUnknownAgesAreLeftOutOfLines(t *testing.T) {
-	must.True(t, ageOf((&freshness.Poll{}).Age(time.Minute)).Equal(slog.Attr{}))
-	must.True(t, ageOf(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
+	must.True(t, ageAttr((&freshness.Poll{}).Age(time.Minute)).Equal(slog.Attr{}))
+	must.True(t, ageAttr(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
 }
 
 // A route's time is shorter than its work. Servers work until the deadline that
@@ -87,7 +87,7 @@
 	e := &Edge{self: 1}
 	e.state.placer, e.state.throttle = placement.New(), throttle.NewLimiter(1)
 	milli := uint32(2500)
-	e.applyLimit(evidence.Attempt{Server: 9, Ended: true, LimitMilli: &milli}, 10*time.Second)
+	e.applyPeerLimit(evidence.Attempt{Server: 9, Ended: true, LimitMilli: &milli}, 10*time.Second)
 	limit, limited := e.state.throttle.Limit(9)
 	must.True(t, limited)
 	must.Eq(t, 2.5, limit)
@@ -97,11 +97,11 @@
 		{Server: 9, Ended: true, Result: health.Incomplete, TookMS: 10},
 		{Server: 9, Ended: true},
 	} {
-		e.applyLimit(a, 11*time.Second)
+		e.applyPeerLimit(a, 11*time.Second)
 		_, limited = e.state.throttle.Limit(9)
 		must.True(t, limited)
 	}
-	e.applyLimit(evidence.Attempt{Server: 9, Ended: true, TookMS: 300}, 12*time.Second)
+	e.applyPeerLimit(evidence.Attempt{Server: 9, Ended: true, TookMS: 300}, 12*time.Second)
 	_, limited = e.state.throttle.Limit(9)
 	must.False(t, limited)
 }
--- a/edge/join.go
+++ b/edge/join.go
@@ -27,7 +27,7 @@
 // join waits until another instance has told what it knows, or until it is time
 // to read the store.
 func (e *Edge) join(ctx context.Context) {
-	defer close(e.joined)
+	defer close(e.storeReadable)
 	start := e.now()
 	spread := rand.Float64()
 	for !e.knowsServers() && e.now()-start < e.joinWithin(spread) {
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -47,7 +47,7 @@
 
 // pollStore asks the store whenever this instance's turn comes.
 func (e *Edge) pollStore(ctx context.Context) error {
-	e.joining.Do(func() { e.join(ctx) })
+	e.joinOnce.Do(func() { e.join(ctx) })
 	for {
 		e.mu.Lock()
 		wait := e.untilPoll(e.now())
@@ -60,7 +60,7 @@
 		}
 		select {
 		case <-time.After(wait):
-		case <-e.kicked:
+		case <-e.pollNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -70,8 +70,8 @@
 func (e *Edge) untilPoll(now time.Duration) time.Duration {
 	s := &e.state
 	due := s.poll.Next(e.state.messenger.Rank(), rand.Float64(), now)
-	if s.gapEnds > 0 {
-		due = min(due, s.gapEnds)
+	if s.missedServersDue > 0 {
+		due = min(due, s.missedServersDue)
 	}
 	return due - now
 }
@@ -80,13 +80,13 @@
 // lacks, if it lacks any. It reports whether it has them now.
 func (e *Edge) fillGap(ctx context.Context) bool {
 	e.mu.Lock()
-	lacks := e.state.gapEnds > 0
+	lacks := e.state.missedServersDue > 0
 	e.mu.Unlock()
 	if !lacks || !e.askReaders(ctx, methodGet, snapshotTimeout, e.hasToldServers) {
 		return false
 	}
 	e.mu.Lock()
-	e.state.gapEnds = 0
+	e.state.missedServersDue = 0
 	e.mu.Unlock()
 	return true
 }
@@ -96,11 +96,11 @@
 	e.mu.Lock()
 	now := e.now()
 	s := &e.state
-	missed := s.gapEnds > 0
-	s.gapEnds = 0
+	missed := s.missedServersDue > 0
+	s.missedServersDue = 0
 	s.poll.Attempted(now)
 	tables := []evidence.Table{evidence.Config, evidence.Servers}
-	if now >= s.nextListed {
+	if now >= s.nextInstancesRead {
 		tables = append(tables, evidence.Instances)
 	}
 	if s.poll.Troubled(now) {
@@ -182,11 +182,11 @@
 		notices = append(notices, e.notices(p, told)...)
 		e.prove(p.table, p.answer.Stamp, now)
 		if p.table == evidence.Instances {
-			s.nextListed = now + listedEvery
+			s.nextInstancesRead = now + listedEvery
 		}
 	}
 	if well {
-		s.reader = e.self
+		s.lastReader = e.self
 		s.poll.Succeeded()
 	} else {
 		s.poll.Failed(now)
@@ -214,7 +214,7 @@
 // noteIgnored logs an answer that is older than what is known.
 func (e *Edge) noteIgnored(t evidence.Table, at replica.Point, now time.Duration) {
 	known, ok := e.copyOf(t).Point()
-	if ok && at.Before(known) && e.budget.Take(now, quietShare) {
+	if ok && at.Before(known) && e.budget.Take(now, routineLogShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
 			slog.Uint64("era", at.Era), slog.Uint64("known_era", known.Era))
@@ -238,9 +238,9 @@
 	at := now - s.clock.Age(stamp, now)
 	switch t {
 	case evidence.Config:
-		if !s.misread && (stamp > s.configProof || !s.proved) && !e.rewriting(stamp) {
+		if !s.configUnreadable && (stamp > s.configProof || !s.configProved) && !e.rewriting(stamp) {
 			s.configProof = stamp
-			s.proved = true
+			s.configProved = true
 		}
 	case evidence.Servers:
 		s.serversProof = max(s.serversProof, at)
@@ -251,7 +251,7 @@
 
 // keyAge is how old the proof of the configuration in force is.
 func (e *Edge) keyAge(now time.Duration) time.Duration {
-	if !e.state.proved {
+	if !e.state.configProved {
 		return freshness.Unknown
 	}
 	return e.state.clock.Age(e.state.configProof, now)
@@ -261,18 +261,18 @@
 func (e *Edge) noteStore(now time.Duration) {
 	s := &e.state
 	age := s.poll.Age(now)
-	if lost := age > lostAfter; lost != s.storeLost {
-		s.storeLost = lost
+	if lost := age > lostAfter; lost != s.storeUnavailable {
+		s.storeUnavailable = lost
 		if lost {
-			event.PlatformUnavailable.Log(e.log, ageOf(age))
+			event.PlatformUnavailable.Log(e.log, ageAttr(age))
 		} else {
-			event.PlatformReturned.Log(e.log, ageOf(age))
+			event.PlatformReturned.Log(e.log, ageAttr(age))
 		}
 	}
 }
 
 func (e *Edge) logStoreError(p polled, now time.Duration) {
-	if e.budget.Take(now, quietShare) {
+	if e.budget.Take(now, routineLogShare) {
 		event.StoreCallFailed.Log(e.log, slog.String("table", tableNames[p.table]),
 			slog.Duration("took", now-p.asked), slog.Any("error", p.err))
 	}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -19,9 +19,9 @@
 // it doesn't end the limit.
 const limitMargin = time.Second
 
-// learnLimit takes in what an answer says of its server's limit, and returns the
+// updateLimit takes in what an answer says of its server's limit, and returns the
 // limit that it names for the other instances. The lock must be held.
-func (e *Edge) learnLimit(a *attempt, now time.Duration) *uint32 {
+func (e *Edge) updateLimit(a *attempt, now time.Duration) *uint32 {
 	if a.answer.Outcome != upstream.Answered || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	limit, named, err := platform.ServerLimit(a.answer.Header)
 	switch {
 	case err != nil:
-		if e.budget.Take(now, quietShare) {
+		if e.budget.Take(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", a.choice.Server.ID), slog.Any("error", err))
 		}
 		return nil
@@ -63,9 +63,9 @@
 	return &m
 }
 
-// applyLimit takes in what an answer to another instance says of its server's
+// applyPeerLimit takes in what an answer to another instance says of its server's
 // limit. The lock must be held.
-func (e *Edge) applyLimit(a evidence.Attempt, now time.Duration) {
+func (e *Edge) applyPeerLimit(a evidence.Attempt, now time.Duration) {
 	if a.LimitMilli != nil {
 		e.limit(a.Server, *a.LimitMilli, now)
 		return
@@ -92,7 +92,7 @@
 }
 
 func (e *Edge) logLimit(server uint32, limit, before slog.Attr, now time.Duration) {
-	if entry, known := e.state.placer.Server(server); known && e.budget.Take(now, quietShare) {
+	if entry, known := e.state.placer.Server(server); known && e.budget.Take(now, routineLogShare) {
 		event.ServerLimited.Log(e.log, slog.String("server", entry.ID), slog.String("service", entry.Service), limit, before)
 	}
 }
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -76,7 +76,7 @@
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "2")
 	f.backend("other", nil)
-	f.up(4)
+	f.startAll(4)
 	f.lookupsFor(time.Second, 10*time.Millisecond)
 	start := time.Now()
 	served := f.lookupsFor(4*time.Second, 10*time.Millisecond)
@@ -94,7 +94,7 @@
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "2")
 	f.backend("other", nil)
-	f.up(8)
+	f.startAll(8)
 	f.lookupsFor(2*time.Second, 10*time.Millisecond)
 	none := ""
 	limited.limit.Store(&none)
@@ -111,7 +111,7 @@
 	f := newFleet(t)
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "1")
-	f.up(1)
+	f.startAll(1)
 	f.lookupsFor(500*time.Millisecond, 10*time.Millisecond)
 	before := limited.since(time.Time{})
 	for range 20 {
@@ -149,7 +149,7 @@
 		answer(w, r)
 	}
 	f.backend("other", nil)
-	f.up(4)
+	f.startAll(4)
 	f.lookupsFor(time.Second, 10*time.Millisecond)
 	start := time.Now()
 	f.lookupsFor(4*time.Second, 10*time.Millisecond)
--- a/edge/members.go
+++ b/edge/members.go
@@ -56,7 +56,7 @@
 			event.EntryIgnored.Log(e.log, slog.String("seed", seed))
 			continue
 		}
-		ids = append(ids, number(a.Addr()))
+		ids = append(ids, ipv4Number(a.Addr()))
 	}
 	return ids
 }
@@ -64,7 +64,7 @@
 // found takes in that instances are heard.
 func (e *Edge) found(returned []*fleet.Instance) {
 	for _, m := range returned {
-		event.PeerHeard.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()))
+		event.PeerHeard.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()))
 	}
 	if len(returned) > 0 {
 		e.countShare()
@@ -77,7 +77,7 @@
 	for _, m := range fell {
 		s.usage.Forget(m.ID)
 		s.placer.Forget(m.ID)
-		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
+		event.PeerSilent.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.Heard))
 	}
 	if float64(len(fell)) > manySilent*float64(all) {
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -26,7 +26,7 @@
 	took        *prometheus.HistogramVec
 	attempts    *prometheus.CounterVec
 	datagrams   prometheus.Counter
-	datagramsIn prometheus.Counter
+	datagramsReceived prometheus.Counter
 }
 
 func newMetrics(e *Edge) *metrics {
@@ -45,11 +45,11 @@
 		datagrams: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "datagrams_total", Help: "Datagrams written to other instances.",
 		}),
-		datagramsIn: prometheus.NewCounter(prometheus.CounterOpts{
+		datagramsReceived: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "datagrams_received_total", Help: "Datagrams read from other instances.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsIn)
+	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsReceived)
 	m.gauge("rounds_total", "Rounds sent to listeners and other relays.", e.locked(func() float64 {
 		return float64(e.state.messenger.Hub().Rounds())
 	}))
@@ -73,7 +73,7 @@
 	m.gauge("rate_share", "Part of the workspaces' rates that this instance may count on.", e.locked(func() float64 {
 		return e.state.usage.Share
 	}))
-	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.list.Len()) }))
+	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.serverList.Len()) }))
 	m.gauge("suspect_servers", "Backend servers that more likely fail than not.", e.locked(func() float64 {
 		n := 0
 		for _, v := range e.state.placer.Views(e.now()) {
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -115,7 +115,7 @@
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
 		changed := replica.Point{Era: n.Era, Version: n.Changed}
-		s.configTold = later(s.configTold, changed)
+		s.announcedConfig = later(s.announcedConfig, changed)
 		complete = e.currentEra(s.config) && !e.configRow().Before(changed)
 		n.Since = version
 		if err == nil {
@@ -123,7 +123,7 @@
 		}
 	}
 	if n.Table == evidence.Servers {
-		s.serversTold = later(s.serversTold, replica.Point{Era: n.Era, Version: n.Version})
+		s.announcedServers = later(s.announcedServers, replica.Point{Era: n.Era, Version: n.Version})
 	}
 	if !complete {
 		e.missed(n.Table, now)
@@ -149,10 +149,10 @@
 	e.prove(n.Table, n.Stamp(), now)
 	switch n.Table {
 	case evidence.Servers:
-		s.gapEnds = 0
+		s.missedServersDue = 0
 		s.poll.Yield()
 	case evidence.Instances:
-		s.nextListed = now + listedEvery
+		s.nextInstancesRead = now + listedEvery
 	}
 }
 
@@ -160,15 +160,15 @@
 func (e *Edge) missed(t evidence.Table, now time.Duration) {
 	switch t {
 	case evidence.Config:
-		wake(e.fetches)
+		wake(e.fetchNow)
 	case evidence.Servers:
-		if e.state.gapEnds > 0 {
+		if e.state.missedServersDue > 0 {
 			return
 		}
-		e.state.gapEnds = now + e.gapPause()
-		wake(e.kicked)
+		e.state.missedServersDue = now + e.gapPause()
+		wake(e.pollNow)
 	case evidence.Instances:
-		e.state.nextListed = 0
+		e.state.nextInstancesRead = 0
 	}
 }
 
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -69,7 +69,7 @@
 	one, two := newQuiet(t), newQuiet(t)
 	usable := func(e *Edge) bool {
 		e.expireServers(e.now())
-		_, known := e.state.list.Get("i-1")
+		_, known := e.state.serverList.Get("i-1")
 		return known
 	}
 	at := one.now()
@@ -91,7 +91,7 @@
 	stamp += 500 * time.Millisecond
 	polls(one, two, answer(12, entry(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
-		for _, c := range e.state.list.Expire(at + discovery.Grace) {
+		for _, c := range e.state.serverList.Expire(at + discovery.Grace) {
 			t.Errorf("%s is dropped although its entry is back", c.Server.ID)
 		}
 		must.Len(t, 1, e.state.servers.Rows())
@@ -102,7 +102,7 @@
 	stamp += time.Second
 	polls(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
 	for _, e := range []*Edge{one, two} {
-		_, known := e.state.list.Get("i-1")
+		_, known := e.state.serverList.Get("i-1")
 		must.False(t, known)
 		_, known = e.state.placer.Choose(placement.Request{Service: "s"}, at, func() float64 { return 0 })
 		must.False(t, known)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -52,9 +52,9 @@
 
 // noteRelay logs that another instance is told from now on.
 func (e *Edge) noteRelay(before uint32, now time.Duration) {
-	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, quietShare) {
-		event.RelayChanged.Log(e.log, slog.String("before", address(before, 0).Addr().String()),
-			slog.String("relay", address(after, 0).Addr().String()))
+	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, routineLogShare) {
+		event.RelayChanged.Log(e.log, slog.String("before", addrPort(before, 0).Addr().String()),
+			slog.String("relay", addrPort(after, 0).Addr().String()))
 	}
 }
 
@@ -66,21 +66,21 @@
 	for ; due <= now; due = s.messenger.Due() {
 		e.send(s.messenger.Step(now))
 	}
-	if s.roundsAt != 0 && s.roundsAt <= due {
+	if s.roundDue != 0 && s.roundDue <= due {
 		return
 	}
-	s.roundsAt = due
-	if s.rounds == nil {
-		s.rounds = time.AfterFunc(due-now, e.roundsDue)
+	s.roundDue = due
+	if s.roundTimer == nil {
+		s.roundTimer = time.AfterFunc(due-now, e.roundsDue)
 		return
 	}
-	s.rounds.Reset(due - now)
+	s.roundTimer.Reset(due - now)
 }
 
 func (e *Edge) roundsDue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.roundsAt = 0
+	e.state.roundDue = 0
 	e.keepRounds(e.now())
 }
 
@@ -99,7 +99,7 @@
 		d := &datagrams[i]
 		b := d.Encode()
 		for _, id := range d.To {
-			_, _ = e.socket.WriteToUDPAddrPort(b, address(id, e.peerPort))
+			_, _ = e.socket.WriteToUDPAddrPort(b, addrPort(id, e.peerPort))
 			e.metrics.datagrams.Inc()
 		}
 	}
@@ -132,7 +132,7 @@
 	e.noteKnown(now)
 	e.expireServers(now)
 	e.noteStore(now)
-	e.noteLeftOut(now)
+	e.logDroppedLines(now)
 }
 
 // receive takes in datagrams.
@@ -148,7 +148,7 @@
 		if err != nil {
 			return errors.Wrap(err, "datagrams")
 		}
-		e.metrics.datagramsIn.Inc()
+		e.metrics.datagramsReceived.Inc()
 		e.take(from, b[:n])
 	}
 }
@@ -158,8 +158,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	t, err := e.state.messenger.Take(number(from.Addr()), b, now)
-	if err != nil && e.budget.Take(now, quietShare) {
+	t, err := e.state.messenger.Take(ipv4Number(from.Addr()), b, now)
+	if err != nil && e.budget.Take(now, routineLogShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
 	e.found(t.Returned)
@@ -189,7 +189,7 @@
 	}
 	for _, n := range m.Notices {
 		if n.StampUS != 0 {
-			s.reader = m.Source
+			s.lastReader = m.Source
 		}
 		e.applyNotice(n, now)
 	}
@@ -201,13 +201,13 @@
 		s.placer.Outstanding(a.Server, from, int(a.Outstanding), now)
 	}
 	if a.Number > 0 {
-		s.repeatsAt(a.Server, a.Number, now)
+		s.countAttempt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
 		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.TookMS), milliseconds(a.WorkMS), now)
 	}
 	if a.Ended {
-		e.applyLimit(a, now)
+		e.applyPeerLimit(a, now)
 	}
 	if a.Final != evidence.NotFinal {
 		s.placer.ServedAt(a.Server, a.Final == evidence.Served, now)
--- a/edge/pipeline_test.go
+++ b/edge/pipeline_test.go
@@ -23,7 +23,7 @@
 
 func (f *fleet) line(n int) *line {
 	f.t.Helper()
-	conn, err := net.Dial("tcp4", f.at(n, 0))
+	conn, err := net.Dial("tcp4", f.address(n, 0))
 	must.NoError(f.t, err)
 	f.t.Cleanup(func() { _ = conn.Close() })
 	must.NoError(f.t, conn.SetDeadline(time.Now().Add(10*time.Second)))
@@ -77,7 +77,7 @@
 		sealed(w, r)
 	})
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	wrongKey := strings.Replace(ask("GET", "/lookup/k", "a-k", ""), key, "wrong", 1)
 	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("GET", "/lookup/1", "a-1", ""),
@@ -108,7 +108,7 @@
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	smuggled := ask("GET", "/lookup/smuggled", "a-x", "")
 	chunked := strings.Replace(ask("POST", "/order/2", "a-2", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) +
@@ -148,7 +148,7 @@
 	f.backend("i-1", slow)
 	f.backend("i-2", slow)
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	start := time.Now()
 	for i := range 4 {
@@ -180,7 +180,7 @@
 		sealed(w, r)
 	})
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("POST", "/order/1", "a-1", "body"), ask("GET", "/lookup/2", "a-2", ""))
 	for i := range 3 {
@@ -205,7 +205,7 @@
 		sealed(w, r)
 	})
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("POST", "/order/1", "a-1", "body"), ask("POST", "/order/2", "a-2", "body"))
 	<-begun
@@ -236,7 +236,7 @@
 		sealed(w, r)
 	})
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("GET", "/lookup/1", "a-1", ""))
 	<-begun
@@ -265,7 +265,7 @@
 		left <- struct{}{}
 	})
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	l.send(ask("GET", "/lookup/0", "a-0", ""))
 	<-begun
@@ -302,7 +302,7 @@
 		sealed(w, r)
 	})
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	const all = 300
 	go func() {
@@ -326,7 +326,7 @@
 	f := newFleet(t)
 	f.backend("i-1", sealed)
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	l := f.line(0)
 	l.send(ask("GET", "/lookup/0", "a-0", ""), "no request\r\n\r\n")
 	status, id, _, _ := l.next()
--- a/edge/places_test.go
+++ b/edge/places_test.go
@@ -22,7 +22,7 @@
 	away := f.backendIn("away", "i-away", nil)
 	stays := f.backend("i-stays", nil)
 	f.configure(1000, key)
-	f.up(3)
+	f.startAll(3)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(1) {
 			return rowstore.Busy
@@ -62,7 +62,7 @@
 	away := f.backendIn("away", "i-away", nil)
 	f.configure(1000, key)
 	f.store.Put("op", "evacuate/away", []byte("{}"))
-	f.up(2)
+	f.startAll(2)
 	for i := range 2 {
 		r, _ := f.lookup(i)
 		must.Eq(t, http.StatusServiceUnavailable, r.status)
@@ -80,7 +80,7 @@
 	away := f.backendIn("away", "i-away", nil)
 	f.backend("i-stays", nil)
 	f.configure(1000, key)
-	f.up(3)
+	f.startAll(3)
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	f.configure(1000, "other")
 	f.configure(1000, key)
@@ -144,9 +144,9 @@
 		service["warmup_s"], service["warmup_per_s"] = 3.0, 2.0
 	}, 1000, key)
 	warm := f.backend("i-warm", nil)
-	f.up(5)
+	f.startAll(5)
 	cold := f.backend("i-cold", nil)
-	f.listCold(cold, "ready", 3)
+	f.writeColdEntry(cold, "ready", 3)
 	eventually(t, 3*time.Second, "the cold server is used", func() bool {
 		for i := range 5 {
 			f.lookup(i)
@@ -173,9 +173,9 @@
 		service := config["services"].([]any)[0].(map[string]any)
 		service["warmup_s"], service["warmup_per_s"] = 3.0, 1.0
 	}, 1000, key)
-	f.up(1)
+	f.startAll(1)
 	cold := f.backend("i-cold", nil)
-	f.listCold(cold, "ready", 3)
+	f.writeColdEntry(cold, "ready", 3)
 	eventually(t, 3*time.Second, "the server is known", func() bool {
 		r, _ := f.lookup(0)
 		return r.status == http.StatusOK
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -14,7 +14,7 @@
 	defer e.mu.Unlock()
 	told := e.outstanding(a, 1)
 	told.Number = uint8(a.number)
-	e.state.repeatsOf(c.service).Count(a.number > 1, e.now())
+	e.state.sharedRetryBudget(c.service).Count(a.number > 1, e.now())
 	m := evidence.Message{Attempts: []evidence.Attempt{told}}
 	if c.workspace != nil {
 		h := workspaceHash(c.workspace.Name)
@@ -27,11 +27,11 @@
 func (e *Edge) outstanding(a *attempt, change int) evidence.Attempt {
 	s := &e.state
 	h := placement.Hash(a.choice.Server.ID)
-	n := uint16(max(int(s.own[h])+change, 0))
+	n := uint16(max(int(s.ownOutstanding[h])+change, 0))
 	if n == 0 {
-		delete(s.own, h)
+		delete(s.ownOutstanding, h)
 	} else {
-		s.own[h] = n
+		s.ownOutstanding[h] = n
 	}
 	s.placer.Outstanding(h, 0, int(n), e.now())
 	return evidence.Attempt{Server: h, Outstanding: n}
@@ -39,24 +39,24 @@
 
 // publishEnd takes in and tells how an attempt ended.
 func (e *Edge) publishEnd(c *call, a *attempt, final evidence.Final) {
-	if a.ends {
+	if a.endPublished {
 		return
 	}
-	a.ends = true
+	a.endPublished = true
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	told := e.outstanding(a, -1)
-	told.LimitMilli = e.learnLimit(a, now)
+	told.LimitMilli = e.updateLimit(a, now)
 	told.Ended, told.Result, told.Final = true, evidenceOf(c, a), final
-	work := e.statsOf(c.route).work
+	work := e.routeStatsFor(c.route).work
 	took := a.took
 	if a.result == health.OK {
 		if a.choice.Waits() {
 			// It had to wait; its time says nothing of the server's speed.
 			took = 0
 		}
-		e.learnRoute(c, took, len(c.body)+len(a.answer.Body))
+		e.updateRouteStats(c, took, len(c.body)+len(a.answer.Body))
 	}
 	told.TookMS, told.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
 	e.state.placer.Learn(told.Server, told.Result, true, took, work, now)
--- a/edge/register.go
+++ b/edge/register.go
@@ -35,7 +35,7 @@
 // writes the rows of all that lack them.
 func (e *Edge) register(ctx context.Context) error {
 	select {
-	case <-e.joined:
+	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -95,7 +95,7 @@
 	}
 	var rows []replica.Row
 	for _, m := range members {
-		key := address(m.ID, 0).Addr().String()
+		key := addrPort(m.ID, 0).Addr().String()
 		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.Slow})
 		if err != nil {
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
@@ -136,7 +136,7 @@
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
 		if m.Listed && !m.Alive && now-m.Heard > goneAfter && len(rows) < maxRows {
-			rows = append(rows, replica.Row{Key: address(id, 0).Addr().String(), Gone: true})
+			rows = append(rows, replica.Row{Key: addrPort(id, 0).Addr().String(), Gone: true})
 		}
 	}
 	return rows
--- a/edge/repeats.go
+++ b/edge/repeats.go
@@ -7,8 +7,8 @@
 	"foxtailspoke/retry"
 )
 
-// repeatsOf returns the shared budget of a service.
-func (s *state) repeatsOf(service string) *retry.Shared {
+// sharedRetryBudget returns the shared budget of a service.
+func (s *state) sharedRetryBudget(service string) *retry.Shared {
 	r, ok := s.budgets[service]
 	if !ok {
 		r = retry.NewShared(comeBackSoon, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
@@ -17,10 +17,10 @@
 	return r
 }
 
-// repeatsAt counts an attempt at a server.
-func (s *state) repeatsAt(server uint32, number uint8, now time.Duration) {
+// countAttempt counts an attempt at a server.
+func (s *state) countAttempt(server uint32, number uint8, now time.Duration) {
 	if entry, ok := s.placer.Server(server); ok {
-		s.repeatsOf(entry.Service).Count(number > 1, now)
+		s.sharedRetryBudget(entry.Service).Count(number > 1, now)
 	}
 }
 
@@ -33,10 +33,10 @@
 
 // retryBudget is what may still be repeated at a service.
 func (e *Edge) retryBudget(service string) *retry.Budget {
-	return e.state.repeatsOf(service).Budget(e.repeatBound(), e.now())
+	return e.state.sharedRetryBudget(service).Budget(e.repeatBound(), e.now())
 }
 
 // roomToRepeat reports whether requests may be spent on finding out.
 func (e *Edge) roomToRepeat(service string) bool {
-	return e.state.repeatsOf(service).Room(e.repeatBound(), e.now())
+	return e.state.sharedRetryBudget(service).Room(e.repeatBound(), e.now())
 }
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -111,7 +111,7 @@
 	// The store may have told the configuration and not yet the servers. An
 	// instance that took itself for ready then refused every request.
 	_, serversKnown := s.servers.Version()
-	return !e.stopping.Load() && s.table != nil && serversKnown && !s.misread && e.keyAge(e.now()) < s.bounds.Keys
+	return !e.stopping.Load() && s.table != nil && serversKnown && !s.configUnreadable && e.keyAge(e.now()) < s.bounds.Keys
 }
 
 // answerReady answers the platform.
@@ -152,7 +152,7 @@
 func (e *Edge) addressesFor(q platform.Question) []string {
 	ready := make(map[string][]string)
 	add := func(id uint32, dc string) {
-		ready[dc] = append(ready[dc], address(id, e.callerPort).String())
+		ready[dc] = append(ready[dc], addrPort(id, e.callerPort).String())
 	}
 	if e.readyLocked() {
 		add(e.self, e.settings.DataCentre)
--- a/edge/settings/settings.go
+++ b/edge/settings/settings.go
@@ -46,13 +46,13 @@
 
 // Trial switches mechanisms off, to measure what they are worth.
 type Trial struct {
-	// Without names the mechanisms.
-	Without []string `json:"without,omitempty"`
+	// DisabledMechanisms names the mechanisms.
+	DisabledMechanisms []string `json:"without,omitempty"`
 }
 
-// Off returns the mechanisms that are switched off. Load has checked them.
-func (t Trial) Off() mechanism.Off {
-	off, _ := mechanism.Parse(t.Without)
+// Disabled returns the mechanisms that are switched off. Load has checked them.
+func (t Trial) Disabled() mechanism.Off {
+	off, _ := mechanism.Parse(t.DisabledMechanisms)
 	return off
 }
 
@@ -136,7 +136,7 @@
 }
 
 func (s Settings) check() error {
-	if _, err := mechanism.Parse(s.Trial.Without); err != nil {
+	if _, err := mechanism.Parse(s.Trial.DisabledMechanisms); err != nil {
 		return errors.Wrap(err, "settings: trial.without")
 	}
 	if _, err := netip.ParseAddr(s.IP); err != nil {
--- a/edge/sharing_test.go
+++ b/edge/sharing_test.go
@@ -16,7 +16,7 @@
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
 	f.configure(20, key)
-	f.up(3)
+	f.startAll(3)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	refused := 0
@@ -44,14 +44,14 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(3)
+	f.startAll(3)
 	for range 5 {
 		for i := range 3 {
 			r, _ := f.order(i)
 			must.Eq(t, http.StatusOK, r.status)
 		}
 	}
-	bad := f.backend("i-2", reset)
+	bad := f.backend("i-2", resetConnection)
 	eventually(t, 5*time.Second, "the newcomer has got a request", func() bool {
 		f.lookup(0)
 		return bad.total() > 0
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -212,9 +212,9 @@
 func (e *Edge) askSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	snapshot, err := getSnapshot(ctx, address(peer, e.peerPort).String(), method)
+	snapshot, err := getSnapshot(ctx, addrPort(peer, e.peerPort).String(), method)
 	if err != nil {
-		event.PeerMessageFailed.Log(e.log, slog.String("peer", address(peer, 0).Addr().String()), slog.Any("error", err))
+		event.PeerMessageFailed.Log(e.log, slog.String("peer", addrPort(peer, 0).Addr().String()), slog.Any("error", err))
 		return
 	}
 	e.mu.Lock()
--- a/edge/status.go
+++ b/edge/status.go
@@ -115,14 +115,14 @@
 	if s.serversProof > 0 {
 		st.ServersAgeMS = milli(now - s.serversProof)
 	}
-	if s.reader != 0 {
-		st.Reader = address(s.reader, 0).Addr().String()
+	if s.lastReader != 0 {
+		st.Reader = addrPort(s.lastReader, 0).Addr().String()
 	}
-	st.Relay = address(s.messenger.Hub().Relay(), 0).Addr().String()
+	st.Relay = addrPort(s.messenger.Hub().Relay(), 0).Addr().String()
 	st.Listeners = s.messenger.Hub().Subscribers()
 	for id, m := range s.messenger.Fleet().All() {
 		st.Instances = append(st.Instances, InstanceStatus{
-			IP: address(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
+			IP: addrPort(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
 			HeardMS: milli(now - m.Heard), SlowLink: m.Slow,
 		})
 	}
--- a/edge/status_test.go
+++ b/edge/status_test.go
@@ -12,7 +12,7 @@
 )
 
 func (f *fleet) status(n int) (s edge.Status) {
-	resp, err := http.Get("http://" + f.at(n, 4) + edge.PathStatus)
+	resp, err := http.Get("http://" + f.address(n, 4) + edge.PathStatus)
 	if err != nil {
 		return s
 	}
@@ -28,9 +28,9 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-well", nil)
-	f.backend("i-failing", reset)
+	f.backend("i-failing", resetConnection)
 	f.configure(20, key)
-	f.up(2)
+	f.startAll(2)
 	var s edge.Status
 	eventually(t, 5*time.Second, "the suspect and the workspace are known at the other instance", func() bool {
 		for range 10 {
--- a/edge/stop_test.go
+++ b/edge/stop_test.go
@@ -28,14 +28,14 @@
 		w.Header().Set("X-Response-Seal", "seal")
 	})
 	f.configure(1000, key)
-	f.up(2)
+	f.startAll(2)
 	var wg sync.WaitGroup
 	var slow result
 	wg.Go(func() { slow, _ = f.call(0, http.MethodPost, "/order/slow", "body", nil) })
 	time.Sleep(100 * time.Millisecond)
 	f.instances[0].cancel()
 	eventually(t, 500*time.Millisecond, "not named any more", func() bool {
-		return !f.ready(0) && len(f.addresses(1)) == 1 && f.addresses(1)[0] == f.at(1, 0)
+		return !f.ready(0) && len(f.addresses(1)) == 1 && f.addresses(1)[0] == f.address(1, 0)
 	})
 	r, _ := f.lookup(0)
 	must.Eq(t, http.StatusOK, r.status)
@@ -63,7 +63,7 @@
 	f := newFleet(t)
 	f.backend("i-1", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Silent })
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -18,7 +18,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(4)
+	f.startAll(4)
 	for i := range 4 {
 		r, _ := f.lookup(i)
 		must.Eq(t, http.StatusOK, r.status)
@@ -39,7 +39,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(8)
+	f.startAll(8)
 	time.Sleep(2 * time.Second)
 	before := f.store.Calls()
 	time.Sleep(3 * time.Second)
@@ -53,7 +53,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(3)
+	f.startAll(3)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(1) {
 			return rowstore.Busy
@@ -83,7 +83,7 @@
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(2)
+	f.startAll(2)
 	for _, fault := range []rowstore.Fault{rowstore.Silent, rowstore.Reset, rowstore.TooMany} {
 		f.store.SetFault(func(string) rowstore.Fault { return fault })
 		time.Sleep(time.Second)
@@ -114,7 +114,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(2)
+	f.startAll(2)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(2) {
 			return rowstore.Reset
@@ -136,7 +136,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(1)
+	f.startAll(1)
 	f.store.Put("op", "config", []byte(`{"version":"zz"`))
 	eventually(t, 5*time.Second, "not ready", func() bool { return !f.ready(0) })
 	eventually(t, 5*time.Second, "refused", func() bool {
@@ -159,8 +159,8 @@
 	a, b := f.backend("i-1", nil), f.backend("i-2", nil)
 	f.backend("i-3", nil)
 	f.configure(1000, key)
-	f.up(3)
-	f.list(a, "draining")
+	f.startAll(3)
+	f.writeEntry(a, "draining")
 	f.store.Remove("servers", "i-2")
 	time.Sleep(1500 * time.Millisecond)
 	before := a.total() + b.total()
@@ -188,7 +188,7 @@
 		r, _ := f.lookup(0)
 		must.Eq(t, http.StatusOK, r.status)
 	}
-	f.list(b, "ready")
+	f.writeEntry(b, "ready")
 	time.Sleep(2 * time.Second)
 	r, _ := f.lookup(0)
 	must.Eq(t, http.StatusOK, r.status)
@@ -201,7 +201,7 @@
 	f := newFleet(t)
 	f.backend("i-1", nil)
 	f.configure(1000, key)
-	f.up(2)
+	f.startAll(2)
 	f.configure(1000, "another")
 	f.store.Forget()
 	for i := range 2 {
