--- a/edge/call.go
+++ b/edge/call.go
@@ -18,25 +18,25 @@
 
 // The rules.
 const (
-	RuleServed       Rule = "served"
-	RuleNoConfig     Rule = "no-configuration"
-	RuleNoRoute      Rule = "no-route"
+	RuleServed            Rule = "served"
+	RuleNoConfig          Rule = "no-configuration"
+	RuleNoRoute           Rule = "no-route"
 	RuleUnknownKey        Rule = "unknown-key"
-	RuleConfigTooOld        Rule = "configuration-too-old"
-	RuleBodyTooLarge     Rule = "body-too-large"
-	RuleBodyUnreadable         Rule = "body-unreadable"
-	RuleOverRate     Rule = "over-rate"
-	RuleNoServer     Rule = "no-server"
-	RuleNoServerInRegions      Rule = "no-server-in-allowed-regions"
-	RuleServersEvacuated    Rule = "servers-evacuated"
-	RuleServersCold         Rule = "servers-cold"
-	RuleServersAtLimit      Rule = "servers-at-their-limit"
-	RuleNoRoom       Rule = "no-room"
-	RuleServerFailed Rule = "server-failed"
-	RuleNotRun       Rule = "not-run"
-	RuleTimeout      Rule = "timeout"
-	RuleCallerLeft         Rule = "caller-left"
-	RuleStopping     Rule = "stopping"
+	RuleConfigTooOld      Rule = "configuration-too-old"
+	RuleBodyTooLarge      Rule = "body-too-large"
+	RuleBodyUnreadable    Rule = "body-unreadable"
+	RuleOverRate          Rule = "over-rate"
+	RuleNoServer          Rule = "no-server"
+	RuleNoServerInRegions Rule = "no-server-in-allowed-regions"
+	RuleServersEvacuated  Rule = "servers-evacuated"
+	RuleServersCold       Rule = "servers-cold"
+	RuleServersAtLimit    Rule = "servers-at-their-limit"
+	RuleNoRoom            Rule = "no-room"
+	RuleServerFailed      Rule = "server-failed"
+	RuleNotRun            Rule = "not-run"
+	RuleTimeout           Rule = "timeout"
+	RuleCallerLeft        Rule = "caller-left"
+	RuleStopping          Rule = "stopping"
 )
 
 const (
@@ -97,7 +97,7 @@
 		return c, &verdict{http.StatusServiceUnavailable, RuleNoConfig, comeBackSoon}
 	}
 	c.version = s.table.Version
-	c.keyAge = e.keyAge(c.start)
+	c.keyAge = e.configAge(c.start)
 	c.route = s.table.Route(r.Host, path)
 	if c.route == nil {
 		return c, &verdict{status: http.StatusNotFound, rule: RuleNoRoute}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -79,8 +79,8 @@
 	// fetchNow wakes the fetcher of the configuration.
 	fetchNow chan struct{}
 	// storeReadable is closed when the store may be read.
-	storeReadable  chan struct{}
-	joinOnce sync.Once
+	storeReadable chan struct{}
+	joinOnce      sync.Once
 
 	mu    sync.Mutex
 	state state
@@ -97,7 +97,7 @@
 	// configUnreadable says that the newest configuration in the store couldn't be
 	// understood: what is in force is older, and its age can't be proved.
 	configUnreadable bool
-	split   routing.Splitter
+	split            routing.Splitter
 
 	// era of the store in the newest answer; eraKnown says that there was one.
 	// It began at eraSince of the store's clock, 0 if that was before this
@@ -122,8 +122,8 @@
 	announcedServers replica.Point
 	// configProof is the store's stamp up to which the configuration in force
 	// is proved to be the newest.
-	configProof time.Duration
-	configProved      bool
+	configProof  time.Duration
+	configProved bool
 	// serversProof is when the list of servers was last known to be complete.
 	serversProof time.Duration
 	// outageEnd is when the store last came back after an outage.
@@ -132,27 +132,27 @@
 	lastReader uint32
 	// missedServersDue is when to read the changes of the servers that were missed; 0
 	// if none were.
-	missedServersDue    time.Duration
+	missedServersDue  time.Duration
 	storeUnavailable  bool
 	nextInstancesRead time.Duration
 	// leftOut is the number of log lines left out that was logged last.
 	leftOut   uint64
 	leftOutAt time.Duration
 
-	serverList    *discovery.List
-	placer  *placement.Placer
-	usage   *usage.Counters
-	budgets map[string]*retry.Shared
-	routes  map[string]*routeStats
+	serverList *discovery.List
+	placer     *placement.Placer
+	usage      *usage.Counters
+	budgets    map[string]*retry.Shared
+	routes     map[string]*routeStats
 
 	messenger *fleet.Messenger
 	// roundTimer goes off when messenger has something to do, at roundsAt; 0 if it
 	// is stopped.
-	roundTimer   *time.Timer
-	roundDue time.Duration
+	roundTimer *time.Timer
+	roundDue   time.Duration
 	// announcedReady says that the others were told that this instance is ready.
 	announcedReady bool
-	ownOutstanding            map[uint32]uint16
+	ownOutstanding map[uint32]uint16
 
 	evacuations discovery.Evacuations
 	// limiter bounds what cold servers get, shared among holders.
@@ -178,43 +178,43 @@
 		return nil, err
 	}
 	e := &Edge{
-		settings: s,
-		mechanisms:      s.Trial.Disabled(),
-		file:     file,
-		lines:    lines,
-		log:      slog.New(slog.NewJSONHandler(lines, nil)).With(slog.String("instance", s.Name)),
-		budget:   logging.NewBudget(s.Log.LinesPerSecond),
-		clock:    clock.New(),
-		store:    platform.NewStore(s.Store.Address),
-		pool:     upstream.NewPool(),
-		self:     self,
-		topology: s.Regions,
-		epoch:    newEpoch(),
-		pollNow:   make(chan struct{}, 1),
-		fetchNow:  make(chan struct{}, 1),
-		storeReadable:   make(chan struct{}),
+		settings:      s,
+		mechanisms:    s.Trial.Disabled(),
+		file:          file,
+		lines:         lines,
+		log:           slog.New(slog.NewJSONHandler(lines, nil)).With(slog.String("instance", s.Name)),
+		budget:        logging.NewBudget(s.Log.LinesPerSecond),
+		clock:         clock.New(),
+		store:         platform.NewStore(s.Store.Address),
+		pool:          upstream.NewPool(),
+		self:          self,
+		topology:      s.Regions,
+		epoch:         newEpoch(),
+		pollNow:       make(chan struct{}, 1),
+		fetchNow:      make(chan struct{}, 1),
+		storeReadable: make(chan struct{}),
 	}
 	e.callers = e.newCallers()
 	e.metrics = newMetrics(e)
 	e.state = state{
-		bounds:    freshness.NewBounds(settings.Seconds(s.Bounds.RevokeS)),
-		split:     routing.Splitter{Offset: rand.Float64()},
-		config:    replica.NewTable(),
-		servers:   replica.NewTable(),
-		instances: replica.NewTable(),
-		serverList:      discovery.NewList(),
-		placer:    placement.NewWithout(s.Trial.Disabled()),
-		usage:     newUsage(),
-		budgets:   make(map[string]*retry.Shared),
-		routes:    make(map[string]*routeStats),
-		ownOutstanding:       make(map[uint32]uint16),
-		limiter:   warmup.NewLimiter(self),
-		throttle:  throttle.NewLimiter(self),
+		bounds:         freshness.NewBounds(settings.Seconds(s.Bounds.RevokeS)),
+		split:          routing.Splitter{Offset: rand.Float64()},
+		config:         replica.NewTable(),
+		servers:        replica.NewTable(),
+		instances:      replica.NewTable(),
+		serverList:     discovery.NewList(),
+		placer:         placement.NewWithout(s.Trial.Disabled()),
+		usage:          newUsageCounters(),
+		budgets:        make(map[string]*retry.Shared),
+		routes:         make(map[string]*routeStats),
+		ownOutstanding: make(map[uint32]uint16),
+		limiter:        warmup.NewLimiter(self),
+		throttle:       throttle.NewLimiter(self),
 	}
 	e.state.placer.SetLimiter(e.state.limiter)
 	e.state.placer.SetThrottle(e.state.throttle)
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{
-		Self: e.member(), Epoch: e.epoch, Seeds: e.seeds(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
+		Self: e.selfMember(), Epoch: e.epoch, Seeds: e.seedIDs(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
 	})
 	if err := e.listen(); err != nil {
 		return nil, err
@@ -297,11 +297,11 @@
 		Timeout: time.Second,
 	})
 	e.tree.Add(part{"log", e.lines.Serve})
-	e.tree.Add(part{"receiver", e.receive})
-	e.tree.Add(part{"heart", e.heart})
+	e.tree.Add(part{"receiver", e.receiveDatagrams})
+	e.tree.Add(part{"heart", e.sendHeartbeats})
 	e.tree.Add(part{"poller", e.pollStore})
 	e.tree.Add(part{"fetcher", e.fetchConfig})
-	e.tree.Add(part{"register", e.register})
+	e.tree.Add(part{"register", e.registerInstances})
 	e.tree.Add(part{"snapshots", e.serveSnapshots})
 	e.tree.Add(part{"settings", e.watchSettings})
 	e.tree.Add(part{"callers", e.serveCallers})
