--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -40,7 +40,7 @@
 	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
 	at, _ := e.state.servers.Position()
 	must.Eq(t, replica.Position{Era: 1, Version: 5}, at)
-	must.Eq(t, replica.Position{}, e.state.serversTold)
+	must.Eq(t, replica.Position{}, e.state.announcedServers)
 	clock, _ := e.state.clock.Now(now)
 	must.Eq(t, 100*time.Second, clock)
 }
