--- a/edge/call.go
+++ b/edge/call.go
@@ -145,7 +145,7 @@
 // configuration whose age isn't proved; nothing of it has run then.
 func (e *Edge) checkKey(c *call, h http.Header) *verdict {
 	s := &e.state
-	if !s.table.Keyed || c.route.Public {
+	if !s.table.RequireKey || c.route.Public {
 		return nil
 	}
 	if c.keyAge > s.bounds.MaxKeyAge {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -114,16 +114,16 @@
 	Workspaces []Workspace
 	// Keys maps a key's hash to an index of Workspaces.
 	Keys map[Key]int
-	// Keyed says that requests need a key, but for public routes.
-	Keyed bool
+	// RequireKey says that requests need a key, but for public routes.
+	RequireKey bool
 }
 
 // Table answers what requests ask of the configuration.
 type Table struct {
-	Version  uint32
-	Limits   Limits
-	Keyed    bool
-	Services map[string]Service
+	Version    uint32
+	Limits     Limits
+	RequireKey bool
+	Services   map[string]Service
 
 	routes     map[routeID]*Route
 	workspaces []Workspace
@@ -139,7 +139,7 @@
 	t := &Table{
 		Version:    c.Version,
 		Limits:     c.Limits,
-		Keyed:      c.Keyed,
+		RequireKey: c.RequireKey,
 		Services:   make(map[string]Service, len(c.Services)),
 		routes:     make(map[routeID]*Route, len(c.Routes)),
 		workspaces: c.Workspaces,
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -11,8 +11,8 @@
 func table() *routing.Table {
 	share := []routing.WeightedService{{Service: "s", Weight: 1}}
 	return routing.NewTable(routing.Config{
-		Version: 7,
-		Keyed:   true,
+		Version:    7,
+		RequireKey: true,
 		Routes: []routing.Route{
 			{Name: "all", Host: "a.example", Prefix: "/", Services: share},
 			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Services: share},
