--- a/edge/entries.go
+++ b/edge/entries.go
@@ -53,11 +53,11 @@
 	}
 	c, err := platform.DecodeConfig(r.Value)
 	if err != nil {
-		s.misread = true
+		s.configUnreadable = true
 		event.ConfigRejected.Log(e.log, slog.Any("error", err))
 		return
 	}
-	s.misread = false
+	s.configUnreadable = false
 	if s.table != nil && c.Version < s.table.Version {
 		e.keepConfig(r.Version)
 		return
@@ -70,7 +70,7 @@
 		s.placer.SetWarmUp(service.Name, placement.WarmUp{Time: service.WarmUp, Rate: service.WarmUpRate})
 	}
 	if c.Limits.IdleTimeout > 0 {
-		e.callers.SetIdle(c.Limits.IdleTimeout)
+		e.callers.SetIdleTimeout(c.Limits.IdleTimeout)
 	}
 	event.ConfigInForce.Log(e.log, slog.Uint64("version", uint64(c.Version)),
 		slog.Int("routes", len(c.Routes)), slog.Int("workspaces", len(c.Workspaces)))
@@ -80,18 +80,18 @@
 // a row of that version that is older: instances that start learn it from there.
 func (e *Edge) keepConfig(version uint64) {
 	if e.state.configInForce != nil {
-		e.state.config.Note(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
+		e.state.config.ApplyOwnWrite(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
 	}
 }
 
 // limitOf is the limit that a workspace is held to.
 func (e *Edge) limitOf(w routing.Workspace) usage.Limit {
-	if !e.off.On(mechanism.Tolerance) {
-		return usage.Strict(w.Rate, w.Burst)
+	if !e.mechanisms.On(mechanism.Tolerance) {
+		return usage.StrictLimit(w.Rate, w.Burst)
 	}
 	b := e.settings.Bounds
 	t := usage.Tolerance{Overshoot: b.RateOvershoot, Slack: b.RateSlack, Window: settings.Seconds(b.RateWindowS)}
-	return t.Loosen(usage.Strict(w.Rate, w.Burst))
+	return t.Loosen(usage.StrictLimit(w.Rate, w.Burst))
 }
 
 // takeServers takes in changed entries of backend servers, and returns those
@@ -104,11 +104,11 @@
 	s := &e.state
 	var keepUntil time.Duration
 	if s.outageEnd > 0 {
-		keepUntil = s.outageEnd + discovery.Grace
+		keepUntil = s.outageEnd + discovery.RemovalGracePeriod
 	}
 	var changed []replica.Row
 	for _, r := range rows {
-		unsettled := s.list.Unsettled(r.Key)
+		unsettled := s.serverList.DiffersFromStore(r.Key)
 		c, ok := e.serverChange(r, restored, now, keepUntil)
 		if ok {
 			e.applyServer(c, now)
@@ -123,35 +123,35 @@
 func (e *Edge) serverChange(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
 	s := &e.state
 	if r.Gone {
-		return s.list.Remove(r.Key, now, keepUntil)
+		return s.serverList.Remove(r.Key, now, keepUntil)
 	}
 	entry, err := platform.DecodeServer(r.Key, r.Value)
 	if err != nil {
 		// An entry that somebody else wrote, or half wrote, names no server.
-		if e.budget.Take(now, quietShare) {
+		if e.budget.Take(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", r.Key), slog.Any("error", err))
 		}
-		return s.list.Remove(r.Key, now, now)
+		return s.serverList.Remove(r.Key, now, now)
 	}
 	if restored {
-		return s.list.Restore(entry, now)
+		return s.serverList.PutAfterRestore(entry, now)
 	}
-	return s.list.Put(entry, now)
+	return s.serverList.Put(entry, now)
 }
 
 func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
-	if c.Gone {
-		e.pool.Drop(c.Server.Address)
+	if c.Removed {
+		e.pool.CloseIdle(c.Server.Address)
 	}
 	event.ServerChanged.Log(e.log, slog.String("server", c.Server.ID), slog.String("service", c.Server.Service),
-		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Gone),
+		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Removed),
 		slog.Int64("warm_up_ms", c.Server.WarmUp.Milliseconds()))
 }
 
 // expireServers drops servers that didn't come back after an outage.
 func (e *Edge) expireServers(now time.Duration) {
-	for _, c := range e.state.list.Expire(now) {
+	for _, c := range e.state.serverList.Expire(now) {
 		e.applyServer(c, now)
 	}
 }
@@ -163,7 +163,7 @@
 }
 
 func (e *Edge) takeInstance(r replica.Row, now time.Duration) {
-	id, err := addressNumber(r.Key)
+	id, err := parseIPv4(r.Key)
 	if err != nil || id == e.self {
 		return
 	}
--- a/edge/era.go
+++ b/edge/era.go
@@ -36,14 +36,14 @@
 func (e *Edge) beginEra(era uint64, stamp, now time.Duration) {
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
-	age := e.keyAge(now)
-	s.clock.Restart()
+	age := e.configAge(now)
+	s.clock.Reset()
 	s.configProof = stamp - age
-	s.era, s.eraSince = era, stamp
+	s.era, s.eraStart = era, stamp
 	// Entries that were first written after the copy are missing.
 	s.outageEnd = now
-	s.restoredUntil = now + discovery.Grace
-	s.nextListed = 0
+	s.restoredUntil = now + discovery.RemovalGracePeriod
+	s.nextInstancesRead = 0
 	for i := range s.recent {
 		s.recent[i].Reset()
 	}
@@ -52,11 +52,11 @@
 // rewriting reports whether at this moment of the store's clock the configuration
 // may lack what operators have to write again.
 func (e *Edge) rewriting(stamp time.Duration) bool {
-	return e.state.eraSince > 0 && stamp < e.state.eraSince+rewriteWait
+	return e.state.eraStart > 0 && stamp < e.state.eraStart+rewriteWait
 }
 
 // currentEra reports whether a copy is of the store's present era.
 func (e *Edge) currentEra(t *replica.Table) bool {
-	at, known := t.Point()
+	at, known := t.Position()
 	return known && at.Era == e.state.era
 }
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -45,21 +45,21 @@
 func (e *Edge) notices(p polled, changed []replica.Row) []evidence.TableUpdate {
 	s := &e.state
 	n := evidence.TableUpdate{
-		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StoreClockUS: p.answer.Stamp.Microseconds(),
+		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StoreClockUS: p.answer.StoreTime.Microseconds(),
 	}
 	if p.table == evidence.Config {
 		n.LatestRowVersion = e.configRow().Version
 		return e.withEvacuations(n)
 	}
 	recent := &s.recent[p.table]
-	if p.answer.Whole {
+	if p.answer.Full {
 		// What was removed before isn't in it.
 		recent.Reset()
 		n.Since = p.answer.Version
 		return []evidence.TableUpdate{n}
 	}
 	recent.Add(p.since, p.answer.Version, changed)
-	parts := recent.Parts(p.answer.Version, maxNoticeRows)
+	parts := recent.Batches(p.answer.Version, maxNoticeRows)
 	all, err := packed(n, parts)
 	if err != nil || len(parts) > maxNoticeParts {
 		// The others notice that they lack something, and read it.
@@ -73,7 +73,7 @@
 // withEvacuations adds the rows that evacuate data centres to a notice of the
 // configuration's table.
 func (e *Edge) withEvacuations(n evidence.TableUpdate) []evidence.TableUpdate {
-	parts := []replica.Part{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
+	parts := []replica.ChangeBatch{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
 	all, err := packed(n, parts)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
@@ -83,7 +83,7 @@
 }
 
 // packed returns a notice for each part.
-func packed(n evidence.TableUpdate, parts []replica.Part) ([]evidence.TableUpdate, error) {
+func packed(n evidence.TableUpdate, parts []replica.ChangeBatch) ([]evidence.TableUpdate, error) {
 	var all []evidence.TableUpdate
 	for i, part := range parts {
 		n.Since, n.Version, n.More = part.Since, part.Version, i < len(parts)-1
@@ -104,7 +104,7 @@
 func (e *Edge) applyNotice(n evidence.TableUpdate, now time.Duration) {
 	s := &e.state
 	if n.StoreClockUS == 0 {
-		s.poll.Attempted(now)
+		s.poll.ObserveAttempt(now)
 		return
 	}
 	if !e.observe(n.Era, n.StoreClock(), now) {
@@ -114,8 +114,8 @@
 	complete := e.currentEra(e.copyOf(n.Table)) && version >= n.Since
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
-		changed := replica.Point{Era: n.Era, Version: n.LatestRowVersion}
-		s.configTold = later(s.configTold, changed)
+		changed := replica.Position{Era: n.Era, Version: n.LatestRowVersion}
+		s.announcedConfig = later(s.announcedConfig, changed)
 		complete = e.currentEra(s.config) && !e.configRow().Before(changed)
 		n.Since = version
 		if err == nil {
@@ -123,7 +123,7 @@
 		}
 	}
 	if n.Table == evidence.Servers {
-		s.serversTold = later(s.serversTold, replica.Point{Era: n.Era, Version: n.Version})
+		s.announcedServers = later(s.announcedServers, replica.Position{Era: n.Era, Version: n.Version})
 	}
 	if !complete {
 		e.missed(n.Table, now)
@@ -134,7 +134,7 @@
 		e.missed(n.Table, now)
 		return
 	}
-	a := replica.Answer{Era: n.Era, Version: n.Version, Stamp: n.StoreClock()}
+	a := replica.ReadResult{Era: n.Era, Version: n.Version, StoreTime: n.StoreClock()}
 	for _, r := range rows {
 		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Deleted, Version: r.Version})
 	}
@@ -149,10 +149,10 @@
 	e.prove(n.Table, n.StoreClock(), now)
 	switch n.Table {
 	case evidence.Servers:
-		s.gapEnds = 0
+		s.missedServersDue = 0
 		s.poll.Yield()
 	case evidence.Instances:
-		s.nextListed = now + listedEvery
+		s.nextInstancesRead = now + listedEvery
 	}
 }
 
@@ -160,15 +160,15 @@
 func (e *Edge) missed(t evidence.Table, now time.Duration) {
 	switch t {
 	case evidence.Config:
-		wake(e.fetches)
+		wake(e.fetchNow)
 	case evidence.Servers:
-		if e.state.gapEnds > 0 {
+		if e.state.missedServersDue > 0 {
 			return
 		}
-		e.state.gapEnds = now + e.gapPause()
-		wake(e.kicked)
+		e.state.missedServersDue = now + e.gapPause()
+		wake(e.pollNow)
 	case evidence.Instances:
-		e.state.nextListed = 0
+		e.state.nextInstancesRead = 0
 	}
 }
 
@@ -187,7 +187,7 @@
 	}
 }
 
-func later(a, b replica.Point) replica.Point {
+func later(a, b replica.Position) replica.Position {
 	if a.Before(b) {
 		return b
 	}
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -30,8 +30,8 @@
 	e.keepRounds(now)
 }
 
-// announce tells everybody at once whether this instance is ready.
-func (e *Edge) announce() {
+// announceReadiness tells everybody at once whether this instance is ready.
+func (e *Edge) announceReadiness() {
 	now := e.now()
 	e.sendAll(e.state.messenger.Announce(true, now))
 	e.keepRounds(now)
@@ -46,15 +46,15 @@
 	e.sendAll(s.messenger.Join(now))
 	if ready := e.readyLocked(); ready != s.announcedReady {
 		s.announcedReady = ready
-		e.announce()
+		e.announceReadiness()
 	}
 }
 
 // noteRelay logs that another instance is told from now on.
 func (e *Edge) noteRelay(before uint32, now time.Duration) {
-	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, quietShare) {
-		event.RelayChanged.Log(e.log, slog.String("before", address(before, 0).Addr().String()),
-			slog.String("relay", address(after, 0).Addr().String()))
+	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, routineLogShare) {
+		event.RelayChanged.Log(e.log, slog.String("before", addrPort(before, 0).Addr().String()),
+			slog.String("relay", addrPort(after, 0).Addr().String()))
 	}
 }
 
@@ -66,21 +66,21 @@
 	for ; due <= now; due = s.messenger.Due() {
 		e.send(s.messenger.Step(now))
 	}
-	if s.roundsAt != 0 && s.roundsAt <= due {
+	if s.roundDue != 0 && s.roundDue <= due {
 		return
 	}
-	s.roundsAt = due
-	if s.rounds == nil {
-		s.rounds = time.AfterFunc(due-now, e.roundsDue)
+	s.roundDue = due
+	if s.roundTimer == nil {
+		s.roundTimer = time.AfterFunc(due-now, e.roundsDue)
 		return
 	}
-	s.rounds.Reset(due - now)
+	s.roundTimer.Reset(due - now)
 }
 
 func (e *Edge) roundsDue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.roundsAt = 0
+	e.state.roundDue = 0
 	e.keepRounds(e.now())
 }
 
@@ -99,14 +99,14 @@
 		d := &datagrams[i]
 		b := d.Encode()
 		for _, id := range d.To {
-			_, _ = e.socket.WriteToUDPAddrPort(b, address(id, e.peerPort))
+			_, _ = e.socket.WriteToUDPAddrPort(b, addrPort(id, e.peerPort))
 			e.metrics.datagrams.Inc()
 		}
 	}
 }
 
-// heart sends heartbeats, and looks at what time alone changes.
-func (e *Edge) heart(ctx context.Context) error {
+// sendHeartbeats sends heartbeats, and looks at what time alone changes.
+func (e *Edge) sendHeartbeats(ctx context.Context) error {
 	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
 	for {
@@ -132,11 +132,11 @@
 	e.noteKnown(now)
 	e.expireServers(now)
 	e.noteStore(now)
-	e.noteLeftOut(now)
+	e.logDroppedLines(now)
 }
 
-// receive takes in datagrams.
-func (e *Edge) receive(ctx context.Context) error {
+// receiveDatagrams takes in datagrams.
+func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.socket.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	b := make([]byte, maxDatagramIn)
@@ -148,7 +148,7 @@
 		if err != nil {
 			return errors.Wrap(err, "datagrams")
 		}
-		e.metrics.datagramsIn.Inc()
+		e.metrics.datagramsReceived.Inc()
 		e.take(from, b[:n])
 	}
 }
@@ -158,8 +158,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	t, err := e.state.messenger.Receive(number(from.Addr()), b, now)
-	if err != nil && e.budget.Take(now, quietShare) {
+	t, err := e.state.messenger.Receive(ipv4Number(from.Addr()), b, now)
+	if err != nil && e.budget.Take(now, routineLogShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
 	e.found(t.NewlyAlive)
@@ -177,8 +177,8 @@
 		s.placer.Forget(m.Source)
 	}
 	for _, u := range m.Usage {
-		s.usage.Heard(usage.Word{
-			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, FromStart: m.From.AliveSinceStart,
+		s.usage.ApplyReport(usage.Report{
+			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, ReceivedSinceStart: m.From.AliveSinceStart,
 		}, now)
 	}
 	for _, a := range m.Attempts {
@@ -189,7 +189,7 @@
 	}
 	for _, n := range m.TableUpdates {
 		if n.StoreClockUS != 0 {
-			s.reader = m.Source
+			s.lastReader = m.Source
 		}
 		e.applyNotice(n, now)
 	}
@@ -201,13 +201,13 @@
 		s.placer.Outstanding(a.Server, from, int(a.Outstanding), now)
 	}
 	if a.Number > 0 {
-		s.repeatsAt(a.Server, a.Number, now)
+		s.countAttempt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
 		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.LatencyMS), milliseconds(a.TypicalLatencyMS), now)
 	}
 	if a.Ended {
-		e.applyLimit(a, now)
+		e.applyPeerLimit(a, now)
 	}
 	if a.RequestOutcome != evidence.RequestPending {
 		s.placer.ServedAt(a.Server, a.RequestOutcome == evidence.RequestServed, now)
--- a/evidence/evidence.go
+++ b/evidence/evidence.go
@@ -35,10 +35,10 @@
 	// Stopping says that it will be gone soon.
 	Stopping bool
 	// Members are instances that the source hears, for one that greets it.
-	Members   []Member
-	Attempts []Attempt
-	Usage    []Usage
-	TableUpdates  []TableUpdate
+	Members      []Member
+	Attempts     []Attempt
+	Usage        []Usage
+	TableUpdates []TableUpdate
 	// Refused holds the hash of a service for each request to it that was
 	// refused without an attempt.
 	Refused []uint32
@@ -67,7 +67,7 @@
 	// Number of the attempt within its request, set when it begins.
 	Number uint8
 	// LatencyMS until the result, and WorkMS that is usual for its kind of request.
-	LatencyMS uint16
+	LatencyMS        uint16
 	TypicalLatencyMS uint16
 	// RequestOutcome is the outcome of the request that the attempt belonged to.
 	RequestOutcome RequestOutcome
@@ -130,7 +130,9 @@
 )
 
 // StoreClock returns the store's clock at its answer.
-func (n TableUpdate) StoreClock() time.Duration { return time.Duration(n.StoreClockUS) * time.Microsecond }
+func (n TableUpdate) StoreClock() time.Duration {
+	return time.Duration(n.StoreClockUS) * time.Microsecond
+}
 
 // Unsequenced is the sequence number of messages that aren't for all.
 const Unsequenced = 0
--- a/evidence/evidence_test.go
+++ b/evidence/evidence_test.go
@@ -13,7 +13,7 @@
 func message() evidence.Message {
 	return evidence.Message{
 		Source: 0x0a000001, Epoch: 7, Sequence: 9, DataCentre: "dc", Leaving: true,
-		Members:   []evidence.Member{{ID: 1, DataCentre: "dc", SlowLink: true}},
+		Members:  []evidence.Member{{ID: 1, DataCentre: "dc", SlowLink: true}},
 		Attempts: []evidence.Attempt{{Server: 3, Outstanding: 2, Ended: true, Result: health.Incomplete, RequestOutcome: evidence.RequestUnserved}},
 		Usage:    []evidence.Usage{{Workspace: 4, Count: 1 << 40}},
 		TableUpdates: []evidence.TableUpdate{{
--- a/evidence/rows.go
+++ b/evidence/rows.go
@@ -11,10 +11,10 @@
 
 // Row is a changed row.
 type Row struct {
-	_     struct{} `cbor:",toarray"`
-	Key   string
-	Value []byte
-	Deleted  bool
+	_       struct{} `cbor:",toarray"`
+	Key     string
+	Value   []byte
+	Deleted bool
 	// Version of the row.
 	Version uint64
 }
