--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -19,15 +19,15 @@
 // attempt is one try of a call at one server.
 type attempt struct {
 	choice placement.Choice
-	answer upstream.Answer
+	answer upstream.Response
 	result health.Result
 	took   time.Duration
 	number int
 	// start is when it was sent.
 	start  time.Duration
 	cancel context.CancelFunc
-	// ends says that its end was told.
-	ends bool
+	// endPublished says that its end was told.
+	endPublished bool
 }
 
 // run sends the call to servers until one has answered or nothing more may be
@@ -89,7 +89,7 @@
 	a := &attempt{choice: choice, number: len(r.tried) + 1, start: r.e.now(), cancel: cancel}
 	r.tried = append(r.tried, choice.Server.ID)
 	r.running = append(r.running, a)
-	r.e.publishStart(r.c, a)
+	r.e.publishAttemptStart(r.c, a)
 	go func() {
 		a.answer = r.e.pool.Do(ctx, choice.Server.Address, r.e.upstreamRequest(r.c, choice))
 		a.took = r.e.now() - a.start
@@ -113,7 +113,7 @@
 // refusal, or neither while it goes on.
 func (r *runner) ended(a *attempt) (*attempt, *verdict) {
 	if a.result == health.OK {
-		r.e.publishEnd(r.c, a, evidence.Served)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestServed)
 		return a, nil
 	}
 	mayHaveRun := r.mayHaveRun
@@ -124,15 +124,15 @@
 	d := r.e.decide(r.c, a, len(r.tried), len(r.running), mayHaveRun)
 	switch d.Action {
 	case retry.Wait:
-		r.e.publishEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		return nil, nil
 	case retry.Retry:
-		r.e.publishEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		if v := r.begin(); v == nil {
 			return nil, nil
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		r.e.publishEnd(r.c, a, evidence.Unserved)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestUnserved)
 	}
 	if r.last != nil {
 		return r.last, nil
@@ -186,7 +186,7 @@
 			if a.result != health.OK && !timedOut {
 				a.result = health.Cancelled
 			}
-			r.e.publishEnd(r.c, a, evidence.NotFinal)
+			r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		}
 	}()
 }
@@ -203,7 +203,7 @@
 func (e *Edge) mayHedge(c *call, number int, mayHaveRun bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !c.route.Kind.Repeatable() || !e.off.On(mechanism.Hedge) {
+	if !c.route.Kind.Repeatable() || !e.mechanisms.On(mechanism.Hedge) {
 		return false
 	}
 	a := e.retryState(c, health.Late, number, 1, mayHaveRun)
@@ -228,11 +228,11 @@
 func (e *Edge) patience(c *call) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return retry.Patience(e.statsOf(c.route).work)
+	return retry.Patience(e.routeStatsFor(c.route).work)
 }
 
 // classify says what an attempt's end tells of the server.
-func classify(a upstream.Answer) health.Result {
+func classify(a upstream.Response) health.Result {
 	switch a.Outcome {
 	case upstream.NotSent:
 		return health.ConnectFailed
@@ -242,7 +242,7 @@
 		return health.Timeout
 	case upstream.Cancelled:
 		return health.Cancelled
-	case upstream.Answered:
+	case upstream.Completed:
 	}
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
@@ -271,7 +271,7 @@
 	return upstream.Request{
 		Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body,
 		IDHeader: platform.HeaderAttempt, ID: c.id,
-		Once: !c.route.Kind.Repeatable() && e.off.On(mechanism.Fresh),
+		NonIdempotent: !c.route.Kind.Repeatable() && e.mechanisms.On(mechanism.Fresh),
 	}
 }
 
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -30,17 +30,17 @@
 // a newer one.
 func (e *Edge) fetchConfig(ctx context.Context) error {
 	select {
-	case <-e.joined:
+	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for {
 		select {
-		case <-e.fetches:
+		case <-e.fetchNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !pause(ctx, time.Duration(rand.Float64()*float64(fetchSpread))) {
+		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchSpread))) {
 			return ctx.Err()
 		}
 		if e.hasToldConfig() || e.askReaders(ctx, methodConfig, configTimeout, e.hasToldConfig) {
@@ -48,7 +48,7 @@
 		}
 		if !e.readConfig(ctx) {
 			e.askPeer(ctx)
-			pause(ctx, fetchRetry)
+			sleepContext(ctx, fetchRetry)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	e.mu.Lock()
 	readers := e.readers()
 	e.mu.Unlock()
-	if slices.Contains(readers, e.self) || !pause(ctx, readersFirst) {
+	if slices.Contains(readers, e.self) || !sleepContext(ctx, readersFirst) {
 		return false
 	}
 	for _, reader := range readers {
@@ -77,43 +77,43 @@
 func (e *Edge) hasToldConfig() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, known := e.state.config.Point()
-	return known && !e.configRow().Before(e.state.configTold)
+	_, known := e.state.config.Position()
+	return known && !e.configRow().Before(e.state.announcedConfig)
 }
 
 // configRow is the version of the configuration's row in this instance's copy.
-func (e *Edge) configRow() replica.Point {
-	at, _ := e.state.config.Point()
+func (e *Edge) configRow() replica.Position {
+	at, _ := e.state.config.Position()
 	// A copy of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
-	return replica.Point{Era: at.Era, Version: row.Version}
+	return replica.Position{Era: at.Era, Version: row.Version}
 }
 
 // hasToldServers is the same for the list of servers.
 func (e *Edge) hasToldServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, known := e.state.servers.Point()
-	return known && !at.Before(e.state.serversTold)
+	at, known := e.state.servers.Position()
+	return known && !at.Before(e.state.announcedServers)
 }
 
 // readers are the instances of the own data centre that read the store for the
 // others, the same for all of them: those with fast links first.
 func (e *Edge) readers() []uint32 {
-	members := []relay.Member{e.member()}
+	members := []relay.Member{e.selfMember()}
 	for _, m := range e.state.messenger.Fleet().All() {
 		if m.Alive && !m.Stopping && m.DataCentre == e.settings.DataCentre {
 			members = append(members, m.Member)
 		}
 	}
 	slices.SortFunc(members, func(a, b relay.Member) int {
-		if a.Slow != b.Slow {
-			if b.Slow {
+		if a.SlowLink != b.SlowLink {
+			if b.SlowLink {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(relay.Mix(a.ID), relay.Mix(b.ID))
+		return cmp.Compare(relay.Hash(a.ID), relay.Hash(b.ID))
 	})
 	var ids []uint32
 	for _, m := range members[:min(len(members), readersEach)] {
@@ -139,17 +139,17 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.observe(p.answer.Era, p.answer.Stamp, now) {
+	if !e.observe(p.answer.Era, p.answer.StoreTime, now) {
 		return false
 	}
 	if _, ok := e.takeAnswer(p.table, p.answer, p.since, now); !ok {
 		return false
 	}
-	e.prove(p.table, p.answer.Stamp, now)
+	e.prove(p.table, p.answer.StoreTime, now)
 	return true
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -47,7 +47,7 @@
 
 // pollStore asks the store whenever this instance's turn comes.
 func (e *Edge) pollStore(ctx context.Context) error {
-	e.joining.Do(func() { e.join(ctx) })
+	e.joinOnce.Do(func() { e.join(ctx) })
 	for {
 		e.mu.Lock()
 		wait := e.untilPoll(e.now())
@@ -60,7 +60,7 @@
 		}
 		select {
 		case <-time.After(wait):
-		case <-e.kicked:
+		case <-e.pollNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -70,8 +70,8 @@
 func (e *Edge) untilPoll(now time.Duration) time.Duration {
 	s := &e.state
 	due := s.poll.Next(e.state.messenger.Rank(), rand.Float64(), now)
-	if s.gapEnds > 0 {
-		due = min(due, s.gapEnds)
+	if s.missedServersDue > 0 {
+		due = min(due, s.missedServersDue)
 	}
 	return due - now
 }
@@ -80,13 +80,13 @@
 // lacks, if it lacks any. It reports whether it has them now.
 func (e *Edge) fillGap(ctx context.Context) bool {
 	e.mu.Lock()
-	lacks := e.state.gapEnds > 0
+	lacks := e.state.missedServersDue > 0
 	e.mu.Unlock()
 	if !lacks || !e.askReaders(ctx, methodGet, snapshotTimeout, e.hasToldServers) {
 		return false
 	}
 	e.mu.Lock()
-	e.state.gapEnds = 0
+	e.state.missedServersDue = 0
 	e.mu.Unlock()
 	return true
 }
@@ -96,16 +96,16 @@
 	e.mu.Lock()
 	now := e.now()
 	s := &e.state
-	missed := s.gapEnds > 0
-	s.gapEnds = 0
-	s.poll.Attempted(now)
+	missed := s.missedServersDue > 0
+	s.missedServersDue = 0
+	s.poll.ObserveAttempt(now)
 	tables := []evidence.Table{evidence.Config, evidence.Servers}
-	if now >= s.nextListed {
+	if now >= s.nextInstancesRead {
 		tables = append(tables, evidence.Instances)
 	}
-	if s.poll.Troubled(now) {
+	if s.poll.Overdue(now) {
 		// Others wait a moment before they ask, instead of all at once.
-		e.publish(evidence.Message{Notices: []evidence.Notice{{}}}, false)
+		e.publish(evidence.Message{TableUpdates: []evidence.TableUpdate{{}}}, false)
 	}
 	e.mu.Unlock()
 
@@ -133,7 +133,7 @@
 type polled struct {
 	table  evidence.Table
 	since  uint64
-	answer replica.Answer
+	answer replica.ReadResult
 	asked  time.Duration
 	err    error
 }
@@ -141,14 +141,14 @@
 // ask reads the changes of a table, or all of it if that isn't possible.
 func (e *Edge) ask(ctx context.Context, t evidence.Table) polled {
 	e.mu.Lock()
-	at, known := e.copyOf(t).Point()
+	at, known := e.copyOf(t).Position()
 	p := polled{table: t, since: at.Version, asked: e.now()}
 	e.mu.Unlock()
 	if known {
 		p.answer, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
 		// Versions of another era say nothing of what has changed since this one.
 		otherEra := p.err == nil && p.answer.Era != at.Era
-		if !otherEra && !errors.Is(p.err, replica.ErrHistoryGone) {
+		if !otherEra && !errors.Is(p.err, replica.ErrHistoryCompacted) {
 			return p
 		}
 	}
@@ -161,7 +161,7 @@
 func (e *Edge) takePolled(answers []polled) (well bool) {
 	s := &e.state
 	now := e.now()
-	var notices []evidence.Notice
+	var notices []evidence.TableUpdate
 	well = true
 	for _, p := range answers {
 		if p.err != nil {
@@ -169,28 +169,28 @@
 			e.logStoreError(p, now)
 			continue
 		}
-		if !e.observe(p.answer.Era, p.answer.Stamp, now) {
+		if !e.observe(p.answer.Era, p.answer.StoreTime, now) {
 			well = false
 			continue
 		}
-		e.noteReturn(p.table, p.answer.Stamp, now)
+		e.noteReturn(p.table, p.answer.StoreTime, now)
 		told, ok := e.takeAnswer(p.table, p.answer, p.since, now)
 		if !ok {
 			well = false
 			continue
 		}
 		notices = append(notices, e.notices(p, told)...)
-		e.prove(p.table, p.answer.Stamp, now)
+		e.prove(p.table, p.answer.StoreTime, now)
 		if p.table == evidence.Instances {
-			s.nextListed = now + listedEvery
+			s.nextInstancesRead = now + listedEvery
 		}
 	}
 	if well {
-		s.reader = e.self
-		s.poll.Succeeded()
+		s.lastReader = e.self
+		s.poll.OwnCallSucceeded()
 	} else {
-		s.poll.Failed(now)
-		notices = append(notices, evidence.Notice{})
+		s.poll.OwnCallFailed(now)
+		notices = append(notices, evidence.TableUpdate{})
 	}
 	e.countShare()
 	e.publishNotices(notices)
@@ -200,9 +200,9 @@
 // takeAnswer takes in what the store said of a table, to this instance or another
 // one, and returns the rows that others must hear of. It reports false if this
 // instance's copy lacks something from before the answer.
-func (e *Edge) takeAnswer(t evidence.Table, a replica.Answer, since uint64, now time.Duration) ([]replica.Row, bool) {
-	e.noteIgnored(t, a.Point(), now)
-	before, known := e.copyOf(t).Point()
+func (e *Edge) takeAnswer(t evidence.Table, a replica.ReadResult, since uint64, now time.Duration) ([]replica.Row, bool) {
+	e.noteIgnored(t, a.Position(), now)
+	before, known := e.copyOf(t).Position()
 	changed, ok := e.copyOf(t).Apply(a, since)
 	if !ok {
 		return nil, false
@@ -212,9 +212,9 @@
 }
 
 // noteIgnored logs an answer that is older than what is known.
-func (e *Edge) noteIgnored(t evidence.Table, at replica.Point, now time.Duration) {
-	known, ok := e.copyOf(t).Point()
-	if ok && at.Before(known) && e.budget.Take(now, quietShare) {
+func (e *Edge) noteIgnored(t evidence.Table, at replica.Position, now time.Duration) {
+	known, ok := e.copyOf(t).Position()
+	if ok && at.Before(known) && e.budget.Take(now, routineLogShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
 			slog.Uint64("era", at.Era), slog.Uint64("known_era", known.Era))
@@ -226,7 +226,7 @@
 func (e *Edge) noteReturn(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
-	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.Outage {
+	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.OutageThreshold {
 		s.outageEnd = now
 	}
 }
@@ -238,21 +238,21 @@
 	at := now - s.clock.Age(stamp, now)
 	switch t {
 	case evidence.Config:
-		if !s.misread && (stamp > s.configProof || !s.proved) && !e.rewriting(stamp) {
+		if !s.configUnreadable && (stamp > s.configProof || !s.configProved) && !e.rewriting(stamp) {
 			s.configProof = stamp
-			s.proved = true
+			s.configProved = true
 		}
 	case evidence.Servers:
 		s.serversProof = max(s.serversProof, at)
-		s.poll.Proved(now-at, now)
+		s.poll.ObserveResponse(now-at, now)
 	case evidence.Instances:
 	}
 }
 
-// keyAge is how old the proof of the configuration in force is.
-func (e *Edge) keyAge(now time.Duration) time.Duration {
-	if !e.state.proved {
-		return freshness.Unknown
+// configAge is how old the proof of the configuration in force is.
+func (e *Edge) configAge(now time.Duration) time.Duration {
+	if !e.state.configProved {
+		return freshness.UnknownAge
 	}
 	return e.state.clock.Age(e.state.configProof, now)
 }
@@ -261,18 +261,18 @@
 func (e *Edge) noteStore(now time.Duration) {
 	s := &e.state
 	age := s.poll.Age(now)
-	if lost := age > lostAfter; lost != s.storeLost {
-		s.storeLost = lost
+	if lost := age > lostAfter; lost != s.storeUnavailable {
+		s.storeUnavailable = lost
 		if lost {
-			event.PlatformUnavailable.Log(e.log, ageOf(age))
+			event.PlatformUnavailable.Log(e.log, ageAttr(age))
 		} else {
-			event.PlatformReturned.Log(e.log, ageOf(age))
+			event.PlatformReturned.Log(e.log, ageAttr(age))
 		}
 	}
 }
 
 func (e *Edge) logStoreError(p polled, now time.Duration) {
-	if e.budget.Take(now, quietShare) {
+	if e.budget.Take(now, routineLogShare) {
 		event.StoreCallFailed.Log(e.log, slog.String("table", tableNames[p.table]),
 			slog.Duration("took", now-p.asked), slog.Any("error", p.err))
 	}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -19,17 +19,17 @@
 // it doesn't end the limit.
 const limitMargin = time.Second
 
-// learnLimit takes in what an answer says of its server's limit, and returns the
+// updateLimit takes in what an answer says of its server's limit, and returns the
 // limit that it names for the other instances. The lock must be held.
-func (e *Edge) learnLimit(a *attempt, now time.Duration) *uint32 {
-	if a.answer.Outcome != upstream.Answered || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
+func (e *Edge) updateLimit(a *attempt, now time.Duration) *uint32 {
+	if a.answer.Outcome != upstream.Completed || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
 		return nil
 	}
 	hash := placement.Hash(a.choice.Server.ID)
 	limit, named, err := platform.ServerLimit(a.answer.Header)
 	switch {
 	case err != nil:
-		if e.budget.Take(now, quietShare) {
+		if e.budget.Take(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", a.choice.Server.ID), slog.Any("error", err))
 		}
 		return nil
@@ -63,15 +63,15 @@
 	return &m
 }
 
-// applyLimit takes in what an answer to another instance says of its server's
+// applyPeerLimit takes in what an answer to another instance says of its server's
 // limit. The lock must be held.
-func (e *Edge) applyLimit(a evidence.Attempt, now time.Duration) {
+func (e *Edge) applyPeerLimit(a evidence.Attempt, now time.Duration) {
 	if a.LimitMilli != nil {
 		e.limit(a.Server, *a.LimitMilli, now)
 		return
 	}
-	start := now - milliseconds(a.TookMS)
-	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.LimitOlderThan(a.Server, start-limitMargin) {
+	start := now - milliseconds(a.LatencyMS)
+	if a.Result == health.OK && a.LatencyMS > 0 && e.state.throttle.LimitOlderThan(a.Server, start-limitMargin) {
 		e.unlimit(a.Server, now)
 	}
 }
@@ -92,7 +92,7 @@
 }
 
 func (e *Edge) logLimit(server uint32, limit, before slog.Attr, now time.Duration) {
-	if entry, known := e.state.placer.Server(server); known && e.budget.Take(now, quietShare) {
+	if entry, known := e.state.placer.Server(server); known && e.budget.Take(now, routineLogShare) {
 		event.ServerLimited.Log(e.log, slog.String("server", entry.ID), slog.String("service", entry.Service), limit, before)
 	}
 }
--- a/edge/members.go
+++ b/edge/members.go
@@ -20,21 +20,21 @@
 // what goes out once for each of many: rounds, and what the store said.
 const slowBelow = 80
 
-func (e *Edge) slowLink() bool {
+func (e *Edge) hasSlowLink() bool {
 	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowBelow
 }
 
-// member is this instance as others see it.
-func (e *Edge) member() relay.Member {
-	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.slowLink()}
+// selfMember is this instance as others see it.
+func (e *Edge) selfMember() relay.Member {
+	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, SlowLink: e.hasSlowLink()}
 }
 
-// newUsage returns counters that admit nothing until countShare: as long as it
+// newUsageCounters returns counters that admit nothing until countShare: as long as it
 // knows no other instance, each one of a fleet that starts would count on the
 // whole of every rate.
-func newUsage() *usage.Counters {
+func newUsageCounters() *usage.Counters {
 	c := usage.NewCounters()
-	c.Share, c.Fresh = 0, 0
+	c.RateShare, c.StartupShare = 0, 0
 	return c
 }
 
@@ -43,12 +43,12 @@
 func (e *Edge) countShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
-		e.state.usage.Share, e.state.usage.Fresh = fleet.Heard(), fleet.Fresh()
+		e.state.usage.RateShare, e.state.usage.StartupShare = fleet.AliveShare(), fleet.AliveSinceStartShare()
 	}
 }
 
-// seeds are the instances that the settings name.
-func (e *Edge) seeds() []uint32 {
+// seedIDs are the instances that the settings name.
+func (e *Edge) seedIDs() []uint32 {
 	var ids []uint32
 	for _, seed := range e.settings.Seeds {
 		a, err := netip.ParseAddrPort(seed)
@@ -56,7 +56,7 @@
 			event.EntryIgnored.Log(e.log, slog.String("seed", seed))
 			continue
 		}
-		ids = append(ids, number(a.Addr()))
+		ids = append(ids, ipv4Number(a.Addr()))
 	}
 	return ids
 }
@@ -64,7 +64,7 @@
 // found takes in that instances are heard.
 func (e *Edge) found(returned []*fleet.Instance) {
 	for _, m := range returned {
-		event.PeerHeard.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()))
+		event.PeerHeard.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()))
 	}
 	if len(returned) > 0 {
 		e.countShare()
@@ -75,10 +75,10 @@
 func (e *Edge) lost(fell []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
 	for _, m := range fell {
-		s.usage.Forget(m.ID)
+		s.usage.ForgetInstance(m.ID)
 		s.placer.RemoveInstance(m.ID)
-		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
-			slog.Duration("silence", now-m.Heard))
+		event.PeerSilent.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
+			slog.Duration("silence", now-m.LastHeard))
 	}
 	if float64(len(fell)) > manySilent*float64(all) {
 		s.placer.RecordInstanceLoss(now)
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -21,12 +21,12 @@
 // metrics of one instance. No label is a workspace or a server: thousands of
 // them would be as many series. How single ones fare is in the logs.
 type metrics struct {
-	registry    *prometheus.Registry
-	requests    *prometheus.CounterVec
-	took        *prometheus.HistogramVec
-	attempts    *prometheus.CounterVec
-	datagrams   prometheus.Counter
-	datagramsIn prometheus.Counter
+	registry          *prometheus.Registry
+	requests          *prometheus.CounterVec
+	took              *prometheus.HistogramVec
+	attempts          *prometheus.CounterVec
+	datagrams         prometheus.Counter
+	datagramsReceived prometheus.Counter
 }
 
 func newMetrics(e *Edge) *metrics {
@@ -45,11 +45,11 @@
 		datagrams: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "datagrams_total", Help: "Datagrams written to other instances.",
 		}),
-		datagramsIn: prometheus.NewCounter(prometheus.CounterOpts{
+		datagramsReceived: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "datagrams_received_total", Help: "Datagrams read from other instances.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsIn)
+	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsReceived)
 	m.gauge("rounds_total", "Rounds sent to listeners and other relays.", e.locked(func() float64 {
 		return float64(e.state.messenger.Hub().Rounds())
 	}))
@@ -57,12 +57,12 @@
 		return float64(e.state.messenger.Hub().Subscribers())
 	}))
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
-	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.Opened()) })
+	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.ConnectionsOpened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
 		return float64(e.budget.LeftOut() + e.lines.Dropped())
 	})
 	m.gauge("configuration_age_seconds", "Age of the proof that the configuration in force is the newest.", e.locked(func() float64 {
-		return e.keyAge(e.now()).Seconds()
+		return e.configAge(e.now()).Seconds()
 	}))
 	m.gauge("configuration_version", "Version of the configuration in force.", e.locked(func() float64 {
 		if e.state.table == nil {
@@ -71,9 +71,9 @@
 		return float64(e.state.table.Version)
 	}))
 	m.gauge("rate_share", "Part of the workspaces' rates that this instance may count on.", e.locked(func() float64 {
-		return e.state.usage.Share
+		return e.state.usage.RateShare
 	}))
-	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.list.Len()) }))
+	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.serverList.Len()) }))
 	m.gauge("suspect_servers", "Backend servers that more likely fail than not.", e.locked(func() float64 {
 		n := 0
 		for _, v := range e.state.placer.ServerStatuses(e.now()) {
@@ -134,7 +134,7 @@
 func (e *Edge) watchSettings(ctx context.Context) error {
 	current := e.settings
 	var seen os.FileInfo
-	for pause(ctx, settingsEvery) {
+	for sleepContext(ctx, settingsEvery) {
 		info, err := os.Stat(e.file)
 		if err != nil || (seen != nil && info.ModTime().Equal(seen.ModTime()) && info.Size() == seen.Size()) {
 			continue
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -8,17 +8,17 @@
 	"foxtailspoke/placement"
 )
 
-// publishStart takes in and tells that an attempt has begun.
-func (e *Edge) publishStart(c *call, a *attempt) {
+// publishAttemptStart takes in and tells that an attempt has begun.
+func (e *Edge) publishAttemptStart(c *call, a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	told := e.outstanding(a, 1)
 	told.Number = uint8(a.number)
-	e.state.repeatsOf(c.service).Count(a.number > 1, e.now())
+	e.state.sharedRetryBudget(c.service).Count(a.number > 1, e.now())
 	m := evidence.Message{Attempts: []evidence.Attempt{told}}
 	if c.workspace != nil {
 		h := workspaceHash(c.workspace.Name)
-		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.Own(h)}}
+		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.AdmittedTotal(h)}}
 	}
 	e.publish(m, false)
 }
@@ -27,41 +27,41 @@
 func (e *Edge) outstanding(a *attempt, change int) evidence.Attempt {
 	s := &e.state
 	h := placement.Hash(a.choice.Server.ID)
-	n := uint16(max(int(s.own[h])+change, 0))
+	n := uint16(max(int(s.ownOutstanding[h])+change, 0))
 	if n == 0 {
-		delete(s.own, h)
+		delete(s.ownOutstanding, h)
 	} else {
-		s.own[h] = n
+		s.ownOutstanding[h] = n
 	}
 	s.placer.SetOutstanding(h, 0, int(n), e.now())
 	return evidence.Attempt{Server: h, Outstanding: n}
 }
 
-// publishEnd takes in and tells how an attempt ended.
-func (e *Edge) publishEnd(c *call, a *attempt, final evidence.Final) {
-	if a.ends {
+// publishAttemptEnd takes in and tells how an attempt ended.
+func (e *Edge) publishAttemptEnd(c *call, a *attempt, final evidence.RequestOutcome) {
+	if a.endPublished {
 		return
 	}
-	a.ends = true
+	a.endPublished = true
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	told := e.outstanding(a, -1)
-	told.LimitMilli = e.learnLimit(a, now)
-	told.Ended, told.Result, told.Final = true, evidenceOf(c, a), final
-	work := e.statsOf(c.route).work
+	told.LimitMilli = e.updateLimit(a, now)
+	told.Ended, told.Result, told.RequestOutcome = true, evidenceOf(c, a), final
+	work := e.routeStatsFor(c.route).work
 	took := a.took
 	if a.result == health.OK {
 		if a.choice.MustQueue() {
 			// It had to wait; its time says nothing of the server's speed.
 			took = 0
 		}
-		e.learnRoute(c, took, len(c.body)+len(a.answer.Body))
+		e.updateRouteStats(c, took, len(c.body)+len(a.answer.Body))
 	}
-	told.TookMS, told.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
+	told.LatencyMS, told.TypicalLatencyMS = wireMilliseconds(took), wireMilliseconds(work)
 	e.state.placer.RecordResult(told.Server, told.Result, true, took, work, now)
-	if final != evidence.NotFinal {
-		e.state.placer.RecordOutcome(c.service, final == evidence.Served, now)
+	if final != evidence.RequestPending {
+		e.state.placer.RecordOutcome(c.service, final == evidence.RequestServed, now)
 	}
 	// The first failure of a spell must reach everybody at once: each request
 	// sent there for want of it may be lost.
--- a/edge/register.go
+++ b/edge/register.go
@@ -29,18 +29,18 @@
 	maxRows = 100
 )
 
-// register has the instances of this data centre listed in the store, so that
+// registerInstances has the instances of this data centre listed in the store, so that
 // those of a later start find them, and a cut doesn't double any rate: what
 // belongs to a listed instance that isn't heard isn't counted on. One call
 // writes the rows of all that lack them.
-func (e *Edge) register(ctx context.Context) error {
+func (e *Edge) registerInstances(ctx context.Context) error {
 	select {
-	case <-e.joined:
+	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	lacking := time.Duration(0)
-	for pause(ctx, registerEvery) {
+	for sleepContext(ctx, registerEvery) {
 		e.mu.Lock()
 		rows := e.unlistedRows()
 		patience := e.registerPatience()
@@ -83,7 +83,7 @@
 	if _, known := e.state.instances.Version(); !known {
 		return nil
 	}
-	members := []relay.Member{e.member()}
+	members := []relay.Member{e.selfMember()}
 	for _, m := range e.state.messenger.Fleet().All() {
 		if m.Alive && !m.Stopping && m.DataCentre == e.settings.DataCentre {
 			members = append(members, m.Member)
@@ -95,8 +95,8 @@
 	}
 	var rows []replica.Row
 	for _, m := range members {
-		key := address(m.ID, 0).Addr().String()
-		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.Slow})
+		key := addrPort(m.ID, 0).Addr().String()
+		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.SlowLink})
 		if err != nil {
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
 			continue
@@ -112,7 +112,7 @@
 // them.
 func (e *Edge) noteListed(rows []replica.Row) {
 	for _, r := range rows {
-		e.state.instances.Note(r)
+		e.state.instances.ApplyOwnWrite(r)
 		e.takeInstance(r, e.now())
 	}
 }
@@ -135,8 +135,8 @@
 func (e *Edge) goneRows(now time.Duration) []replica.Row {
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
-		if m.Listed && !m.Alive && now-m.Heard > goneAfter && len(rows) < maxRows {
-			rows = append(rows, replica.Row{Key: address(id, 0).Addr().String(), Gone: true})
+		if m.Listed && !m.Alive && now-m.LastHeard > goneAfter && len(rows) < maxRows {
+			rows = append(rows, replica.Row{Key: addrPort(id, 0).Addr().String(), Gone: true})
 		}
 	}
 	return rows
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -75,10 +75,10 @@
 // newCallers returns the server of callers' connections.
 func (e *Edge) newCallers() *pipeline.Server {
 	s := &pipeline.Server{
-		Handler: http.HandlerFunc(e.answerCaller), Beside: e.repeatable, MostAhead: mostAhead,
+		Handler: http.HandlerFunc(e.answerCaller), AllowConcurrent: e.repeatable, MaxPipelined: mostAhead,
 		HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	s.SetIdle(idleTimeoutFirst)
+	s.SetIdleTimeout(idleTimeoutFirst)
 	return s
 }
 
@@ -111,7 +111,7 @@
 	// The store may have told the configuration and not yet the servers. An
 	// instance that took itself for ready then refused every request.
 	_, serversKnown := s.servers.Version()
-	return !e.stopping.Load() && s.table != nil && serversKnown && !s.misread && e.keyAge(e.now()) < s.bounds.Keys
+	return !e.stopping.Load() && s.table != nil && serversKnown && !s.configUnreadable && e.configAge(e.now()) < s.bounds.MaxKeyAge
 }
 
 // answerReady answers the platform.
@@ -152,7 +152,7 @@
 func (e *Edge) addressesFor(q platform.Question) []string {
 	ready := make(map[string][]string)
 	add := func(id uint32, dc string) {
-		ready[dc] = append(ready[dc], address(id, e.callerPort).String())
+		ready[dc] = append(ready[dc], addrPort(id, e.callerPort).String())
 	}
 	if e.readyLocked() {
 		add(e.self, e.settings.DataCentre)
@@ -179,11 +179,11 @@
 // requests, and ends once it has finished those that it has.
 func (e *Edge) stop() {
 	e.stopping.Store(true)
-	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callers.Open()))
+	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callers.OpenConnections()))
 	start := e.now()
 	grace := settings.Seconds(e.settings.Bounds.GraceS)
 	e.mu.Lock()
-	e.announce()
+	e.announceReadiness()
 	e.mu.Unlock()
 	for e.now()-start < time.Duration(acceptPart*float64(grace)) {
 		time.Sleep(lingerStep)
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -83,16 +83,16 @@
 func (i *instance) started(c *caller, v *server, number int) {
 	i.outstanding(v, 1)
 	i.repeats[c.service].Count(number > 1, i.world.now)
-	n, admitted := i.own[v.hash], i.usage.Own(uint32(c.workspace))
+	n, admitted := i.own[v.hash], i.usage.AdmittedTotal(uint32(c.workspace))
 	i.tell(func(o *instance) {
 		o.placer.SetOutstanding(v.hash, i.number, n, o.world.now)
 		o.repeats[c.service].Count(number > 1, o.world.now)
-		o.usage.Heard(usage.Word{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
+		o.usage.ApplyReport(usage.Report{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
 	})
 }
 
 // ended takes in and tells how an attempt ended.
-func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.Final) {
+func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.RequestOutcome) {
 	i.outstanding(a.server, -1)
 	work := i.workOf(c.kind)
 	took := i.world.now - a.start
@@ -105,8 +105,8 @@
 	}
 	learn := func(o *instance, own bool) {
 		o.placer.RecordResult(a.server.hash, r, own, took, work, o.world.now)
-		if final != evidence.NotFinal {
-			o.placer.RecordServerOutcome(a.server.hash, final == evidence.Served, o.world.now)
+		if final != evidence.RequestPending {
+			o.placer.RecordServerOutcome(a.server.hash, final == evidence.RequestServed, o.world.now)
 		}
 	}
 	learn(i, true)
