--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -196,7 +196,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.retryState(c, a.result, number, running, mayHaveRun)
-	state.FreeSlot = !a.choice.MustQueue()
+	state.HadFreeSlot = !a.choice.MustQueue()
 	return retry.Decide(e.now(), state, e.retryBudget(c.service))
 }
 
@@ -213,14 +213,14 @@
 func (e *Edge) retryState(c *call, result health.Result, number, running int, mayHaveRun bool) retry.Attempt {
 	others := c.route.MaxAttempts - number
 	return retry.Attempt{
-		Result:     result,
-		Idempotent: c.route.Kind.Repeatable(),
-		Number:     number,
-		MayHaveRun: mayHaveRun,
-		Running:    running,
-		Deadline:   c.deadline,
-		Others:     max(others, 0),
-		Room:       true,
+		Result:         result,
+		Idempotent:     c.route.Kind.Repeatable(),
+		AttemptCount:   number,
+		MayHaveRun:     mayHaveRun,
+		InFlight:       running,
+		Deadline:       c.deadline,
+		Untried:        max(others, 0),
+		UntriedHasSlot: true,
 	}
 }
 
@@ -228,7 +228,7 @@
 func (e *Edge) patience(c *call) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return retry.Patience(e.routeStatsFor(c.route).work)
+	return retry.LateThreshold(e.routeStatsFor(c.route).work)
 }
 
 // classify says what an attempt's end tells of the server.
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -142,7 +142,7 @@
 	serverList *discovery.List
 	placer     *placement.Placer
 	usage      *usage.Counters
-	budgets    map[string]*retry.Shared
+	budgets    map[string]*retry.FleetBudget
 	routes     map[string]*routeStats
 
 	messenger *fleet.Messenger
@@ -205,7 +205,7 @@
 		serverList:     discovery.NewList(),
 		placer:         placement.NewWithout(s.Trial.Disabled()),
 		usage:          newUsageCounters(),
-		budgets:        make(map[string]*retry.Shared),
+		budgets:        make(map[string]*retry.FleetBudget),
 		routes:         make(map[string]*routeStats),
 		ownOutstanding: make(map[uint32]uint16),
 		limiter:        warmup.NewLimiter(self),
--- a/edge/repeats.go
+++ b/edge/repeats.go
@@ -8,10 +8,10 @@
 )
 
 // sharedRetryBudget returns the shared budget of a service.
-func (s *state) sharedRetryBudget(service string) *retry.Shared {
+func (s *state) sharedRetryBudget(service string) *retry.FleetBudget {
 	r, ok := s.budgets[service]
 	if !ok {
-		r = retry.NewShared(comeBackSoon, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		r = retry.NewFleetBudget(comeBackSoon, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		s.budgets[service] = r
 	}
 	return r
@@ -26,9 +26,9 @@
 
 // repeatBound is the platform's bound on repeats, as far as this instance may
 // use it.
-func (e *Edge) repeatBound() retry.Bound {
+func (e *Edge) repeatBound() retry.Limit {
 	b := e.settings.Bounds
-	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.RateShare}
+	return retry.Limit{Ratio: b.RetryRatio, Slack: b.RetrySlack, Coverage: e.state.usage.RateShare}
 }
 
 // retryBudget is what may still be repeated at a service.
@@ -38,5 +38,5 @@
 
 // roomToRepeat reports whether requests may be spent on finding out.
 func (e *Edge) roomToRepeat(service string) bool {
-	return e.state.sharedRetryBudget(service).Room(e.repeatBound(), e.now())
+	return e.state.sharedRetryBudget(service).MayProbe(e.repeatBound(), e.now())
 }
--- a/health/trial_loop_test.go
+++ b/health/trial_loop_test.go
@@ -166,7 +166,7 @@
 }
 
 func (w *world) start(now time.Duration, in *instance, r *request) {
-	in.budgets[r.service.name].Request()
+	in.budgets[r.service.name].RecordRequest()
 	if !w.send(now, in, r) {
 		w.finish(now, r, false)
 	}
@@ -212,8 +212,8 @@
 
 func (w *world) state(r *request, result health.Result) retry.Attempt {
 	return retry.Attempt{
-		Result: result, Idempotent: r.service.idempotent, Number: r.attempts, MayHaveRun: r.mayHaveRun,
-		Running: r.running, Deadline: r.arrived + 2*timeout, Others: len(r.service.servers) - len(r.tried), Room: true,
+		Result: result, Idempotent: r.service.idempotent, AttemptCount: r.attempts, MayHaveRun: r.mayHaveRun,
+		InFlight: r.running, Deadline: r.arrived + 2*timeout, Untried: len(r.service.servers) - len(r.tried), UntriedHasSlot: true,
 	}
 }
 
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -95,7 +95,7 @@
 
 // watch hedges the request when its answer is late.
 func (c *caller) watch(sent time.Duration) {
-	c.world.after(retry.Patience(c.instance.workOf(c.kind)), func() {
+	c.world.after(retry.LateThreshold(c.instance.workOf(c.kind)), func() {
 		if c.over || c.sent != sent || len(c.running) != 1 {
 			return
 		}
@@ -132,8 +132,8 @@
 
 func (c *caller) state(r health.Result, running int) retry.Attempt {
 	return retry.Attempt{
-		Result: r, Idempotent: c.kind.Repeatable, Number: len(c.tried), MayHaveRun: c.mayHaveRun, Running: running,
-		Deadline: c.deadline, Others: maxAttempts - len(c.tried), Room: true,
+		Result: r, Idempotent: c.kind.Repeatable, AttemptCount: len(c.tried), MayHaveRun: c.mayHaveRun, InFlight: running,
+		Deadline: c.deadline, Untried: maxAttempts - len(c.tried), UntriedHasSlot: true,
 	}
 }
 
@@ -159,7 +159,7 @@
 	c.ownError = r == health.ServerError && !a.server.ill(c.world.now)
 	state := c.state(r, len(c.running))
 	state.MayHaveRun = mayHaveRun
-	state.FreeSlot = !a.choice.MustQueue()
+	state.HadFreeSlot = !a.choice.MustQueue()
 	d := retry.Decide(c.world.now, state, c.instance.repeats[c.service].Budget(bound, c.world.now))
 	switch d.Action {
 	case retry.Wait:
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -32,7 +32,7 @@
 	dataCentre string
 	placer     *placement.Placer
 	usage      *usage.Counters
-	repeats    []*retry.Shared
+	repeats    []*retry.FleetBudget
 	work       map[Kind]time.Duration
 	own        map[uint32]int
 	cut        map[uint32]bool
@@ -48,7 +48,7 @@
 	}
 	paths := rand.New(rand.NewPCG(w.seed, uint64(50_000+number)))
 	for _, s := range w.services {
-		i.repeats = append(i.repeats, retry.NewShared(comeBackSoon, i.rng))
+		i.repeats = append(i.repeats, retry.NewFleetBudget(comeBackSoon, i.rng))
 		for _, v := range s.servers {
 			i.placer.Apply(discovery.Change{Server: v.entry, New: true}, w.now)
 			i.cut[v.hash] = paths.Float64() < w.deployment.CutShare
@@ -130,14 +130,14 @@
 	return time.Duration(firstWork * float64(k.Aim))
 }
 
-var bound = retry.Bound{Ratio: repeatRatio, Slack: repeatSlack, Heard: 1}
+var bound = retry.Limit{Ratio: repeatRatio, Slack: repeatSlack, Coverage: 1}
 
 // choose places a request.
 func (i *instance) choose(c *caller) (placement.Choice, bool) {
 	now := i.world.now
 	r := placement.Request{
 		Service: i.world.services[c.service].name, Retryable: c.kind.Repeatable,
-		RetryBudgetAmple: c.kind.Repeatable && i.repeats[c.service].Room(bound, now),
+		RetryBudgetAmple: c.kind.Repeatable && i.repeats[c.service].MayProbe(bound, now),
 		LatencyTarget:    c.kind.Aim - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.workOf(c.kind),
 		SizeKB: 5, DataCentre: i.dataCentre, TriedServers: c.tried,
 	}
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -29,7 +29,7 @@
 
 // begin sends the request for the first time.
 func (n *Node) begin(r *request) {
-	n.budget(r.service.Name).Request()
+	n.budget(r.service.Name).RecordRequest()
 	switch {
 	case r.gone:
 		record := n.record(r, decision.RuleCallerGone)
@@ -154,14 +154,14 @@
 		others = 0
 	}
 	return retry.Attempt{
-		Result:     e.Result,
-		Idempotent: r.idempotent,
-		Number:     len(r.tried),
-		MayHaveRun: r.mayHaveRun,
-		Running:    len(r.running),
-		Deadline:   r.deadline,
-		Others:     others,
-		Room:       room,
+		Result:         e.Result,
+		Idempotent:     r.idempotent,
+		AttemptCount:   len(r.tried),
+		MayHaveRun:     r.mayHaveRun,
+		InFlight:       len(r.running),
+		Deadline:       r.deadline,
+		Untried:        others,
+		UntriedHasSlot: room,
 	}
 }
 
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -28,8 +28,8 @@
 	return &Budget{settings: s, rng: rng, tokens: s.Reserve}
 }
 
-// Request counts a caller's request, before its first attempt.
-func (b *Budget) Request() {
+// RecordRequest counts a caller's request, before its first attempt.
+func (b *Budget) RecordRequest() {
 	b.tokens = min(b.tokens+b.settings.Share, b.settings.Reserve)
 }
 
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -14,9 +14,9 @@
 func Example() {
 	b := retry.NewBudget(retry.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	for range 100 {
-		b.Request() // a share of the requests may be retries
+		b.RecordRequest() // a share of the requests may be retries
 	}
-	a := retry.Attempt{Result: health.Incomplete, Idempotent: true, Number: 1, Deadline: 2 * time.Second, Others: 3, Room: true}
+	a := retry.Attempt{Result: health.Incomplete, Idempotent: true, AttemptCount: 1, Deadline: 2 * time.Second, Untried: 3, UntriedHasSlot: true}
 	lookup := retry.Decide(time.Second, a, b)
 	fmt.Println(lookup.Action == retry.Retry, lookup.Reason)
 
--- a/retry/patience.go
+++ b/retry/patience.go
@@ -10,8 +10,8 @@
 	lateLeast = 150 * time.Millisecond
 )
 
-// Patience is how long an attempt may take before it counts as late, given the
+// LateThreshold is how long an attempt may take before it counts as late, given the
 // usual time of such requests.
-func Patience(work time.Duration) time.Duration {
+func LateThreshold(work time.Duration) time.Duration {
 	return max(time.Duration(lateAfter*float64(work)), lateLeast)
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -53,7 +53,7 @@
 	ReasonAttempts      Reason = "enough servers were tried"
 	ReasonNoServer      Reason = "no other server is left to try"
 	ReasonShed          Reason = "the servers have no room"
-	ReasonRunning       Reason = "the first attempt goes on"
+	ReasonInFlight      Reason = "the first attempt goes on"
 )
 
 // Attempt is the state of a request when an attempt has ended or is late.
@@ -61,22 +61,22 @@
 	Result health.Result
 	// Idempotent comes from the request's method or its route.
 	Idempotent bool
-	// Number of attempts made so far, hedges included; 1 after the first.
-	Number int
+	// AttemptCount of attempts made so far, hedges included; 1 after the first.
+	AttemptCount int
 	// MayHaveRun says that an earlier attempt of this request wasn't proved
 	// not run, so that the outcome can't be NotRun any more.
 	MayHaveRun bool
-	// Running counts other attempts of this request that are still out.
-	Running int
+	// InFlight counts other attempts of this request that are still out.
+	InFlight int
 	// Deadline is when the caller's time is up, on the clock of now.
 	Deadline time.Duration
-	// Others is how many servers are left that weren't tried.
-	Others int
-	// Room says that one of them has a free slot as far as is known.
-	Room bool
-	// FreeSlot says that the server had one, as far as is known, when the request
+	// Untried is how many servers are left that weren't tried.
+	Untried int
+	// UntriedHasSlot says that one of them has a free slot as far as is known.
+	UntriedHasSlot bool
+	// HadFreeSlot says that the server had one, as far as is known, when the request
 	// was sent.
-	FreeSlot bool
+	HadFreeSlot bool
 }
 
 // Decision is what to do and why.
@@ -121,8 +121,8 @@
 	if a.Result == health.OK {
 		return Decision{Action: Deliver, Reason: ReasonAnswered}
 	}
-	if a.Running > 0 {
-		return Decision{Action: Wait, Reason: ReasonRunning}
+	if a.InFlight > 0 {
+		return Decision{Action: Wait, Reason: ReasonInFlight}
 	}
 	reason := refusal(now, a, b.settings)
 	if reason == "" && !b.take() {
@@ -137,8 +137,8 @@
 // DecideHedge says whether a late attempt gets a second one beside it.
 func DecideHedge(now time.Duration, a Attempt, b *Budget) Decision {
 	a.Result = health.Late
-	if a.Running > 1 || refusal(now, a, b.settings) != "" || !a.Room || !b.takeHedge() {
-		return Decision{Action: Wait, Reason: ReasonRunning}
+	if a.InFlight > 1 || refusal(now, a, b.settings) != "" || !a.UntriedHasSlot || !b.takeHedge() {
+		return Decision{Action: Wait, Reason: ReasonInFlight}
 	}
 	return Decision{Action: Hedge, Reason: ReasonHedge}
 }
@@ -150,11 +150,11 @@
 		return ReasonNotIdempotent
 	case a.Deadline-now < s.MinRemaining:
 		return ReasonDeadline
-	case a.Number >= s.MaxAttempts:
+	case a.AttemptCount >= s.MaxAttempts:
 		return ReasonAttempts
-	case a.Others == 0:
+	case a.Untried == 0:
 		return ReasonNoServer
-	case a.Result == health.Shed && (a.Number > 1 || !a.Room):
+	case a.Result == health.Shed && (a.AttemptCount > 1 || !a.UntriedHasSlot):
 		// Without this, a service that sheds gets its own refusals back as
 		// new load, and sheds more. One try at a server with room is enough
 		// to get past a single full server.
@@ -168,7 +168,7 @@
 // A server that refuses with free slots may take the very next request: waiting
 // for room that is there already would only make its caller late.
 func leastWait(a Attempt, s Settings) time.Duration {
-	if a.Result == health.Shed && a.FreeSlot {
+	if a.Result == health.Shed && a.HadFreeSlot {
 		return min(s.RetryAfter, afterRandomShed)
 	}
 	return s.RetryAfter
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -29,7 +29,7 @@
 	for _, r := range results {
 		for _, mayHaveRun := range []bool{false, true} {
 			for number := 1; number <= 4; number++ {
-				a := Attempt{Result: r, MayHaveRun: mayHaveRun, Number: number, Deadline: time.Minute, Others: 5, Room: true}
+				a := Attempt{Result: r, MayHaveRun: mayHaveRun, AttemptCount: number, Deadline: time.Minute, Untried: 5, UntriedHasSlot: true}
 				name := fmt.Sprint(r, mayHaveRun, number)
 				d := Decide(0, a, newBudget())
 				if d.Action == Retry {
@@ -49,7 +49,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	ok := Attempt{Idempotent: true, Number: 1, Deadline: time.Second, Others: 3, Room: true}
+	ok := Attempt{Idempotent: true, AttemptCount: 1, Deadline: time.Second, Untried: 3, UntriedHasSlot: true}
 	tests := []struct {
 		name string
 		with func(*Attempt)
@@ -63,12 +63,12 @@
 		{"order timed out", func(a *Attempt) { a.Result = health.Timeout; a.Idempotent = false }, GiveUp, Unknown, ReasonNotIdempotent},
 		{"order failed whole", func(a *Attempt) { a.Result = health.ServerError; a.Idempotent = false }, Deliver, OutcomeNone, ReasonNotIdempotent},
 		{"no time", func(a *Attempt) { a.Result = health.ConnectFailed; a.Deadline = 0 }, GiveUp, NotRun, ReasonDeadline},
-		{"no server", func(a *Attempt) { a.Result = health.Timeout; a.Others = 0 }, GiveUp, Unknown, ReasonNoServer},
-		{"tried enough", func(a *Attempt) { a.Result = health.Timeout; a.Number = 3 }, GiveUp, Unknown, ReasonAttempts},
+		{"no server", func(a *Attempt) { a.Result = health.Timeout; a.Untried = 0 }, GiveUp, Unknown, ReasonNoServer},
+		{"tried enough", func(a *Attempt) { a.Result = health.Timeout; a.AttemptCount = 3 }, GiveUp, Unknown, ReasonAttempts},
 		{"shed once", func(a *Attempt) { a.Result = health.Shed }, Retry, OutcomeNone, ReasonRetry},
-		{"shed twice", func(a *Attempt) { a.Result = health.Shed; a.Number = 2 }, GiveUp, NotRun, ReasonShed},
-		{"shed, all full", func(a *Attempt) { a.Result = health.Shed; a.Room = false }, GiveUp, NotRun, ReasonShed},
-		{"hedge still out", func(a *Attempt) { a.Result = health.Timeout; a.Running = 1 }, Wait, OutcomeNone, ReasonRunning},
+		{"shed twice", func(a *Attempt) { a.Result = health.Shed; a.AttemptCount = 2 }, GiveUp, NotRun, ReasonShed},
+		{"shed, all full", func(a *Attempt) { a.Result = health.Shed; a.UntriedHasSlot = false }, GiveUp, NotRun, ReasonShed},
+		{"hedge still out", func(a *Attempt) { a.Result = health.Timeout; a.InFlight = 1 }, Wait, OutcomeNone, ReasonInFlight},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -91,17 +91,17 @@
 	b := newBudget()
 	attempts := 0
 	for range requests {
-		b.Request()
-		a := Attempt{Result: health.Timeout, Idempotent: true, Number: 1, Deadline: time.Hour, Others: 9, Room: true, Running: 1}
+		b.RecordRequest()
+		a := Attempt{Result: health.Timeout, Idempotent: true, AttemptCount: 1, Deadline: time.Hour, Untried: 9, UntriedHasSlot: true, InFlight: 1}
 		attempts++
 		if DecideHedge(0, a, b).Action == Hedge {
 			attempts++
-			a.Number++
+			a.AttemptCount++
 		}
-		a.Running = 0
+		a.InFlight = 0
 		for Decide(0, a, b).Action == Retry {
 			attempts++
-			a.Number++
+			a.AttemptCount++
 		}
 	}
 	must.LessEq(t, requests*(1+s.Share)+s.Reserve, float64(attempts))
@@ -116,7 +116,7 @@
 		s := DefaultSettings()
 		s.RetryAfter = 500 * time.Millisecond
 		b := NewBudget(s, rand.New(rand.NewPCG(1, 1)))
-		a := Attempt{Result: health.Shed, Number: 2, Deadline: time.Minute, Room: true, FreeSlot: free}
+		a := Attempt{Result: health.Shed, AttemptCount: 2, Deadline: time.Minute, UntriedHasSlot: true, HadFreeSlot: free}
 		var sum time.Duration
 		const given = 20
 		for i := range given {
--- a/retry/shared.go
+++ b/retry/shared.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Shared is the budget of repeats of one service over the whole fleet, as far
+// FleetBudget is the budget of repeats of one service over the whole fleet, as far
 // as one instance hears what the others send.
-type Shared struct {
+type FleetBudget struct {
 	budget *Budget
 	window Window
 }
 
-// Bound on the repeats to a service, over all instances.
-type Bound struct {
+// Limit on the repeats to a service, over all instances.
+type Limit struct {
 	// Ratio is a share of the service's requests, Slack a number beside it.
 	Ratio, Slack float64
-	// Heard is the part of the fleet that this instance hears, itself
+	// Coverage is the part of the fleet that this instance hears, itself
 	// included, from 0 to 1. It uses only that part of the bound.
-	Heard float64
+	Coverage float64
 }
 
 const (
@@ -33,28 +33,28 @@
 	mostShared = 8
 )
 
-// NewShared returns a budget without requests. RetryAfter is the least that
+// NewFleetBudget returns a budget without requests. RetryAfter is the least that
 // callers are told to wait.
-func NewShared(retryAfter time.Duration, rng *rand.Rand) *Shared {
+func NewFleetBudget(retryAfter time.Duration, rng *rand.Rand) *FleetBudget {
 	s := DefaultSettings()
 	s.MaxAttempts = mostShared
 	s.RetryAfter = retryAfter
-	return &Shared{budget: NewBudget(s, rng)}
+	return &FleetBudget{budget: NewBudget(s, rng)}
 }
 
 // Count takes in an attempt of any instance: the first of a request, or a
 // repeat.
-func (s *Shared) Count(repeat bool, now time.Duration) { s.window.Count(repeat, now) }
+func (s *FleetBudget) Count(repeat bool, now time.Duration) { s.window.Count(repeat, now) }
 
 // Budget returns what may still be repeated.
-func (s *Shared) Budget(b Bound, now time.Duration) *Budget {
-	use := sharedUse * b.Heard
-	s.budget.Grant(s.window.Left(b.Ratio*use, b.Slack*use, now))
+func (s *FleetBudget) Budget(b Limit, now time.Duration) *Budget {
+	use := sharedUse * b.Coverage
+	s.budget.SetTokens(s.window.Remaining(b.Ratio*use, b.Slack*use, now))
 	return s.budget
 }
 
-// Room reports whether requests may be spent on finding out.
-func (s *Shared) Room(b Bound, now time.Duration) bool {
-	use := sharedUse * b.Heard
-	return s.window.Used(b.Ratio*use, b.Slack*use, now) < probeUse
+// MayProbe reports whether requests may be spent on finding out.
+func (s *FleetBudget) MayProbe(b Limit, now time.Duration) bool {
+	use := sharedUse * b.Coverage
+	return s.window.UsedShare(b.Ratio*use, b.Slack*use, now) < probeUse
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -41,15 +41,15 @@
 	return t
 }
 
-// Left is how many repeats the bound still allows: a share of the requests and
+// Remaining is how many repeats the bound still allows: a share of the requests and
 // a number beside it.
-func (w *Window) Left(ratio, slack float64, now time.Duration) float64 {
+func (w *Window) Remaining(ratio, slack float64, now time.Duration) float64 {
 	allowed, repeats := w.sums(ratio, slack, now)
 	return allowed - repeats
 }
 
-// Used is the part of the bound that is used up.
-func (w *Window) Used(ratio, slack float64, now time.Duration) float64 {
+// UsedShare is the part of the bound that is used up.
+func (w *Window) UsedShare(ratio, slack float64, now time.Duration) float64 {
 	allowed, repeats := w.sums(ratio, slack, now)
 	if allowed <= 0 {
 		return 1
@@ -69,5 +69,5 @@
 	return ratio*float64(requests) + slack, float64(repeats)
 }
 
-// Grant sets what the budget holds, in place of what it earned itself.
-func (b *Budget) Grant(tokens float64) { b.tokens = max(tokens, 0) }
+// SetTokens sets what the budget holds, in place of what it earned itself.
+func (b *Budget) SetTokens(tokens float64) { b.tokens = max(tokens, 0) }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -20,7 +20,7 @@
 	for now := time.Duration(0); now < 30*time.Second; now += 2 * time.Millisecond {
 		w.Count(false, now)
 		requests++
-		b.Grant(w.Left(ratio, slack, now))
+		b.SetTokens(w.Remaining(ratio, slack, now))
 		if b.take() {
 			w.Count(true, now)
 			repeats = append(repeats, now)
@@ -42,6 +42,6 @@
 	for range 10 {
 		w.Count(true, time.Second)
 	}
-	must.Eq(t, -5, w.Left(1, 5, 5*time.Second))
-	must.Eq(t, 5, w.Left(1, 5, 20*time.Second))
+	must.Eq(t, -5, w.Remaining(1, 5, 5*time.Second))
+	must.Eq(t, 5, w.Remaining(1, 5, 20*time.Second))
 }
