--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -41,11 +41,11 @@
 	list[0].Weight = 0.3
 	list[1].Weight = 0.3
 	for range 100 {
-		id, _ := p.Pick(0, "a", list, Options{Careful: true})
+		id, _ := p.Pick(0, "a", list, Options{AvoidSuspects: true})
 		must.Eq(t, "s02", id)
 	}
 	list[2].Weight = 0.3
-	_, ok := p.Pick(0, "a", list, Options{Careful: true})
+	_, ok := p.Pick(0, "a", list, Options{AvoidSuspects: true})
 	must.True(t, ok)
 }
 
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -27,10 +27,10 @@
 type Options struct {
 	// Exclude lists servers that this request tried already.
 	Exclude []string
-	// Careful keeps away from suspect servers while there is a better one.
+	// AvoidSuspects keeps away from suspect servers while there is a better one.
 	// It is meant for requests that can't be sent a second time: a failure
 	// costs their caller more than it costs a lookup, which is retried.
-	Careful bool
+	AvoidSuspects bool
 }
 
 // Settings of the choice. See DefaultSettings.
@@ -83,7 +83,7 @@
 func (p *Picker) Pick(now time.Duration, service string, servers []Server, o Options) (string, bool) {
 	v := p.view(service)
 	candidates := p.candidates(now, v, servers, o.Exclude)
-	if o.Careful {
+	if o.AvoidSuspects {
 		candidates = careful(candidates, p.settings.CarefulWeight)
 	}
 	if len(candidates) == 0 {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -49,9 +49,9 @@
 	return subset
 }
 
-// ViewFloor returns the share of a service's floor that falls to a view of
+// SubsetFloor returns the share of a service's floor that falls to a view of
 // some of its servers, rounded up.
-func ViewFloor(floor, servers, view int) int {
+func SubsetFloor(floor, servers, view int) int {
 	if servers <= 0 {
 		return 0
 	}
--- a/health/trial_policy_test.go
+++ b/health/trial_policy_test.go
@@ -92,7 +92,7 @@
 }
 
 func (p *ours) pick(now time.Duration, s *service, workspace string, tried []string) (string, bool) {
-	return p.picker.Pick(now, s.name, p.view(now, s, workspace), balance.Options{Exclude: tried, Careful: !s.idempotent})
+	return p.picker.Pick(now, s.name, p.view(now, s, workspace), balance.Options{Exclude: tried, AvoidSuspects: !s.idempotent})
 }
 
 func (p *ours) view(now time.Duration, s *service, workspace string) []balance.Server {
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -48,7 +48,7 @@
 // send starts an attempt at a backend server that wasn't tried yet.
 func (n *Node) send(r *request) bool {
 	servers := n.servers(r)
-	o := balance.Options{Exclude: r.tried, Careful: !r.idempotent}
+	o := balance.Options{Exclude: r.tried, AvoidSuspects: !r.idempotent}
 	id, ok := n.picker.Pick(n.now, r.service.Name, servers, o)
 	if !ok {
 		return false
--- a/node/servers.go
+++ b/node/servers.go
@@ -40,7 +40,7 @@
 			usable = append(usable, id)
 		}
 	}
-	floor := balance.ViewFloor(service.Floor, len(listed), len(subset))
+	floor := balance.SubsetFloor(service.Floor, len(listed), len(subset))
 	n.weigh(r, view, usable, floor)
 	return view
 }
