--- a/health/collector.go
+++ b/health/collector.go
@@ -57,7 +57,7 @@
 	unwellAt time.Duration
 	// advised is when which instance was advised to lower the weight.
 	advised map[string]time.Duration
-	probing probing
+	probing probeState
 }
 
 // reporterMemory is how long a reporter counts as one.
@@ -135,7 +135,7 @@
 		s := c.settings
 		p = &pool{
 			failed:    newLedger(s.FailureShare, s.SickFailureShare, s.PooledMemory),
-			late:      newLedger(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
+			late:      newLedger(s.healthyLateShare(), s.SickLateShare, s.PooledMemory),
 			reporters: map[string]*reporter{},
 			servers:   map[string]*serverState{},
 		}
@@ -160,7 +160,7 @@
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setUsual(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
+		p.late.setUsual(p.usualLateShare(), c.settings.healthyLateShare(), c.settings.SickLateShare)
 		p.advised = c.advise(now, p)
 	}
 	for _, s := range p.advised {
--- a/health/collector_test.go
+++ b/health/collector_test.go
@@ -95,13 +95,13 @@
 	for round, want := range []time.Duration{s.ProbeWait, 2 * s.ProbeWait, 4 * s.ProbeWait} {
 		start := now
 		for len(ejected(c, now, row)) > 0 {
-			for _, pr := range c.Probes(now, "a", row) {
-				c.ProbeDone(now, pr, OK, time.Millisecond)
+			for _, pr := range c.DueProbes(now, "a", row) {
+				c.RecordProbe(now, pr, OK, time.Millisecond)
 			}
 			now += 100 * time.Millisecond
 		}
 		must.Between(t, want, now-start, want+4*s.ProbeInterval, must.Sprint(round))
-		c.Probes(now, "a", config.Permits{})
+		c.DueProbes(now, "a", config.Permits{})
 		now += time.Second
 	}
 }
@@ -155,7 +155,7 @@
 	for i := range 3 {
 		ob := Observation{Service: "a", Server: "s05", Workspace: fmt.Sprint(i), Result: Late, Latency: 60 * time.Millisecond}
 		o.Observe(time.Second, ob)
-		ob.Result, ob.WasLate = Cancelled, true
+		ob.Result, ob.ReportedLate = Cancelled, true
 		o.Observe(time.Second, ob)
 	}
 	must.Less(t, LowWeight, o.Weight(time.Second, "a", "s05", ""))
--- a/health/ejection.go
+++ b/health/ejection.go
@@ -59,7 +59,7 @@
 		case !slices.Contains(servers, e.Server):
 			reason = fmt.Sprintf("%s is not in the list of servers any more", e.Server)
 			delete(p.servers, e.Server)
-		case p.server(e.Server).probing.passed(c.settings):
+		case p.server(e.Server).probing.passedProbes(c.settings):
 			reason = fmt.Sprintf("%s answered %d probes in a row", e.Server, c.settings.ProbesToReturn)
 		default:
 			kept = append(kept, e)
@@ -151,7 +151,7 @@
 // Ejecting it would load the others until they look the same. So its load is
 // taken away first: if it is still late then, load wasn't the cause.
 func (c *Collector) relieve(now time.Duration, p *pool) {
-	slow := p.usualLateShare() > slowShare
+	slow := p.usualLateShare() > slowServiceShare
 	free := (p.room+1)/2 - p.relieved()
 	for _, id := range p.suspects() {
 		s := p.server(id)
--- a/health/floor_test.go
+++ b/health/floor_test.go
@@ -84,8 +84,8 @@
 			}
 			from := fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "from"))
 			c.Accept(now, from, failures(rapid.SampledFrom(servers).Draw(t, "bad"), 8))
-			for _, pr := range c.Probes(now, "a", seen[i].row) {
-				c.ProbeDone(now, pr, anyResult.Draw(t, "probe"), time.Millisecond)
+			for _, pr := range c.DueProbes(now, "a", seen[i].row) {
+				c.RecordProbe(now, pr, anyResult.Draw(t, "probe"), time.Millisecond)
 			}
 			p, ok := c.Propose(now, "a", from, servers, seen[i].row, floor)
 			if ok && seen[i].revision == tab.revision {
--- a/health/observer.go
+++ b/health/observer.go
@@ -10,16 +10,16 @@
 type Observer struct {
 	settings Settings
 	rng      *rand.Rand
-	services map[string]*serviceView
+	services map[string]*serviceEvidence
 	// pending are the services with something to report.
 	pending map[string]struct{}
 	// reportBytes is what may be sent now; it refills by ReportBytes a second.
 	reportBytes float64
-	refilled    time.Duration
+	refilledAt  time.Duration
 }
 
-// serviceView is the evidence on one service's servers.
-type serviceView struct {
+// serviceEvidence is the evidence on one service's servers.
+type serviceEvidence struct {
 	name      string
 	latencies latencies
 	failed    *ledger
@@ -32,10 +32,10 @@
 	pending   pending
 	// lateShare is the share of late answers among the last ones.
 	lateShare float64
-	// lastLate is the server that answered late last.
-	lastLate string
-	// skipped counts the latencies not learnt from since the last one.
-	skipped int
+	// lastLateServer is the server that answered late last.
+	lastLateServer string
+	// unsampled counts the latencies not learnt from since the last one.
+	unsampled int
 }
 
 // NewObserver returns an observer without evidence.
@@ -43,7 +43,7 @@
 	return &Observer{
 		settings:    s,
 		rng:         rng,
-		services:    map[string]*serviceView{},
+		services:    map[string]*serviceEvidence{},
 		pending:     map[string]struct{}{},
 		reportBytes: s.ReportBytes,
 	}
@@ -51,20 +51,20 @@
 
 // Observe takes in how an attempt went, or that it is late.
 func (o *Observer) Observe(now time.Duration, ob Observation) {
-	v := o.view(ob.Service)
+	v := o.service(ob.Service)
 	failed, late, counts := o.classify(v, ob)
 	if counts.failed {
-		v.failed.add(now, ob.Server, source{workspace: ob.Workspace}, 1, one(failed))
+		v.failed.add(now, ob.Server, source{workspace: ob.Workspace}, 1, indicator(failed))
 	}
 	if counts.late {
-		v.late.add(now, ob.Server, source{workspace: ob.Workspace}, 1, one(late))
-		o.noteLate(now, v, ob.Server, late)
+		v.late.add(now, ob.Server, source{workspace: ob.Workspace}, 1, indicator(late))
+		o.updateLateShare(now, v, ob.Server, late)
 	}
 	if ob.Result == Shed {
 		v.shed[ob.Server] = now
 	}
 	if ob.Result == OK && o.suspicion(now, v, ob.Server, "") < suspectScore {
-		v.learn(ob.Latency)
+		v.recordLatency(ob.Latency)
 	}
 	v.pending.note(now, v, ob, failed, late, counts)
 	if len(v.pending.servers) > 0 {
@@ -72,83 +72,83 @@
 	}
 }
 
-// noteLate follows the share of late answers of servers beyond suspicion. One
+// updateLateShare follows the share of late answers of servers beyond suspicion. One
 // server that is late again and again doesn't make the service slow.
-func (o *Observer) noteLate(now time.Duration, v *serviceView, server string, late bool) {
-	repeated := late && server == v.lastLate
+func (o *Observer) updateLateShare(now time.Duration, v *serviceEvidence, server string, late bool) {
+	repeated := late && server == v.lastLateServer
 	if late {
-		v.lastLate = server
+		v.lastLateServer = server
 	}
 	if repeated || o.Weight(now, v.name, server, "") < 1 {
 		return
 	}
-	v.lateShare += (one(late) - v.lateShare) / lateShareWindow
-	v.late.setUsual(v.lateShare, o.settings.judgedLateShare(), o.settings.SickLateShare)
+	v.lateShare += (indicator(late) - v.lateShare) / lateShareWindow
+	v.late.setUsual(v.lateShare, o.settings.healthyLateShare(), o.settings.SickLateShare)
 }
 
-// learn takes a latency into what counts as usual. While the whole service is
+// recordLatency takes a latency into what counts as usual. While the whole service is
 // slow, it learns slowly: otherwise the slowness would pass for usual within
 // seconds, hedges would start again, and chance differences between
 // overloaded servers would count against them.
-func (v *serviceView) learn(latency time.Duration) {
-	v.skipped++
-	if v.slow() && v.skipped < slowLearning {
+func (v *serviceEvidence) recordLatency(latency time.Duration) {
+	v.unsampled++
+	if v.slow() && v.unsampled < slowSampling {
 		return
 	}
-	v.skipped = 0
+	v.unsampled = 0
 	v.latencies.add(latency)
 }
 
 // slow reports whether the service as a whole is slower than usual.
-func (v *serviceView) slow() bool { return v.lateShare > slowShare }
+func (v *serviceEvidence) slow() bool { return v.lateShare > slowServiceShare }
 
-// counted says which ledgers an observation belongs to.
-type counted struct{ failed, late bool }
+// ledgerSet says which ledgers an observation belongs to.
+type ledgerSet struct{ failed, late bool }
 
 // classify tells which way an observation is bad, and where it counts.
-func (o *Observer) classify(v *serviceView, ob Observation) (failed, late bool, c counted) {
+func (o *Observer) classify(v *serviceEvidence, ob Observation) (failed, late bool, c ledgerSet) {
 	switch ob.Result {
 	case Late:
-		return false, true, counted{late: true}
+		return false, true, ledgerSet{late: true}
 	case Shed:
 		// A refusal for want of room is about load, like lateness: the server
 		// gets less first, and is suspect only if it goes on refusing then.
-		return false, true, counted{late: true}
+		return false, true, ledgerSet{late: true}
 	case NotRun, Cancelled:
-		return false, false, counted{}
+		return false, false, ledgerSet{}
 	case OK:
-		late = !ob.WasLate && ob.Latency > o.lateAfter(v)
-		return false, late, counted{failed: true, late: !ob.WasLate}
+		late = !ob.ReportedLate && ob.Latency > o.lateThreshold(v)
+		return false, late, ledgerSet{failed: true, late: !ob.ReportedLate}
 	default:
-		return ob.Result.Failed(), false, counted{failed: true}
+		return ob.Result.Failed(), false, ledgerSet{failed: true}
 	}
 }
 
 const (
 	// lateShareWindow is over about how many answers lateShare goes.
 	lateShareWindow = 24
-	// slowShare is the share of late answers above which the service as a
+	// slowServiceShare is the share of late answers above which the service as a
 	// whole is slow.
-	slowShare = 0.2
-	// slowLearning is one in how many latencies is learnt from then.
-	slowLearning = 8
+	slowServiceShare = 0.2
+	// slowSampling is one in how many latencies is learnt from then.
+	slowSampling = 8
 )
 
-// HedgeAfter returns after how long a second server may be asked, or false.
+// HedgeDelay returns after how long a second server may be asked, or false.
 // It is for the sake of a few slow servers. While the whole service is slow,
 // second copies would only slow it further.
-func (o *Observer) HedgeAfter(service string) (time.Duration, bool) {
-	v := o.view(service)
-	return o.lateAfter(v), !v.slow()
+func (o *Observer) HedgeDelay(service string) (time.Duration, bool) {
+	v := o.service(service)
+	return o.lateThreshold(v), !v.slow()
 }
 
-// LateAfter returns how long an answer of the service may take before it is
+// LateThreshold returns how long an answer of the service may take before it is
 // late, and is to be observed as Late.
-func (o *Observer) LateAfter(service string) time.Duration {
-	return o.lateAfter(o.view(service))
+func (o *Observer) LateThreshold(service string) time.Duration {
+	return o.lateThreshold(o.service(service))
 }
 
-func (o *Observer) lateAfter(v *serviceView) time.Duration {
+func (o *Observer) lateThreshold(v *serviceEvidence) time.Duration {
 	if v.latencies.count < minLatencies {
 		return o.settings.InitialLate
 	}
@@ -156,14 +156,14 @@
 	return max(v.latencies.quantile(1-o.settings.LateShare), 2*median, median+o.settings.MinSlack)
 }
 
-func (o *Observer) view(service string) *serviceView {
+func (o *Observer) service(service string) *serviceEvidence {
 	v, ok := o.services[service]
 	if !ok {
 		s := o.settings
-		v = &serviceView{
+		v = &serviceEvidence{
 			name:   service,
 			failed: newLedger(s.FailureShare, s.SickFailureShare, s.LocalMemory),
-			late:   newLedger(s.judgedLateShare(), s.SickLateShare, s.LocalMemory),
+			late:   newLedger(s.healthyLateShare(), s.SickLateShare, s.LocalMemory),
 			shed:   map[string]time.Duration{},
 			advice: map[string]Suspect{},
 		}
@@ -172,7 +172,7 @@
 	return v
 }
 
-func one(b bool) float64 {
+func indicator(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -184,7 +184,7 @@
 // server that returns from an ejection is judged anew, because what was known
 // of it is as old as the ejection.
 func (o *Observer) SetServers(service string, inUse []string) {
-	v := o.view(service)
+	v := o.service(service)
 	keep := make(map[string]bool, len(inUse))
 	for _, id := range inUse {
 		keep[id] = true
--- a/health/probe.go
+++ b/health/probe.go
@@ -12,48 +12,48 @@
 	Server  string
 }
 
-// probing is the way back of one ejected server.
-type probing struct {
+// probeState is the way back of one ejected server.
+type probeState struct {
 	ejected   bool
 	ejectedAt time.Duration
-	// wait before the first probe; doubled for servers that flap.
-	wait    time.Duration
-	probeAt time.Duration
-	good    int
+	// probeDelay before the first probe; doubled for servers that flap.
+	probeDelay time.Duration
+	nextProbe  time.Duration
+	successes  int
 	// returnedAt is when it last came back.
 	returned   bool
 	returnedAt time.Duration
 }
 
-// Probes returns the probes that are due, given the service's permits row.
+// DueProbes returns the probes that are due, given the service's permits row.
 // The row tells which servers are ejected, whoever ejected them.
-func (c *Collector) Probes(now time.Duration, service string, row config.Permits) []Probe {
+func (c *Collector) DueProbes(now time.Duration, service string, row config.Permits) []Probe {
 	p := c.pool(service)
-	c.follow(now, p, row)
+	c.syncEjections(now, p, row)
 	var due []Probe
 	for _, e := range row.Ejected {
 		s := &p.server(e.Server).probing
-		if now-s.ejectedAt < s.wait || now < s.probeAt {
+		if now-s.ejectedAt < s.probeDelay || now < s.nextProbe {
 			continue
 		}
-		s.probeAt = now + c.settings.ProbeInterval
+		s.nextProbe = now + c.settings.ProbeInterval
 		due = append(due, Probe{Service: service, Server: e.Server})
 	}
 	return due
 }
 
-// ProbeDone takes in a probe's result.
-func (c *Collector) ProbeDone(now time.Duration, pr Probe, r Result, latency time.Duration) {
+// RecordProbe takes in a probe's result.
+func (c *Collector) RecordProbe(now time.Duration, pr Probe, r Result, latency time.Duration) {
 	s := &c.pool(pr.Service).server(pr.Server).probing
 	if r != OK || latency >= c.settings.SlowProbe {
-		s.good = 0
+		s.successes = 0
 		return
 	}
-	s.good++
+	s.successes++
 }
 
-// follow notices which servers were ejected or came back.
-func (c *Collector) follow(now time.Duration, p *pool, row config.Permits) {
+// syncEjections notices which servers were ejected or came back.
+func (c *Collector) syncEjections(now time.Duration, p *pool, row config.Permits) {
 	ejected := map[string]bool{}
 	for _, e := range row.Ejected {
 		ejected[e.Server] = true
@@ -61,7 +61,7 @@
 	}
 	for id, s := range p.servers {
 		if s.probing.ejected && !ejected[id] {
-			s.probing.comeBack(now)
+			s.probing.readmit(now)
 			p.failed.forget(id)
 			p.late.forget(id)
 			s.relieved = false
@@ -71,33 +71,33 @@
 
 // eject starts the wait. Without the doubling, a flapping server would be let
 // in every few seconds and fail some requests each time.
-func (s *probing) eject(now time.Duration, settings Settings) {
+func (s *probeState) eject(now time.Duration, settings Settings) {
 	if s.ejected {
 		return
 	}
 	if s.onProbation(now, settings) {
-		s.wait = min(2*s.wait, settings.MaxProbeWait)
+		s.probeDelay = min(2*s.probeDelay, settings.MaxProbeWait)
 	} else {
-		s.wait = settings.ProbeWait
+		s.probeDelay = settings.ProbeWait
 	}
 	s.ejected = true
 	s.ejectedAt = now
-	s.good = 0
+	s.successes = 0
 }
 
-func (s *probing) comeBack(now time.Duration) {
+func (s *probeState) readmit(now time.Duration) {
 	s.ejected = false
 	s.returned = true
 	s.returnedAt = now
-	s.good = 0
+	s.successes = 0
 }
 
-func (s *probing) passed(settings Settings) bool {
-	return s.ejected && s.good >= settings.ProbesToReturn
+func (s *probeState) passedProbes(settings Settings) bool {
+	return s.ejected && s.successes >= settings.ProbesToReturn
 }
 
 // onProbation reports whether the server came back only lately. The longer
 // it had to wait, the longer it is on probation.
-func (s *probing) onProbation(now time.Duration, settings Settings) bool {
-	return s.returned && now-s.returnedAt < max(settings.Probation, 2*s.wait)
+func (s *probeState) onProbation(now time.Duration, settings Settings) bool {
+	return s.returned && now-s.returnedAt < max(settings.Probation, 2*s.probeDelay)
 }
--- a/health/report.go
+++ b/health/report.go
@@ -69,7 +69,7 @@
 }
 
 // note adds an observation if its server is in doubt or its workspace named.
-func (p *pending) note(now time.Duration, v *serviceView, ob Observation, failed, late bool, c counted) {
+func (p *pending) note(now time.Duration, v *serviceEvidence, ob Observation, failed, late bool, c ledgerSet) {
 	if ob.Result != Late {
 		p.rate = p.rate*rateFade(now-p.rateAt) + 1
 		p.rateAt = now
@@ -101,32 +101,32 @@
 	p.bad = p.bad || bad
 }
 
-func (w *WorkspaceCount) plus(name string, failed, late bool, c counted) *WorkspaceCount {
+func (w *WorkspaceCount) plus(name string, failed, late bool, c ledgerSet) *WorkspaceCount {
 	if w == nil {
 		w = &WorkspaceCount{Workspace: name}
 	}
-	w.Attempts += uint32(one(c.failed))
-	w.Failed += uint32(one(failed))
-	w.LateAttempts += uint32(one(c.late))
-	w.Late += uint32(one(late))
+	w.Attempts += uint32(indicator(c.failed))
+	w.Failed += uint32(indicator(failed))
+	w.LateAttempts += uint32(indicator(c.late))
+	w.Late += uint32(indicator(late))
 	return w
 }
 
 // pairs reports whether the workspace had a bad answer at the server lately.
-func (v *serviceView) pairs(server, workspace string) bool {
+func (v *serviceEvidence) pairs(server, workspace string) bool {
 	r := v.failed.runs[server]
 	return r != nil && r.pairs[workspace] != nil
 }
 
 // follows reports whether a workspace had a bad answer lately. All its
 // attempts are counted then, so that its share of bad ones can be told.
-func (v *serviceView) follows(workspace string) bool {
+func (v *serviceEvidence) follows(workspace string) bool {
 	return v.failed.tallies[workspace] != nil || v.late.tallies[workspace] != nil
 }
 
 // doubts reports whether evidence on the server is being collected. While the
 // collector has doubts, good answers matter to it as much as bad ones.
-func (v *serviceView) doubts(now time.Duration, server string) bool {
+func (v *serviceEvidence) doubts(now time.Duration, server string) bool {
 	_, advised := v.advice[server]
 	if advised && now-v.advisedAt < adviceMemory {
 		return true
@@ -165,10 +165,10 @@
 }
 
 func (o *Observer) refill(now time.Duration) {
-	if now > o.refilled {
-		o.reportBytes += o.settings.ReportBytes * (now - o.refilled).Seconds()
+	if now > o.refilledAt {
+		o.reportBytes += o.settings.ReportBytes * (now - o.refilledAt).Seconds()
 		o.reportBytes = min(o.reportBytes, o.settings.ReportBytes)
-		o.refilled = now
+		o.refilledAt = now
 	}
 }
 
--- a/health/result.go
+++ b/health/result.go
@@ -77,7 +77,7 @@
 	// Latency is from the first byte sent to the end of the answer; for Late
 	// and Timeout, how long the instance has waited.
 	Latency time.Duration
-	// WasLate says that a Late observation of this attempt came before, so
+	// ReportedLate says that a Late observation of this attempt came before, so
 	// that a slow attempt isn't counted twice.
-	WasLate bool
+	ReportedLate bool
 }
--- a/health/score.go
+++ b/health/score.go
@@ -175,7 +175,7 @@
 		return 0
 	}
 	others := l.others(r, of)
-	return max(0, 1-othersFactor*(others+math.Sqrt(others))/here)
+	return max(0, 1-outlierFactor*(others+math.Sqrt(others))/here)
 }
 
 // others is what is usual at the other servers: their mean without the worst
--- a/health/settings.go
+++ b/health/settings.go
@@ -83,15 +83,15 @@
 	}
 }
 
-// judgedLateShare is the share of late answers held for healthy. It is above
+// healthyLateShare is the share of late answers held for healthy. It is above
 // LateShare because late answers come in groups, when a queue is long.
-func (s Settings) judgedLateShare() float64 { return lateGroups * s.LateShare }
+func (s Settings) healthyLateShare() float64 { return lateBurstFactor * s.LateShare }
 
 const (
-	lateGroups = 4.0 / 3
-	// othersFactor is by how much a server must stand out: bad attempts up
+	lateBurstFactor = 4.0 / 3
+	// outlierFactor is by how much a server must stand out: bad attempts up
 	// to this many times the mean of the other servers don't count.
-	othersFactor = 2
+	outlierFactor = 2
 	// maxScore bounds how long a recovered server stays suspect.
 	maxScore = 12
 	// pairSickShare is the share of bad attempts by which one workspace's
--- a/health/trial_loop_test.go
+++ b/health/trial_loop_test.go
@@ -187,7 +187,7 @@
 	a := w.attempt(now, s, r.workspace, in.index)
 	ob := health.Observation{Service: r.service.name, Server: id, Workspace: strconv.Itoa(r.workspace), Result: a.result, Latency: a.latency}
 	if late := in.policy.lateAfter(r.service.name); late > 0 && a.latency > late {
-		ob.WasLate = true
+		ob.ReportedLate = true
 		w.at(now+late, func(now time.Duration) { w.late(now, in, r, ob, late) })
 	}
 	w.at(now+a.latency, func(now time.Duration) { w.end(now, in, r, ob) })
@@ -199,7 +199,7 @@
 	if r.done {
 		return
 	}
-	ob.Result, ob.Latency, ob.WasLate = health.Late, waited, false
+	ob.Result, ob.Latency, ob.ReportedLate = health.Late, waited, false
 	in.policy.ended(now, ob)
 	if !in.policy.hedges(r.service.name) {
 		return
--- a/health/trial_policy_test.go
+++ b/health/trial_policy_test.go
@@ -132,10 +132,10 @@
 	return true
 }
 
-func (p *ours) lateAfter(service string) time.Duration { return p.observer.LateAfter(service) }
+func (p *ours) lateAfter(service string) time.Duration { return p.observer.LateThreshold(service) }
 
 func (p *ours) hedges(service string) bool {
-	_, ok := p.observer.HedgeAfter(service)
+	_, ok := p.observer.HedgeDelay(service)
 	return ok
 }
 
--- a/health/trial_tick_test.go
+++ b/health/trial_tick_test.go
@@ -48,9 +48,9 @@
 	}
 	for _, s := range w.services {
 		row := w.permits[s.name]
-		for _, pr := range w.collector.Probes(now, s.name, row) {
+		for _, pr := range w.collector.DueProbes(now, s.name, row) {
 			result := w.probe(now, s, pr)
-			w.at(now+probeTime, func(now time.Duration) { w.collector.ProbeDone(now, pr, result, probeTime) })
+			w.at(now+probeTime, func(now time.Duration) { w.collector.RecordProbe(now, pr, result, probeTime) })
 		}
 		ids := make([]string, len(s.servers))
 		for i, sv := range s.servers {
--- a/health/weights.go
+++ b/health/weights.go
@@ -52,7 +52,7 @@
 // Without the floor, an instance that suspects many servers, rightly or not,
 // would send everything to a few, which then fail under load as well.
 func (o *Observer) Weights(now time.Duration, service, workspace string, servers []string, floor int) []float64 {
-	v := o.view(service)
+	v := o.service(service)
 	v.failed.servers = len(servers)
 	v.late.servers = len(servers)
 	weights := make([]float64, len(servers))
@@ -82,7 +82,7 @@
 }
 
 // suspicion is the highest score against a server, for a workspace if given.
-func (o *Observer) suspicion(now time.Duration, v *serviceView, server, workspace string) float64 {
+func (o *Observer) suspicion(now time.Duration, v *serviceEvidence, server, workspace string) float64 {
 	s := v.failed.score(now, server)
 	if !v.slow() {
 		// While the whole service is slow, lateness tells servers apart badly,
@@ -112,7 +112,7 @@
 // Advise takes a collector's answer to a report. It replaces the one before
 // and only lowers weights, for a few seconds.
 func (o *Observer) Advise(now time.Duration, service string, suspects []Suspect) {
-	v := o.view(service)
+	v := o.service(service)
 	clear(v.advice)
 	for _, s := range suspects {
 		v.advice[s.Server] = s
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -58,7 +58,7 @@
 	r.tried = append(r.tried, id)
 	r.server = id
 	n.picker.Started(r.service.Name, id)
-	n.timers.add(n.now+n.observer.LateAfter(r.service.Name), func() { n.late(a) })
+	n.timers.add(n.now+n.observer.LateThreshold(r.service.Name), func() { n.late(a) })
 	n.emit(StartAttempt{
 		Request:   r.arrived.Request,
 		Attempt:   a.id,
@@ -251,7 +251,7 @@
 	}
 	a.late = true
 	n.observer.Observe(n.now, n.observation(a, health.Late, n.now-a.started))
-	after, may := n.observer.HedgeAfter(a.request.service.Name)
+	after, may := n.observer.HedgeDelay(a.request.service.Name)
 	if !may {
 		return
 	}
@@ -291,12 +291,12 @@
 
 func (n *Node) observation(a *attempt, result health.Result, latency time.Duration) health.Observation {
 	return health.Observation{
-		Service:   a.request.service.Name,
-		Server:    a.server.ID,
-		Workspace: a.request.workspace.Name,
-		Result:    result,
-		Latency:   latency,
-		WasLate:   a.late,
+		Service:      a.request.service.Name,
+		Server:       a.server.ID,
+		Workspace:    a.request.workspace.Name,
+		Result:       result,
+		Latency:      latency,
+		ReportedLate: a.late,
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -141,7 +141,7 @@
 	case InstancesRead:
 		n.instancesRead(e)
 	case ProbeEnded:
-		n.collector.ProbeDone(n.now, e.Probe, e.Result, e.Latency)
+		n.collector.RecordProbe(n.now, e.Probe, e.Result, e.Latency)
 	case LeaveRequested:
 		n.leave()
 	}
--- a/node/servers.go
+++ b/node/servers.go
@@ -168,7 +168,7 @@
 
 func (n *Node) probe(service string) {
 	about, _ := n.replica.Service(service)
-	for _, probe := range n.collector.Probes(n.now, service, n.replica.Permits(service)) {
+	for _, probe := range n.collector.DueProbes(n.now, service, n.replica.Permits(service)) {
 		server, ok := n.member.Live().Instance(probe.Server)
 		if !ok {
 			continue
