--- a/health/alone.go
+++ b/health/alone.go
@@ -56,12 +56,12 @@
 	}
 }
 
-// Alone reports whether instance from meets failures at most servers of a
+// ReporterAtFault reports whether instance from meets failures at most servers of a
 // service while the other instances don't: its own network is bad. It should
 // leave the addresses that callers are told, because they would be served
 // better anywhere else; no server is to blame. The caller bounds how many
 // instances may leave at the same time.
-func (c *Collector) Alone(now time.Duration, from, service string) bool {
+func (c *Collector) ReporterAtFault(now time.Duration, from, service string) bool {
 	p := c.pool(service)
 	r := p.reporters[from]
 	if r == nil {
--- a/health/bench_test.go
+++ b/health/bench_test.go
@@ -45,7 +45,7 @@
 	for i := range seconds * bigRate {
 		now := time.Duration(i) * time.Second / bigRate
 		o.Observe(now, bigObservation(rng))
-		for _, r := range o.Report(now) {
+		for _, r := range o.DueReports(now) {
 			bytes += r.Size()
 			reports++
 		}
@@ -90,7 +90,7 @@
 // 300 reporting instances: the worst state of a collector.
 func BenchmarkCollect(b *testing.B) {
 	c := NewCollector(DefaultSettings())
-	c.SetFleet(2000, 17)
+	c.SetFleetSize(2000, 17)
 	list := ids(60)
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * 10 * time.Millisecond
--- a/health/collector.go
+++ b/health/collector.go
@@ -71,9 +71,9 @@
 	return &Collector{settings: s, instances: 1, dataCentres: 1, services: map[string]*pool{}}
 }
 
-// SetFleet tells how many entry instances are live, and in how many data
+// SetFleetSize tells how many entry instances are live, and in how many data
 // centres. An ejection needs evidence from several of each, if there are.
-func (c *Collector) SetFleet(instances, dataCentres int) {
+func (c *Collector) SetFleetSize(instances, dataCentres int) {
 	c.instances = max(1, instances)
 	c.dataCentres = max(1, dataCentres)
 }
@@ -117,10 +117,10 @@
 	}
 }
 
-// OwnReport takes in what a server says of its own health. "Sick" shortens
+// AcceptSelfReport takes in what a server says of its own health. "Sick" shortens
 // the suspicion; "healthy" means nothing, because servers say so while they
 // fail requests.
-func (c *Collector) OwnReport(now time.Duration, service, server string, healthy bool) {
+func (c *Collector) AcceptSelfReport(now time.Duration, service, server string, healthy bool) {
 	if healthy {
 		return
 	}
--- a/health/collector_test.go
+++ b/health/collector_test.go
@@ -15,7 +15,7 @@
 
 func newCollector() *Collector {
 	c := NewCollector(DefaultSettings())
-	c.SetFleet(fleet, 4)
+	c.SetFleetSize(fleet, 4)
 	return c
 }
 
@@ -61,8 +61,8 @@
 func TestOwnReportIsNoEvidence(t *testing.T) {
 	c := newCollector()
 	for i := range 8 {
-		c.OwnReport(0, "a", "s03", true)
-		c.OwnReport(0, "a", "s04", false)
+		c.AcceptSelfReport(0, "a", "s03", true)
+		c.AcceptSelfReport(0, "a", "s04", false)
 		c.Accept(0, fmt.Sprint(i), reportFrom(i, "s03", 1))
 	}
 	must.Eq(t, []string{"s03"}, ejected(c, time.Millisecond, config.Permits{}))
@@ -71,7 +71,7 @@
 // A server that reports itself as sick is ejected on less evidence.
 func TestOwnReportShortensSuspicion(t *testing.T) {
 	plain, told := newCollector(), newCollector()
-	told.OwnReport(0, "a", "s03", false)
+	told.AcceptSelfReport(0, "a", "s03", false)
 	for i := range 3 {
 		r := failures("s03", 1)
 		r.Servers[0].Workspaces[0].Attempts = 4
@@ -174,7 +174,7 @@
 		if ms%100 != 0 {
 			continue
 		}
-		for _, r := range o.Report(now) {
+		for _, r := range o.DueReports(now) {
 			b, err := json.Marshal(r)
 			must.NoError(t, err)
 			sent += r.Size()
--- a/health/floor_test.go
+++ b/health/floor_test.go
@@ -41,9 +41,9 @@
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			o.Observe(now, anyObservation(t, servers))
 			if rapid.IntRange(0, 9).Draw(t, "advice") == 0 {
-				o.Advise(now, "a", []Suspect{{Server: rapid.SampledFrom(servers).Draw(t, "suspect"), Weight: adviceWeight}})
+				o.ApplyAdvice(now, "a", []Suspect{{Server: rapid.SampledFrom(servers).Draw(t, "suspect"), Weight: adviceWeight}})
 			}
-			o.Report(now)
+			o.DueReports(now)
 			low := 0
 			for _, w := range o.Weights(now, "a", "w", servers, floor) {
 				must.Positive(t, w)
--- a/health/report.go
+++ b/health/report.go
@@ -139,10 +139,10 @@
 	return math.Exp(-d.Seconds() / rateMemory.Seconds())
 }
 
-// Report returns the reports that are due, one for each service at most.
+// DueReports returns the reports that are due, one for each service at most.
 // They go to the services' collectors; a report that gets lost is not sent
 // again. Together they stay within ReportBytes a second.
-func (o *Observer) Report(now time.Duration) []Report {
+func (o *Observer) DueReports(now time.Duration) []Report {
 	o.refill(now)
 	var reports []Report
 	for _, name := range slices.Sorted(maps.Keys(o.pending)) {
--- a/health/report_bench_test.go
+++ b/health/report_bench_test.go
@@ -30,7 +30,7 @@
 							Workspace: "workspace-000001", Result: result, Latency: 5 * time.Millisecond,
 						})
 					}
-					for _, r := range o.Report(now) {
+					for _, r := range o.DueReports(now) {
 						reports++
 						bytes += r.Size()
 					}
--- a/health/trial_loop_test.go
+++ b/health/trial_loop_test.go
@@ -74,7 +74,7 @@
 		permits:   map[string]config.Permits{},
 		until:     trialEnd,
 	}
-	w.collector.SetFleet(d.instances, d.dataCentres)
+	w.collector.SetFleetSize(d.instances, d.dataCentres)
 	for i := range d.instances {
 		w.instances = append(w.instances, newInstance(kind, i, d.dataCentres, w.services, rng))
 	}
--- a/health/trial_tick_test.go
+++ b/health/trial_tick_test.go
@@ -29,15 +29,15 @@
 }
 
 func (w *world) report(now time.Duration, in *instance, p *ours) {
-	for _, r := range p.observer.Report(now) {
+	for _, r := range p.observer.DueReports(now) {
 		w.outcome.reportBytes += r.Size()
 		w.outcome.reports++
 		w.at(now+reportTime, func(now time.Duration) {
 			advice := w.collector.Accept(now, strconv.Itoa(in.index), r)
-			if w.collector.Alone(now, strconv.Itoa(in.index), r.Service) {
+			if w.collector.ReporterAtFault(now, strconv.Itoa(in.index), r.Service) {
 				w.leave(now, in)
 			}
-			w.at(now+reportTime, func(now time.Duration) { p.observer.Advise(now, r.Service, advice) })
+			w.at(now+reportTime, func(now time.Duration) { p.observer.ApplyAdvice(now, r.Service, advice) })
 		})
 	}
 }
@@ -56,7 +56,7 @@
 		for i, sv := range s.servers {
 			ids[i] = sv.id
 			if own := w.fault.ownReport; own != nil && w.fault.active(now) && now%ownReportEvery == 0 {
-				w.collector.OwnReport(now, s.name, sv.id, own(sv))
+				w.collector.AcceptSelfReport(now, s.name, sv.id, own(sv))
 			}
 		}
 		if p, ok := w.collector.Propose(now, s.name, "0", ids, row, s.floor); ok {
--- a/health/weights.go
+++ b/health/weights.go
@@ -109,9 +109,9 @@
 	Late bool
 }
 
-// Advise takes a collector's answer to a report. It replaces the one before
+// ApplyAdvice takes a collector's answer to a report. It replaces the one before
 // and only lowers weights, for a few seconds.
-func (o *Observer) Advise(now time.Duration, service string, suspects []Suspect) {
+func (o *Observer) ApplyAdvice(now time.Duration, service string, suspects []Suspect) {
 	v := o.view(service)
 	clear(v.advice)
 	for _, s := range suspects {
--- a/node/message.go
+++ b/node/message.go
@@ -88,7 +88,7 @@
 	case ownerSettlement:
 	case ownerReport:
 		if e.OK && e.Reply.Advice != nil {
-			n.observer.Advise(n.now, e.Reply.Advice.Service, e.Reply.Advice.Suspects)
+			n.observer.ApplyAdvice(n.now, e.Reply.Advice.Service, e.Reply.Advice.Suspects)
 		}
 	default:
 		panic("node: call of a part that makes none")
--- a/node/node.go
+++ b/node/node.go
@@ -234,7 +234,7 @@
 	if list := n.member.Live().Version(); list != n.seenList {
 		n.seenList = list
 		n.rankShards()
-		n.collector.SetFleet(len(n.member.Live().Entries()), len(n.member.Live().DataCentres()))
+		n.collector.SetFleetSize(len(n.member.Live().Entries()), len(n.member.Live().DataCentres()))
 		n.noticeServers()
 	}
 	if n.replica.Revision() == n.seen {
--- a/node/servers.go
+++ b/node/servers.go
@@ -111,7 +111,7 @@
 
 // reportHealth sends what this instance saw to the services' collectors.
 func (n *Node) reportHealth() {
-	for _, report := range n.observer.Report(n.now) {
+	for _, report := range n.observer.DueReports(n.now) {
 		collector := n.member.Live().Collector(report.Service)
 		switch collector {
 		case "":
@@ -119,7 +119,7 @@
 			suspects := n.collector.Accept(n.now, collector, report)
 			n.judgeReporter(collector, report.Service)
 			n.noteDoubts(report)
-			n.observer.Advise(n.now, report.Service, suspects)
+			n.observer.ApplyAdvice(n.now, report.Service, suspects)
 		default:
 			p := pending{owner: ownerReport, subject: report.Service}
 			n.emit(n.own(p, effect.Call{To: collector, Request: PeerRequest{Report: &report}}))
--- a/node/unadvertised.go
+++ b/node/unadvertised.go
@@ -59,7 +59,7 @@
 func (n *Node) judgeReporter(from, service string) {
 	u := &n.unadvertised
 	bound := max(1, len(n.member.Live().Entries())/unadvertisedShare)
-	if len(u.instances) >= bound || slices.Contains(u.instances, from) || !n.collector.Alone(n.now, from, service) {
+	if len(u.instances) >= bound || slices.Contains(u.instances, from) || !n.collector.ReporterAtFault(n.now, from, service) {
 		return
 	}
 	n.writeUnadvertised(append(slices.Clone(u.instances), from))
