--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,16 +1,17 @@
-// Package discovery keeps the list of backend servers as the platform's store
-// tells it, and says which of them may get new work.
+// Package discovery keeps the list of backend servers read from the platform's
+// store and tells which of them may get new requests.
 //
-// Idea: a server that says it drains, or whose entry is gone, gets nothing
-// more from the moment this instance knows. One case is different: entries
-// run out while the store itself is away, and come back once the servers reach
-// it again. Dropping them at once would leave whole services without servers
-// for seconds after each outage, so absence right after an outage counts only
-// after a pause (see Grace).
+// A server that is draining or whose entry was removed gets no new requests as
+// soon as this instance learns of it. The exception is a store outage: entries
+// expire while the store is unavailable and come back once the servers reach it
+// again. Removing those servers at once would leave whole services without
+// servers for seconds after each outage, so a missing entry right after an
+// outage counts only after RemovalGracePeriod.
 //
-// A store that comes back from a copy lists servers as they were some seconds
-// before. What is known of a server is kept until the server itself writes again:
-// one that drains or has left must not come back by an old entry.
+// A store restored from a backup lists servers as they were some seconds
+// before. The known state of a server is kept until the server itself writes
+// again: a server that is draining or has left must not come back through an
+// old entry.
 package discovery
 
 import (
@@ -18,189 +19,194 @@
 	"time"
 )
 
-// RemovalGracePeriod is how long after the store's return a missing entry may still come
-// back. The platform promises about two seconds.
+// RemovalGracePeriod is how long after the store's return a missing entry may
+// still reappear. The platform promises about two seconds.
 const RemovalGracePeriod = 2 * time.Second
 
-// OutageThreshold is the silence of the store after which entries may have run out by
-// its fault. Servers write every 1.5 s and entries last three writes; a
-// shorter silence can't make a living server's entry run out.
+// OutageThreshold is the time without a response of the store after which
+// entries may have expired because of the outage. Servers write every 1.5 s and
+// entries last for three writes, so a shorter outage cannot make the entry of a
+// running server expire.
 const OutageThreshold = 2 * time.Second
 
-// warmUpJitter is how far the ends of one warm-up may lie apart by what two
-// writes of an entry say, since each arrives with another delay. A later end
-// means that the server has turned cold again.
+// warmUpJitter is how far the ends of one warm-up computed from two writes of
+// an entry may differ, since each write arrives with a different delay. A later
+// end means that the server has become cold again.
 const warmUpJitter = time.Second
 
-// leftFor is how long a server that has left is remembered, so that an old entry
-// doesn't bring it back. Copies of the store are some seconds old.
-const leftFor = time.Minute
+// departedRetention is how long a removed server is remembered, so that an old
+// entry does not bring it back. Backups of the store are some seconds old.
+const departedRetention = time.Minute
 
-// Server is one backend server.
+// Server is a backend server.
 type Server struct {
 	ID      string
 	Service string
 	// Address is "ip:port".
 	Address    string
 	DataCentre string
-	// Slots is how many requests it runs at a time, at least 1.
+	// Slots is the number of requests it runs concurrently, at least 1.
 	Slots int
-	// Draining servers finish what they have and get nothing new.
+	// Draining servers finish their requests and get no new ones.
 	Draining bool
-	// WarmUp is how long it stays slow, counted from the entry's arrival.
+	// WarmUp is the remaining warm-up time when the entry arrived.
 	WarmUp time.Duration
-	// StartTimeMS is when the server started, in Unix milliseconds. A restart under
-	// the same id has a later one.
+	// StartTimeMS is when the server started, in Unix milliseconds. A restart
+	// under the same id has a later one.
 	StartTimeMS int64
-	// Seq counts the writes of its entry since its start; 0 if it doesn't say.
+	// Seq counts the writes of its entry since its start; 0 if not reported.
 	Seq int64
 }
 
-// EqualExceptRenewal reports whether two entries tell the same of a server, the time that
-// is left to warm up and the count of writes aside.
+// EqualExceptRenewal reports whether two entries describe the same state of a
+// server, ignoring the remaining warm-up time and the write count.
 func (s Server) EqualExceptRenewal(o Server) bool {
 	s.WarmUp, o.WarmUp = 0, 0
 	s.Seq, o.Seq = 0, 0
 	return s == o
 }
 
-// counted reports whether an entry tells which of the server's writes it is. The
-// count begins anew with each start, so that it says nothing without that.
-func (s Server) counted() bool { return s.StartTimeMS > 0 && s.Seq > 0 }
+// hasWriteCount reports whether an entry tells which write of the server it is.
+// The count restarts with the server, so it is meaningful only with a start
+// time.
+func (s Server) hasWriteCount() bool { return s.StartTimeMS > 0 && s.Seq > 0 }
 
 // olderThan reports whether an entry was written before another one of the same
 // server.
 func (s Server) olderThan(o Server) bool {
-	return s.StartTimeMS < o.StartTimeMS || (s.StartTimeMS == o.StartTimeMS && s.counted() && s.Seq < o.Seq)
+	return s.StartTimeMS < o.StartTimeMS || (s.StartTimeMS == o.StartTimeMS && s.hasWriteCount() && s.Seq < o.Seq)
 }
 
-// Change is what became of one server.
+// Change is a change to one server.
 type Change struct {
 	Server Server
-	// Removed: its entry has left the list.
+	// Removed means that its entry was removed from the list.
 	Removed bool
-	// New: it wasn't known before, or has started again.
+	// New means that the server was not known before or has restarted.
 	New bool
 }
 
-// List is the known servers. It isn't safe for concurrent use.
+// List is the list of known servers. It is not safe for concurrent use.
 type List struct {
 	servers map[string]Server
-	// missing holds when a server that the store no longer lists is dropped.
-	missing map[string]time.Duration
-	// warm holds when each server that reported a warm-up is warm.
-	warm map[string]time.Duration
-	// left are the servers that have left, as they were last known.
-	left map[string]departed
-	// ignored are entries of the store that are older than what is known of their
-	// servers.
-	ignored map[string]Server
-}
-
-// departed is a server that has left.
-type departed struct {
+	// removalDue holds when a server that the store no longer lists is removed.
+	removalDue map[string]time.Duration
+	// warmUpEnd holds when the warm-up of each server that reported one ends.
+	warmUpEnd map[string]time.Duration
+	// departed holds removed servers with their last known state.
+	departed map[string]departedServer
+	// staleEntries holds entries of the store that are older than the known
+	// state of their servers.
+	staleEntries map[string]Server
+}
+
+// departedServer is a removed server with the time of its removal.
+type departedServer struct {
 	Server
 	at time.Duration
 }
 
-// NewList returns an empty list.
 func NewList() *List {
 	return &List{
-		servers: make(map[string]Server), missing: make(map[string]time.Duration), warm: make(map[string]time.Duration),
-		left: make(map[string]departed), ignored: make(map[string]Server),
+		servers: make(map[string]Server), removalDue: make(map[string]time.Duration), warmUpEnd: make(map[string]time.Duration),
+		departed: make(map[string]departedServer), staleEntries: make(map[string]Server),
 	}
 }
 
-// PutAfterRestore takes in an entry of a store that came back from a copy. A server that
-// has left stays out until it writes again: how often it had written isn't known by
-// then, because entries that only renew themselves aren't handed on.
+// PutAfterRestore applies an entry of a store that was restored from a backup.
+// A removed server stays out until it writes again: the last known write count
+// is not exact, because entries that are only renewed are not forwarded to
+// other instances.
 func (l *List) PutAfterRestore(s Server, now time.Duration) (Change, bool) {
-	left, ok := l.left[s.ID]
-	if ok && now-left.at < leftFor && s.StartTimeMS <= left.StartTimeMS && s.counted() {
-		l.ignored[s.ID] = s
+	last, ok := l.departed[s.ID]
+	if ok && now-last.at < departedRetention && s.StartTimeMS <= last.StartTimeMS && s.hasWriteCount() {
+		l.staleEntries[s.ID] = s
 		return Change{}, false
 	}
 	return l.Put(s, now)
 }
 
-// Put takes in an entry. Time alone shortens a warm-up; an entry that differs
-// only by that is no change. An entry that was written before the known one is
-// ignored: a late write of a process that is gone must not hide its successor.
+// Put applies an entry and reports whether it is a change. A warm-up that is
+// shorter only because time has passed is none. An entry that was written
+// before the known one is ignored: a late write of a former process must not
+// overwrite the state of its successor.
 func (l *List) Put(s Server, now time.Duration) (Change, bool) {
 	old, known := l.servers[s.ID]
 	if known && s.olderThan(old) {
-		l.ignored[s.ID] = s
+		l.staleEntries[s.ID] = s
 		return Change{}, false
 	}
-	if ignored, ok := l.ignored[s.ID]; ok && !known && !ignored.olderThan(s) {
+	if stale, ok := l.staleEntries[s.ID]; ok && !known && !stale.olderThan(s) {
 		return Change{}, false
 	}
-	delete(l.ignored, s.ID)
-	delete(l.missing, s.ID)
-	delete(l.left, s.ID)
-	colder := l.turnsCold(s, now)
+	delete(l.staleEntries, s.ID)
+	delete(l.removalDue, s.ID)
+	delete(l.departed, s.ID)
+	newWarmUp := l.recordWarmUp(s, now)
 	l.servers[s.ID] = s
-	if known && old.EqualExceptRenewal(s) && !colder {
+	if known && old.EqualExceptRenewal(s) && !newWarmUp {
 		return Change{}, false
 	}
 	return Change{Server: s, New: !known || s.StartTimeMS != old.StartTimeMS}, true
 }
 
-// turnsCold notes the warm-up that an entry reports, and reports whether it is
-// another one than was known.
-func (l *List) turnsCold(s Server, now time.Duration) bool {
+// recordWarmUp stores the end of the warm-up that an entry reports, and reports
+// whether it is a new warm-up.
+func (l *List) recordWarmUp(s Server, now time.Duration) bool {
 	if s.WarmUp <= 0 {
 		return false
 	}
-	known, end := l.warm[s.ID], now+s.WarmUp
-	l.warm[s.ID] = max(known, end)
+	known, end := l.warmUpEnd[s.ID], now+s.WarmUp
+	l.warmUpEnd[s.ID] = max(known, end)
 	return end > known+warmUpJitter
 }
 
-// Remove takes in that the store lists a server no longer. Before keepUntil,
-// which is Grace after the store's return, its entry may have run out by the
-// store's fault: the server is then kept, and dropped by Expire at that time
-// unless it is listed again before.
+// Remove applies that the store no longer lists a server. Until keepUntil,
+// which is RemovalGracePeriod after the store's return, its entry may have
+// expired because of the outage: the server is kept, and Expire removes it at
+// that time unless it is listed again before.
 func (l *List) Remove(id string, now, keepUntil time.Duration) (Change, bool) {
-	delete(l.ignored, id)
+	delete(l.staleEntries, id)
 	s, known := l.servers[id]
 	if !known {
 		return Change{}, false
 	}
 	if now < keepUntil {
-		l.missing[id] = keepUntil
+		l.removalDue[id] = keepUntil
 		return Change{}, false
 	}
 	delete(l.servers, id)
-	delete(l.missing, id)
-	delete(l.warm, id)
-	l.leave(s, now)
+	delete(l.removalDue, id)
+	delete(l.warmUpEnd, id)
+	l.recordDeparture(s, now)
 	return Change{Server: s, Removed: true}, true
 }
 
-// leave remembers a server that has left, and forgets those of long ago.
-func (l *List) leave(s Server, now time.Duration) {
-	for id, d := range l.left {
-		if now-d.at >= leftFor {
-			delete(l.left, id)
+// recordDeparture remembers a removed server and forgets those past
+// departedRetention.
+func (l *List) recordDeparture(s Server, now time.Duration) {
+	for id, d := range l.departed {
+		if now-d.at >= departedRetention {
+			delete(l.departed, id)
 		}
 	}
-	l.left[s.ID] = departed{s, now}
+	l.departed[s.ID] = departedServer{s, now}
 }
 
-// DiffersFromStore reports whether the store and this list differ about a server: it is
-// no longer listed there and its return waited for, or listed as it was before.
-// The next entry has to be handed on, even if it says what the list has.
+// DiffersFromStore reports whether the store and this list differ about a
+// server: it is missing in the store and kept for now, or the store lists an
+// older state. The next entry must then be forwarded even if it matches the
+// list.
 func (l *List) DiffersFromStore(id string) bool {
-	_, missing := l.missing[id]
-	_, ignored := l.ignored[id]
-	return missing || ignored
+	_, missing := l.removalDue[id]
+	_, stale := l.staleEntries[id]
+	return missing || stale
 }
 
-// Expire drops the servers whose return was waited for in vain.
+// Expire removes the servers whose entries did not reappear in time.
 func (l *List) Expire(now time.Duration) []Change {
 	var changes []Change
-	for id, at := range l.missing {
+	for id, at := range l.removalDue {
 		if now < at {
 			continue
 		}
@@ -227,5 +233,5 @@
 	return s, ok
 }
 
-// Len is the number of known servers.
+// Len returns the number of known servers.
 func (l *List) Len() int { return len(l.servers) }
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -13,7 +13,7 @@
 	return discovery.Server{ID: id, Service: "s", Address: "10.0.0.1:80", Slots: 2, StartTimeMS: born}
 }
 
-func TestPutTellsWhatChanged(t *testing.T) {
+func TestPutReportsChanges(t *testing.T) {
 	l := discovery.NewList()
 	c, ok := l.Put(server("a", 1), 0)
 	must.True(t, ok && c.New)
@@ -25,16 +25,16 @@
 	must.True(t, ok)
 	warming.WarmUp = 1500 * time.Millisecond
 	_, ok = l.Put(warming, 2200*time.Millisecond)
-	must.False(t, ok, must.Sprint("time alone shortens a warm-up"))
+	must.False(t, ok, must.Sprint("a warm-up shortened only by the passage of time was reported as a change"))
 	draining := server("a", 1)
 	draining.Draining = true
 	c, ok = l.Put(draining, 0)
 	must.True(t, ok && !c.New)
 }
 
-// A server that is known as warm reports that it has turned cold. If that passed
-// for a renewal of its entry, it would get its usual load and break down.
-func TestServerTurnsColdAgain(t *testing.T) {
+// A warm server that becomes cold again must be reported as changed. Taken for
+// a mere renewal of its entry, the server would get its usual load and fail.
+func TestPutReportsNewWarmUp(t *testing.T) {
 	l := discovery.NewList()
 	cold := server("a", 1)
 	cold.WarmUp = 3 * time.Second
@@ -45,10 +45,10 @@
 	must.Eq(t, 3*time.Second, c.Server.WarmUp)
 }
 
-// A server restarts under its id. A write of its former process arrives after
-// the first one of the new, and says that it drains. Believing it would keep a
-// healthy server out of use.
-func TestLateWordOfAFormerStartIsIgnored(t *testing.T) {
+// After a restart under the same id, a delayed write of the former process
+// arrives after the first write of the new one and says "draining". Applying it
+// would keep a healthy server out of use.
+func TestPutIgnoresLateEntryOfFormerProcess(t *testing.T) {
 	l := discovery.NewList()
 	l.Put(server("a", 1), 0)
 	c, ok := l.Put(server("a", 2), 0)
@@ -61,7 +61,7 @@
 	must.False(t, s.Draining)
 }
 
-func TestGoneServerLeavesAtOnce(t *testing.T) {
+func TestRemoveDropsServerAtOnce(t *testing.T) {
 	l := discovery.NewList()
 	l.Put(server("a", 1), 0)
 	c, ok := l.Remove("a", time.Second, 0)
@@ -71,10 +71,10 @@
 	must.False(t, ok)
 }
 
-// The store was away for so long that the entries ran out. It comes back, the
-// list is empty, and the servers write again within two seconds. A caller that
-// asks meanwhile must be served by the servers that were there before.
-func TestEntriesThatRanOutWithTheStoreAreWaitedFor(t *testing.T) {
+// After a long store outage all entries have expired; the list is empty when
+// the store returns, and the servers write again within two seconds. Until
+// then, the servers known before must stay in use.
+func TestExpiredEntriesAreKeptForGracePeriod(t *testing.T) {
 	l := discovery.NewList()
 	l.Put(server("back", 1), 0)
 	l.Put(server("lost", 1), 0)
@@ -86,23 +86,23 @@
 	must.Eq(t, 2, l.Len())
 	l.Put(server("back", 1), 0)
 	must.Len(t, 0, l.Expire(now+discovery.RemovalGracePeriod-1))
-	gone := l.Expire(now + discovery.RemovalGracePeriod)
-	must.Len(t, 1, gone)
-	must.Eq(t, "lost", gone[0].Server.ID)
+	removed := l.Expire(now + discovery.RemovalGracePeriod)
+	must.Len(t, 1, removed)
+	must.Eq(t, "lost", removed[0].Server.ID)
 	must.Eq(t, 1, l.Len())
 }
 
-// The store is back after an outage. A second and a half later it takes a
-// server off the list that is really leaving, and serves on for a moment only.
-// Waiting for the full grace from then on sent it requests for 3.5 s after the
-// store's return, when absence has long been proof that it is gone.
-func TestGraceEndsWithTheStoresReturnNotWithEachRemoval(t *testing.T) {
+// A server that leaves 1.5 s after the store's return is removed when the grace
+// period after that return ends. Counting the whole grace period from the
+// removal sent it requests for 3.5 s after the store's return, although it had
+// stopped by then.
+func TestGracePeriodCountsFromStoreReturn(t *testing.T) {
 	l := discovery.NewList()
 	l.Put(server("leaving", 1), 0)
 	returned := 10 * time.Second
 	_, ok := l.Remove("leaving", returned+1500*time.Millisecond, returned+discovery.RemovalGracePeriod)
 	must.False(t, ok)
-	gone := l.Expire(returned + discovery.RemovalGracePeriod)
-	must.Len(t, 1, gone)
+	removed := l.Expire(returned + discovery.RemovalGracePeriod)
+	must.Len(t, 1, removed)
 	must.Zero(t, l.Len())
 }
--- a/discovery/evacuations.go
+++ b/discovery/evacuations.go
@@ -7,29 +7,29 @@
 	"foxtailspoke/replica"
 )
 
-// Evacuations are the data centres whose backend servers must get nothing new
-// until the operators take the evacuation back. The zero value holds none.
+// Evacuations is the set of data centres whose backend servers must get no new
+// requests until the operators end the evacuation. The zero value is empty.
 //
-// Every answer of the store and every notice carries the whole set with the
-// version of its table, so that a lost message is made good by the next. What
-// is known stays in force while the store is away.
+// Every response of the store and every notice carries the whole set with the
+// version of its table, so that the next message makes up for a lost one. The
+// known set stays in force while the store is unavailable.
 type Evacuations struct {
-	at          replica.Position
+	position    replica.Position
 	dataCentres map[string]bool
 }
 
-// Replace takes in the whole set as of a version of the table and returns what
-// it changes. A set that is older than the known one is ignored.
-func (e *Evacuations) Replace(at replica.Position, dataCentres []string) (begun, ended []string) {
-	if at.Before(e.at) {
+// Replace applies the whole set as of a version of the table and returns the
+// differences. A set older than the known one is ignored.
+func (e *Evacuations) Replace(at replica.Position, dataCentres []string) (started, ended []string) {
+	if at.Before(e.position) {
 		return nil, nil
 	}
-	e.at = at
+	e.position = at
 	current := make(map[string]bool, len(dataCentres))
 	for _, dc := range dataCentres {
 		current[dc] = true
 		if !e.dataCentres[dc] {
-			begun = append(begun, dc)
+			started = append(started, dc)
 		}
 	}
 	for dc := range e.dataCentres {
@@ -38,13 +38,13 @@
 		}
 	}
 	e.dataCentres = current
-	slices.Sort(begun)
+	slices.Sort(started)
 	slices.Sort(ended)
-	return begun, ended
+	return started, ended
 }
 
 // Has reports whether a data centre is evacuated.
 func (e *Evacuations) Has(dataCentre string) bool { return e.dataCentres[dataCentre] }
 
-// List returns the evacuated data centres in order.
+// List returns the evacuated data centres in sorted order.
 func (e *Evacuations) List() []string { return slices.Sorted(maps.Keys(e.dataCentres)) }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -8,33 +8,33 @@
 // Topology maps each data centre to its region.
 type Topology map[string]string
 
-// AllowedDataCentres returns the data centres that may handle a request, and true, or
-// false if neither its route nor its workspace restricts them. Where both do,
-// a data centre has to satisfy both. The workspace may be nil.
+// AllowedDataCentres returns the data centres that may handle a request and
+// true, or false if neither the route nor the workspace restricts regions. If
+// both do, a data centre must satisfy both. The workspace may be nil.
 func (t Topology) AllowedDataCentres(r *Route, w *Workspace) (map[string]bool, bool) {
-	var ofWorkspace []string
+	var workspaceRegions []string
 	if w != nil {
-		ofWorkspace = w.Regions
+		workspaceRegions = w.Regions
 	}
-	if len(r.Regions) == 0 && len(ofWorkspace) == 0 {
+	if len(r.Regions) == 0 && len(workspaceRegions) == 0 {
 		return nil, false
 	}
 	allowed := make(map[string]bool)
 	for dataCentre, region := range t {
-		if includes(r.Regions, region) && includes(ofWorkspace, region) {
+		if matchesRegion(r.Regions, region) && matchesRegion(workspaceRegions, region) {
 			allowed[dataCentre] = true
 		}
 	}
 	return allowed, true
 }
 
-// includes reports whether a list of regions, of which none means any, holds a
-// region.
-func includes(regions []string, region string) bool {
+// matchesRegion reports whether regions contains region. An empty list matches
+// every region.
+func matchesRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// Regions returns the regions that all restricted routes of a host agree on,
+// Regions returns the regions common to all region-restricted routes of a host,
 // and false if none of its routes is restricted.
 func (t *Table) Regions(host string) ([]string, bool) {
 	regions, restricted := t.regions[hostName(host)]
@@ -58,7 +58,8 @@
 	return byHost
 }
 
-// hostName is a host in the form that routes have: lower case, without a port.
+// hostName normalises a host to the form used in routes: lower case, without a
+// port.
 func hostName(host string) string {
 	host = strings.ToLower(host)
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -8,7 +8,7 @@
 	"foxtailspoke/routing"
 )
 
-func TestAllowed(t *testing.T) {
+func TestAllowedDataCentres(t *testing.T) {
 	topology := routing.Topology{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}
 	for _, tc := range []struct {
 		name             string
@@ -32,7 +32,7 @@
 	must.Eq(t, map[string]bool{"c1": true}, got)
 }
 
-func TestRegionsOfAHost(t *testing.T) {
+func TestRegionsIntersectsRestrictedRoutes(t *testing.T) {
 	table := routing.NewTable(routing.Config{Routes: []routing.Route{
 		{Host: "both", Prefix: "/x/", Regions: []string{"a", "b"}},
 		{Host: "both", Prefix: "/y/", Regions: []string{"b", "c"}},
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,10 +1,9 @@
-// Package routing holds the accepted configuration in the form in which
-// requests ask for it: which route a request takes, which services stand
-// behind it, which workspace its key belongs to.
+// Package routing holds the accepted configuration indexed for request lookup:
+// the route of a request, the services behind the route and the workspace of an
+// API key.
 //
-// A Table never changes once it is built. A newer configuration is a new
-// Table that replaces the old one as a whole, so that no request sees half of
-// a change.
+// A Table is immutable. A newer configuration replaces the whole table, so that
+// no request sees a partial update.
 package routing
 
 import (
@@ -13,12 +12,13 @@
 	"time"
 )
 
-// RouteKind says what may be repeated.
+// RouteKind says whether the requests of a route may be retried after they may
+// have run.
 type RouteKind int
 
 const (
 	// NonIdempotent requests run at most once. It is the zero value, so that a
-	// route whose kind isn't understood is treated with the most care.
+	// route of an unknown kind is handled conservatively.
 	NonIdempotent RouteKind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
@@ -29,14 +29,14 @@
 // Repeatable reports whether a request that may have run may be sent again.
 func (k RouteKind) Repeatable() bool { return k == Idempotent }
 
-// WeightedService is one service of a route and its weight among the others.
+// WeightedService is a service of a route and its share of the route's traffic.
 type WeightedService struct {
 	Service string
-	// Weight is a positive number without unit.
+	// Weight is positive and relative to the other services of the route.
 	Weight float64
 }
 
-// Route is one entry of the configuration.
+// Route is a route of the configuration.
 type Route struct {
 	Name string
 	// Host is in lower case and without a port.
@@ -44,17 +44,17 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Timeout bounds the time until the final answer.
+	// Timeout bounds the time until the final response.
 	Timeout time.Duration
-	// LatencyTarget is the time within which an answer is in time.
+	// LatencyTarget is the latency above which a response counts as late.
 	LatencyTarget time.Duration
-	// Priority is the rank; 0 is the most urgent.
+	// Priority 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the backend servers that one request is sent to.
+	// MaxAttempts bounds how many backend servers a request is sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Regions are the only ones that may handle its requests; none means any.
+	// Regions lists the regions that may handle the requests; empty means any.
 	Regions []string
 	// Services has at least one entry.
 	Services []WeightedService
@@ -63,27 +63,28 @@
 // Service is a group of backend servers that run the same program.
 type Service struct {
 	Name string
-	// HealthPath is the path of the servers' own health report.
+	// HealthPath is the path of the servers' health endpoint.
 	HealthPath string
-	// MaxConnections is what one server accepts from all callers together.
+	// MaxConnections is the number of connections that one server accepts from
+	// all callers together.
 	MaxConnections int
-	// WarmUp is how long a server stays cold after its start, and WarmUpRate how
-	// many requests a second it bears until then; 0 means that there is no limit.
+	// WarmUp is how long a server stays cold after its start, and WarmUpRate
+	// how many requests per second it can handle until then; 0 means no limit.
 	WarmUp     time.Duration
 	WarmUpRate float64
 }
 
-// Workspace is a customer: its keys, its rank and its rate.
+// Workspace holds the priority, rate limit and regions of a customer.
 type Workspace struct {
 	Name string
-	// Priority replaces that of the route if HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Rate in requests per second over all instances; 0 is no limit.
+	// Rate is in requests per second over all instances; 0 means no limit.
 	Rate float64
-	// Burst in requests beyond the rate.
+	// Burst is in requests beyond the rate.
 	Burst float64
-	// Regions are the only ones that may handle its requests; none means any.
+	// Regions lists the regions that may handle the requests; empty means any.
 	Regions []string
 }
 
@@ -97,28 +98,28 @@
 	IdleTimeout time.Duration
 }
 
-// Key is the hash of a caller's key; keys themselves aren't kept.
+// Key is the hash of an API key; the keys themselves are not stored.
 type Key [sha256.Size]byte
 
-// HashKey returns the form in which a Table knows a key.
+// HashKey returns the hash under which a Table stores an API key.
 func HashKey(key string) Key { return sha256.Sum256([]byte(key)) }
 
 // Config is the input of NewTable.
 type Config struct {
-	// Version is the operators' number of the configuration. It increases, in
-	// uneven steps.
+	// Version is the configuration version set by the operators. It increases,
+	// but not in even steps.
 	Version    uint32
 	Routes     []Route
 	Services   []Service
 	Limits     Limits
 	Workspaces []Workspace
-	// Keys maps a key's hash to an index of Workspaces.
+	// Keys maps the hash of a key to an index of Workspaces.
 	Keys map[Key]int
-	// RequireKey says that requests need a key, but for public routes.
+	// RequireKey means that requests need a key, except on public routes.
 	RequireKey bool
 }
 
-// Table answers what requests ask of the configuration.
+// Table is an immutable lookup table built from a configuration.
 type Table struct {
 	Version    uint32
 	Limits     Limits
@@ -128,13 +129,13 @@
 	routes     map[routeID]*Route
 	workspaces []Workspace
 	keys       map[Key]int
-	// regions of each host with restricted routes.
+	// regions holds the common regions of each host with restricted routes.
 	regions map[string][]string
 }
 
 type routeID struct{ host, prefix string }
 
-// NewTable builds the table of a configuration.
+// NewTable builds the lookup table of a configuration.
 func NewTable(c Config) *Table {
 	t := &Table{
 		Version:    c.Version,
@@ -156,8 +157,8 @@
 	return t
 }
 
-// Route returns the route with the longest prefix that begins the path, or
-// nil. The path is taken as the caller sent it.
+// Route returns the route with the longest matching path prefix, or nil. The
+// path is matched as the caller sent it, without normalisation.
 func (t *Table) Route(host, path string) *Route {
 	host = hostName(host)
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// WorkspaceByKey returns the holder of a key, or nil.
+// WorkspaceByKey returns the workspace of an API key, or nil.
 func (t *Table) WorkspaceByKey(key string) *Workspace {
 	i, ok := t.keys[HashKey(key)]
 	if !ok {
@@ -177,11 +178,11 @@
 	return &t.workspaces[i]
 }
 
-// Workspaces returns all workspaces; the caller must not change them.
+// Workspaces returns all workspaces; the caller must not modify them.
 func (t *Table) Workspaces() []Workspace { return t.workspaces }
 
-// Priority returns the priority of a request: the workspace's own, if it has one,
-// else the route's.
+// Priority returns the priority of a request: that of the workspace if it has
+// one, else that of the route.
 func Priority(r *Route, w *Workspace) int {
 	if w != nil && w.HasPriority {
 		return w.Priority
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -8,7 +8,7 @@
 	"foxtailspoke/routing"
 )
 
-func table() *routing.Table {
+func testTable() *routing.Table {
 	share := []routing.WeightedService{{Service: "s", Weight: 1}}
 	return routing.NewTable(routing.Config{
 		Version:    7,
@@ -40,39 +40,38 @@
 	}
 	for _, tt := range tests {
 		got := ""
-		if r := table().Route(tt.host, tt.path); r != nil {
+		if r := testTable().Route(tt.host, tt.path); r != nil {
 			got = r.Name
 		}
 		must.Eq(t, tt.want, got, must.Sprintf("%s %s", tt.host, tt.path))
 	}
 }
 
-func TestKeyNamesItsWorkspace(t *testing.T) {
-	must.Eq(t, "w", table().WorkspaceByKey("secret").Name)
-	must.Nil(t, table().WorkspaceByKey("Secret"))
-	must.Nil(t, table().WorkspaceByKey(""))
+func TestWorkspaceByKey(t *testing.T) {
+	must.Eq(t, "w", testTable().WorkspaceByKey("secret").Name)
+	must.Nil(t, testTable().WorkspaceByKey("Secret"))
+	must.Nil(t, testTable().WorkspaceByKey(""))
 }
 
-func TestWorkspacesRankReplacesTheRoutes(t *testing.T) {
+func TestWorkspacePriorityOverridesRoute(t *testing.T) {
 	r := &routing.Route{Priority: 2}
 	must.Eq(t, 2, routing.Priority(r, nil))
 	must.Eq(t, 2, routing.Priority(r, &routing.Workspace{}))
 	must.Eq(t, 0, routing.Priority(r, &routing.Workspace{HasPriority: true}))
 }
 
-// The shares of a split must show after few requests already: an operator who
-// gives a new service a tenth looks for one request in ten, not for a chance of
-// a tenth.
-func TestSplitKeepsItsSharesAfterEveryFewRequests(t *testing.T) {
+// A new service with a weight of 10 % must get one request in ten even within a
+// few requests, not only on average over many.
+func TestSplitterFollowsWeightsWithinFewRequests(t *testing.T) {
 	r := &routing.Route{Name: "r", Services: []routing.WeightedService{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	for _, offset := range []float64{0, 0.3, 0.9} {
 		s := routing.Splitter{Offset: offset}
-		fresh := 0
+		newCount := 0
 		for i := 1; i <= 200; i++ {
 			if s.Pick(r) == "new" {
-				fresh++
+				newCount++
 			}
-			must.Between(t, float64(i)/10-1.6, float64(fresh), float64(i)/10+1.6)
+			must.Between(t, float64(i)/10-1.6, float64(newCount), float64(i)/10+1.6)
 		}
 	}
 }
--- a/routing/split.go
+++ b/routing/split.go
@@ -1,16 +1,17 @@
 package routing
 
 // Splitter spreads the requests of each route over its services by smooth
-// weighted round robin: after any run of requests each service has had its
-// share to within one request. Random picks would need hundreds of requests
-// until the shares show.
+// weighted round robin: after any number of requests each service has had its
+// share to within one request. Random selection would need hundreds of requests
+// to approach the weights.
 //
-// A Splitter isn't safe for concurrent use.
+// A Splitter is not safe for concurrent use.
 type Splitter struct {
-	// Offset is where this instance begins, from 0 to 1. Instances that all
-	// began with the heaviest service would keep light ones waiting.
+	// Offset, from 0 to 1, shifts the initial weights of this instance. If all
+	// instances started with the heaviest service, services with low weights
+	// would get their first requests late.
 	Offset  float64
-	current map[string][]float64
+	weights map[string][]float64
 }
 
 // Pick returns the service for the next request of a route.
@@ -18,31 +19,31 @@
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
 	}
-	credits := s.credits(r)
+	weights := s.currentWeights(r)
 	total, best := 0.0, 0
 	for i, share := range r.Services {
-		credits[i] += share.Weight
+		weights[i] += share.Weight
 		total += share.Weight
-		if credits[i] > credits[best] {
+		if weights[i] > weights[best] {
 			best = i
 		}
 	}
-	credits[best] -= total
+	weights[best] -= total
 	return r.Services[best].Service
 }
 
-func (s *Splitter) credits(r *Route) []float64 {
-	if s.current == nil {
-		s.current = make(map[string][]float64)
+func (s *Splitter) currentWeights(r *Route) []float64 {
+	if s.weights == nil {
+		s.weights = make(map[string][]float64)
 	}
-	c, ok := s.current[r.Name]
-	if ok && len(c) == len(r.Services) {
-		return c
+	w, ok := s.weights[r.Name]
+	if ok && len(w) == len(r.Services) {
+		return w
 	}
-	c = make([]float64, len(r.Services))
+	w = make([]float64, len(r.Services))
 	for i, share := range r.Services {
-		c[i] = share.Weight * s.Offset * float64(1-2*(i%2))
+		w[i] = share.Weight * s.Offset * float64(1-2*(i%2))
 	}
-	s.current[r.Name] = c
-	return c
+	s.weights[r.Name] = w
+	return w
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,19 +1,19 @@
-// Package usage keeps workspaces within their rate and burst over all
-// instances together, without a call to the store.
+// Package usage enforces the rate and burst of workspaces across all instances
+// without calls to the store.
 //
-// Idea: each instance counts what it admitted for a workspace since it
-// started, and tells the total with every message to the others. Each replica
-// of the bucket takes off what all of them admitted. Because totals are told,
-// not increments, a lost message is made good by the next one. The bucket may
-// go below zero: what two instances admit at the same moment, before they hear
-// of each other, is paid back by both before anything more is admitted, so the
-// long run keeps to the rate exactly.
+// Each instance counts the requests that it admitted for a workspace since its
+// start and sends this total with every message to the others. Each instance's
+// copy of the token bucket is charged with what all of them admitted. Because
+// totals are sent, not increments, the next message makes up for a lost one.
+// The bucket may go below zero: what two instances admit at the same time,
+// before they hear of each other, is paid back by both before anything more is
+// admitted, so that the long-term rate is exact.
 //
-// Trade-off: an instance that doesn't hear some of the others can't know what
-// they admit. It then uses only the part of the rate that belongs to those it
-// hears, itself included (Share). Two groups that are cut from each other add
-// up to the whole rate at most. What belongs to dead instances lies idle until
-// they are taken off the list of instances.
+// An instance that does not hear some of the others cannot know what they
+// admit. It then uses only the part of the rate that belongs to the instances
+// it hears, itself included (RateShare). Two partitioned groups together use at
+// most the whole rate. The share of dead instances is unused until they are
+// removed from the list of instances.
 package usage
 
 import (
@@ -21,102 +21,104 @@
 	"time"
 )
 
-// startBurst is the share of the burst that a bucket holds at first where the
-// limit may not be exceeded. A fleet whose processes were all killed has
-// forgotten what it admitted; with a full burst at each start a workspace would
-// get it twice within one window.
-const startBurst = 0.25
+// initialBurstShare is the share of the burst that a bucket holds initially
+// under a strict limit. A fleet whose processes were all killed has forgotten
+// what it admitted; with a full burst at each start a workspace would get it
+// twice within one window.
+const initialBurstShare = 0.25
 
-// maxDebt is how far below zero a bucket may go, in time at its rate. Messages
-// between instances arrive within some tens of milliseconds, so an honest debt
-// is a few requests.
+// maxDebt is how far below zero a bucket may go, as time at its rate. Messages
+// between instances arrive within some tens of milliseconds, so a legitimate
+// debt is a few requests.
 const maxDebt = time.Second
 
-// Limit of one workspace over all instances.
+// Limit is the limit of a workspace over all instances.
 type Limit struct {
-	// Rate in requests per second.
+	// Rate is in requests per second.
 	Rate float64
-	// Burst in requests.
+	// Burst is in requests.
 	Burst float64
-	// InitialTokens is what a bucket holds at first, in requests.
+	// InitialTokens is what a new bucket holds, in requests.
 	InitialTokens float64
 }
 
-// StrictLimit returns the limit of a workspace where nothing may exceed it.
+// StrictLimit returns a limit that must never be exceeded.
 func StrictLimit(rate, burst float64) Limit {
-	return Limit{Rate: rate, Burst: burst, InitialTokens: startBurst * burst}
+	return Limit{Rate: rate, Burst: burst, InitialTokens: initialBurstShare * burst}
 }
 
 // Tolerance is by how much the platform lets the sum over all instances exceed
 // a limit in any window.
 type Tolerance struct {
-	// Overshoot is a share of the rate and the burst.
+	// Overshoot is relative to the rate and the burst.
 	Overshoot float64
 	// Slack is a number of requests in each Window.
 	Slack  float64
 	Window time.Duration
 }
 
-// toleranceUse is the part of the tolerance that workspaces get. Counting over
-// many instances errs to both sides, and the platform holds a refusal below
-// the tolerated sum against the fleet just as an admission above it. The rest
-// covers what instances admit before they hear of each other: at 15 ms
-// and a workspace at eight times its usual 15 requests a second, two requests.
-const toleranceUse = 0.4
+// toleranceShare is the part of the tolerance that workspaces get. Counting
+// over many instances errs in both directions, and the platform counts a
+// refusal below the tolerated sum as a fault just as an admission above it. The
+// rest covers what instances admit before they hear of each other: two requests
+// at a delay of 15 ms and a workspace at eight times its usual 15 requests per
+// second.
+const toleranceShare = 0.4
 
-// startUse is the part of the tolerance that covers what a fleet forgets when
-// all of its processes are killed, which may happen some times within a window.
-// Callers have waited by then and come all together; with empty buckets many
-// within their rate would be refused.
-const startUse = 0.15
+// initialToleranceShare is the part of the tolerance that covers what a fleet
+// forgets when all of its processes are killed, which may happen several times
+// within a window. Callers have waited by then and arrive all at once; with
+// empty buckets many within their rate would be refused.
+const initialToleranceShare = 0.15
 
-// startFor is the time within which instances that start together have heard
-// each other.
-const startFor = 2 * time.Second
+// startupWindow is the time within which instances that start together have
+// heard each other.
+const startupWindow = 2 * time.Second
 
-// Loosen returns the limit with the part of the tolerance that workspaces get.
+// Loosen returns the limit extended by the part of the tolerance that
+// workspaces get.
 func (t Tolerance) Loosen(l Limit) Limit {
 	if l.Rate <= 0 {
 		return l
 	}
 	forgotten := t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
-	l.InitialTokens = math.Max(l.InitialTokens, math.Min(l.Burst, startUse*forgotten))
-	l.Rate *= 1 + toleranceUse*t.Overshoot
+	l.InitialTokens = math.Max(l.InitialTokens, math.Min(l.Burst, initialToleranceShare*forgotten))
+	l.Rate *= 1 + toleranceShare*t.Overshoot
 	if t.Window > 0 {
-		l.Rate += toleranceUse * t.Slack / t.Window.Seconds()
+		l.Rate += toleranceShare * t.Slack / t.Window.Seconds()
 	}
 	return l
 }
 
-// Bucket is this instance's replica of one workspace's bucket.
+// Bucket is this instance's copy of the token bucket of a workspace.
 type Bucket struct {
-	limit  Limit
-	tokens float64
-	at     time.Duration
-	// granted is the part of limit.Start that the bucket has got since it was
-	// first limited.
-	granted float64
-	first   time.Duration
-	// own is the total admitted here since the start.
-	own uint64
-	// seen holds the last total heard of each other instance.
-	seen map[uint32]total
+	limit      Limit
+	tokens     float64
+	refilledAt time.Duration
+	// granted is the fraction of limit.InitialTokens that the bucket has
+	// received since limitedAt.
+	granted   float64
+	limitedAt time.Duration
+	// admitted is the total admitted by this instance since its start.
+	admitted uint64
+	// reported holds the last total reported by each other instance.
+	reported map[uint32]reportedTotal
 }
 
-type total struct {
+type reportedTotal struct {
 	epoch uint32
 	count uint64
 }
 
-// Counters holds the buckets of all workspaces. It isn't safe for concurrent
+// Counters holds the buckets of all workspaces. It is not safe for concurrent
 // use.
 type Counters struct {
 	buckets map[uint32]*Bucket
-	// RateShare is the part of each rate that this instance may count on, from 0
-	// to 1: the instances heard, itself included, among all that are listed.
+	// RateShare is the part of each rate that this instance may use, from 0 to
+	// 1: the instances heard, itself included, divided by all listed.
 	RateShare float64
-	// StartupShare is the same for those that have started together with this one. The
-	// others know what was admitted before.
+	// StartupShare is the same ratio over the instances that started together
+	// with this one. The others know what was admitted before.
 	StartupShare float64
 }
 
@@ -125,29 +127,29 @@
 	return &Counters{buckets: make(map[uint32]*Bucket), RateShare: 1, StartupShare: 1}
 }
 
-// SetLimit sets the limit of a workspace. A lower limit holds at once; a
-// raised burst isn't filled up by the change itself.
+// SetLimit sets the limit of a workspace. A lower limit applies at once; a
+// raised burst does not fill the bucket.
 func (c *Counters) SetLimit(workspace uint32, l Limit, now time.Duration) {
 	b := c.bucket(workspace)
 	if b.limit == l {
 		return
 	}
 	if b.limit == (Limit{}) {
-		b.first = now
+		b.limitedAt = now
 	}
 	c.refill(b, now)
 	b.limit = l
-	b.at = now
-	c.grant(b, now)
+	b.refilledAt = now
+	c.grantInitialTokens(b, now)
 	b.tokens = math.Min(b.tokens, l.Burst)
 }
 
-// grant gives a new bucket what it holds at first, as others are heard that have
-// started as well. An instance hears few at its start: if it took all for itself,
-// so would every other one; if it got only a part then, it would keep that for
-// good.
-func (c *Counters) grant(b *Bucket, now time.Duration) {
-	if b.limit != (Limit{}) && c.StartupShare > b.granted && now-b.first < startFor {
+// grantInitialTokens adds a new bucket's initial tokens in step with
+// StartupShare. An instance hears few others at its start: if each took all
+// initial tokens for itself, the fleet would grant them many times over; if each
+// got only its share at that moment, it would never get more.
+func (c *Counters) grantInitialTokens(b *Bucket, now time.Duration) {
+	if b.limit != (Limit{}) && c.StartupShare > b.granted && now-b.limitedAt < startupWindow {
 		b.tokens += (c.StartupShare - b.granted) * b.limit.InitialTokens
 		b.granted = c.StartupShare
 	}
@@ -156,102 +158,104 @@
 func (c *Counters) bucket(workspace uint32) *Bucket {
 	b, ok := c.buckets[workspace]
 	if !ok {
-		b = &Bucket{seen: make(map[uint32]total)}
+		b = &Bucket{reported: make(map[uint32]reportedTotal)}
 		c.buckets[workspace] = b
 	}
 	return b
 }
 
-// Take admits one request if a token is there. Otherwise it returns how long
+// Take admits a request if a token is available. Otherwise it returns how long
 // the bucket takes to hold one.
 func (c *Counters) Take(workspace uint32, now time.Duration) (bool, time.Duration) {
 	b := c.bucket(workspace)
 	if b.limit.Rate <= 0 {
-		b.own++
+		b.admitted++
 		return true, 0
 	}
 	c.refill(b, now)
 	if b.tokens < 1 {
-		return false, b.wait(c.RateShare)
+		return false, b.timeToToken(c.RateShare)
 	}
 	b.tokens--
-	b.own++
+	b.admitted++
 	return true, 0
 }
 
-// Refund gives a token back for a request that was admitted and never sent.
+// Refund returns the token of a request that was admitted but never sent.
 func (c *Counters) Refund(workspace uint32) {
-	if b := c.bucket(workspace); b.own > 0 {
+	if b := c.bucket(workspace); b.admitted > 0 {
 		b.tokens++
-		b.own--
+		b.admitted--
 	}
 }
 
-// AdmittedTotal is the total admitted here since the start.
-func (c *Counters) AdmittedTotal(workspace uint32) uint64 { return c.bucket(workspace).own }
+// AdmittedTotal returns the total admitted by this instance since its start.
+func (c *Counters) AdmittedTotal(workspace uint32) uint64 { return c.bucket(workspace).admitted }
 
-// ApplyReport takes in the total that another instance has admitted in its epoch,
-// which is new with each start. The first word of an instance on a workspace
-// is charged whole if all of its words since its start could be heard: earlier
-// ones were lost then. Otherwise it is charged as one request, the one it
-// speaks of; what it admitted before this instance listened lies in the past.
-func (c *Counters) ApplyReport(w Report, now time.Duration) {
-	b := c.bucket(w.Workspace)
-	last, known := b.seen[w.Instance]
+// ApplyReport charges the total that another instance has admitted in its
+// epoch, which changes with each start. The first report of an instance on a
+// workspace is charged in full if all of its reports since its start could have
+// been received: earlier ones were lost then. Otherwise it is charged as one
+// request, the one it reports; what the instance admitted before this one
+// listened is no longer relevant.
+func (c *Counters) ApplyReport(r Report, now time.Duration) {
+	b := c.bucket(r.Workspace)
+	last, known := b.reported[r.Instance]
 	charge := uint64(1)
 	switch {
-	case known && last.epoch == w.Epoch && w.Count <= last.count:
+	case known && last.epoch == r.Epoch && r.Count <= last.count:
 		return
-	case known && last.epoch == w.Epoch:
-		charge = w.Count - last.count
-	case known || w.ReceivedSinceStart:
-		charge = w.Count
+	case known && last.epoch == r.Epoch:
+		charge = r.Count - last.count
+	case known || r.ReceivedSinceStart:
+		charge = r.Count
 	}
 	c.refill(b, now)
 	b.charge(charge)
-	b.seen[w.Instance] = total{epoch: w.Epoch, count: w.Count}
+	b.reported[r.Instance] = reportedTotal{epoch: r.Epoch, count: r.Count}
 }
 
-// Report is what an instance says of a workspace.
+// Report is the total that an instance has admitted for a workspace.
 type Report struct {
 	Instance  uint32
 	Epoch     uint32
 	Workspace uint32
 	Count     uint64
-	// ReceivedSinceStart: the instance has been listened to since its start.
+	// ReceivedSinceStart means that reports of the instance have been received
+	// since its start.
 	ReceivedSinceStart bool
 }
 
-// ForgetInstance drops what was heard of an instance that has fallen silent. Share no
-// longer counts its part, so that what it admits meanwhile must not be charged
-// a second time once it is heard again.
+// ForgetInstance drops the totals of an instance that is no longer heard.
+// RateShare no longer counts its part, so what it admits meanwhile must not be
+// charged again once it is heard again.
 func (c *Counters) ForgetInstance(instance uint32) {
 	for _, b := range c.buckets {
-		delete(b.seen, instance)
+		delete(b.reported, instance)
 	}
 }
 
-// refill adds what the time since the last look is worth.
+// refill adds the tokens for the time since the last refill.
 func (c *Counters) refill(b *Bucket, now time.Duration) {
-	passed := (now - b.at).Seconds()
-	b.at = now
-	if passed <= 0 {
+	elapsed := (now - b.refilledAt).Seconds()
+	b.refilledAt = now
+	if elapsed <= 0 {
 		return
 	}
-	c.grant(b, now)
-	most := math.Max(b.limit.Burst*c.RateShare, 1)
-	b.tokens = math.Min(b.tokens+passed*b.limit.Rate*c.RateShare, most)
+	c.grantInitialTokens(b, now)
+	capacity := math.Max(b.limit.Burst*c.RateShare, 1)
+	b.tokens = math.Min(b.tokens+elapsed*b.limit.Rate*c.RateShare, capacity)
 }
 
-// charge takes off what others admitted. The debt is bounded: after a burst
-// of late messages a workspace would otherwise be refused for longer than any
+// charge takes off what others admitted. The debt is bounded: after a burst of
+// late messages a workspace would otherwise be refused for longer than any
 // window in which its rate is counted.
 func (b *Bucket) charge(count uint64) {
 	b.tokens = math.Max(b.tokens-float64(count), -maxDebt.Seconds()*b.limit.Rate-1)
 }
 
-// wait is the time until a token is there.
-func (b *Bucket) wait(share float64) time.Duration {
+// timeToToken returns the time until a token is available.
+func (b *Bucket) timeToToken(share float64) time.Duration {
 	rate := b.limit.Rate * share
 	if rate <= 0 {
 		return time.Second
@@ -259,7 +263,7 @@
 	return time.Duration((1 - b.tokens) / rate * float64(time.Second))
 }
 
-// Tokens returns what a workspace's bucket holds now.
+// Tokens returns the current content of a workspace's bucket.
 func (c *Counters) Tokens(workspace uint32, now time.Duration) float64 {
 	b := c.bucket(workspace)
 	c.refill(b, now)
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -12,21 +12,21 @@
 
 const workspace = 1
 
-// fleet replays requests of one workspace at several instances that tell each
-// other what they admitted, some time later, some messages never.
+// fleet simulates the requests of one workspace at several instances that
+// report their admissions to each other with a delay and with losses.
 type fleet struct {
-	counters []*usage.Counters
-	epochs   []uint32
-	rng      *rand.Rand
-	delay    time.Duration
-	lost     float64
-	cut      func(from, to int, now time.Duration) bool
-	queue    []word
-	admitted []time.Duration
-	refused  int
+	counters    []*usage.Counters
+	epochs      []uint32
+	rng         *rand.Rand
+	delay       time.Duration
+	lossRate    float64
+	partitioned func(from, to int, now time.Duration) bool
+	queue       []delayedReport
+	admitted    []time.Duration
+	refused     int
 }
 
-type word struct {
+type delayedReport struct {
 	at       time.Duration
 	from, to int
 	epoch    uint32
@@ -36,7 +36,7 @@
 func newFleet(n int, l usage.Limit, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), delay: 15 * time.Millisecond,
-		cut: func(int, int, time.Duration) bool { return false },
+		partitioned: func(int, int, time.Duration) bool { return false },
 	}
 	for range n {
 		c := usage.NewCounters()
@@ -47,7 +47,7 @@
 	return f
 }
 
-// request arrives at an instance.
+// request simulates a request at instance i.
 func (f *fleet) request(i int, now time.Duration) {
 	f.deliver(now)
 	ok, _ := f.counters[i].Take(workspace, now)
@@ -56,41 +56,42 @@
 		return
 	}
 	f.admitted = append(f.admitted, now)
-	f.tell(i, now)
+	f.sendReports(i, now)
 }
 
-func (f *fleet) tell(i int, now time.Duration) {
+func (f *fleet) sendReports(i int, now time.Duration) {
 	for j := range f.counters {
-		if j != i && !f.cut(i, j, now) && f.rng.Float64() >= f.lost {
-			f.queue = append(f.queue, word{now + f.delay, i, j, f.epochs[i], f.counters[i].AdmittedTotal(workspace)})
+		if j != i && !f.partitioned(i, j, now) && f.rng.Float64() >= f.lossRate {
+			f.queue = append(f.queue, delayedReport{now + f.delay, i, j, f.epochs[i], f.counters[i].AdmittedTotal(workspace)})
 		}
 	}
 }
 
 func (f *fleet) deliver(now time.Duration) {
 	rest := f.queue[:0]
-	for _, w := range f.queue {
-		if w.at > now {
-			rest = append(rest, w)
+	for _, r := range f.queue {
+		if r.at > now {
+			rest = append(rest, r)
 			continue
 		}
-		f.counters[w.to].ApplyReport(usage.Report{
-			Instance: uint32(w.from + 1), Epoch: w.epoch, Workspace: workspace, Count: w.count, ReceivedSinceStart: true,
-		}, w.at)
+		f.counters[r.to].ApplyReport(usage.Report{
+			Instance: uint32(r.from + 1), Epoch: r.epoch, Workspace: workspace, Count: r.count, ReceivedSinceStart: true,
+		}, r.at)
 	}
 	f.queue = rest
 }
 
-// most is the largest number admitted in any window of the given length.
-func (f *fleet) most(window time.Duration) int {
-	most, first := 0, 0
+// maxAdmitted returns the largest number of admissions in any window of the
+// given length.
+func (f *fleet) maxAdmitted(window time.Duration) int {
+	highest, first := 0, 0
 	for last := range f.admitted {
 		for f.admitted[last]-f.admitted[first] > window {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 // run sends requests at a rate to random instances.
@@ -110,23 +111,23 @@
 	return (l.Rate*window.Seconds()+l.Burst)*(1+overshoot) + slack
 }
 
-// A workspace sends eight times its rate to 36 instances. Each hears of the
-// others' admissions 15 ms late, and one message in fifty never. The sum over
-// any five seconds must stay within what the platform tolerates.
-func TestHotWorkspaceGetsItsRateAndNoMore(t *testing.T) {
+// A workspace sends eight times its rate to 36 instances. Reports arrive 15 ms
+// late, and one in fifty is lost. The sum over any five seconds must stay
+// within the platform's tolerance.
+func TestOverloadingWorkspaceIsHeldToRate(t *testing.T) {
 	l := usage.StrictLimit(20, 20)
 	for seed := range uint64(10) {
 		f := newFleet(36, l, seed)
-		f.lost = 0.02
+		f.lossRate = 0.02
 		f.run(0, 30*time.Second, 160)
-		must.LessEq(t, l.Rate*window.Seconds()+l.Burst+4, float64(f.most(window)))
+		must.LessEq(t, l.Rate*window.Seconds()+l.Burst+4, float64(f.maxAdmitted(window)))
 		must.GreaterEq(t, 0.95*l.Rate*30, float64(len(f.admitted)))
 	}
 }
 
-// A workspace stays inside its rate. A caller refused here would be refused
-// although its plan allows it.
-func TestNobodyInsideTheRateIsRefused(t *testing.T) {
+// Callers of a workspace within its rate must not be refused, since the plan of
+// the workspace allows their requests.
+func TestRequestsWithinRateAreAdmitted(t *testing.T) {
 	l := usage.StrictLimit(36, 36)
 	refused, all := 0, 0
 	for seed := range uint64(10) {
@@ -138,14 +139,14 @@
 	must.LessEq(t, 0.002, float64(refused)/float64(all))
 }
 
-// A third of the instances is cut off from the rest, and the workspace goes on
-// sending too much to all. Neither side knows what the other admits; each must
-// keep to the part of the rate that belongs to those it hears.
-func TestTwoSidesOfACutShareTheRate(t *testing.T) {
+// A third of the instances is partitioned from the rest, and the workspace
+// keeps overloading all of them. Neither side knows what the other admits; each
+// must stay within the part of the rate that belongs to the instances it hears.
+func TestPartitionedGroupsShareTheRate(t *testing.T) {
 	l := usage.StrictLimit(30, 30)
 	f := newFleet(36, l, 3)
 	side := func(i int) bool { return i < 12 }
-	f.cut = func(from, to int, _ time.Duration) bool { return side(from) != side(to) }
+	f.partitioned = func(from, to int, _ time.Duration) bool { return side(from) != side(to) }
 	for i, c := range f.counters {
 		c.RateShare = 24.0 / 36
 		if side(i) {
@@ -153,13 +154,12 @@
 		}
 	}
 	f.run(0, 30*time.Second, 200)
-	must.LessEq(t, tolerated(l), float64(f.most(window)))
+	must.LessEq(t, tolerated(l), float64(f.maxAdmitted(window)))
 }
 
-// All processes are killed and start again at once, having forgotten what they
-// admitted. A full burst for the fresh start would be a second one within the
-// same window.
-func TestKillOfAllGivesNoSecondBurst(t *testing.T) {
+// All processes are killed, restart at once and have forgotten what they
+// admitted. A full initial burst would be a second one within the same window.
+func TestRestartOfAllGrantsNoSecondBurst(t *testing.T) {
 	l := usage.StrictLimit(20, 60)
 	f := newFleet(36, l, 5)
 	f.run(0, 10*time.Second, 200)
@@ -170,14 +170,14 @@
 	}
 	f.admitted = before
 	f.run(10500*time.Millisecond, 20*time.Second, 200)
-	must.LessEq(t, tolerated(l), float64(f.most(window)))
+	must.LessEq(t, tolerated(l), float64(f.maxAdmitted(window)))
 }
 
-// All processes are killed and start again together. Each hears nobody at first
-// and all others after a fifth of a second, and callers within the workspace's
-// rate, who have waited, come all at once. Buckets that stayed as empty as they
-// were while nobody was heard refused them for seconds.
-func TestCallersWhoWaitedForARestartAreServed(t *testing.T) {
+// All processes are killed and restart together. Each hears no other at first
+// and all of them after 0.2 s, and callers within the workspace's rate, who
+// have waited, arrive all at once. Buckets that got no more initial tokens than
+// at the moment when no other was heard refused them for seconds.
+func TestWaitingCallersAreServedAfterRestart(t *testing.T) {
 	tolerance := usage.Tolerance{Overshoot: overshoot, Slack: slack, Window: window}
 	for _, tc := range []struct{ rate, waited float64 }{{8, 8}, {36, 30}, {187, 90}} {
 		l := tolerance.Loosen(usage.StrictLimit(tc.rate, tc.rate))
@@ -199,14 +199,14 @@
 		f.run(11200*time.Millisecond, 11700*time.Millisecond, (0.9*tc.waited+tc.rate/1.6*0.5)/0.5)
 		f.run(11700*time.Millisecond, 16*time.Second, tc.rate/1.6)
 		must.LessEq(t, 0.1, float64(f.refused)/float64(f.refused+len(f.admitted)-len(before.admitted)))
-		must.LessEq(t, tolerated(usage.StrictLimit(tc.rate, tc.rate)), float64(f.most(window)))
+		must.LessEq(t, tolerated(usage.StrictLimit(tc.rate, tc.rate)), float64(f.maxAdmitted(window)))
 	}
 }
 
-// One instance after the other is killed and starts again, while a workspace sends
-// ten times its rate. The others know what was admitted; if each newcomer brought
-// a start of its own, the workspace would get all of them.
-func TestNewcomersBringNoStartOfTheirOwn(t *testing.T) {
+// One instance after the other is killed and restarts, while a workspace sends
+// ten times its rate. The others know what was admitted; if each restarted
+// instance granted its own initial tokens, the workspace would get all of them.
+func TestRestartedInstancesGrantNoExtraTokens(t *testing.T) {
 	tolerance := usage.Tolerance{Overshoot: overshoot, Slack: slack, Window: window}
 	l := usage.StrictLimit(10, 10)
 	loose := tolerance.Loosen(l)
@@ -221,12 +221,12 @@
 		f.epochs[k%5]++
 		f.run(at, at+300*time.Millisecond, 100)
 	}
-	must.LessEq(t, tolerated(l), float64(f.most(window)))
+	must.LessEq(t, tolerated(l), float64(f.maxAdmitted(window)))
 }
 
-// Workspaces at ten times their rate meet a fleet whose processes are all killed
-// several times within one window, and are back at once.
-func TestKillsOfAllInARowStayInsideTheTolerance(t *testing.T) {
+// Workspaces send ten times their rate to a fleet whose processes are all
+// killed several times within one window and restart at once.
+func TestRepeatedRestartsOfAllStayWithinTolerance(t *testing.T) {
 	tolerance := usage.Tolerance{Overshoot: overshoot, Slack: slack, Window: window}
 	for _, tc := range []struct {
 		rate  float64
@@ -235,7 +235,7 @@
 		l := usage.StrictLimit(tc.rate, tc.rate)
 		loose := tolerance.Loosen(l)
 		f := newFleet(36, loose, 9)
-		// Nothing was asked for so far, so that the buckets are full.
+		// The workspace has sent nothing so far, so the buckets are full.
 		f.run(9*time.Second, 10*time.Second, 10*tc.rate)
 		for k := range tc.kills {
 			at := 10*time.Second + time.Duration(k)*time.Second
@@ -248,60 +248,62 @@
 			f.run(at, at+time.Second, 10*tc.rate)
 		}
 		f.run(time.Duration(10+tc.kills)*time.Second, 14*time.Second, 10*tc.rate)
-		must.LessEq(t, tolerated(l), float64(f.most(window)), must.Sprint(tc.rate))
+		must.LessEq(t, tolerated(l), float64(f.maxAdmitted(window)), must.Sprint(tc.rate))
 	}
 }
 
-// said is what instance 2 says, to somebody who hasn't heard it from its start.
-func said(epoch uint32, count uint64) usage.Report {
+// report returns a report of instance 2 to an instance that has not heard it
+// since its start.
+func report(epoch uint32, count uint64) usage.Report {
 	return usage.Report{Instance: 2, Epoch: epoch, Workspace: workspace, Count: count}
 }
 
-// Words are lost when links are full, the first ones as well. What they told
-// must not go uncharged: over 133 instances that was half of the tolerance.
-func TestLostFirstWordsAreMadeGood(t *testing.T) {
+// Reports are lost when links are saturated, the first ones included. The
+// admissions they reported must still be charged: over 133 instances they
+// amounted to half of the tolerance.
+func TestLostFirstReportsAreCharged(t *testing.T) {
 	c := usage.NewCounters()
 	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
-	w := said(1, 4)
-	w.ReceivedSinceStart = true
-	c.ApplyReport(w, 10*time.Second)
+	r := report(1, 4)
+	r.ReceivedSinceStart = true
+	c.ApplyReport(r, 10*time.Second)
 	must.Eq(t, 6, c.Tokens(workspace, 10*time.Second))
 }
 
-// An instance falls silent, its part is no longer counted on, and it speaks
-// again. What it admitted meanwhile came from its own part; charging it now
-// would refuse callers that are inside the rate.
-func TestForgottenInstanceIsntChargedTwice(t *testing.T) {
+// An instance falls silent, its share is no longer used, and it is heard again.
+// What it admitted meanwhile came from its own share; charging it now would
+// refuse callers within the rate.
+func TestForgottenInstanceIsNotChargedTwice(t *testing.T) {
 	c := usage.NewCounters()
 	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
-	c.ApplyReport(said(1, 5), 10*time.Second)
+	c.ApplyReport(report(1, 5), 10*time.Second)
 	c.ForgetInstance(2)
-	c.ApplyReport(said(1, 500), 20*time.Second)
+	c.ApplyReport(report(1, 500), 20*time.Second)
 	must.Eq(t, 9, c.Tokens(workspace, 20*time.Second))
-	c.ApplyReport(said(1, 503), 20*time.Second)
+	c.ApplyReport(report(1, 503), 20*time.Second)
 	must.Eq(t, 6, c.Tokens(workspace, 20*time.Second))
 }
 
-// A restarted instance counts from zero; its first admissions must be charged
-// all the same, and a late word of its former start must not.
+// A restarted instance counts from zero. Its first admissions must be charged
+// all the same, and a late report of its former process must not be.
 func TestRestartedInstanceIsChargedFromZero(t *testing.T) {
 	c := usage.NewCounters()
 	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
-	c.ApplyReport(said(1, 100), 10*time.Second)
-	c.ApplyReport(said(2, 4), 10*time.Second)
+	c.ApplyReport(report(1, 100), 10*time.Second)
+	c.ApplyReport(report(2, 4), 10*time.Second)
 	must.Eq(t, 5, c.Tokens(workspace, 10*time.Second))
 }
 
-func TestLateTotalsBuildNoLongDebt(t *testing.T) {
+func TestLateReportsBuildNoLongDebt(t *testing.T) {
 	c := usage.NewCounters()
 	c.SetLimit(workspace, usage.StrictLimit(10, 10), 0)
-	c.ApplyReport(said(1, 1), 10*time.Second)
-	c.ApplyReport(said(1, 1000), 10*time.Second)
+	c.ApplyReport(report(1, 1), 10*time.Second)
+	c.ApplyReport(report(1, 1000), 10*time.Second)
 	ok, _ := c.Take(workspace, 12500*time.Millisecond)
 	must.True(t, ok)
 }
 
-func TestLowerLimitHoldsAtOnce(t *testing.T) {
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	c := usage.NewCounters()
 	c.SetLimit(workspace, usage.StrictLimit(100, 100), 0)
 	c.Tokens(workspace, 10*time.Second)
@@ -317,7 +319,7 @@
 	}
 }
 
-func TestRefusalSaysWhenTheNextTokenIsThere(t *testing.T) {
+func TestTakeReturnsTimeToNextToken(t *testing.T) {
 	c := usage.NewCounters()
 	c.SetLimit(workspace, usage.StrictLimit(2, 1), 0)
 	ok, _ := c.Take(workspace, 10*time.Second)
@@ -329,7 +331,7 @@
 	must.True(t, ok)
 }
 
-func TestLoosenStaysInsideTheTolerance(t *testing.T) {
+func TestLoosenStaysWithinTolerance(t *testing.T) {
 	tol := usage.Tolerance{Overshoot: overshoot, Slack: slack, Window: window}
 	for _, l := range []usage.Limit{{Rate: 7, Burst: 7}, {Rate: 100, Burst: 0}, {Rate: 1, Burst: 50}} {
 		loose := tol.Loosen(l)
