--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,66 +1,68 @@
-// Package freshness says how old this instance's knowledge of the store is,
-// for which purpose it is still good enough, and when to ask the store again.
+// Package freshness tracks the age of this instance's knowledge of the store:
+// what it is still fresh enough for, and when to ask the store again.
 //
-// Calls to the store are the dearest thing an instance does, so that few
-// instances ask and tell the others. The store stamps its answers with a
-// steady clock. An answer handed on keeps its stamp, and each instance works
-// out its age from its own estimate of that clock; how long a message was
-// under way, or lay in the buffer of a process that stood still, is part of
-// the age.
+// Calls to the store are the most expensive operation of an instance, so only a
+// few instances ask and forward the responses to the others. The store stamps
+// its responses with a monotonic clock. A forwarded response keeps its
+// timestamp, and each instance computes its age from its own estimate of that
+// clock, so that time in transit or in the buffer of a stalled process counts
+// towards the age.
 package freshness
 
 import "time"
 
-// Bounds are the ages up to which knowledge may be acted on. They come from
-// the platform's settings.
+// Bounds are the maximum ages at which knowledge may be used. They are derived
+// from the platform's settings.
 type Bounds struct {
-	// MaxKeyAge is how old the proof of the configuration may be when a request
-	// with a key is admitted. A key that was taken away must stop working
-	// everywhere within the platform's bound, in touch with the store or not.
+	// MaxKeyAge is the maximum age of the configuration at which a request with
+	// a key is admitted. A withdrawn key must stop working everywhere within
+	// the platform's bound, whether the store is reachable or not.
 	MaxKeyAge time.Duration
 }
 
-// keysMargin is the part of the platform's bound on withdrawn keys that is
-// kept back for the request's way to the instance and to the backend server.
-const keysMargin = 0.12
+// keyAgeMargin is the fraction of the platform's bound on withdrawn keys that
+// is reserved for the transit of the request to the instance and to the backend
+// server.
+const keyAgeMargin = 0.12
 
 // NewBounds derives the bounds from the platform's bound on withdrawn keys.
 func NewBounds(revoke time.Duration) Bounds {
-	return Bounds{MaxKeyAge: revoke - time.Duration(float64(revoke)*keysMargin)}
+	return Bounds{MaxKeyAge: revoke - time.Duration(float64(revoke)*keyAgeMargin)}
 }
 
-// StoreClock estimates the store's steady clock. The smallest difference between
-// the arrival of an answer here and its stamp is the best estimate, since
-// every delay makes it larger.
+// StoreClock estimates the store's monotonic clock. The smallest difference
+// between the local arrival time of a response and its timestamp is the best
+// estimate, since every delay makes it larger.
 type StoreClock struct {
-	offset time.Duration
-	at     time.Duration
-	known  bool
+	offset     time.Duration
+	observedAt time.Duration
+	known      bool
 }
 
-// drift is how fast two steady clocks may part.
-const drift = 500e-6
+// maxClockDrift is the maximum rate at which two monotonic clocks diverge.
+const maxClockDrift = 500e-6
 
-// Observe takes in an answer with its stamp that arrived now.
+// Observe updates the estimate from the timestamp of a response that arrived
+// now.
 func (c *StoreClock) Observe(stamp, now time.Duration) {
-	seen := now - stamp
+	offset := now - stamp
 	if c.known {
-		c.offset += time.Duration(float64(now-c.at) * drift)
+		c.offset += time.Duration(float64(now-c.observedAt) * maxClockDrift)
 	}
-	if !c.known || seen < c.offset {
-		c.offset = seen
+	if !c.known || offset < c.offset {
+		c.offset = offset
 		c.known = true
 	}
-	c.at = now
+	c.observedAt = now
 }
 
-// Reset forgets the estimate: the store's clock has begun anew.
+// Reset discards the estimate after the store's clock has started anew.
 func (c *StoreClock) Reset() { *c = StoreClock{} }
 
-// Now returns what the store's clock shows now, and whether that is known.
+// Now returns the store's clock at the local time now, and whether it is known.
 func (c *StoreClock) Now(now time.Duration) (time.Duration, bool) { return now - c.offset, c.known }
 
-// Age is how long ago the store made the answer with this stamp.
+// Age returns how long ago the store made the response with this timestamp.
 func (c *StoreClock) Age(stamp, now time.Duration) time.Duration {
 	if !c.known {
 		return UnknownAge
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -11,10 +11,10 @@
 
 const ms = time.Millisecond
 
-// A process stands still for eight seconds with an answer in its buffer, wakes
-// and reads it. Counted from its arrival the answer would be fresh, and a key
-// that was taken away meanwhile would still open.
-func TestAnswerThatWaitedInABufferIsOld(t *testing.T) {
+// A process stalls for eight seconds with an unread response in its buffer. If
+// its age counted from the time of reading, a key withdrawn meanwhile would
+// still be accepted.
+func TestAgeIncludesTimeInBuffer(t *testing.T) {
 	var c freshness.StoreClock
 	c.Observe(100*time.Second, 10*time.Second)
 	c.Observe(101*time.Second, 11*time.Second)
@@ -22,14 +22,14 @@
 	must.Between(t, 7900*ms, c.Age(102*time.Second, 20*time.Second), 8100*ms)
 }
 
-func TestAgeOfAFreshAnswerIsItsWay(t *testing.T) {
+func TestAgeIncludesTransitTime(t *testing.T) {
 	var c freshness.StoreClock
 	c.Observe(100*time.Second, 10*time.Second+2*ms)
 	c.Observe(101*time.Second, 11*time.Second+30*ms)
 	must.Between(t, 20*ms, c.Age(101*time.Second, 11*time.Second+30*ms), 30*ms)
 }
 
-func TestUnknownClockMeansUnknownAge(t *testing.T) {
+func TestAgeIsUnknownWithoutEstimate(t *testing.T) {
 	var c freshness.StoreClock
 	must.Greater(t, time.Hour, c.Age(time.Second, time.Second))
 	c.Observe(time.Second, time.Second)
@@ -37,14 +37,14 @@
 	must.Greater(t, time.Hour, c.Age(time.Second, time.Second))
 }
 
-func TestKeysBoundLeavesAMargin(t *testing.T) {
+func TestMaxKeyAgeLeavesMargin(t *testing.T) {
 	b := freshness.NewBounds(5 * time.Second)
 	must.Between(t, 4*time.Second, b.MaxKeyAge, 4500*ms)
 }
 
-// The first in rank asks for all; nobody else reaches its threshold as long as
-// it tells what it learns.
-func TestFirstInRankAsksForAll(t *testing.T) {
+// The instance first in rank asks for all; no other reaches its threshold as
+// long as the first forwards the responses.
+func TestFirstInRankPollsForAll(t *testing.T) {
 	var first, third freshness.PollSchedule
 	calls := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
@@ -58,8 +58,8 @@
 	must.Between(t, 18, calls, 24)
 }
 
-// The first in rank is killed. The next must ask before anybody acts on
-// something too old: well within the two seconds in which a change is in force.
+// The instance first in rank is killed. The next must ask well within the two
+// seconds in which a change has to be in force.
 func TestNextInRankTakesOver(t *testing.T) {
 	var second, last freshness.PollSchedule
 	second.ObserveResponse(0, 0)
@@ -69,9 +69,9 @@
 	must.Greater(t, second.Next(1, 1, 0), last.Next(30, 0, 0))
 }
 
-// The store is away. All instances would ask it at once and again; each call
-// is refused and paid for all the same.
-func TestAttemptsKeepApartWhileTheStoreIsAway(t *testing.T) {
+// While the store is unavailable, instances must neither ask all at once nor in
+// quick succession: refused calls cost as much as others.
+func TestAttemptsAreSpacedDuringStoreOutage(t *testing.T) {
 	var p freshness.PollSchedule
 	p.ObserveResponse(0, 0)
 	now := 10 * time.Second
@@ -87,13 +87,11 @@
 	must.True(t, p.Overdue(now))
 }
 
-// The store refuses just this instance, which is first in rank. It must leave
-// the asking to others for a while instead of failing first each time.
 // The store refuses half of the instances, and those that asked it for all have
-// just been killed. The refused ones try again and again, each at its turn. The
-// others must not wait for a pause among them: a server left meanwhile, and got
+// just been killed. The refused ones retry in turn. The others must not wait
+// for a gap between those attempts: a server left meanwhile and still got
 // requests 2.2 s later.
-func TestRefusedInstancesDontKeepOthersFromAsking(t *testing.T) {
+func TestRefusedInstancesDoNotBlockOthers(t *testing.T) {
 	var p freshness.PollSchedule
 	p.ObserveResponse(0, 0)
 	for now := time.Duration(0); now < 1300*ms; now += 10 * ms {
@@ -104,10 +102,12 @@
 			return
 		}
 	}
-	t.Fatal("not asked within 1.3 s")
+	t.Fatal("instance did not ask the store within 1.3 s")
 }
 
-func TestRefusedInstanceComesLast(t *testing.T) {
+// If the store refuses only the instance first in rank, that instance must leave
+// the asking to others for a while instead of failing first each time.
+func TestRefusedInstanceGetsLowestRank(t *testing.T) {
 	var p freshness.PollSchedule
 	p.ObserveResponse(0, 10*time.Second)
 	p.OwnCallFailed(10 * time.Second)
@@ -121,10 +121,10 @@
 	must.LessEq(t, now+500*ms, p.Next(0, 0, now))
 }
 
-// The first in rank are all refused, and one far behind has got an answer. It
-// must go on asking without waiting for its own long threshold each time, until
-// somebody else brings a newer answer.
-func TestWhoGotTheAnswerGoesOnAsking(t *testing.T) {
+// All instances first in rank are refused, and one of low rank got a response.
+// It must keep asking without waiting for its own long threshold, until another
+// brings a newer response.
+func TestInstanceKeepsPollingAfterSuccess(t *testing.T) {
 	var p freshness.PollSchedule
 	now := 10 * time.Second
 	p.ObserveResponse(0, now)
@@ -138,7 +138,7 @@
 	must.GreaterEq(t, now+900*ms, p.Next(40, 0, now))
 }
 
-func TestInstanceThatKnowsNothingAsksAtOnce(t *testing.T) {
+func TestInstanceWithoutResponseAsksAtOnce(t *testing.T) {
 	var p freshness.PollSchedule
 	must.Eq(t, time.Second, p.Next(30, 0.9, time.Second))
 }
--- a/freshness/poll.go
+++ b/freshness/poll.go
@@ -2,140 +2,145 @@
 
 import "time"
 
-// UnknownAge is the age of what was never heard: older than any bound.
+// UnknownAge is the age when no response has been seen. It exceeds any bound.
 const UnknownAge = time.Duration(1<<62 - 1)
 
-// PollSchedule says when this instance asks the store itself.
+// PollSchedule decides when this instance asks the store itself.
 //
-// There are no elected readers: whoever finds that its knowledge is older than
-// its own threshold asks, and tells everybody. Thresholds rise with the rank
-// of an instance among those alive, so that normally the first in rank asks
-// for all and nobody else ever reaches its threshold. When it dies, stands
-// still or is refused by the store, the next in rank takes over within a
-// tenth of a second, without anything having to be agreed on. An instance that
-// hears nobody asks for itself.
+// There is no leader election: an instance asks when its knowledge is older
+// than its own threshold, and forwards the response to all others. Thresholds
+// rise with the rank of an instance among those alive, so that normally only
+// the first in rank asks. When it dies, stalls or is refused by the store, the
+// next in rank takes over within 0.1 s without coordination. An instance that
+// hears no other asks for itself.
 type PollSchedule struct {
-	proof   time.Duration
-	proved  bool
-	attempt time.Duration
-	tried   bool
-	// heldFrom is the first attempt of anybody since the newest proof; 0 if
-	// there was none.
-	heldFrom time.Duration
-	// asking says that the newest proof is this instance's own.
-	asking bool
-	// failures in a row of this instance's own calls.
-	failures int
-	failed   time.Duration
+	lastResponse time.Duration
+	hasResponse  bool
+	lastAttempt  time.Duration
+	hasAttempt   bool
+	// firstAttempt is the first attempt of any instance since the newest
+	// response; 0 if there was none.
+	firstAttempt time.Duration
+	// ownResponse means that the newest response came from this instance's own
+	// call.
+	ownResponse bool
+	// failures counts consecutive failures of this instance's own calls.
+	failures    int
+	lastFailure time.Duration
 }
 
 const (
-	// every is the age of knowledge at which the first in rank asks again. It
-	// leaves three quarters of the tightest bound, two seconds for a changed
-	// configuration or a leaving server, to the ranks behind it.
-	every = 450 * time.Millisecond
-	// step is what each rank waits longer, up to mostSteps: above that the
-	// bound would be in danger where nobody else can ask.
-	step      = 100 * time.Millisecond
-	mostSteps = 5
-	// apart is the least time between two attempts of anybody, so that a
-	// fleet whose store is away doesn't ask it all at once. It is stretched
-	// by up to twice at random.
-	apart = 120 * time.Millisecond
-	// mostHeld is how long attempts of others hold an instance back that the
-	// store hasn't refused. Without it, sixteen refused instances of 36 that
-	// try again in turn leave no pause of that length for the others to ask
-	// in, and requests go to a server that has left.
-	mostHeld = 2 * apart
-	// backOff after an own failed call, doubled up to maxBackOff.
-	backOff    = 250 * time.Millisecond
-	maxBackOff = time.Second
-	// demotion is how long an instance whose call failed comes last: the
-	// store may be refusing just this one.
-	demotion = 5 * time.Second
+	// pollInterval is the age of knowledge at which the first in rank asks
+	// again. It leaves three quarters of the tightest bound, two seconds for a
+	// changed configuration or a leaving server, to the lower ranks.
+	pollInterval = 450 * time.Millisecond
+	// rankStep is the additional wait per rank, up to maxRankSteps: a longer
+	// wait could exceed the bound where no other instance can ask.
+	rankStep     = 100 * time.Millisecond
+	maxRankSteps = 5
+	// minAttemptGap is the minimum time between two attempts of any instances,
+	// so that a fleet does not ask an unavailable store all at once. It is
+	// stretched randomly by a factor of up to two.
+	minAttemptGap = 120 * time.Millisecond
+	// maxHoldOff is how long attempts of others hold back an instance that the
+	// store has not refused. Without it, 16 refused instances of 36 that retry
+	// in turn leave no gap of minAttemptGap, the others cannot ask, and
+	// requests go to a server that has left.
+	maxHoldOff = 2 * minAttemptGap
+	// initialBackoff is the wait after a failed own call. It doubles with each
+	// further failure up to maxBackoff.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = time.Second
+	// demotionPeriod is how long an instance has the lowest rank after a failed
+	// call: the store may be refusing only this instance.
+	demotionPeriod = 5 * time.Second
 )
 
-// ObserveResponse takes in that the store answered, to whomever, what is now this old.
+// ObserveResponse records a response of the store, of the given age, to any
+// instance.
 func (p *PollSchedule) ObserveResponse(age, now time.Duration) {
-	if at := now - age; !p.proved || at > p.proof {
-		p.proof = at
-		p.proved = true
-		p.heldFrom = 0
+	if at := now - age; !p.hasResponse || at > p.lastResponse {
+		p.lastResponse = at
+		p.hasResponse = true
+		p.firstAttempt = 0
 	}
 }
 
-// ObserveAttempt takes in that somebody asks or has asked the store.
+// ObserveAttempt records that any instance has asked the store.
 func (p *PollSchedule) ObserveAttempt(now time.Duration) {
-	p.attempt = now
-	p.tried = true
-	if p.heldFrom == 0 {
-		p.heldFrom = now
+	p.lastAttempt = now
+	p.hasAttempt = true
+	if p.firstAttempt == 0 {
+		p.firstAttempt = now
 	}
 }
 
-// OwnCallSucceeded takes in that an own call brought the newest proof. This instance
-// goes on asking as if it were first in rank: where the first in rank are all
-// refused, everybody would else wait for the longest threshold each time.
+// OwnCallSucceeded records that an own call brought the newest response. This
+// instance keeps asking as if it were first in rank: if all instances first in
+// rank are refused, everyone would otherwise wait for the longest threshold
+// each time.
 func (p *PollSchedule) OwnCallSucceeded() {
 	p.failures = 0
-	p.asking = true
+	p.ownResponse = true
 }
 
-// Yield takes in that another instance brought the newest proof.
-func (p *PollSchedule) Yield() { p.asking = false }
+// Yield records that another instance brought the newest response.
+func (p *PollSchedule) Yield() { p.ownResponse = false }
 
-// OwnCallFailed takes in that an own call had no useful answer.
+// OwnCallFailed records that an own call failed or brought no useful response.
 func (p *PollSchedule) OwnCallFailed(now time.Duration) {
 	p.failures++
-	p.failed = now
-	p.asking = false
+	p.lastFailure = now
+	p.ownResponse = false
 }
 
-// Age of the newest proof.
+// Age returns the age of the newest response.
 func (p *PollSchedule) Age(now time.Duration) time.Duration {
-	if !p.proved {
+	if !p.hasResponse {
 		return UnknownAge
 	}
-	return now - p.proof
+	return now - p.lastResponse
 }
 
-// Next returns when this instance should ask, given its rank among those
-// alive and a random number from 0 to 1.
+// Next returns when this instance should ask, given its rank among those alive
+// and a random number from 0 to 1.
 func (p *PollSchedule) Next(rank int, random float64, now time.Duration) time.Duration {
 	switch {
-	case p.asking:
+	case p.ownResponse:
 		rank = 0
-	case p.refused(now):
-		rank = mostSteps
+	case p.recentlyFailed(now):
+		rank = maxRankSteps
 	}
 	due := now
-	if p.proved {
-		due = p.proof + every + step*time.Duration(min(rank, mostSteps))
+	if p.hasResponse {
+		due = p.lastResponse + pollInterval + rankStep*time.Duration(min(rank, maxRankSteps))
 		if rank > 0 {
-			due += time.Duration(random * float64(step))
+			due += time.Duration(random * float64(rankStep))
 		}
 	}
-	if p.tried {
-		held := p.attempt + apart + time.Duration(random*float64(apart))
-		if !p.refused(now) {
-			held = min(held, p.heldFrom+mostHeld)
+	if p.hasAttempt {
+		earliest := p.lastAttempt + minAttemptGap + time.Duration(random*float64(minAttemptGap))
+		if !p.recentlyFailed(now) {
+			earliest = min(earliest, p.firstAttempt+maxHoldOff)
 		}
-		due = max(due, held)
+		due = max(due, earliest)
 	}
 	if p.failures > 0 {
-		wait := min(backOff<<min(p.failures-1, 4), maxBackOff)
-		due = max(due, p.failed+wait)
+		wait := min(initialBackoff<<min(p.failures-1, 4), maxBackoff)
+		due = max(due, p.lastFailure+wait)
 	}
 	return due
 }
 
-// refused reports whether the store failed this instance lately.
-func (p *PollSchedule) refused(now time.Duration) bool {
-	return p.failures > 0 || (p.failed > 0 && now-p.failed < demotion)
+// recentlyFailed reports whether the store recently failed a call of this
+// instance.
+func (p *PollSchedule) recentlyFailed(now time.Duration) bool {
+	return p.failures > 0 || (p.lastFailure > 0 && now-p.lastFailure < demotionPeriod)
 }
 
-// Overdue reports that the store hasn't answered anybody for longer than it
-// should, so that attempts are worth telling before they end.
+// Overdue reports whether the store has not answered any instance for longer
+// than expected, so that attempts should be announced to the others before they
+// end.
 func (p *PollSchedule) Overdue(now time.Duration) bool {
-	return p.proved && p.Age(now) > 2*every
+	return p.hasResponse && p.Age(now) > 2*pollInterval
 }
