--- a/replica/changes.go
+++ b/replica/changes.go
@@ -2,9 +2,9 @@
 
 import "sort"
 
-// RecentChanges gathers the rows that changed in the last few answers about a table,
-// to be told together. A receiver that missed a message is then brought up to
-// date by the next one, without a call of the store.
+// RecentChanges collects the rows changed in the last few responses about a
+// table, to be sent together. A receiver that missed a message then catches up
+// with the next one, without a call to the store.
 type RecentChanges struct {
 	spans []span
 }
@@ -14,45 +14,46 @@
 	rows           []Row
 }
 
-// ChangeBatch is a run of changes: the newest state of each row that changed after
-// version Since and up to Version.
+// ChangeBatch holds the newest state of each row that changed after version
+// Since and up to Version.
 type ChangeBatch struct {
 	Since, Version uint64
 	Rows           []Row
 }
 
-// recentSpans is how many answers are told together: with two answers a
+// maxSpans is the number of responses sent together: at two responses per
 // second, a receiver may miss three messages in a row.
-const recentSpans = 4
+const maxSpans = 4
 
-// Add takes in the rows that changed after one version and up to another,
-// whether the store or another instance told them. If something before that is
-// missing, what was gathered is dropped: told together, the two sides of a hole
-// would pass for all changes, and receivers would never learn those in between.
+// Add records the rows that changed after version since and up to version,
+// whether the store or another instance sent them. If there is a gap before
+// since, the earlier changes are dropped: sent together, they would pass for
+// all changes in the range, and receivers would never learn of those in the
+// gap.
 func (r *RecentChanges) Add(since, version uint64, rows []Row) {
 	if n := len(r.spans); n > 0 && r.spans[n-1].version < since {
 		r.spans = nil
 	}
 	r.spans = append(r.spans, span{since, version, rows})
-	if len(r.spans) > recentSpans {
+	if len(r.spans) > maxSpans {
 		r.spans = r.spans[1:]
 	}
 }
 
-// Reset forgets everything: the changes before the next answer aren't known.
+// Reset drops all changes, when those before the next response are unknown.
 func (r *RecentChanges) Reset() { r.spans = nil }
 
-// Batches returns what changed up to a version, in runs that follow each other,
-// each of at most so many bytes of keys and values. All rows of one version
-// stay together: a receiver that has a part has all of its versions.
-func (r *RecentChanges) Batches(version uint64, most int) []ChangeBatch {
+// Batches returns the changes up to a version in consecutive batches, each with
+// at most maxBytes bytes of keys and values. All rows of a version are in the
+// same batch, so that a receiver of a batch has all of its versions.
+func (r *RecentChanges) Batches(version uint64, maxBytes int) []ChangeBatch {
 	rows, since := r.rows()
 	parts := []ChangeBatch{{Since: since, Version: version}}
 	size := 0
 	for i, row := range rows {
 		last := &parts[len(parts)-1]
 		bytes := len(row.Key) + len(row.Value)
-		if len(last.Rows) > 0 && size+bytes > most && row.Version > rows[i-1].Version {
+		if len(last.Rows) > 0 && size+bytes > maxBytes && row.Version > rows[i-1].Version {
 			last.Version = rows[i-1].Version
 			parts = append(parts, ChangeBatch{Since: last.Version, Version: version})
 			last, size = &parts[len(parts)-1], 0
@@ -63,8 +64,8 @@
 	return parts
 }
 
-// rows returns the newest state of each row that has changed, in the order of
-// their versions, and the version since which that is complete.
+// rows returns the newest state of each changed row, ordered by version, and
+// the version since which the changes are complete.
 func (r *RecentChanges) rows() (rows []Row, since uint64) {
 	if len(r.spans) == 0 {
 		return nil, 0
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,12 +1,12 @@
-// Package replica keeps copies of tables of the platform's store in memory.
+// Package replica keeps in-memory replicas of tables of the platform's store.
 //
-// A copy has the version up to which it is complete. It moves on by the
-// changes since that version, whoever read them, or by a whole read. An answer that
-// is older than the copy is ignored.
+// A replica is complete up to a version. It advances by the changes since that
+// version, regardless of which instance read them, or by a full read. A
+// response older than the replica is ignored.
 //
-// A store that comes back from a copy of its own gives versions out again, in a new
-// era. Of two answers, the one of the later era is newer, whatever their versions; a
-// copy moves on to an era by a whole read only.
+// A store restored from a backup assigns versions again, in a new era. Of two
+// responses, the one with the later era is newer, whatever their versions; a
+// replica advances to a new era only by a full read.
 package replica
 
 import (
@@ -16,27 +16,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of a Store. Anything else is a call without a useful answer.
+// Errors of a Store. Any other error means a call without a useful response.
 var (
-	// ErrHistoryCompacted means that the changes since a version aren't to be had
-	// any more; only a whole read helps.
+	// ErrHistoryCompacted means that the changes since a version are no longer
+	// available; a full read is needed.
 	ErrHistoryCompacted = errors.New("the store no longer has the changes since that version")
-	// ErrRefused means that the store turned the call away undone.
+	// ErrRefused means that the store rejected the call without executing it.
 	ErrRefused = errors.New("the store refused the call")
 )
 
-// Row is one row, or the news that it is gone.
+// Row is a row of a table, or the removal of one if Gone is set.
 type Row struct {
 	Key   string
 	Value []byte
 	Gone  bool
-	// Version of the row; 0 if it isn't known.
+	// Version of the row; 0 if unknown.
 	Version uint64
 }
 
-// Position is a moment in the history of the store.
+// Position is a position in the history of the store.
 type Position struct {
-	// Era counts how often the store came back from a copy.
+	// Era counts how often the store was restored from a backup.
 	Era     uint64
 	Version uint64
 }
@@ -46,46 +46,49 @@
 	return p.Era < o.Era || (p.Era == o.Era && p.Version < o.Version)
 }
 
-// ReadResult is what the store said about a table at one moment.
+// ReadResult is the result of a read of a table.
 type ReadResult struct {
 	Rows []Row
-	// Version is the newest version of Era at that moment.
+	// Version is the newest version of Era at the time of the read.
 	Version uint64
 	Era     uint64
-	// StoreTime is that moment on the store's steady clock.
+	// StoreTime is the time of the read on the store's monotonic clock.
 	StoreTime time.Duration
-	// Full says that Rows is the whole table, not the changes.
+	// Full means that Rows holds the whole table, not only changes.
 	Full bool
 }
 
-// Position is the moment of the answer.
+// Position returns the position of the read.
 func (a ReadResult) Position() Position { return Position{a.Era, a.Version} }
 
-// Store is where tables are read and written.
+// Store reads and writes tables.
 type Store interface {
 	// Read returns a whole table.
 	Read(ctx context.Context, table string) (ReadResult, error)
-	// Changes returns what has changed in a table since a version.
+	// Changes returns the changes of a table since a version.
 	Changes(ctx context.Context, table string, since uint64) (ReadResult, error)
-	// Write puts the rows, or removes those that are gone, in one transaction.
+	// Write writes the rows, or deletes those with Gone set, in one
+	// transaction.
 	Write(ctx context.Context, table string, rows ...Row) error
 }
 
-// Table is the copy of one table. It isn't safe for concurrent use.
+// Table is the replica of one table. It is not safe for concurrent use.
 type Table struct {
-	at    Position
-	known bool
-	rows  map[string]Row
+	position Position
+	loaded   bool
+	rows     map[string]Row
 }
 
-// NewTable returns a copy that knows nothing yet.
+// NewTable returns an empty replica without a position.
 func NewTable() *Table { return &Table{rows: make(map[string]Row)} }
 
-// Version up to which the copy is complete, and whether it ever was.
-func (t *Table) Version() (uint64, bool) { return t.at.Version, t.known }
+// Version returns the version up to which the replica is complete, and whether
+// the table has been loaded.
+func (t *Table) Version() (uint64, bool) { return t.position.Version, t.loaded }
 
-// Position up to which the copy is complete, and whether it ever was.
-func (t *Table) Position() (Position, bool) { return t.at, t.known }
+// Position returns the position up to which the replica is complete, and
+// whether the table has been loaded.
+func (t *Table) Position() (Position, bool) { return t.position, t.loaded }
 
 // Row returns the row of a key.
 func (t *Table) Row(key string) (Row, bool) {
@@ -102,17 +105,17 @@
 	return rows
 }
 
-// Apply takes in an answer whose changes begin at version since of its era, and
-// returns the rows that differ from what the copy held. It reports false if the
-// copy lacks something from before since; nothing is taken in then.
+// Apply applies a read whose changes begin at version since of its era, and
+// returns the rows that differ from the previous state. It reports false, and
+// applies nothing, if the replica lacks changes from before since.
 func (t *Table) Apply(a ReadResult, since uint64) ([]Row, bool) {
-	if t.known && a.Position().Before(t.at) {
+	if t.loaded && a.Position().Before(t.position) {
 		return nil, true
 	}
 	if a.Full {
 		return t.replace(a), true
 	}
-	if !t.known || a.Era != t.at.Era || since > t.at.Version {
+	if !t.loaded || a.Era != t.position.Era || since > t.position.Version {
 		return nil, false
 	}
 	var changed []Row
@@ -121,11 +124,12 @@
 			changed = append(changed, r)
 		}
 	}
-	t.at = a.Position()
+	t.position = a.Position()
 	return changed, true
 }
 
-// ApplyOwnWrite takes in a row that was just written, before any answer tells of it.
+// ApplyOwnWrite applies a row that was just written, before it is returned by a
+// read.
 func (t *Table) ApplyOwnWrite(r Row) { t.put(r) }
 
 func (t *Table) replace(a ReadResult) []Row {
@@ -143,8 +147,8 @@
 			changed = append(changed, Row{Key: k, Gone: true})
 		}
 	}
-	t.at = a.Position()
-	t.known = true
+	t.position = a.Position()
+	t.loaded = true
 	return changed
 }
 
