--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// unreadMost is how many bytes of a body that the handler left are read,
-	// so that the connection can be kept; above that it is closed.
-	unreadMost = 256 << 10
-	// lingerFor is how long a connection that is being closed is read on. A
-	// close with unread bytes resets the connection, and the caller may lose
-	// the last answer.
-	lingerFor = 500 * time.Millisecond
+	// maxDiscardBytes is how many unread bytes of a request body are discarded
+	// to keep the connection; if more are left, it is closed.
+	maxDiscardBytes = 256 << 10
+	// lingerTimeout is how long a connection is still read while it is being
+	// closed. A close with unread bytes resets the connection, and the caller
+	// may lose the last response.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// conn is one caller's connection.
+// conn is the connection of a caller.
 type conn struct {
 	server *Server
 	net    net.Conn
@@ -37,17 +37,18 @@
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// changed is told when answers were written.
+	// changed is signalled when responses were written or the connection ended.
 	changed sync.Cond
-	// queue holds the requests that were read, in order, until each is answered.
+	// queue holds the started requests in order until their responses are
+	// written.
 	queue []*exchange
-	// reading says that a request has begun to arrive.
+	// reading means that a request has begun to arrive.
 	reading bool
-	// last says that no further request is started: an answer closes the
-	// connection once those that were started are answered.
-	last bool
-	// ended says that nothing more is written.
-	ended bool
+	// closing means that no further request is started: the connection closes
+	// with the response to the last request already started.
+	closing bool
+	// closed means that nothing more is written.
+	closed bool
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -58,61 +59,62 @@
 	return c
 }
 
-// serve reads requests until the connection ends or an answer closes it.
+// serve reads requests until the connection ends or a response closes it.
 func (c *conn) serve() {
-	defer c.server.forget(c)
+	defer c.server.untrack(c)
 	defer c.close()
-	for c.awaitRoom() {
+	for c.awaitQueueSlot() {
 		r, err := c.read()
 		if err != nil {
-			c.refuse(err)
+			c.rejectRequest(err)
 			return
 		}
-		beside := r.Body == http.NoBody && c.server.AllowConcurrent != nil && c.server.AllowConcurrent(r)
-		x := c.start(r, beside)
+		concurrent := r.Body == http.NoBody && c.server.AllowConcurrent != nil && c.server.AllowConcurrent(r)
+		x := c.start(r, concurrent)
 		if x == nil {
 			return
 		}
-		if !c.finishBody(x) {
+		if !c.awaitBody(x) {
 			return
 		}
 	}
 }
 
-// awaitRoom waits until one more request may be read.
-func (c *conn) awaitRoom() bool {
+// awaitQueueSlot waits until another request may be read, and reports whether
+// the connection is still open.
+func (c *conn) awaitQueueSlot() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.queue) >= max(c.server.MaxPipelined, 1) && !c.ended {
+	for len(c.queue) >= max(c.server.MaxPipelined, 1) && !c.closed {
 		c.changed.Wait()
 	}
-	return !c.ended
+	return !c.closed
 }
 
-// read reads the next request's headers. Without a request in progress the
-// connection is idle until its first byte. While one is, the wait for the first
-// byte also notices that the caller leaves.
+// read reads the headers of the next request. With no request in progress the
+// connection is idle until the first byte. With requests in progress, the wait
+// for that byte also detects that the caller disconnects.
 func (c *conn) read() (*http.Request, error) {
 	c.limit.N = c.server.MaxHeaderBytes
 	if err := c.awaitByte(); err != nil {
-		return nil, errors.Mark(err, errCallerLeft)
+		return nil, errors.Mark(err, errDisconnected)
 	}
 	deadline := time.Now().Add(c.server.HeaderTimeout)
 	_ = c.net.SetReadDeadline(deadline)
 	r, err := http.ReadRequest(c.in)
 	switch {
 	case err != nil && !time.Now().Before(deadline):
-		// A line that ends at the deadline is reported as malformed.
-		return nil, errSlow
+		// A line cut off by the deadline is reported as malformed.
+		return nil, errHeaderTimeout
 	case err != nil && c.limit.N <= 0:
-		return nil, errTooLong
+		return nil, errHeadersTooLarge
 	case err != nil:
 		return nil, err
 	}
 	_ = c.net.SetReadDeadline(time.Time{})
 	c.limit.N = 1<<63 - 1
 	r.RemoteAddr = c.net.RemoteAddr().String()
-	return r, check(r)
+	return r, validate(r)
 }
 
 func (c *conn) awaitByte() error {
@@ -131,47 +133,48 @@
 	return err
 }
 
-// Errors of reading. Those without a status end the connection unanswered.
+// Errors of reading a request. errDisconnected and errHeaderTimeout end the
+// connection without an error response.
 var (
-	errCallerLeft = errors.New("the caller left or was idle for too long")
-	errSlow       = errors.New("the headers took too long")
-	errTooLong    = errors.New("the headers are too long")
+	errDisconnected    = errors.New("caller disconnected or idle timeout expired")
+	errHeaderTimeout   = errors.New("timed out reading request headers")
+	errHeadersTooLarge = errors.New("request headers exceed the size limit")
 )
 
-// check refuses what net/http parses and its own server refuses.
-func check(r *http.Request) error {
+// validate rejects requests that net/http parses but its server rejects.
+func validate(r *http.Request) error {
 	if len(r.Header["Host"]) > 1 || (r.ProtoAtLeast(1, 1) && r.Host == "") || !httpguts.ValidHostHeader(r.Host) {
-		return errors.New("no valid host")
+		return errors.New("missing, duplicate or invalid Host header")
 	}
 	for name, values := range r.Header {
 		for _, v := range values {
 			if !httpguts.ValidHeaderFieldName(name) || !httpguts.ValidHeaderFieldValue(v) {
-				return errors.Newf("header %q isn't valid", name)
+				return errors.Newf("invalid name or value of header %q", name)
 			}
 		}
 	}
 	return nil
 }
 
-// refuse answers what couldn't be read as a request, behind the answers that
-// are due before, and ends the connection.
-func (c *conn) refuse(err error) {
+// rejectRequest sends an error response for malformed input after all pending
+// responses and ends the connection.
+func (c *conn) rejectRequest(err error) {
 	status := http.StatusBadRequest
 	switch {
-	case errors.Is(err, errCallerLeft), errors.Is(err, io.ErrUnexpectedEOF):
-		c.leave()
+	case errors.Is(err, errDisconnected), errors.Is(err, io.ErrUnexpectedEOF):
+		c.abandon()
 		return
-	case errors.Is(err, errSlow):
-		// The caller is slow in sending one request; what it sent ahead of
-		// that is answered.
-		c.awaitAnswers()
+	case errors.Is(err, errHeaderTimeout):
+		// The caller is slow in sending this request; earlier requests are
+		// still answered.
+		c.awaitResponses()
 		return
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errHeadersTooLarge):
 		status = http.StatusRequestHeaderFieldsTooLarge
 	case strings.Contains(err.Error(), "transfer encoding"):
 		status = http.StatusNotImplemented
 	}
-	if !c.awaitAnswers() {
+	if !c.awaitResponses() {
 		return
 	}
 	x := &exchange{conn: c, header: make(http.Header), status: status, closes: true}
@@ -185,92 +188,94 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// leave notes that the caller is gone or reads no more: what is at work for it
-// is cancelled.
-func (c *conn) leave() {
+// abandon records that the caller disconnected or no longer reads, and cancels
+// its requests.
+func (c *conn) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
+	c.closed = true
 	c.cancel()
 	c.changed.Broadcast()
 }
 
-// awaitAnswers waits until all requests before are answered, and reports
-// whether the connection goes on.
-func (c *conn) awaitAnswers() bool {
+// awaitResponses waits until all earlier requests are answered, and reports
+// whether the connection is still open.
+func (c *conn) awaitResponses() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.queue) > 0 && !c.ended {
+	for len(c.queue) > 0 && !c.closed {
 		c.changed.Wait()
 	}
-	return !c.ended
+	return !c.closed
 }
 
-// start hands a request to the handler, or returns nil if the connection ends
-// before it. One that may not run beside others waits for those before it: if
-// one of their answers closes the connection, it counts as not read and is sent
-// again by its caller, whatever it does.
-func (c *conn) start(r *http.Request, beside bool) *exchange {
-	if !beside && !c.awaitAnswersOrLeave() {
+// start runs the handler for a request, or returns nil if the connection ends
+// first. A request that may not run concurrently waits for the earlier ones: if
+// one of their responses closes the connection, the request counts as not read,
+// so its caller may resend it whether or not it is idempotent.
+func (c *conn) start(r *http.Request, concurrent bool) *exchange {
+	if !concurrent && !c.awaitResponsesOrDisconnect() {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last {
-		// Those that were started are answered first; the last of them closes.
-		for len(c.queue) > 0 && !c.ended {
+	if c.closing {
+		// The requests already started are answered; the last response closes
+		// the connection.
+		for len(c.queue) > 0 && !c.closed {
 			c.changed.Wait()
 		}
 		return nil
 	}
-	if c.ended {
+	if c.closed {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	x := &exchange{conn: c, request: r.WithContext(ctx), cancel: cancel, header: make(http.Header), bodyDone: make(chan struct{})}
-	x.takeBody(beside)
+	x.wrapBody(concurrent)
 	c.queue = append(c.queue, x)
 	c.server.inFlight.Add(1)
 	go x.run()
 	return x
 }
 
-// awaitAnswersOrLeave is awaitAnswers for a request whose body, if it has one,
-// still lies unread. It reads ahead meanwhile, as far as the buffer goes: with
-// nobody reading, the end of the connection wouldn't be noticed, and servers
-// would work on for a caller that has left.
-func (c *conn) awaitAnswersOrLeave() bool {
+// awaitResponsesOrDisconnect is awaitResponses for a request whose body, if
+// any, is still unread. It reads ahead meanwhile, up to the size of the buffer:
+// otherwise a disconnect would go unnoticed, and servers would work for a
+// caller that has left.
+func (c *conn) awaitResponsesOrDisconnect() bool {
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		c.watch()
+		c.watchDisconnect()
 	}()
-	goesOn := c.awaitAnswers()
-	// Interrupts the watch, which must not read while the handler does.
+	open := c.awaitResponses()
+	// Interrupts the read-ahead, which must not run concurrently with the
+	// handler's reads.
 	_ = c.net.SetReadDeadline(time.Now())
 	<-watched
 	_ = c.net.SetReadDeadline(time.Time{})
-	return goesOn
+	return open
 }
 
-// watch reads ahead until the caller leaves, the buffer is full or it is
-// interrupted.
-func (c *conn) watch() {
+// watchDisconnect reads ahead until the caller disconnects, the buffer is full
+// or it is interrupted.
+func (c *conn) watchDisconnect() {
 	for n := c.in.Buffered() + 1; n <= c.in.Size(); n = c.in.Buffered() + 1 {
 		_, err := c.in.Peek(n)
 		if isTimeout(err) {
 			return
 		}
 		if err != nil {
-			c.leave()
+			c.abandon()
 			return
 		}
 	}
 }
 
-// finishBody waits until a request's body has been read, so that the next one
-// can be, and reports whether the connection goes on.
-func (c *conn) finishBody(x *exchange) bool {
+// awaitBody waits until the body of a request has been read, so that the next
+// request can be, and reports whether the connection is still open.
+func (c *conn) awaitBody(x *exchange) bool {
 	select {
 	case <-x.bodyDone:
 		return true
@@ -279,26 +284,26 @@
 	}
 }
 
-// answered writes the answers whose turn it is. An answer that asks to close
-// the connection does so only once every request that was started is answered:
-// their callers couldn't know whether they have run.
-func (c *conn) answered() {
+// writeReady writes the responses that are next in order. A response that
+// closes the connection does so only after every started request is answered:
+// otherwise their callers could not know whether they have run.
+func (c *conn) writeReady() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.queue) > 0 && c.queue[0].done && !c.ended {
+	for len(c.queue) > 0 && c.queue[0].done && !c.closed {
 		x := c.queue[0]
-		c.last = c.last || x.closes
-		err := x.write(c.last && len(c.queue) == 1)
+		c.closing = c.closing || x.closes
+		err := x.write(c.closing && len(c.queue) == 1)
 		c.queue = c.queue[1:]
 		c.server.inFlight.Add(-1)
-		if err != nil || (c.last && len(c.queue) == 0) {
-			c.ended = true
+		if err != nil || (c.closing && len(c.queue) == 0) {
+			c.closed = true
 			c.cancel()
-			// The reader may be waiting for the next request.
+			// Wakes the reader, which may be waiting for the next request.
 			_ = c.net.SetReadDeadline(time.Now())
 		}
 	}
-	if idle := time.Duration(c.server.idle.Load()); idle > 0 && len(c.queue) == 0 && !c.reading && !c.ended {
+	if idle := time.Duration(c.server.idle.Load()); idle > 0 && len(c.queue) == 0 && !c.reading && !c.closed {
 		_ = c.net.SetReadDeadline(time.Now().Add(idle))
 	}
 	c.changed.Broadcast()
@@ -307,36 +312,36 @@
 // closeIfIdle closes the connection unless it has a request.
 func (c *conn) closeIfIdle() {
 	if !c.mu.TryLock() {
-		// An answer is being written.
+		// A response is being written.
 		return
 	}
 	defer c.mu.Unlock()
 	if len(c.queue) == 0 && !c.reading {
-		c.ended = true
+		c.closed = true
 		c.cancel()
 		_ = c.net.Close()
 	}
 }
 
-// abort ends the connection at once. It is closed first: an answer that a slow
-// caller doesn't read holds the lock.
+// abort ends the connection at once. It closes the connection first, because
+// the lock is held while a response is written to a caller that does not read.
 func (c *conn) abort() {
 	_ = c.net.Close()
-	c.leave()
+	c.abandon()
 }
 
-// close ends the connection, after a moment in which what the caller still
-// sends is read.
+// close ends the connection after reading and discarding, for a short time,
+// what the caller still sends.
 func (c *conn) close() {
 	c.mu.Lock()
-	c.ended = true
+	c.closed = true
 	c.cancel()
 	c.server.inFlight.Add(-int64(len(c.queue)))
 	c.queue = nil
 	c.changed.Broadcast()
 	c.mu.Unlock()
 	if tcp, ok := c.net.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
-		_ = c.net.SetReadDeadline(time.Now().Add(lingerFor))
+		_ = c.net.SetReadDeadline(time.Now().Add(lingerTimeout))
 		_, _ = io.Copy(io.Discard, c.net)
 	}
 	_ = c.net.Close()
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// exchange is a request and its answer, which is held until its turn. It is
-// the http.ResponseWriter of its handler.
+// exchange is a request with its response, which is buffered until it is next
+// in order. It is the http.ResponseWriter of the handler.
 type exchange struct {
 	conn    *conn
 	request *http.Request
@@ -21,9 +21,9 @@
 	header http.Header
 	status int
 	body   bytes.Buffer
-	// closes says that the connection ends with this answer.
+	// closes means that the connection closes with this response.
 	closes bool
-	// done says that the answer is whole. Guarded by conn.mu.
+	// done means that the response is complete. Guarded by conn.mu.
 	done bool
 
 	bodyOnce sync.Once
@@ -47,52 +47,52 @@
 	return x.body.Write(b)
 }
 
-// run answers the request.
+// run calls the handler and queues the response for writing.
 func (x *exchange) run() {
 	defer x.cancel()
 	x.conn.server.Handler.ServeHTTP(x, x.request)
 	x.WriteHeader(http.StatusOK)
-	x.closes = x.request.Close || !x.request.ProtoAtLeast(1, 1) || x.header.Get("Connection") == "close" || !x.drain()
+	x.closes = x.request.Close || !x.request.ProtoAtLeast(1, 1) || x.header.Get("Connection") == "close" || !x.discardBody()
 	x.conn.mu.Lock()
 	x.done = true
 	x.conn.mu.Unlock()
-	x.conn.answered()
+	x.conn.writeReady()
 	x.finishBody()
 }
 
 func (x *exchange) finishBody() { x.bodyOnce.Do(func() { close(x.bodyDone) }) }
 
-// takeBody wraps the body, to learn when it has been read.
-func (x *exchange) takeBody(none bool) {
+// wrapBody wraps the request body to detect when it has been read.
+func (x *exchange) wrapBody(none bool) {
 	if none || x.request.Body == http.NoBody {
 		x.finishBody()
 		return
 	}
 	x.request.Body = &requestBody{
 		exchange: x, in: x.request.Body,
-		proceed: x.request.ProtoAtLeast(1, 1) && x.request.Header.Get("Expect") == "100-continue",
+		expectContinue: x.request.ProtoAtLeast(1, 1) && x.request.Header.Get("Expect") == "100-continue",
 	}
 }
 
-// drain reads what the handler left of the body, so that the next request can
-// be read, and reports whether there was little enough.
-func (x *exchange) drain() bool {
+// discardBody discards the rest of the body, so that the next request can be
+// read, and reports whether it was within maxDiscardBytes.
+func (x *exchange) discardBody() bool {
 	b, ok := x.request.Body.(*requestBody)
-	if !ok || b.ended {
+	if !ok || b.eof {
 		return true
 	}
-	if b.proceed {
-		// The caller waits for a word before it sends the body, and then sends
-		// either that or another request: nobody knows which.
+	if b.expectContinue {
+		// The caller is still waiting for 100 Continue. It may send either the
+		// body or another request next, and the two cannot be told apart.
 		return false
 	}
 	_ = x.conn.net.SetReadDeadline(time.Now().Add(x.conn.server.HeaderTimeout))
-	n, err := io.Copy(io.Discard, io.LimitReader(b, unreadMost))
-	return err == nil && n < unreadMost
+	n, err := io.Copy(io.Discard, io.LimitReader(b, maxDiscardBytes))
+	return err == nil && n < maxDiscardBytes
 }
 
-// write writes the answer. The connection's lock must be held, or it must have
-// no other exchange.
+// write writes the response. The caller must hold the connection's lock, unless
+// the connection has no other exchange.
 func (x *exchange) write(closes bool) error {
 	out := x.conn.out
 	x.header.Del("Connection")
@@ -110,7 +110,7 @@
 	case !head:
 		x.header.Set("Content-Length", strconv.Itoa(x.body.Len()))
 	}
-	// The first error of a bufio.Writer stays until Flush returns it.
+	// A bufio.Writer keeps its first error until Flush returns it.
 	_, _ = fmt.Fprintf(out, "HTTP/1.1 %03d %s\r\n", x.status, http.StatusText(x.status))
 	_ = x.header.Write(out)
 	_, _ = out.WriteString("\r\n")
@@ -120,19 +120,19 @@
 	return out.Flush()
 }
 
-// requestBody tells when a body has been read, and asks a caller that waits
-// for it to send it.
+// requestBody detects when a body has been read, and sends 100 Continue to a
+// caller that waits for it.
 type requestBody struct {
-	exchange *exchange
-	in       io.ReadCloser
-	proceed  bool
-	ended    bool
+	exchange       *exchange
+	in             io.ReadCloser
+	expectContinue bool
+	eof            bool
 }
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
-	if b.proceed {
-		b.proceed = false
+	if b.expectContinue {
+		b.expectContinue = false
 		out := b.exchange.conn.out
 		_, _ = out.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 		if err := out.Flush(); err != nil {
@@ -141,11 +141,12 @@
 	}
 	n, err := b.in.Read(p)
 	if err == io.EOF {
-		b.ended = true
+		b.eof = true
 		b.exchange.finishBody()
 	}
 	return n, err
 }
 
-// Close implements io.Closer. What is left is read once the handler is done.
+// Close implements io.Closer. The rest of the body is discarded after the
+// handler has returned.
 func (b *requestBody) Close() error { return nil }
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,22 +1,22 @@
-// Package pipeline serves HTTP/1.1 connections on which callers may send
-// requests ahead, before earlier ones have been answered.
+// Package pipeline serves HTTP/1.1 connections with pipelined requests.
 //
-// Load pattern: a caller sends several lookups ahead on one connection, each of
-// which may take a backend server up to seconds. One after the other, as
-// net/http serves them, the last waits for work that has nothing to do with
-// it; and a caller that leaves meanwhile isn't noticed, because what it sent
-// ahead lies unread before the end of its connection.
+// A caller pipelines several lookups on one connection, each of which may take
+// a backend server up to seconds. net/http serves them one after the other, so
+// that the last waits for unrelated work. It also does not detect a disconnect
+// meanwhile, because the unread pipelined requests precede the end of the
+// connection.
 //
-// Idea: a connection is read on while its requests are at work. Requests that
-// may be repeated and have no body run beside each other, at most MostAhead of
-// them; any other runs alone, once all before it are answered. Answers are
-// written in the order of the requests. An answer that closes the connection
-// is the last: nothing behind it has been started that may not be repeated,
-// and an instance that stops finishes what it has started before it closes.
+// This package keeps reading a connection while its requests are processed.
+// Repeatable requests without a body run concurrently, up to MaxPipelined of
+// them; any other request runs alone, once all earlier ones are answered.
+// Responses are written in the order of the requests. No request that may not
+// be repeated is started behind a response that closes the connection, and an
+// instance that stops answers every started request before it closes the
+// connection.
 //
-// Usage: a Server with a Handler, and Serve with a listener. Requests are
-// parsed by net/http; answers are held whole until it is their turn, so that
-// the package suits handlers with answers of bounded size.
+// Use a Server with a Handler, and call Serve with a listener. Requests are
+// parsed by net/http. Responses are buffered as a whole until their turn, so
+// that the package suits handlers with responses of bounded size.
 package pipeline
 
 import (
@@ -30,20 +30,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Server serves callers' connections. Its fields must not change once it
-// serves.
+// Server serves the connections of callers. Its fields must not change after
+// Serve is called.
 type Server struct {
 	Handler http.Handler
-	// AllowConcurrent reports whether a request without a body may run beside others
-	// of its connection. All run alone if it is nil.
+	// AllowConcurrent reports whether a request without a body may run
+	// concurrently with others on its connection. If nil, requests run one at a
+	// time.
 	AllowConcurrent func(*http.Request) bool
-	// MaxPipelined is how many requests of a connection may be at work or wait
-	// for their turn to be answered; at least 1.
+	// MaxPipelined is the number of requests of a connection that may be in
+	// progress or waiting for their turn to be answered; at least 1.
 	MaxPipelined int
-	// HeaderTimeout bounds the reading of a request's headers, from their
-	// first byte.
+	// HeaderTimeout bounds the reading of a request's headers from the first
+	// byte.
 	HeaderTimeout time.Duration
-	// MaxHeaderBytes bounds a request's headers.
+	// MaxHeaderBytes bounds the size of a request's headers.
 	MaxHeaderBytes int64
 
 	idle     atomic.Int64
@@ -54,14 +55,15 @@
 	closed bool
 }
 
-// SetIdleTimeout sets how long a connection may stay without a request. It holds for
-// connections that become idle from now on; 0 sets no bound.
+// SetIdleTimeout sets how long a connection may stay without a request. It
+// applies to connections that become idle from now on; 0 disables the timeout.
 func (s *Server) SetIdleTimeout(d time.Duration) { s.idle.Store(int64(d)) }
 
-// InFlight is the number of requests that were read and aren't answered yet.
+// InFlight returns the number of requests that were read and are not yet
+// answered.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// OpenConnections is the number of open connections.
+// OpenConnections returns the number of open connections.
 func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,11 +84,11 @@
 			return ctx.Err()
 		}
 		if isTemporary(err) {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if err != nil {
-			return errors.Wrap(err, "accepting callers")
+			return errors.Wrap(err, "accept connection")
 		}
 		c := newConn(s, nc)
 		if !s.track(c) {
@@ -97,16 +99,16 @@
 	}
 }
 
-// acceptPause is the pause after a connection that couldn't be accepted, which
-// as a rule means that all descriptors are in use.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept. The usual cause is that
+// all file descriptors are in use.
+const acceptRetryDelay = 5 * time.Millisecond
 
 func isTemporary(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && !errors.Is(err, net.ErrClosed)
 }
 
-// CloseIdle closes the connections that have no request.
+// CloseIdle closes the connections without a request.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +139,7 @@
 	return true
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -16,7 +16,7 @@
 	"foxtailspoke/pipeline"
 )
 
-// serve starts a server and returns how to connect to it.
+// serve starts a server and returns a function that connects to it.
 func serve(t *testing.T, s *pipeline.Server) func() (net.Conn, *bufio.Reader) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -60,7 +60,7 @@
 	must.NoError(t, err)
 }
 
-func answer(t *testing.T, in *bufio.Reader, method string) (*http.Response, string) {
+func readResponse(t *testing.T, in *bufio.Reader, method string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.ReadResponse(in, &http.Request{Method: method})
 	must.NoError(t, err)
@@ -69,7 +69,7 @@
 	return r, string(b)
 }
 
-func TestAnswersByMethodAndStatus(t *testing.T) {
+func TestResponsesByMethodAndStatus(t *testing.T) {
 	dial := serve(t, newServer(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/none" {
 			w.WriteHeader(http.StatusNoContent)
@@ -79,19 +79,19 @@
 	}))
 	c, in := dial()
 	write(t, c, "HEAD /h HTTP/1.1\r\nHost: h\r\n\r\nGET /none HTTP/1.1\r\nHost: h\r\n\r\nPOST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc")
-	r, body := answer(t, in, http.MethodHead)
+	r, body := readResponse(t, in, http.MethodHead)
 	must.Eq(t, "/h", r.Header.Get("X-Path"))
 	must.Eq(t, "", body)
-	r, _ = answer(t, in, http.MethodGet)
+	r, _ = readResponse(t, in, http.MethodGet)
 	must.Eq(t, http.StatusNoContent, r.StatusCode)
 	must.Eq(t, "", r.Header.Get("Content-Length"))
-	r, body = answer(t, in, http.MethodPost)
+	r, body = readResponse(t, in, http.MethodPost)
 	must.Eq(t, "abc", body)
 	must.NotEq(t, "", r.Header.Get("Date"))
 }
 
-// A caller waits to be asked before it sends a body.
-func TestCallerIsAskedForItsBody(t *testing.T) {
+// A caller that waits for 100 Continue gets it before it sends the body.
+func TestExpectContinue(t *testing.T) {
 	dial := serve(t, newServer(echo))
 	c, in := dial()
 	write(t, c, "POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
@@ -101,11 +101,11 @@
 	_, err = in.ReadString('\n')
 	must.NoError(t, err)
 	write(t, c, "abc")
-	_, body := answer(t, in, http.MethodPost)
+	_, body := readResponse(t, in, http.MethodPost)
 	must.Eq(t, "abc", body)
 }
 
-func TestWhatIsNoRequestIsRefused(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	dial := serve(t, newServer(echo))
 	for sent, status := range map[string]int{
 		"GET / HTTP/1.1\r\n\r\n":                                                         http.StatusBadRequest,
@@ -117,14 +117,14 @@
 	} {
 		c, in := dial()
 		write(t, c, sent)
-		r, _ := answer(t, in, http.MethodGet)
+		r, _ := readResponse(t, in, http.MethodGet)
 		must.Eq(t, status, r.StatusCode, must.Sprint(sent[:min(len(sent), 60)]))
 		must.True(t, r.Close)
 	}
 }
 
-// A caller begins a request and doesn't go on. What it sent ahead of that is
-// answered, and the connection ends.
+// A caller stalls in the middle of a request's headers. Its earlier requests
+// are answered, and the connection ends.
 func TestSlowHeadersEndTheConnection(t *testing.T) {
 	dial := serve(t, newServer(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(400 * time.Millisecond)
@@ -132,14 +132,14 @@
 	}))
 	c, in := dial()
 	write(t, c, "GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HT")
-	r, _ := answer(t, in, http.MethodGet)
+	r, _ := readResponse(t, in, http.MethodGet)
 	must.Eq(t, "/a", r.Header.Get("X-Path"))
 	_, err := in.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
 
-// A connection without a request is closed after its bound; one whose request
-// takes longer isn't.
+// A connection without a request is closed after the idle timeout; one whose
+// request takes longer is not.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	s := newServer(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(300 * time.Millisecond)
@@ -149,17 +149,16 @@
 	dial := serve(t, s)
 	c, in := dial()
 	write(t, c, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
-	answer(t, in, http.MethodGet)
+	readResponse(t, in, http.MethodGet)
 	start := time.Now()
 	_, err := in.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 	must.Between(t, 50*time.Millisecond, time.Since(start), 500*time.Millisecond)
 }
 
-// A stopping instance closes the connections that have no request, while one
-// of its callers doesn't read the answer it asked for. Waiting for that caller
-// would hold up the stop.
-func TestCloseIdleLeavesTheOthers(t *testing.T) {
+// CloseIdle must not wait for a caller that does not read its response; that
+// would delay the shutdown of the instance.
+func TestCloseIdleKeepsBusyConnections(t *testing.T) {
 	large := strings.Repeat("x", 16<<20)
 	s := newServer(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, large) })
 	dial := serve(t, s)
@@ -176,8 +175,8 @@
 	must.Eq(t, 1, s.InFlight())
 }
 
-// What a handler leaves of a body isn't taken for the next request.
-func TestBodyThatTheHandlerLeaves(t *testing.T) {
+// The unread rest of a body must not be parsed as the next request.
+func TestUnreadBodyIsDiscarded(t *testing.T) {
 	dial := serve(t, newServer(func(w http.ResponseWriter, r *http.Request) { w.Header().Set("X-Path", r.URL.Path) }))
 	for length, kept := range map[int]bool{1000: true, 1 << 20: false} {
 		c, in := dial()
@@ -185,11 +184,11 @@
 			_, _ = io.WriteString(c, "POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: "+itoa(length)+"\r\n\r\n"+
 				strings.Repeat("G", length)+"GET /g HTTP/1.1\r\nHost: h\r\n\r\n")
 		}()
-		r, _ := answer(t, in, http.MethodPost)
+		r, _ := readResponse(t, in, http.MethodPost)
 		must.Eq(t, "/p", r.Header.Get("X-Path"))
 		must.Eq(t, !kept, r.Close, must.Sprint(length))
 		if kept {
-			r, _ = answer(t, in, http.MethodGet)
+			r, _ = readResponse(t, in, http.MethodGet)
 			must.Eq(t, "/g", r.Header.Get("X-Path"))
 		}
 	}
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what is sent. The headers are sent as they are.
+// Request is a request to a backend server. The headers are sent unchanged.
 type Request struct {
 	Method string
 	// Target is the path and query, byte for byte as the caller sent them.
@@ -21,56 +21,58 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IDHeader names the header by which an answer shows to which request it
-	// belongs, and ID is its value.
+	// IDHeader is the response header that identifies the request, and ID its
+	// value.
 	IDHeader string
 	ID       string
-	// NonIdempotent says that it can't be sent again if its connection turns out dead.
+	// NonIdempotent means that the request cannot be sent again if its
+	// connection turns out to be dead.
 	NonIdempotent bool
 }
 
-// Outcome says how an attempt ended.
+// Outcome tells how an attempt ended.
 type Outcome int
 
 const (
-	// Completed: a whole answer came.
+	// Completed: a complete response was received.
 	Completed Outcome = iota
-	// NotSent: no byte was written; the server can't have run it.
+	// NotSent: no byte was written, so the server cannot have run the request.
 	NotSent
-	// Broken: the connection or the answer broke off, or was no answer to
-	// this request. The server may have run it.
+	// Broken: the connection or the response broke off, or the response was not
+	// for this request. The server may have run it.
 	Broken
-	// TimedOut: no answer until the deadline. The server may have run it.
+	// TimedOut: no response until the deadline. The server may have run it.
 	TimedOut
 	// Cancelled by the context. The server may have run it.
 	Cancelled
 )
 
-// Response of a backend server.
+// Response is the result of an attempt.
 type Response struct {
 	Outcome Outcome
 	Status  int
 	Header  http.Header
 	Body    []byte
-	// Err tells the cause of an outcome other than Answered.
+	// Err is the cause of an outcome other than Completed.
 	Err error
 }
 
 const (
-	// maxStrayAnswers is how many answers to earlier requests are read past.
-	maxStrayAnswers = 2
-	// writtenAtOnce is the length of a body that connections take without the
-	// server reading.
-	writtenAtOnce = 8 << 10
-	// writeGrace is how long the end of a write may stay unnoticed after the
-	// answer, before it counts as unfinished.
-	writeGrace = 5 * time.Millisecond
-	// maxAnswerBytes bounds an answer that is held in memory. Answers are
-	// held whole, so that one that breaks off can't look complete.
-	maxAnswerBytes = 16 << 20
+	// maxStrayResponses is the number of responses to earlier requests that are
+	// skipped.
+	maxStrayResponses = 2
+	// maxSyncWriteBytes is the size of a body up to which it can be written
+	// without the server reading.
+	maxSyncWriteBytes = 8 << 10
+	// writeCompletionWait is how long to wait after the response for the end of
+	// the write, before the write counts as unfinished.
+	writeCompletionWait = 5 * time.Millisecond
+	// maxResponseBytes bounds the size of a response body. Responses are
+	// buffered as a whole, so that a truncated one cannot look complete.
+	maxResponseBytes = 16 << 20
 )
 
-// Do sends the request to the address and reads the whole answer.
+// Do sends the request to the address and reads the whole response.
 func (p *Pool) Do(ctx context.Context, address string, r Request) Response {
 	c, err := p.get(ctx, address, r.NonIdempotent)
 	if err != nil {
@@ -80,29 +82,29 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	written := r.start(w)
-	a, reusable := c.read(r)
-	if a.Outcome != Completed {
+	resp, reusable := c.read(r)
+	if resp.Outcome != Completed {
 		_ = c.Close()
-		a.Outcome = outcome(ctx, <-written, w, a)
-		return a
+		resp.Outcome = failureOutcome(ctx, <-written, w, resp)
+		return resp
 	}
 	select {
 	case err := <-written:
 		reusable = reusable && err == nil
-	case <-time.After(writeGrace):
-		// The server answered before it took the whole body. What is left of
-		// the body must not be followed by another request.
+	case <-time.After(writeCompletionWait):
+		// The server responded before it read the whole body. The rest of the
+		// body must not be followed by another request.
 		reusable = false
 	}
 	if reusable && stop() {
-		p.put(address, c, a.Header)
+		p.put(address, c, resp.Header)
 	} else {
 		_ = c.Close()
 	}
-	return a
+	return resp
 }
 
-func outcome(ctx context.Context, writeErr error, w *countingConn, a Response) Outcome {
+func failureOutcome(ctx context.Context, writeErr error, w *countingConn, resp Response) Outcome {
 	switch {
 	case writeErr != nil && w.sent.Load() == 0:
 		return NotSent
@@ -111,15 +113,15 @@
 	case ctx.Err() != nil:
 		return Cancelled
 	default:
-		return a.Outcome
+		return resp.Outcome
 	}
 }
 
-// start writes the request. A short one is written at once; a long one beside
-// the reading, because the server may answer before it has taken the body.
+// start writes the request. A long body is written concurrently with the
+// reading, because the server may respond before it has read the body.
 func (r Request) start(w io.Writer) <-chan error {
 	written := make(chan error, 1)
-	if len(r.Body) <= writtenAtOnce {
+	if len(r.Body) <= maxSyncWriteBytes {
 		written <- r.write(w)
 	} else {
 		go func() { written <- r.write(w) }()
@@ -127,7 +129,7 @@
 	return written
 }
 
-// countingConn counts the bytes that were handed to the kernel.
+// countingConn counts the bytes that were passed to the kernel.
 type countingConn struct {
 	net.Conn
 	sent atomic.Int64
@@ -139,34 +141,34 @@
 	return n, err
 }
 
-// write sends the request.
 func (r Request) write(w io.Writer) error {
 	b := bufio.NewWriterSize(w, 8<<10)
 	_, _ = b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if err := r.Header.Write(b); err != nil {
-		return errors.Wrap(err, "headers")
+		return errors.Wrap(err, "write request headers")
 	}
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		_, _ = b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	_, _ = b.WriteString("\r\n")
 	_, _ = b.Write(r.Body)
-	return errors.Wrap(b.Flush(), "request")
+	return errors.Wrap(b.Flush(), "write request")
 }
 
-// read returns the answer to the request and whether the connection may be
-// used again.
+// read returns the response to the request and whether the connection can be
+// reused.
 func (c *conn) read(r Request) (Response, bool) {
-	for range maxStrayAnswers + 1 {
-		a, closes := c.readOne(r)
-		if a.Outcome != Completed {
-			return a, false
+	for range maxStrayResponses + 1 {
+		resp, closes := c.readOne(r)
+		if resp.Outcome != Completed {
+			return resp, false
 		}
-		if r.owns(a) {
-			return a, !closes && c.reader.Buffered() == 0
+		if r.matches(resp) {
+			return resp, !closes && c.reader.Buffered() == 0
 		}
-		// A late second answer to an earlier request stands before ours.
-		// Taking it for ours would give a caller somebody else's answer.
+		// A late second response to an earlier request precedes the one to this
+		// request. Returning it would give a caller the response to another
+		// request.
 		if closes {
 			break
 		}
@@ -174,36 +176,38 @@
 	return Response{Outcome: Broken, Err: ErrResponseMismatch}, false
 }
 
-// ErrResponseMismatch is the cause of an attempt whose connection brought answers to
-// other requests only.
-var ErrResponseMismatch = errors.New("the answer belongs to another request")
+// ErrResponseMismatch is the cause of an attempt that received only responses
+// to other requests.
+var ErrResponseMismatch = errors.New("received only responses to other requests")
 
-// owns reports whether the answer names this request. One that names none is
-// taken: servers may refuse without having read the id.
-func (r Request) owns(a Response) bool {
-	id := a.Header.Get(r.IDHeader)
-	return id == "" && a.Status >= http.StatusBadRequest || id == r.ID
+// matches reports whether the response belongs to this request. An error
+// response without an id is accepted: servers may refuse a request without
+// having read its id.
+func (r Request) matches(resp Response) bool {
+	id := resp.Header.Get(r.IDHeader)
+	return id == "" && resp.Status >= http.StatusBadRequest || id == r.ID
 }
 
-// readOne returns the next answer and whether the server closes after it.
-func (c *conn) readOne(r Request) (a Response, closes bool) {
-	resp, err := readFinal(c.reader, r.Method)
+// readOne returns the next response and whether the server closes the
+// connection after it.
+func (c *conn) readOne(r Request) (_ Response, closes bool) {
+	resp, err := readFinalResponse(c.reader, r.Method)
 	if err != nil {
-		return Response{Outcome: Broken, Err: errors.Wrap(err, "answer")}, true
+		return Response{Outcome: Broken, Err: errors.Wrap(err, "read response")}, true
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	_ = resp.Body.Close()
 	if err != nil {
-		return Response{Outcome: Broken, Err: errors.Wrap(err, "body of the answer")}, true
+		return Response{Outcome: Broken, Err: errors.Wrap(err, "read response body")}, true
 	}
-	if len(body) > maxAnswerBytes {
-		return Response{Outcome: Broken, Err: errors.New("the answer is too large")}, true
+	if len(body) > maxResponseBytes {
+		return Response{Outcome: Broken, Err: errors.New("response body exceeds 16 MiB")}, true
 	}
 	return Response{Outcome: Completed, Status: resp.StatusCode, Header: resp.Header, Body: body}, resp.Close
 }
 
-// readFinal reads past interim answers.
-func readFinal(b *bufio.Reader, method string) (*http.Response, error) {
+// readFinalResponse skips interim responses.
+func readFinalResponse(b *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(b, &http.Request{Method: method})
 		if err != nil || resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
