--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -113,7 +113,7 @@
 // refusal, or neither while it goes on.
 func (r *runner) ended(a *attempt) (*attempt, *verdict) {
 	if a.result == health.OK {
-		r.e.publishAttemptEnd(r.c, a, evidence.Served)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestServed)
 		return a, nil
 	}
 	mayHaveRun := r.mayHaveRun
@@ -124,15 +124,15 @@
 	d := r.e.decide(r.c, a, len(r.tried), len(r.running), mayHaveRun)
 	switch d.Action {
 	case retry.Wait:
-		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		return nil, nil
 	case retry.Retry:
-		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		if v := r.begin(); v == nil {
 			return nil, nil
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		r.e.publishAttemptEnd(r.c, a, evidence.Unserved)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestUnserved)
 	}
 	if r.last != nil {
 		return r.last, nil
@@ -186,7 +186,7 @@
 			if a.result != health.OK && !timedOut {
 				a.result = health.Cancelled
 			}
-			r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
+			r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		}
 	}()
 }
@@ -196,7 +196,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.retryState(c, a.result, number, running, mayHaveRun)
-	state.FreeSlot = !a.choice.Waits()
+	state.FreeSlot = !a.choice.MustQueue()
 	return retry.Decide(e.now(), state, e.retryBudget(c.service))
 }
 
@@ -286,7 +286,7 @@
 		slog.String("server", a.choice.Server.ID), slog.String("service", c.service),
 		slog.String("result", a.result.String()), slog.Int64("took_ms", a.took.Milliseconds()),
 		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round(a.choice.Risk)),
-		slog.Int64("expected_ms", a.choice.Expected.Milliseconds()),
+		slog.Int64("expected_ms", a.choice.ExpectedLatency.Milliseconds()),
 	}
 	if a.answer.Err != nil {
 		attrs = append(attrs, slog.String("error", a.answer.Err.Error()))
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -113,7 +113,7 @@
 	config        *replica.Table
 	servers       *replica.Table
 	instances     *replica.Table
-	recent        [evidence.Tables]replica.RecentChanges
+	recent        [evidence.TableCount]replica.RecentChanges
 	// announcedConfig is the newest version of the configuration's row that another
 	// instance told of; its content comes by fetchConfig.
 	announcedConfig replica.Position
@@ -211,8 +211,8 @@
 		limiter:        warmup.NewLimiter(self),
 		throttle:       throttle.NewLimiter(self),
 	}
-	e.state.placer.SetLimiter(e.state.limiter)
-	e.state.placer.SetThrottle(e.state.throttle)
+	e.state.placer.SetWarmUpLimiter(e.state.limiter)
+	e.state.placer.SetRateLimiter(e.state.throttle)
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{
 		Self: e.selfMember(), Epoch: e.epoch, Seeds: e.seedIDs(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
 	})
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -67,7 +67,7 @@
 		s.usage.SetLimit(workspaceHash(w.Name), e.limitOf(w), now)
 	}
 	for _, service := range c.Services {
-		s.placer.SetWarmUp(service.Name, placement.WarmUp{Time: service.WarmUp, Rate: service.WarmUpRate})
+		s.placer.SetWarmUp(service.Name, placement.WarmUp{Duration: service.WarmUp, Rate: service.WarmUpRate})
 	}
 	if c.Limits.IdleTimeout > 0 {
 		e.callers.SetIdleTimeout(c.Limits.IdleTimeout)
@@ -168,7 +168,7 @@
 		return
 	}
 	if r.Gone {
-		e.state.messenger.Unlisted(id)
+		e.state.messenger.MarkUnlisted(id)
 		return
 	}
 	var d instanceDocument
@@ -176,5 +176,5 @@
 		event.EntryIgnored.Log(e.log, slog.String("instance", r.Key), slog.Any("error", err))
 		return
 	}
-	e.state.messenger.Listed(id, d.DataCentre, d.SlowLink, now)
+	e.state.messenger.MarkListed(id, d.DataCentre, d.SlowLink, now)
 }
