--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -44,8 +44,8 @@
 
 // Observe updates the estimate from the timestamp of a response that arrived
 // now.
-func (c *StoreClock) Observe(stamp, now time.Duration) {
-	offset := now - stamp
+func (c *StoreClock) Observe(timestamp, now time.Duration) {
+	offset := now - timestamp
 	if c.known {
 		c.offset += time.Duration(float64(now-c.observedAt) * maxClockDrift)
 	}
@@ -63,9 +63,9 @@
 func (c *StoreClock) Now(now time.Duration) (time.Duration, bool) { return now - c.offset, c.known }
 
 // Age returns how long ago the store made the response with this timestamp.
-func (c *StoreClock) Age(stamp, now time.Duration) time.Duration {
+func (c *StoreClock) Age(timestamp, now time.Duration) time.Duration {
 	if !c.known {
 		return UnknownAge
 	}
-	return now - c.offset - stamp
+	return now - c.offset - timestamp
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -59,7 +59,7 @@
 }
 
 // Position returns the position of the read.
-func (a ReadResult) Position() Position { return Position{a.Era, a.Version} }
+func (res ReadResult) Position() Position { return Position{res.Era, res.Version} }
 
 // Store reads and writes tables.
 type Store interface {
@@ -108,23 +108,23 @@
 // Apply applies a read whose changes begin at version since of its era, and
 // returns the rows that differ from the previous state. It reports false, and
 // applies nothing, if the replica lacks changes from before since.
-func (t *Table) Apply(a ReadResult, since uint64) ([]Row, bool) {
-	if t.loaded && a.Position().Before(t.position) {
+func (t *Table) Apply(res ReadResult, since uint64) ([]Row, bool) {
+	if t.loaded && res.Position().Before(t.position) {
 		return nil, true
 	}
-	if a.Full {
-		return t.replace(a), true
+	if res.Full {
+		return t.replace(res), true
 	}
-	if !t.loaded || a.Era != t.position.Era || since > t.position.Version {
+	if !t.loaded || res.Era != t.position.Era || since > t.position.Version {
 		return nil, false
 	}
 	var changed []Row
-	for _, r := range a.Rows {
+	for _, r := range res.Rows {
 		if t.put(r) {
 			changed = append(changed, r)
 		}
 	}
-	t.position = a.Position()
+	t.position = res.Position()
 	return changed, true
 }
 
@@ -132,10 +132,10 @@
 // read.
 func (t *Table) ApplyOwnWrite(r Row) { t.put(r) }
 
-func (t *Table) replace(a ReadResult) []Row {
+func (t *Table) replace(res ReadResult) []Row {
 	var changed []Row
-	listed := make(map[string]bool, len(a.Rows))
-	for _, r := range a.Rows {
+	listed := make(map[string]bool, len(res.Rows))
+	for _, r := range res.Rows {
 		listed[r.Key] = true
 		if t.put(r) {
 			changed = append(changed, r)
@@ -147,7 +147,7 @@
 			changed = append(changed, Row{Key: k, Gone: true})
 		}
 	}
-	t.position = a.Position()
+	t.position = res.Position()
 	t.loaded = true
 	return changed
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -89,9 +89,9 @@
 	})
 	p := upstream.NewPool()
 	for _, id := range []string{"1", "2", "3"} {
-		a := s.do(t, p, postRequest(id))
-		must.Eq(t, upstream.Completed, a.Outcome)
-		must.Eq(t, "ok", string(a.Body))
+		resp := s.do(t, p, postRequest(id))
+		must.Eq(t, upstream.Completed, resp.Outcome)
+		must.Eq(t, "ok", string(resp.Body))
 	}
 	must.Eq(t, 1, p.ConnectionsOpened())
 }
@@ -181,9 +181,9 @@
 	})
 	p := upstream.NewPool()
 	s.do(t, p, postRequest("1"))
-	a := s.do(t, p, postRequest("2"))
-	must.Eq(t, upstream.Completed, a.Outcome)
-	must.Eq(t, "two", string(a.Body))
+	resp := s.do(t, p, postRequest("2"))
+	must.Eq(t, upstream.Completed, resp.Outcome)
+	must.Eq(t, "two", string(resp.Body))
 }
 
 func TestOnlyStrayResponsesMeansBroken(t *testing.T) {
@@ -191,8 +191,8 @@
 		s.request(r)
 		_, _ = io.WriteString(c, responseText("9", "x"))
 	})
-	a := s.do(t, upstream.NewPool(), postRequest("1"))
-	must.Eq(t, upstream.Broken, a.Outcome)
+	resp := s.do(t, upstream.NewPool(), postRequest("1"))
+	must.Eq(t, upstream.Broken, resp.Outcome)
 }
 
 // Unsolicited bytes after a response belong to no request. The connection must
@@ -243,12 +243,12 @@
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		a := s.do(t, upstream.NewPool(), postRequest("1"))
+		resp := s.do(t, upstream.NewPool(), postRequest("1"))
 		if reset {
-			must.Eq(t, upstream.Broken, a.Outcome)
+			must.Eq(t, upstream.Broken, resp.Outcome)
 		} else {
-			must.Eq(t, upstream.Completed, a.Outcome)
-			must.Eq(t, "body", string(a.Body))
+			must.Eq(t, upstream.Completed, resp.Outcome)
+			must.Eq(t, "body", string(resp.Body))
 		}
 	}
 }
@@ -280,9 +280,9 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, l.Close())
-	a := upstream.NewPool().Do(context.Background(), l.Addr().String(), postRequest("1"))
-	must.Eq(t, upstream.NotSent, a.Outcome)
-	must.Error(t, a.Err)
+	resp := upstream.NewPool().Do(context.Background(), l.Addr().String(), postRequest("1"))
+	must.Eq(t, upstream.NotSent, resp.Outcome)
+	must.Error(t, resp.Err)
 }
 
 // When the caller disconnects, the connection to the server must be closed at
@@ -296,8 +296,8 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, cancel)
-	a := upstream.NewPool().Do(ctx, s.listener.Addr().String(), postRequest("1"))
-	must.Eq(t, upstream.Cancelled, a.Outcome)
+	resp := upstream.NewPool().Do(ctx, s.listener.Addr().String(), postRequest("1"))
+	must.Eq(t, upstream.Cancelled, resp.Outcome)
 	select {
 	case <-closed:
 	case <-time.After(time.Second):
@@ -312,8 +312,8 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
-	a := upstream.NewPool().Do(ctx, s.listener.Addr().String(), postRequest("1"))
-	must.Eq(t, upstream.TimedOut, a.Outcome)
+	resp := upstream.NewPool().Do(ctx, s.listener.Addr().String(), postRequest("1"))
+	must.Eq(t, upstream.TimedOut, resp.Outcome)
 }
 
 // Servers tell how long they keep an idle connection. A request sent at the end
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -81,8 +81,8 @@
 	if l.Rate <= 0 {
 		return l
 	}
-	forgotten := t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
-	l.InitialTokens = math.Max(l.InitialTokens, math.Min(l.Burst, initialToleranceShare*forgotten))
+	excess := t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
+	l.InitialTokens = math.Max(l.InitialTokens, math.Min(l.Burst, initialToleranceShare*excess))
 	l.Rate *= 1 + toleranceShare*t.Overshoot
 	if t.Window > 0 {
 		l.Rate += toleranceShare * t.Slack / t.Window.Seconds()
