--- a/evidence/evidence.go
+++ b/evidence/evidence.go
@@ -1,10 +1,10 @@
-// Package evidence is what instances tell each other by datagram: that they
-// live, what became of their attempts, what they admitted, and what the store
-// has said.
+// Package evidence defines the messages that instances exchange by datagram:
+// liveness, attempt results, admitted requests and table changes read from the
+// store.
 //
-// A datagram holds one or more messages; package relay carries them. Every
-// message carries totals or absolute figures, so that a lost one is made good
-// by the next.
+// A datagram holds one or more messages; package relay distributes them.
+// Messages carry totals or absolute values, so that the next message makes up
+// for a lost one.
 package evidence
 
 import (
@@ -16,35 +16,40 @@
 	"foxtailspoke/health"
 )
 
-// Message is what one instance says at one moment.
+// Message is the report of one instance at one point in time.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// Source is the IPv4 address of the instance that speaks.
+	// Source is the IPv4 address of the sending instance.
 	Source uint32
-	// Epoch is drawn at its start. Sequence and totals begin anew with it.
+	// Epoch is a random number that identifies a run of the instance. Sequence
+	// and totals restart with it.
 	Epoch uint32
-	// Sequence counts its messages to all since its start. Uncounted ones go to
-	// a single instance and hold no more than a description and a roster.
+	// Sequence counts the messages that the instance has broadcast since its
+	// start. Unsequenced messages go to a single instance and contain only a
+	// description and a member list.
 	Sequence uint32
-	// DataCentre is set in heartbeats.
+	// DataCentre is set in announcements.
 	DataCentre string
-	// SlowLink is set in introductions by an instance that shouldn't be a relay.
+	// SlowLink is set in announcements of an instance that should not be a
+	// relay.
 	SlowLink bool
-	// Leaving says that callers must not be sent to it: it isn't ready, or stops.
+	// Leaving reports that the instance must not receive callers, because it is
+	// not ready or is stopping.
 	Leaving bool
-	// Stopping says that it will be gone soon.
+	// Stopping reports that the instance is about to stop.
 	Stopping bool
-	// Members are instances that the source hears, for one that greets it.
+	// Members are instances that the source considers alive. A join is answered
+	// with them, and newly found instances are broadcast with them.
 	Members      []Member
 	Attempts     []Attempt
 	Usage        []Usage
 	TableUpdates []TableUpdate
-	// Refused holds the hash of a service for each request to it that was
-	// refused without an attempt.
+	// Refused holds one service hash for each request that was refused without
+	// an attempt.
 	Refused []uint32
 }
 
-// Member is an instance that another one hears.
+// Member describes an instance that the source considers alive.
 type Member struct {
 	_          struct{} `cbor:",toarray"`
 	ID         uint32
@@ -54,73 +59,82 @@
 	Stopping   bool
 }
 
-// Attempt is the state of a source's work at a backend server.
+// Attempt describes one attempt of the source at a backend server, and its load
+// there.
 type Attempt struct {
 	_ struct{} `cbor:",toarray"`
-	// Server is the hash of the server's id.
+	// Server is the hash of the server ID.
 	Server uint32
-	// Outstanding is how many requests the source has there now.
+	// Outstanding is the number of requests that the source currently has at
+	// the server.
 	Outstanding uint16
-	// Ended says that Result is how the attempt went; else it has begun.
+	// Ended reports that the attempt has finished with Result; otherwise it is
+	// in progress.
 	Ended  bool
 	Result health.Result
-	// Number of the attempt within its request, set when it begins.
+	// Number of the attempt within its request; set when the attempt starts.
 	Number uint8
-	// LatencyMS until the result, and WorkMS that is usual for its kind of request.
+	// LatencyMS is the time until the result, TypicalLatencyMS the usual time
+	// for this kind of request.
 	LatencyMS        uint16
 	TypicalLatencyMS uint16
-	// RequestOutcome is the outcome of the request that the attempt belonged to.
+	// RequestOutcome is the outcome of the request that the attempt belongs to.
 	RequestOutcome RequestOutcome
-	// LimitMilli is the limit that the server's answer named, in thousandths of a
-	// request a second; nil if it named none, or none came.
+	// LimitMilli is the rate limit in the server's response, in thousandths of
+	// a request per second; nil if there was no response or it had no limit.
 	LimitMilli *uint32
 }
 
-// RequestOutcome is how a request ended for its caller.
+// RequestOutcome is the outcome of a request for its caller.
 type RequestOutcome uint8
 
-// The ends of a request. RequestPending: it goes on.
+// Request outcomes. RequestPending means that the request is still being
+// attempted.
 const (
 	RequestPending RequestOutcome = iota
 	RequestServed
 	RequestUnserved
 )
 
-// Usage is what a source has admitted for a workspace since its start.
+// Usage is the number of requests that the source has admitted for a workspace
+// since its start.
 type Usage struct {
 	_ struct{} `cbor:",toarray"`
-	// Workspace is the hash of its name.
+	// Workspace is the hash of the workspace name.
 	Workspace uint32
 	Count     uint64
 }
 
-// TableUpdate hands on what the store has said of a table.
+// TableUpdate forwards changes of a table that the source has read from the
+// store.
 type TableUpdate struct {
 	_     struct{} `cbor:",toarray"`
 	Table Table
-	// Era of the store that the versions and the stamp belong to.
+	// Era of the store that the versions and StoreClockUS belong to.
 	Era uint64
-	// Since and Version span the changes that are told. They span several
-	// answers of the store, so that one lost message isn't missed.
+	// Since and Version delimit the changes contained. They cover several reads
+	// of the store, so that the loss of one message leaves no gap.
 	Since   uint64
 	Version uint64
-	// LatestRowVersion is the version of the newest row of a table whose rows are too
-	// large for a message: whoever has an older one reads the store.
+	// LatestRowVersion is the version of the newest row of a table whose rows
+	// are too large for a message. A receiver with an older row reads the
+	// store.
 	LatestRowVersion uint64
-	// Packed holds the changed rows; see Pack.
+	// Packed holds the changed rows, encoded by Pack.
 	Packed []byte
-	// StoreClockUS is the store's steady clock at its answer, in microseconds. 0
-	// says that the store is being asked, or didn't answer.
+	// StoreClockUS is the monotonic clock of the store at the time of its
+	// response, in microseconds. 0 means that the store is being read or did
+	// not respond.
 	StoreClockUS int64
-	// More says that further notices of the same answer follow; only the last
-	// proves that nothing else has changed.
+	// More reports that further updates of the same read follow. Only the last
+	// one proves that there are no other changes.
 	More bool
 }
 
-// Table is a short name of a table.
+// Table identifies a table of the store.
 type Table uint8
 
-// The tables that notices speak of.
+// Tables that updates refer to.
 const (
 	Config Table = iota
 	Servers
@@ -129,24 +143,26 @@
 	TableCount
 )
 
-// StoreClock returns the store's clock at its answer.
+// StoreClock returns the clock of the store at the time of its response.
 func (n TableUpdate) StoreClock() time.Duration {
 	return time.Duration(n.StoreClockUS) * time.Microsecond
 }
 
-// Unsequenced is the sequence number of messages that aren't for all.
+// Unsequenced is the sequence number of messages to a single instance.
 const Unsequenced = 0
 
-// Errors of Decode.
-var ErrEmptyDatagram = errors.New("datagram without a message")
+// ErrEmptyDatagram is returned by Decode for an empty datagram.
+var ErrEmptyDatagram = errors.New("datagram contains no message")
 
-// Encode returns a message's bytes, which may be put one after the other.
+// Encode returns the encoding of a message. Encoded messages may be
+// concatenated.
 func Encode(m Message) ([]byte, error) {
 	b, err := cbor.Marshal(m)
-	return b, errors.Wrap(err, "message")
+	return b, errors.Wrap(err, "encode message")
 }
 
-// Decode returns the messages of a datagram, and the bytes of each.
+// Decode returns the messages of a datagram and the encoding of each. It
+// returns no messages if any of them is malformed.
 func Decode(b []byte) (messages []Message, parts [][]byte, err error) {
 	if len(b) == 0 {
 		return nil, nil, ErrEmptyDatagram
@@ -155,7 +171,7 @@
 		var m Message
 		rest, err := cbor.UnmarshalFirst(b, &m)
 		if err != nil {
-			return nil, nil, errors.Wrap(err, "message")
+			return nil, nil, errors.Wrap(err, "decode message")
 		}
 		messages = append(messages, m)
 		parts = append(parts, b[:len(b)-len(rest)])
--- a/evidence/evidence_test.go
+++ b/evidence/evidence_test.go
@@ -39,7 +39,7 @@
 	must.Eq(t, []evidence.Message{message(), second}, got)
 }
 
-func TestBrokenDatagramsAreRefusedWhole(t *testing.T) {
+func TestMalformedDatagramsAreRejected(t *testing.T) {
 	good := encode(t, message())
 	for _, d := range [][]byte{nil, {0}, {0xff}, good[:len(good)-1], append(good[:len(good):len(good)], 0xff)} {
 		got, _, err := evidence.Decode(d)
@@ -48,7 +48,8 @@
 	}
 }
 
-// What one attempt costs on the links between data centres.
+// Bounds the size of the message that each attempt adds to the links between
+// data centres.
 func TestMessageOfAnAttemptIsSmall(t *testing.T) {
 	m := evidence.Message{
 		Source: 0x0a000001, Epoch: 1800000000, Sequence: 100000,
@@ -72,8 +73,8 @@
 	})
 }
 
-// Many servers begin to drain at once. What tells it must fit into a datagram or
-// two: of a longer burst a slow link loses the end.
+// Guards against an update that needs a burst of datagrams when many servers
+// start to drain at once: slow links drop the end of a longer burst.
 func TestRowsOfManyServersFitIntoADatagram(t *testing.T) {
 	var rows []evidence.Row
 	for i := range 20 {
@@ -92,7 +93,7 @@
 	must.Eq(t, rows, got)
 }
 
-func TestBrokenRowsAreRefused(t *testing.T) {
+func TestMalformedRowsAreRejected(t *testing.T) {
 	packed, err := evidence.Pack([]evidence.Row{{Key: "k"}})
 	must.NoError(t, err)
 	for _, b := range [][]byte{{1}, packed[:len(packed)/2], []byte("not packed")} {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet keeps which other instances there are, which of them live, and
-// which of their messages were taken in already.
+// Package fleet tracks the other instances, their liveness and which of their
+// messages have been received already.
 //
-// Idea: every message of an instance is a sign of life; it sends a heartbeat if
-// it has nothing else to say. Who is silent for some heartbeats is taken for
-// gone, and counts again with its next message. Instances introduce themselves
-// to each other; a newcomer gets the roster of whoever it greets, and the
-// platform's list only tells of those that were out of reach then.
+// Every message of an instance proves that it is alive; an instance with
+// nothing else to send sends heartbeats. An instance that is silent for some
+// heartbeat intervals is considered dead until its next message. Instances
+// announce themselves to each other, and a new instance receives the member
+// list of each instance that it joins; the list in the store only adds those
+// that were unreachable at that time.
 //
-// Decisions are pure: time is passed in.
+// The package does no I/O and reads no clock: time is passed in.
 package fleet
 
 import (
@@ -19,166 +20,175 @@
 )
 
 const (
-	// HeartbeatInterval is the longest silence of a living instance.
+	// HeartbeatInterval is the longest time between two messages of a live
+	// instance.
 	HeartbeatInterval = 400 * time.Millisecond
-	// aliveFor is the silence after which an instance is taken for gone: three
-	// heartbeats, so that two lost datagrams don't do it. It leaves callers'
-	// addresses well within the two seconds that they keep an answer.
-	aliveFor = 1300 * time.Millisecond
-	// earlySequence is the number of a message up to which an instance has only
-	// just started: it speaks some five times before callers come.
-	earlySequence = 20
-	// unheardFor is the time after its last message for which an instance is left
-	// alone: two heartbeats.
-	unheardFor = 2 * HeartbeatInterval
-	// rememberFor is how long a silent instance counts that isn't listed.
-	rememberFor = 10 * time.Second
+	// silenceTimeout is the silence after which an instance is considered dead:
+	// three heartbeats, so that two lost datagrams do not suffice. It removes
+	// an instance from the addresses given to callers well within the two
+	// seconds for which they cache them.
+	silenceTimeout = 1300 * time.Millisecond
+	// maxStartupSequence is the highest sequence number of an instance that has
+	// only just started: it sends some five messages before callers arrive.
+	maxStartupSequence = 20
+	// directSilenceTimeout is the time since the last message of an instance
+	// itself after which it is sent joins and others' reports of it are used:
+	// two heartbeats.
+	directSilenceTimeout = 2 * HeartbeatInterval
+	// unlistedRetention is the time for which a dead instance that is not
+	// listed in the store is kept.
+	unlistedRetention = 10 * time.Second
 )
 
-// Instance is another instance.
+// Instance is the state of another instance.
 type Instance struct {
 	relay.Member
-	// Leaving says that callers must not be sent there.
+	// Leaving reports that the instance must not receive callers.
 	Leaving bool
-	// LastHeard is when it last spoke; when it became known, if it never did.
+	// LastHeard is the time of the last sign of life; if there was none, the
+	// time at which the instance became known.
 	LastHeard time.Duration
-	// AliveSinceStart says that it has been heard since its start without a pause.
+	// AliveSinceStart reports that the instance has been heard without
+	// interruption since its start.
 	AliveSinceStart bool
-	// Listed in the store.
+	// Listed reports that the store lists the instance.
 	Listed bool
 
-	// spoke is when its latest message was heard.
-	spoke    time.Duration
-	epoch    uint32
-	sequence uint32
-	// window marks which of the 64 messages before sequence were taken in.
-	window uint64
+	// lastMessage is when its latest message was received.
+	lastMessage time.Duration
+	epoch       uint32
+	sequence    uint32
+	// seenWindow has a bit for each of the last 64 sequence numbers up to
+	// sequence, set if the message was received.
+	seenWindow uint64
 }
 
-// MarkSeen reports whether a message is new, and marks it, and whether it is the
-// first since a start of the instance. The same message may arrive from two
-// relays, or late.
-func (m *Instance) MarkSeen(epoch, sequence uint32) (fresh, restarted bool) {
+// MarkSeen marks a message as received. It reports whether the message is new,
+// and whether it is the first since a start of the instance. The same message
+// may arrive through two relays, or late.
+func (m *Instance) MarkSeen(epoch, sequence uint32) (isNew, restarted bool) {
 	if epoch != m.epoch {
-		m.epoch, m.sequence, m.window = epoch, sequence, 1
-		m.AliveSinceStart = sequence <= earlySequence
+		m.epoch, m.sequence, m.seenWindow = epoch, sequence, 1
+		m.AliveSinceStart = sequence <= maxStartupSequence
 		return true, true
 	}
 	if ahead := int64(sequence) - int64(m.sequence); ahead > 0 {
-		m.window = m.window<<min(ahead, 64) | 1
+		m.seenWindow = m.seenWindow<<min(ahead, 64) | 1
 		m.sequence = sequence
 		return true, false
 	}
 	behind := m.sequence - sequence
-	if behind >= 64 || m.window&(1<<behind) != 0 {
+	if behind >= 64 || m.seenWindow&(1<<behind) != 0 {
 		return false, false
 	}
-	m.window |= 1 << behind
+	m.seenWindow |= 1 << behind
 	return true, false
 }
 
-// IsLatest reports whether no newer message of the instance was taken in.
+// IsLatest reports whether no newer message of the instance has been received.
 func (m *Instance) IsLatest(sequence uint32) bool { return sequence == m.sequence }
 
-// Fleet is all other instances that are known. It isn't safe for concurrent use.
+// Fleet holds all other known instances. It is not safe for concurrent use.
 type Fleet struct {
-	all map[uint32]*Instance
+	instances map[uint32]*Instance
 }
 
-// New returns a fleet without instances.
-func New() *Fleet { return &Fleet{all: make(map[uint32]*Instance)} }
+// New returns an empty fleet.
+func New() *Fleet { return &Fleet{instances: make(map[uint32]*Instance)} }
 
-// All returns the instances by their numbers.
-func (f *Fleet) All() map[uint32]*Instance { return f.all }
+// All returns the instances by ID.
+func (f *Fleet) All() map[uint32]*Instance { return f.instances }
 
-// Members returns the instances as relays see them.
+// Members returns the instances in the form that package relay uses.
 func (f *Fleet) Members() []relay.Member {
-	list := make([]relay.Member, 0, len(f.all))
-	for _, m := range f.all {
+	list := make([]relay.Member, 0, len(f.instances))
+	for _, m := range f.instances {
 		list = append(list, m.Member)
 	}
 	return list
 }
 
-// GetOrAdd makes an instance known of which only the address is known, and returns
-// it.
+// GetOrAdd returns an instance, and adds it if it is unknown.
 func (f *Fleet) GetOrAdd(id uint32, now time.Duration) *Instance {
-	m, ok := f.all[id]
+	m, ok := f.instances[id]
 	if !ok {
-		m = &Instance{Member: relay.Member{ID: id}, LastHeard: now, spoke: now - time.Hour}
-		f.all[id] = m
+		m = &Instance{Member: relay.Member{ID: id}, LastHeard: now, lastMessage: now - time.Hour}
+		f.instances[id] = m
 	}
 	return m
 }
 
-// MarkAlive takes in a sign of life, and reports whether there was none before.
-func (f *Fleet) MarkAlive(id uint32, now time.Duration) (m *Instance, returned bool) {
+// MarkAlive records a sign of life, and reports whether the instance was not
+// alive before.
+func (f *Fleet) MarkAlive(id uint32, now time.Duration) (m *Instance, newlyAlive bool) {
 	m = f.GetOrAdd(id, now)
 	m.LastHeard = now
-	returned = !m.Alive
+	newlyAlive = !m.Alive
 	m.Alive = true
-	return m, returned
+	return m, newlyAlive
 }
 
-// ExpireSilent finds out who has fallen silent, and drops those that are forgotten.
-func (f *Fleet) ExpireSilent(now time.Duration) (fell []*Instance) {
-	for id, m := range f.all {
-		if m.Alive && now-m.LastHeard > aliveFor {
+// ExpireSilent marks silent instances as dead and returns them, and removes
+// unlisted ones that have been dead for long.
+func (f *Fleet) ExpireSilent(now time.Duration) (silenced []*Instance) {
+	for id, m := range f.instances {
+		if m.Alive && now-m.LastHeard > silenceTimeout {
 			m.Alive = false
 			m.AliveSinceStart = false
-			fell = append(fell, m)
+			silenced = append(silenced, m)
 		}
-		if !m.Alive && !m.Listed && now-m.LastHeard > rememberFor {
-			delete(f.all, id)
+		if !m.Alive && !m.Listed && now-m.LastHeard > unlistedRetention {
+			delete(f.instances, id)
 		}
 	}
-	return fell
+	return silenced
 }
 
-// AliveShare is the share of the instances that are heard, the own one included.
+// AliveShare returns the share of instances that are alive, this one included.
 func (f *Fleet) AliveShare() float64 {
-	all, heard := 1, 1
-	for _, m := range f.all {
+	all, alive := 1, 1
+	for _, m := range f.instances {
 		all++
 		if m.Alive {
-			heard++
+			alive++
 		}
 	}
-	return float64(heard) / float64(all)
+	return float64(alive) / float64(all)
 }
 
-// AliveSinceStartShare is the share of the instances that are heard since they have started, the
-// own one included: of those that started together with this one, as long as it
-// has just started itself.
+// AliveSinceStartShare returns the share of instances that have been alive
+// without interruption since their start, this one included. While this
+// instance has just started, these are the instances that started together with
+// it.
 func (f *Fleet) AliveSinceStartShare() float64 {
-	fresh := 1
-	for _, m := range f.all {
+	count := 1
+	for _, m := range f.instances {
 		if m.Alive && m.AliveSinceStart {
-			fresh++
+			count++
 		}
 	}
-	return float64(fresh) / float64(len(f.all)+1)
+	return float64(count) / float64(len(f.instances)+1)
 }
 
-// unheard returns some instances from which no message of their own came lately,
-// whatever others say of them, or whose data centre isn't known; each turn names
-// others. They are worth greeting:
-// after a cut both sides take each other for gone and neither would write to the
-// other, and two newcomers may each know only a part of the fleet.
-func (f *Fleet) unheard(most int, turn uint32, now time.Duration) []uint32 {
+// joinCandidates returns some instances to send a join to: those whose own
+// messages have not been received lately, whatever others report of them, and
+// those whose data centre is unknown. Each turn selects others. After a
+// partition both sides consider each other dead and neither would write to the
+// other, and two new instances may each know only a part of the fleet.
+func (f *Fleet) joinCandidates(limit int, turn uint32, now time.Duration) []uint32 {
 	var ids []uint32
-	for id, m := range f.all {
-		if !m.Alive || m.DataCentre == "" || now-m.spoke > unheardFor {
+	for id, m := range f.instances {
+		if !m.Alive || m.DataCentre == "" || now-m.lastMessage > directSilenceTimeout {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortFunc(ids, func(a, b uint32) int { return cmp.Compare(relay.Hash(a^turn), relay.Hash(b^turn)) })
-	return ids[:min(most, len(ids))]
+	return ids[:min(limit, len(ids))]
 }
 
-// Isolated reports that no other instance is heard.
+// Isolated reports whether no other instance is alive.
 func (f *Fleet) Isolated() bool {
-	for _, m := range f.all {
+	for _, m := range f.instances {
 		if m.Alive {
 			return false
 		}
@@ -186,14 +196,15 @@
 	return true
 }
 
-// Rank is the place of an instance among the living ones, 0 the first, in an
-// order that is the same for all. Those with a slow link come last.
+// Rank returns the position of an instance among the live ones, starting at 0,
+// in an order that is the same on all instances. Instances with a slow link
+// come last.
 func (f *Fleet) Rank(self relay.Member) int {
 	if self.SlowLink {
-		return len(f.all)
+		return len(f.instances)
 	}
 	own, rank := relay.Hash(self.ID), 0
-	for id, m := range f.all {
+	for id, m := range f.instances {
 		if m.Alive && !m.Leaving && !m.SlowLink && relay.Hash(id) < own {
 			rank++
 		}
--- a/fleet/messenger.go
+++ b/fleet/messenger.go
@@ -10,97 +10,101 @@
 )
 
 const (
-	// TickInterval is how often Pulse should be called.
+	// TickInterval is how often Tick should be called.
 	TickInterval = 200 * time.Millisecond
-	// announceEvery is how often an instance says its data centre, for those
-	// who missed the first time.
-	announceEvery = 2 * time.Second
-	// startFor is the time after the start during which it says so with every
-	// heartbeat: whoever is about to start as well misses some.
-	startFor = 2 * time.Second
-	// joinUsually is how many instances that aren't heard are greeted at each
-	// pulse, joinAlone how many by one that hears nobody, beside joinRelays
-	// that are likely to be relays.
-	joinUsually = 1
-	joinAlone   = 4
-	joinRelays  = 3
-	// rosterEach is how many instances fit into one message of a roster.
-	rosterEach = 60
-	// rosterInterval is the least time between two rosters for one instance that
-	// didn't ask for them.
-	rosterInterval = HeartbeatInterval
+	// announceInterval is how often an instance announces its data centre, for
+	// instances that missed earlier announcements.
+	announceInterval = 2 * time.Second
+	// startupPeriod is the time after the start in which each heartbeat is an
+	// announcement: other instances that are starting as well miss some of
+	// them.
+	startupPeriod = 2 * time.Second
+	// joinTargetsConnected is the number of silent instances that are sent a
+	// join at each tick, joinTargetsIsolated that number for an instance that
+	// hears no other, in addition to joinTargetsRelays probable relays.
+	joinTargetsConnected = 1
+	joinTargetsIsolated  = 4
+	joinTargetsRelays    = 3
+	// membersPerMessage is the number of members that fit into one message.
+	membersPerMessage = 60
+	// correctionInterval is the minimum time between two unsolicited member
+	// lists for the same instance.
+	correctionInterval = HeartbeatInterval
 )
 
 // Settings of a Messenger.
 type Settings struct {
 	Self relay.Member
-	// Epoch tells this start of the instance from others.
+	// Epoch identifies this run of the instance.
 	Epoch uint32
-	// Seeds are instances to join when none is known.
+	// Seeds are instances to join when no other is alive.
 	Seeds []uint32
-	// Leaving reports whether callers must not be sent here, Stopping whether this
-	// instance will be gone soon.
+	// Leaving reports whether this instance must not receive callers, Stopping
+	// whether it is about to stop.
 	Leaving, Stopping func() bool
 }
 
-// Messenger is this instance's side of what instances tell each other: it
-// knows who lives, gives messages their numbers, and finds out which messages
-// are new. It isn't safe for concurrent use.
+// Messenger is the messaging endpoint of one instance: it tracks which
+// instances are alive, assigns sequence numbers, and detects duplicate
+// messages. It is not safe for concurrent use.
 type Messenger struct {
 	Settings
 	fleet    *Fleet
 	hub      *relay.Hub
 	sequence uint32
-	// spoke is when this instance last said anything, announced when it last
-	// announced itself.
-	spoke, announced time.Duration
-	// started is the first pulse, once there was one.
-	started time.Duration
-	pulsed  bool
-	// alone is when this instance last heard nobody.
-	alone time.Duration
-	// turn makes each choice of whom to ask another one.
-	turn uint32
-	// corrected is when instances that know too little were last told so.
-	corrected map[uint32]time.Duration
+	// lastPublish is when this instance last published a message, lastAnnounce
+	// when it last announced itself.
+	lastPublish, lastAnnounce time.Duration
+	// firstTick is the time of the first call of Tick; valid if ticked is set.
+	firstTick time.Duration
+	ticked    bool
+	// lastIsolated is when this instance last heard no other.
+	lastIsolated time.Duration
+	// joinRound varies the choice of join targets.
+	joinRound uint32
+	// lastCorrection is when instances that know too few members were last sent
+	// a member list.
+	lastCorrection map[uint32]time.Duration
 }
 
-// NewMessenger returns a messenger that knows nobody.
+// NewMessenger returns a messenger that knows no other instance.
 func NewMessenger(s Settings) *Messenger {
 	f := New()
 	return &Messenger{
 		Settings: s, fleet: f, hub: relay.NewHub(s.Self, f.Members),
-		spoke: -announceEvery, announced: -announceEvery, alone: -HeartbeatInterval, corrected: make(map[uint32]time.Duration),
+		lastPublish: -announceInterval, lastAnnounce: -announceInterval, lastIsolated: -HeartbeatInterval, lastCorrection: make(map[uint32]time.Duration),
 	}
 }
 
 // Fleet returns the other instances.
 func (m *Messenger) Fleet() *Fleet { return m.fleet }
 
-// Hub returns the part that sends on what others say.
+// Hub returns the relay hub of this instance.
 func (m *Messenger) Hub() *relay.Hub { return m.hub }
 
-// Rank is the place of this instance among the living ones, 0 the first.
+// Rank returns the position of this instance among the live ones, starting at
+// 0.
 func (m *Messenger) Rank() int { return m.fleet.Rank(m.Self) }
 
-// MarkListed takes in that the store lists an instance, which may not be heard yet.
-func (m *Messenger) MarkListed(id uint32, dataCentre string, slow bool, now time.Duration) {
+// MarkListed records that the store lists an instance, which may not have been
+// heard yet.
+func (m *Messenger) MarkListed(id uint32, dataCentre string, slowLink bool, now time.Duration) {
 	i := m.fleet.GetOrAdd(id, now)
 	i.Listed = true
 	if i.DataCentre == "" {
-		i.DataCentre, i.SlowLink = dataCentre, slow
+		i.DataCentre, i.SlowLink = dataCentre, slowLink
 	}
 	m.hub.MembersChanged()
 }
 
-// MarkUnlisted takes in that the store lists an instance no more.
+// MarkUnlisted records that the store no longer lists an instance.
 func (m *Messenger) MarkUnlisted(id uint32) {
-	if i, ok := m.fleet.all[id]; ok {
+	if i, ok := m.fleet.instances[id]; ok {
 		i.Listed = false
 	}
 }
 
-// Publish tells a message to everybody; an urgent one waits for no round.
+// Publish broadcasts a message; an urgent one is forwarded with less delay.
 func (m *Messenger) Publish(msg evidence.Message, urgent bool, now time.Duration) ([]relay.Datagram, error) {
 	m.sequence++
 	msg.Sequence = m.sequence
@@ -108,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.spoke = now
+	m.lastPublish = now
 	return m.hub.Publish(msg.Sequence, b, urgent, now), nil
 }
 
@@ -117,9 +121,9 @@
 	return evidence.Encode(msg)
 }
 
-// Announce tells everybody what they need to know of this instance.
+// Announce broadcasts the description of this instance.
 func (m *Messenger) Announce(urgent bool, now time.Duration) ([]relay.Datagram, error) {
-	m.announced = now
+	m.lastAnnounce = now
 	return m.Publish(m.announcement(), urgent, now)
 }
 
@@ -127,40 +131,42 @@
 	return evidence.Message{DataCentre: m.Self.DataCentre, SlowLink: m.Self.SlowLink}
 }
 
-// Tick does what time alone brings: it finds out who has fallen silent, sends
-// a heartbeat if nothing else was said, and greets those that aren't heard.
-func (m *Messenger) Tick(now time.Duration) (fell []*Instance, out []relay.Datagram, err error) {
-	known := len(m.fleet.all)
-	fell = m.fleet.ExpireSilent(now)
-	if len(fell) > 0 || len(m.fleet.all) != known {
+// Tick does the periodic work: it marks silent instances as dead, sends a
+// heartbeat if nothing else was published, and sends joins to instances that
+// are not heard.
+func (m *Messenger) Tick(now time.Duration) (silenced []*Instance, out []relay.Datagram, err error) {
+	known := len(m.fleet.instances)
+	silenced = m.fleet.ExpireSilent(now)
+	if len(silenced) > 0 || len(m.fleet.instances) != known {
 		m.hub.MembersChanged()
 	}
-	introduce := now-m.announced >= m.announceInterval(now)
+	announce := now-m.lastAnnounce >= m.currentAnnounceInterval(now)
 	switch {
-	case introduce:
+	case announce:
 		out, err = m.Announce(false, now)
-	case now-m.spoke >= HeartbeatInterval-TickInterval/2:
+	case now-m.lastPublish >= HeartbeatInterval-TickInterval/2:
 		out, err = m.Publish(evidence.Message{}, false, now)
 	}
 	if err != nil {
-		return fell, out, err
+		return silenced, out, err
 	}
-	joins, err := m.join(m.joinTargets(now))
-	return fell, append(out, joins...), err
+	joins, err := m.joinDatagrams(m.joinTargets(now))
+	return silenced, append(out, joins...), err
 }
 
-// joinTargets are the instances to ask now. One that hears nobody asks
-// those first that are relays of its data centre if they live: all that start
-// with it do the same, and have each other's addresses from there.
+// joinTargets returns the instances to send a join to. An isolated instance
+// starts with those that would be relays of its data centre if they are alive:
+// all instances that start with it do the same, and receive each other's
+// addresses from there.
 func (m *Messenger) joinTargets(now time.Duration) []uint32 {
-	m.turn++
-	turn := m.turn ^ relay.Hash(m.Self.ID)
+	m.joinRound++
+	turn := m.joinRound ^ relay.Hash(m.Self.ID)
 	if !m.fleet.Isolated() {
-		return m.fleet.unheard(joinUsually, turn, now)
+		return m.fleet.joinCandidates(joinTargetsConnected, turn, now)
 	}
-	m.meetSeeds(now)
-	to := m.hub.CandidateRelays(joinRelays)
-	for _, id := range m.fleet.unheard(joinAlone, turn, now) {
+	m.addSeeds(now)
+	to := m.hub.CandidateRelays(joinTargetsRelays)
+	for _, id := range m.fleet.joinCandidates(joinTargetsIsolated, turn, now) {
 		if !slices.Contains(to, id) {
 			to = append(to, id)
 		}
@@ -168,30 +174,31 @@
 	return to
 }
 
-// Join greets others at once, if none is heard. It is for the moment at which
-// the store has told who is listed: after a loss of everything callers come
-// before the next pulse.
+// Join sends joins at once if no other instance is alive. It is called when the
+// list of instances has been read from the store: after a restart of the whole
+// fleet, callers arrive before the next tick.
 func (m *Messenger) Join(now time.Duration) ([]relay.Datagram, error) {
 	if !m.fleet.Isolated() {
 		return nil, nil
 	}
-	return m.join(m.joinTargets(now))
+	return m.joinDatagrams(m.joinTargets(now))
 }
 
-// introductions is how often this instance introduces itself.
-func (m *Messenger) announceInterval(now time.Duration) time.Duration {
-	if !m.pulsed {
-		m.started, m.pulsed = now, true
+// currentAnnounceInterval returns the time between announcements, which is
+// shorter during startupPeriod.
+func (m *Messenger) currentAnnounceInterval(now time.Duration) time.Duration {
+	if !m.ticked {
+		m.firstTick, m.ticked = now, true
 	}
-	if now-m.started < startFor {
+	if now-m.firstTick < startupPeriod {
 		return HeartbeatInterval - TickInterval/2
 	}
-	return announceEvery
+	return announceInterval
 }
 
-// meetSeeds makes the seeds known. They are forgotten while they are silent, as
-// others that aren't listed.
-func (m *Messenger) meetSeeds(now time.Duration) {
+// addSeeds adds the seeds to the known instances. Like other unlisted
+// instances, silent seeds are removed again.
+func (m *Messenger) addSeeds(now time.Duration) {
 	for _, id := range m.Seeds {
 		if id != m.Self.ID {
 			m.fleet.GetOrAdd(id, now)
@@ -200,8 +207,8 @@
 	m.hub.MembersChanged()
 }
 
-// join asks instances for their rosters.
-func (m *Messenger) join(to []uint32) ([]relay.Datagram, error) {
+// joinDatagrams asks instances for their member lists.
+func (m *Messenger) joinDatagrams(to []uint32) ([]relay.Datagram, error) {
 	if len(to) == 0 {
 		return nil, nil
 	}
@@ -212,21 +219,22 @@
 	return []relay.Datagram{{To: to, Kind: relay.Join, Messages: b}}, nil
 }
 
-// roster tells an instance that has just come, or was cut off, who lives.
-func (m *Messenger) roster(to uint32, now time.Duration) (out []relay.Datagram, err error) {
+// memberListDatagrams tells an instance that is new or was cut off which
+// instances are alive.
+func (m *Messenger) memberListDatagrams(to uint32, now time.Duration) (out []relay.Datagram, err error) {
 	var others []*Instance
-	for _, id := range slices.Sorted(maps.Keys(m.fleet.all)) {
-		i := m.fleet.all[id]
-		// Only those that spoke themselves: what is hearsay here, and there again,
-		// would keep a dead instance alive for ever.
-		if now-i.spoke <= unheardFor && id != to {
+	for _, id := range slices.Sorted(maps.Keys(m.fleet.instances)) {
+		i := m.fleet.instances[id]
+		// Only instances that were heard directly: if two instances passed on
+		// each other's reports, a dead instance would stay alive for ever.
+		if now-i.lastMessage <= directSilenceTimeout && id != to {
 			others = append(others, i)
 		}
 	}
-	alive := residents(others)
+	alive := describeMembers(others)
 	for first := true; first || len(alive) > 0; first = false {
 		msg := m.announcement()
-		n := min(len(alive), rosterEach)
+		n := min(len(alive), membersPerMessage)
 		msg.Members, alive = alive[:n], alive[n:]
 		b, err := m.encode(msg)
 		if err != nil {
@@ -237,8 +245,8 @@
 	return out, nil
 }
 
-// residents describes instances whose data centre is known.
-func residents(instances []*Instance) (list []evidence.Member) {
+// describeMembers describes the instances whose data centre is known.
+func describeMembers(instances []*Instance) (list []evidence.Member) {
 	for _, i := range instances {
 		if i.DataCentre != "" {
 			list = append(list, evidence.Member{ID: i.ID, DataCentre: i.DataCentre, SlowLink: i.SlowLink, Leaving: i.Leaving, Stopping: i.Stopping})
@@ -247,11 +255,11 @@
 	return list
 }
 
-// Step does what is due for others, and Due says when that is.
+// Step returns the datagrams of the relay hub that are due.
 func (m *Messenger) Step(now time.Duration) []relay.Datagram { return m.hub.Step(now) }
 
-// Due is when to call Step.
+// Due returns when to call Step.
 func (m *Messenger) Due() time.Duration { return m.hub.Due() }
 
-// Sequence is the number of the last message that was told to all.
+// Sequence returns the sequence number of the last broadcast message.
 func (m *Messenger) Sequence() uint32 { return m.sequence }
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -14,9 +14,9 @@
 	"foxtailspoke/relay"
 )
 
-// world is a fleet in simulated time: real messengers, and a network that
-// delays, loses and cuts datagrams.
-type world struct {
+// simulation is a fleet in simulated time: real messengers, and a network that
+// delays, loses and partitions datagrams.
+type simulation struct {
 	t     *testing.T
 	rng   *rand.Rand
 	now   time.Duration
@@ -25,21 +25,21 @@
 	order []uint32
 	// lost reports whether a datagram is lost.
 	lost func(from, to *node) bool
-	// said is when each message was said, heard how long it took to each other
-	// instance, told urgently or not.
-	said  map[word]time.Duration
-	heard map[word]map[uint32]time.Duration
-	// starting counts instances that are about to start.
+	// sentAt is when each message was published, deliveryTime the time that it
+	// took to each other instance, both for urgent and ordinary messages.
+	sentAt       map[messageID]time.Duration
+	deliveryTime map[messageID]map[uint32]time.Duration
+	// starting is the number of instances that are about to start.
 	starting int
-	// reported counts messages that were reported as missing.
+	// reported is the number of missing messages that were logged.
 	reported int
-	// listed says that instances soon know from the store who is running.
+	// listed makes instances read the list of running instances from the store.
 	listed bool
-	// rate of messages a second and instance; 0 for heartbeats alone.
+	// rate of messages per second and instance; 0 for heartbeats only.
 	rate float64
 }
 
-type word struct{ source, epoch, sequence uint32 }
+type messageID struct{ source, epoch, sequence uint32 }
 
 type node struct {
 	id         uint32
@@ -48,14 +48,16 @@
 	seeds      []uint32
 	epoch      uint32
 	m          *fleet.Messenger
-	// down is killed; frozen until it goes on, with what came meanwhile.
+	// down marks a killed instance. One that is suspended until frozen keeps
+	// what arrives meanwhile in inbox.
 	down   bool
 	frozen time.Duration
 	inbox  []func()
-	// life tells events of a former start from those of this one.
-	life    int
-	stepAt  time.Duration
-	in, out int
+	// generation separates events of an earlier run from those of the current
+	// one.
+	generation int
+	stepAt     time.Duration
+	in, out    int
 }
 
 type simEvent struct {
@@ -82,17 +84,18 @@
 const (
 	nearDelay = 100 * time.Microsecond
 	farDelay  = 1400 * time.Microsecond
-	// notReadyFor is how long an instance isn't ready after its start.
-	notReadyFor = 250 * time.Millisecond
-	// storeAnswers is when it has read who is listed.
-	storeAnswers = 60 * time.Millisecond
+	// readyDelay is the time from the start of an instance until it is ready.
+	readyDelay = 250 * time.Millisecond
+	// storeReadDelay is the time from the start of an instance until it has
+	// read the list of instances.
+	storeReadDelay = 60 * time.Millisecond
 )
 
-func newSim(t *testing.T, seed uint64, centres, each, fast int) *world {
+func newSim(t *testing.T, seed uint64, centres, each, fast int) *simulation {
 	t.Helper()
-	w := &world{
+	w := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 2)), nodes: make(map[uint32]*node),
-		said: make(map[word]time.Duration), heard: make(map[word]map[uint32]time.Duration),
+		sentAt: make(map[messageID]time.Duration), deliveryTime: make(map[messageID]map[uint32]time.Duration),
 		lost: func(*node, *node) bool { return false },
 	}
 	for c := range centres {
@@ -103,7 +106,7 @@
 	return w
 }
 
-func (w *world) add(c, i, fast int) *node {
+func (w *simulation) add(c, i, fast int) *node {
 	id := uint32(0x0a000000 + (c+1)<<16 + i + 1)
 	n := &node{id: id, dataCentre: string(rune('a' + c)), slow: i >= fast, down: true, seeds: []uint32{0x0a010001, 0x0a020001, 0x0a030001}}
 	w.nodes[id] = n
@@ -111,11 +114,11 @@
 	return n
 }
 
-func (w *world) at(at time.Duration, run func()) {
+func (w *simulation) at(at time.Duration, run func()) {
 	heap.Push(&w.queue, simEvent{max(at, w.now), len(w.queue) + int(w.rng.Uint32N(1000))<<20, run})
 }
 
-func (w *world) run(until time.Duration) {
+func (w *simulation) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(simEvent)
 		w.now = e.at
@@ -124,27 +127,27 @@
 	w.now = until
 }
 
-// start starts an instance that knows nothing.
-func (w *world) start(n *node) {
+// start starts an instance with no state.
+func (w *simulation) start(n *node) {
 	n.down, n.inbox, n.frozen = false, nil, 0
-	n.life++
+	n.generation++
 	n.epoch = w.rng.Uint32()
 	n.stepAt = 0
 	started := w.now
 	n.m = fleet.NewMessenger(fleet.Settings{
 		Self: relay.Member{ID: n.id, DataCentre: n.dataCentre, SlowLink: n.slow}, Epoch: n.epoch, Seeds: n.seeds,
-		// It isn't ready before it has read the store.
-		Leaving:  func() bool { return w.now < started+notReadyFor },
+		// An instance is not ready before it has read the store.
+		Leaving:  func() bool { return w.now < started+readyDelay },
 		Stopping: func() bool { return false },
 	})
-	w.pulse(n, n.life)
-	w.speak(n, n.life)
+	w.tick(n, n.generation)
+	w.publishRandomly(n, n.generation)
 	if w.listed {
-		w.at(w.now+storeAnswers, func() { w.does(n, n.life, func() { w.list(n) }) })
+		w.at(w.now+storeReadDelay, func() { w.runOn(n, n.generation, func() { w.markAllListed(n) }) })
 	}
 }
 
-func (w *world) list(n *node) {
+func (w *simulation) markAllListed(n *node) {
 	for id, other := range w.nodes {
 		if id != n.id {
 			n.m.MarkListed(id, other.dataCentre, other.slow, w.now)
@@ -155,8 +158,8 @@
 	w.send(n, out)
 }
 
-// startAll starts all within a third of a second, in any order.
-func (w *world) startAll() {
+// startAll starts all instances within a third of a second, in random order.
+func (w *simulation) startAll() {
 	for _, id := range w.order {
 		n := w.nodes[id]
 		w.starting++
@@ -167,41 +170,42 @@
 	}
 }
 
-func (w *world) kill(n *node) {
+func (w *simulation) kill(n *node) {
 	n.down = true
-	n.life++
+	n.generation++
 }
 
-// does runs something at an instance, once it goes on if it stands still.
-func (w *world) does(n *node, life int, run func()) {
+// runOn runs a function on an instance, after its suspension if it is
+// suspended.
+func (w *simulation) runOn(n *node, generation int, run func()) {
 	switch {
-	case n.down || n.life != life:
+	case n.down || n.generation != generation:
 	case w.now < n.frozen:
 		if len(n.inbox) == 0 {
 			w.at(n.frozen, func() {
 				all := n.inbox
 				n.inbox = nil
 				for _, f := range all {
-					w.does(n, life, f)
+					w.runOn(n, generation, f)
 				}
 			})
 		}
 		n.inbox = append(n.inbox, run)
 	default:
 		run()
-		w.arm(n)
+		w.scheduleStep(n)
 	}
 }
 
-func (w *world) arm(n *node) {
+func (w *simulation) scheduleStep(n *node) {
 	due := n.m.Due()
 	if due > w.now+time.Minute || (n.stepAt > w.now && n.stepAt <= due) {
 		return
 	}
 	n.stepAt = max(due, w.now)
-	life, at := n.life, n.stepAt
+	generation, at := n.generation, n.stepAt
 	w.at(at, func() {
-		w.does(n, life, func() {
+		w.runOn(n, generation, func() {
 			if n.stepAt == at {
 				n.stepAt = 0
 			}
@@ -210,44 +214,44 @@
 	})
 }
 
-func (w *world) pulse(n *node, life int) {
-	w.does(n, life, func() {
+func (w *simulation) tick(n *node, generation int) {
+	w.runOn(n, generation, func() {
 		_, out, err := n.m.Tick(w.now)
 		must.NoError(w.t, err)
 		w.send(n, out)
 	})
-	if n.life == life {
-		w.at(w.now+fleet.TickInterval, func() { w.pulse(n, life) })
+	if n.generation == generation {
+		w.at(w.now+fleet.TickInterval, func() { w.tick(n, generation) })
 	}
 }
 
-// speak has an instance say what it says of its attempts, at random moments.
-func (w *world) speak(n *node, life int) {
-	if w.rate == 0 || n.life != life {
+// publishRandomly publishes attempt messages of an instance at random times.
+func (w *simulation) publishRandomly(n *node, generation int) {
+	if w.rate == 0 || n.generation != generation {
 		return
 	}
 	wait := time.Duration(w.rng.ExpFloat64() / w.rate * float64(time.Second))
 	w.at(w.now+wait, func() {
-		w.does(n, life, func() { w.publish(n, w.rng.IntN(100) == 0) })
-		w.speak(n, life)
+		w.runOn(n, generation, func() { w.publish(n, w.rng.IntN(100) == 0) })
+		w.publishRandomly(n, generation)
 	})
 }
 
-func (w *world) publish(n *node, urgent bool) word {
+func (w *simulation) publish(n *node, urgent bool) messageID {
 	out, err := n.m.Publish(evidence.Message{
 		Attempts: []evidence.Attempt{{Server: w.rng.Uint32(), Outstanding: 1, Number: 1, LatencyMS: 300, TypicalLatencyMS: 300}},
 		Usage:    []evidence.Usage{{Workspace: w.rng.Uint32(), Count: 70000}},
 	}, urgent, w.now)
 	must.NoError(w.t, err)
-	id := word{n.id, n.epoch, n.m.Sequence()}
-	w.said[id] = w.now
-	w.heard[id] = make(map[uint32]time.Duration)
+	id := messageID{n.id, n.epoch, n.m.Sequence()}
+	w.sentAt[id] = w.now
+	w.deliveryTime[id] = make(map[uint32]time.Duration)
 	w.send(n, out)
-	w.arm(n)
+	w.scheduleStep(n)
 	return id
 }
 
-func (w *world) send(n *node, out []relay.Datagram) {
+func (w *simulation) send(n *node, out []relay.Datagram) {
 	for i := range out {
 		d := &out[i]
 		b := d.Encode()
@@ -262,26 +266,26 @@
 				delay = nearDelay
 			}
 			delay += time.Duration(w.rng.Int64N(int64(200 * time.Microsecond)))
-			w.at(w.now+delay, func() { w.does(to, to.life, func() { w.take(to, n.id, b) }) })
+			w.at(w.now+delay, func() { w.runOn(to, to.generation, func() { w.receive(to, n.id, b) }) })
 		}
 	}
 }
 
-func (w *world) take(n *node, from uint32, b []byte) {
+func (w *simulation) receive(n *node, from uint32, b []byte) {
 	n.in++
 	t, err := n.m.Receive(from, b, w.now)
 	must.NoError(w.t, err)
 	for _, h := range t.Messages {
-		id := word{h.Source, h.Epoch, h.Sequence}
-		if at, ok := w.said[id]; ok {
-			w.heard[id][n.id] = w.now - at
+		id := messageID{h.Source, h.Epoch, h.Sequence}
+		if at, ok := w.sentAt[id]; ok {
+			w.deliveryTime[id][n.id] = w.now - at
 		}
 	}
 	w.send(n, t.Outgoing)
 }
 
-// knowsAll reports whether every running instance hears every other.
-func (w *world) knowsAll() bool {
+// allConnected reports whether every running instance hears every other.
+func (w *simulation) allConnected() bool {
 	if w.starting > 0 {
 		return false
 	}
@@ -298,32 +302,32 @@
 	return true
 }
 
-// untilKnown runs until everybody hears everybody, and returns how long it
-// took.
-func (w *world) untilKnown(most time.Duration) time.Duration {
+// runUntilConnected runs until all instances hear each other, and returns how
+// long that took.
+func (w *simulation) runUntilConnected(limit time.Duration) time.Duration {
 	w.t.Helper()
 	start := w.now
-	for w.now < start+most {
+	for w.now < start+limit {
 		w.run(w.now + 10*time.Millisecond)
-		if w.knowsAll() {
+		if w.allConnected() {
 			return w.now - start
 		}
 	}
 	for _, n := range w.nodes {
 		for id := range w.nodes {
 			if m := n.m.Fleet().All()[id]; id != n.id && (m == nil || !m.Alive || m.DataCentre == "") {
-				w.t.Logf("%x (told %x, %d listeners) doesn't hear %x: %+v", n.id, n.m.Hub().Relay(), n.m.Hub().Subscribers(), id, m)
+				w.t.Logf("%x (relay %x, %d subscribers) does not hear %x: %+v", n.id, n.m.Hub().Relay(), n.m.Hub().Subscribers(), id, m)
 			}
 		}
 	}
-	w.t.Fatalf("after %v some instances don't hear each other", most)
+	w.t.Fatalf("some instances do not hear each other after %v", limit)
 	return 0
 }
 
-// times are how long the messages said in a span took to reach the running
-// instances, sorted, and how many never came.
-func (w *world) times(from, to time.Duration) (times []time.Duration, missing int) {
-	for id, at := range w.said {
+// deliveryTimes returns the sorted delivery times of the messages published in
+// a time span to the running instances, and the number of missing deliveries.
+func (w *simulation) deliveryTimes(from, to time.Duration) (times []time.Duration, missing int) {
+	for id, at := range w.sentAt {
 		if at < from || at >= to {
 			continue
 		}
@@ -331,7 +335,7 @@
 			if other == id.source || n.down {
 				continue
 			}
-			took, ok := w.heard[id][other]
+			took, ok := w.deliveryTime[id][other]
 			if !ok {
 				missing++
 				continue
@@ -343,6 +347,6 @@
 	return times, missing
 }
 
-func share(times []time.Duration, p float64) time.Duration {
+func quantile(times []time.Duration, p float64) time.Duration {
 	return times[min(int(p*float64(len(times))), len(times)-1)]
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,54 +1,58 @@
-// Package relay decides which instance sends which datagram to whom, so that
-// what one instance says reaches all others.
+// Package relay decides which instance sends which datagram to which others, so
+// that the messages of each instance reach all of them.
 //
-// Load pattern: some hundred instances say a few messages a second each, and
-// every message concerns everybody. If each instance writes to all others, it
-// handles a datagram for each message of the whole fleet. Datagrams cost more
-// than the bytes in them, and they grow with the square of the fleet.
+// Load pattern: some hundred instances publish a few messages per second each,
+// and every message is for all instances. If each instance wrote to all others,
+// it would handle one datagram for each message of the whole fleet. A datagram
+// costs more than the bytes in it, and the total grows with the square of the
+// fleet.
 //
-// Idea: an instance tells its relay, one of a few instances of its data centre.
-// A relay gathers what comes within a round and sends it on once: to its
-// subscribers, which are the instances that told it something lately; to the
-// other relays of its data centre; and to one relay of every other data centre,
-// which does the same there. A round is longer the more subscribers a relay has,
-// so that neither relays nor subscribers handle more datagrams in a larger fleet.
+// Design: an instance publishes to its relay, one of a few instances of its
+// data centre. A relay collects what arrives within a round and forwards it
+// once: to its subscribers, which are the instances that published to it
+// recently; to the other relays of its data centre; and to one relay of each
+// other data centre, which does the same there. The interval between rounds
+// grows with the number of subscribers, so that neither relays nor subscribers
+// handle more datagrams in a larger fleet.
 //
-// An instance sees its own messages come back in a round. If they don't, its
-// relay is dead, stands still, is cut off or slow, and the instance tells
-// another, what was missing included. Nobody is elected and nothing is agreed
-// on: whoever is told something acts as a relay, and who is told first follows
-// from the members that an instance knows, fast links first.
+// An instance receives its own messages back in a round, which serves as the
+// acknowledgement. If a message does not return, the relay is dead, suspended,
+// cut off or slow, and the instance publishes to another one, including the
+// missing messages. There is no election and no agreement: an instance that is
+// published to acts as a relay, and the order in which relays are tried follows
+// from the known members, fast links first.
 //
 // Trade-off: a message waits for a round at up to three relays on its way;
-// urgent ones are sent on at once. Messages that were told twice arrive twice;
-// whoever takes them in knows which are new, and only those are sent on, so that
-// instances that disagree on who is a relay send nothing round in circles.
+// urgent ones are forwarded with less delay. Messages that were sent twice
+// arrive twice; the receiver knows which are new, and only those are forwarded,
+// so that instances that disagree on who is a relay do not create loops.
 //
-// Usage: give Publish each own message and Take each datagram, send what they and
-// Step return, and call Step when Due says so. Decisions are pure: time is
+// Usage: pass each own message to Publish and each received datagram to
+// Receive, send the datagrams that these and Step return, and call Step at the
+// time that Due returns. The package does no I/O and reads no clock: time is
 // passed in.
 package relay
 
-// Kind says what a receiver does with the messages of a datagram, beside taking
-// them in.
+// Kind determines what the receiver of a datagram does beyond processing its
+// messages.
 type Kind byte
 
-// The kinds of datagrams.
+// Datagram kinds.
 const (
-	// Deliver asks for nothing more.
+	// Deliver requires nothing more.
 	Deliver Kind = iota
-	// Publish is written by an instance to its relay, which sends it on.
+	// Publish is sent by an instance to its relay, which forwards the messages.
 	Publish
-	// RemoteForward is written by a relay to one of another data centre, which sends it
-	// on there.
+	// RemoteForward is sent by a relay to a relay of another data centre, which
+	// forwards the messages there.
 	RemoteForward
-	// LocalForward is written by a relay to another of the same data centre, which
-	// sends it on to its subscribers.
+	// LocalForward is sent by a relay to another relay of the same data centre,
+	// which forwards the messages to its subscribers.
 	LocalForward
-	// Ack is written by a relay to another whose messages arrive. It has no
-	// messages.
+	// Ack is sent by a relay to another relay to acknowledge its messages. It
+	// contains no messages.
 	Ack
-	// Join is written by an instance to one that it doesn't hear. The receiver
+	// Join is sent by an instance to one that it does not hear. The receiver
 	// answers with the members that it knows.
 	Join
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -11,13 +11,14 @@
 	"foxtailspoke/relay"
 )
 
-// hub returns a hub of instance 1 in data centre "here".
+// hub returns the hub of instance 1 in data centre "here".
 func hub(members *[]relay.Member) *relay.Hub {
 	return relay.NewHub(relay.Member{ID: 1, DataCentre: "here", SlowLink: true}, func() []relay.Member { return *members })
 }
 
-// crossed says something and returns who gets it in other data centres.
-func crossed(h *relay.Hub, urgent bool, now time.Duration) (to []uint32) {
+// remoteReceivers publishes a message and returns the receivers in other data
+// centres.
+func remoteReceivers(h *relay.Hub, urgent bool, now time.Duration) (to []uint32) {
 	h.Publish(1, []byte("message"), urgent, now)
 	for _, d := range h.Step(now) {
 		if d.Kind == relay.RemoteForward {
@@ -27,49 +28,50 @@
 	return to
 }
 
-// Sending rounds takes thirty times the bandwidth of an instance's own messages. A
-// relay with a slow link loses two messages of five for a whole data centre.
+// Sending rounds takes thirty times the bandwidth of an instance's own
+// messages. A relay with a slow link loses two messages of five for its whole
+// data centre.
 func TestRelaysHaveFastLinks(t *testing.T) {
 	var members []relay.Member
 	for id := uint32(2); id < 22; id++ {
 		members = append(members, relay.Member{ID: id, DataCentre: "there", Alive: true, SlowLink: id%4 != 0})
 	}
 	fast := func(id uint32) bool { return members[id-2].Alive && !members[id-2].SlowLink }
-	first := crossed(hub(&members), true, time.Second)
+	first := remoteReceivers(hub(&members), true, time.Second)
 	must.Len(t, 2, first)
 	for _, id := range first {
 		must.True(t, fast(id))
 		members[id-2].Alive = false
 	}
-	second := crossed(hub(&members), true, time.Second)
+	second := remoteReceivers(hub(&members), true, time.Second)
 	must.Len(t, 2, second)
 	for _, id := range second {
 		must.True(t, fast(id))
 	}
-	must.Len(t, 1, crossed(hub(&members), false, time.Second))
+	must.Len(t, 1, remoteReceivers(hub(&members), false, time.Second))
 }
 
-// Links of a data centre are all slow, or its fast instances have died. The load
-// of sending rounds is shared then.
+// If a data centre has only slow links, because no member has a fast one or
+// those with fast links have failed, the load of sending rounds is shared.
 func TestSlowLinksShareTheLoad(t *testing.T) {
 	var members []relay.Member
 	for id := uint32(2); id < 40; id++ {
 		members = append(members, relay.Member{ID: id, DataCentre: "here", Alive: true, SlowLink: true})
 	}
-	told := make(map[uint32]bool)
+	used := make(map[uint32]bool)
 	for id := uint32(2); id < 40; id++ {
 		others := append([]relay.Member{{ID: 1, DataCentre: "here", Alive: true, SlowLink: true}}, members...)
 		others = append(others[:id-1:id-1], others[id:]...)
 		h := relay.NewHub(relay.Member{ID: id, DataCentre: "here", SlowLink: true}, func() []relay.Member { return others })
 		h.Publish(1, []byte("message"), false, time.Second)
-		told[h.Relay()] = true
+		used[h.Relay()] = true
 	}
-	must.Eq(t, 6, len(told))
+	must.Eq(t, 6, len(used))
 }
 
-// A message is told once more to the same relay, and to another one when that
-// brings nothing back. Its sender's own messages in a round end the waiting.
-func TestWordIsToldUntilItComesBack(t *testing.T) {
+// A message that does not return is resent to the same relay once and then sent
+// to another one, until its sender receives it back.
+func TestMessageIsResentUntilItReturns(t *testing.T) {
 	members := []relay.Member{
 		{ID: 2, DataCentre: "here", Alive: true}, {ID: 3, DataCentre: "here", Alive: true}, {ID: 4, DataCentre: "here", Alive: true},
 	}
@@ -90,13 +92,13 @@
 	must.Greater(t, time.Hour, h.Due())
 }
 
-// A relay of another data centre dies. What it was sent and didn't confirm goes
-// to another one there.
-func TestUnconfirmedMessagesGoToAnotherRelay(t *testing.T) {
+// A relay of another data centre fails. The messages that it did not
+// acknowledge are sent to another relay there.
+func TestUnacknowledgedMessagesGoToAnotherRelay(t *testing.T) {
 	members := []relay.Member{{ID: 2, DataCentre: "there", Alive: true}, {ID: 3, DataCentre: "there", Alive: true}}
 	h := hub(&members)
 	now := time.Second
-	first := crossed(h, false, now)
+	first := remoteReceivers(h, false, now)
 	must.Len(t, 1, first)
 	var second []relay.Datagram
 	for range 4 {
@@ -112,8 +114,8 @@
 	must.Greater(t, time.Hour, h.Due())
 }
 
-// A round of hundreds of messages goes in datagrams that links carry in one
-// piece, and all of it arrives.
+// A round of hundreds of messages is split into datagrams that links carry
+// without fragmentation, and all messages arrive.
 func TestRoundsFitIntoDatagrams(t *testing.T) {
 	members := []relay.Member{{ID: 2, DataCentre: "there", Alive: true}}
 	h := hub(&members)
--- a/relay/unacked.go
+++ b/relay/unacked.go
@@ -6,56 +6,60 @@
 )
 
 const (
-	// resendAfter is when an own message that hasn't come back is told to the same
-	// relay once more: two rounds of the largest data centre. It was lost on its
-	// way, or the relay or this process itself stood still for a moment.
+	// resendAfter is the time after which an own message that has not returned
+	// is sent to the same relay again: two rounds of the largest data centre.
+	// The message may have been lost, or the relay or this process was
+	// suspended briefly.
 	resendAfter = 90 * time.Millisecond
-	// giveUpAfter is how much later the relay is suspected.
-	giveUpAfter = 85 * time.Millisecond
-	// maxSends bounds how often a message is told. Messages carry totals, so
-	// that a later one makes good what is lost then.
+	// suspectAfter is the time from the resend until the relay is suspected.
+	suspectAfter = 85 * time.Millisecond
+	// maxSends bounds the transmissions of a message, not counting the resend
+	// to the same relay. Messages carry totals, so that a later one makes up
+	// for a lost one.
 	maxSends = 3
-	// suspectFor is how long a relay that didn't send a message back isn't told
-	// anything, doubled up to mostSuspect while that goes on.
-	suspectFor  = 2 * time.Second
-	mostSuspect = 16 * time.Second
+	// minSuspicion is the time for which a relay that did not return a message
+	// is not used. It doubles with each further failure, up to maxSuspicion.
+	minSuspicion = 2 * time.Second
+	maxSuspicion = 16 * time.Second
 )
 
-// unackedMessage is an own message that hasn't come back yet.
+// unackedMessage is an own message that has not returned from the relay yet.
 type unackedMessage struct {
 	sequence uint32
 	message  []byte
 	urgent   bool
 	to       uint32
-	at       time.Duration
+	sentAt   time.Duration
 	sends    int
-	// again is when it was told to the same relay once more; 0 if it wasn't.
-	again time.Duration
+	// resentAt is when the message was sent to the same relay again; 0 if it
+	// was not.
+	resentAt time.Duration
 }
 
-// due is when to do something about the message.
+// due returns when the message has to be resent or its relay suspected.
 func (w *unackedMessage) due() time.Duration {
-	if w.again > 0 {
-		return w.again + giveUpAfter
+	if w.resentAt > 0 {
+		return w.resentAt + suspectAfter
 	}
-	return w.at + resendAfter
+	return w.sentAt + resendAfter
 }
 
-// suspicion is held against a relay that didn't send a message back.
+// suspicion is held against a relay that did not return or acknowledge
+// messages.
 type suspicion struct {
-	until time.Duration
-	wait  time.Duration
+	until    time.Duration
+	duration time.Duration
 }
 
 func (h *Hub) suspect(id uint32, now time.Duration) {
 	s, ok := h.suspects[id]
 	if !ok {
-		s = &suspicion{wait: suspectFor}
+		s = &suspicion{duration: minSuspicion}
 		h.suspects[id] = s
 	} else {
-		s.wait = min(2*s.wait, mostSuspect)
+		s.duration = min(2*s.duration, maxSuspicion)
 	}
-	s.until = now + s.wait
+	s.until = now + s.duration
 }
 
 func (h *Hub) suspected(id uint32, now time.Duration) bool {
@@ -63,12 +67,12 @@
 	return ok && now < s.until
 }
 
-// onProbation reports that a relay was suspected and hasn't shown yet that it is
-// well again. What it is sent goes to another one as well.
+// onProbation reports whether a relay was suspected and has not proved since
+// that it works. Messages sent to it also go to a second relay.
 func (h *Hub) onProbation(id uint32) bool { return h.suspects[id] != nil }
 
-// MessageReturned takes in that the own message with this number came back from a
-// relay.
+// MessageReturned records that the own message with this sequence number was
+// received back from a relay.
 func (h *Hub) MessageReturned(from, sequence uint32) {
 	for i, w := range h.unacked {
 		if w.sequence != sequence {
@@ -82,15 +86,15 @@
 	}
 }
 
-// retell tells again what should have come back by now: to the same relay first,
-// then to another one.
-func (h *Hub) retell(now time.Duration) (out []Datagram) {
+// retransmit sends overdue messages again: to the same relay first, then to
+// another one.
+func (h *Hub) retransmit(now time.Duration) (out []Datagram) {
 	late := make(map[uint32]bool)
 	for _, w := range h.unacked {
 		switch {
 		case now < w.due():
-		case w.again == 0:
-			w.again = now
+		case w.resentAt == 0:
+			w.resentAt = now
 			out = append(out, w.datagram([]uint32{w.to}))
 		default:
 			late[w.to] = true
--- a/relay/view.go
+++ b/relay/view.go
@@ -5,100 +5,104 @@
 	"slices"
 )
 
-// Member is an instance of the fleet.
+// Member is an instance as the choice of relays sees it.
 type Member struct {
 	ID uint32
-	// DataCentre is empty as long as it isn't known.
+	// DataCentre is empty while unknown.
 	DataCentre string
-	// Alive says that it is heard.
+	// Alive reports that the instance has been heard recently.
 	Alive bool
-	// Stopping says that it will be gone soon.
+	// Stopping reports that the instance is about to stop.
 	Stopping bool
-	// SlowLink says that its link shouldn't carry the rounds of others.
+	// SlowLink reports that the link of the instance should not carry the
+	// rounds of a relay.
 	SlowLink bool
 }
 
 const (
-	// relaysFast is how many relays a data centre has where links are fast. One
-	// could carry the load; with two, half of the instances keep theirs when one
-	// dies.
-	relaysFast = 2
-	// relaysSlow is how many share the load where links are slow.
-	relaysSlow = 6
+	// fastLinkRelays is the number of relays of a data centre with fast links.
+	// One could carry the load; with two, half of the instances keep their
+	// relay when one fails.
+	fastLinkRelays = 2
+	// slowLinkRelays is the number of relays that share the load of a data
+	// centre with slow links only.
+	slowLinkRelays = 6
 )
 
-// view is what follows from the members for the choice of relays.
+// view is the part of the member list that the choice of relays depends on.
 type view struct {
 	self Member
-	// here are the living members of the own data centre, this one included,
-	// in the order in which they become relays.
-	here []Member
-	// silent says that other members of the own data centre are known and not
-	// heard.
-	silent bool
-	// there are the relays of every other data centre.
-	there []centre
+	// local holds the live members of the own data centre, this instance
+	// included, in relay order.
+	local []Member
+	// localSilent reports that the own data centre has known members that are
+	// not alive.
+	localSilent bool
+	// remote holds the relays of each other data centre.
+	remote []dataCentre
 }
 
-// centre is another data centre.
-type centre struct {
+// dataCentre is another data centre.
+type dataCentre struct {
 	name   string
 	relays []uint32
-	// heard says that they live; else the relays are all of its members.
-	heard bool
+	// alive reports that the relays are live members; otherwise relays holds
+	// all members.
+	alive bool
 }
 
 func newView(self Member, others []Member) view {
-	v := view{self: self, here: []Member{self}}
+	v := view{self: self, local: []Member{self}}
 	centres := make(map[string][]Member)
-	var unknown []centre
+	var unknown []dataCentre
 	for _, m := range others {
 		switch {
 		case m.DataCentre == self.DataCentre:
 			if m.Alive {
-				v.here = append(v.here, m)
+				v.local = append(v.local, m)
 			} else {
-				v.silent = true
+				v.localSilent = true
 			}
 		case m.DataCentre == "":
-			unknown = append(unknown, centre{relays: []uint32{m.ID}})
+			unknown = append(unknown, dataCentre{relays: []uint32{m.ID}})
 		default:
 			centres[m.DataCentre] = append(centres[m.DataCentre], m)
 		}
 	}
-	order(v.here)
+	sortMembers(v.local)
 	for name, members := range centres {
-		v.there = append(v.there, relaysOf(name, members))
+		v.remote = append(v.remote, relaysOf(name, members))
 	}
-	if len(v.there) == 0 {
-		// Only the addresses of some instances are known, as at the start.
-		v.there = unknown
+	if len(v.remote) == 0 {
+		// Right after the start only the addresses of some instances are known.
+		v.remote = unknown
 	}
-	slices.SortFunc(v.there, func(a, b centre) int { return cmp.Compare(a.relays[0], b.relays[0]) })
+	slices.SortFunc(v.remote, func(a, b dataCentre) int { return cmp.Compare(a.relays[0], b.relays[0]) })
 	return v
 }
 
-// relaysOf returns the relays of another data centre: all of its members if
-// none of them is heard.
-func relaysOf(name string, members []Member) centre {
-	order(members)
+// relaysOf returns the relays of another data centre, or all of its members if
+// none is alive.
+func relaysOf(name string, members []Member) dataCentre {
+	sortMembers(members)
 	alive := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !m.Alive })
 	if len(alive) == 0 {
-		return centre{name: name, relays: ids(members)}
+		return dataCentre{name: name, relays: memberIDs(members)}
 	}
-	return centre{name: name, relays: ids(alive[:count(alive)]), heard: true}
+	return dataCentre{name: name, relays: memberIDs(alive[:relayCount(alive)]), alive: true}
 }
 
-// order sorts members as all instances of the fleet do: those that stay before
-// those that stop, fast links before slow ones, then by a hash.
-func order(members []Member) {
+// sortMembers sorts members in the order in which they become relays, which is
+// the same on all instances: not stopping before stopping, fast links before
+// slow ones, then by hash.
+func sortMembers(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(compare(a.Stopping, b.Stopping), compare(a.SlowLink, b.SlowLink), cmp.Compare(Hash(a.ID), Hash(b.ID)))
+		return cmp.Or(compareBool(a.Stopping, b.Stopping), compareBool(a.SlowLink, b.SlowLink), cmp.Compare(Hash(a.ID), Hash(b.ID)))
 	})
 }
 
-// compare puts false before true.
-func compare(a, b bool) int {
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -109,15 +113,15 @@
 	}
 }
 
-// count is how many of the ordered members are relays.
-func count(ordered []Member) int {
-	if len(ordered) >= relaysFast && !ordered[relaysFast-1].SlowLink {
-		return relaysFast
+// relayCount returns how many of the sorted members are relays.
+func relayCount(ordered []Member) int {
+	if len(ordered) >= fastLinkRelays && !ordered[fastLinkRelays-1].SlowLink {
+		return fastLinkRelays
 	}
-	return min(len(ordered), relaysSlow)
+	return min(len(ordered), slowLinkRelays)
 }
 
-func ids(members []Member) []uint32 {
+func memberIDs(members []Member) []uint32 {
 	list := make([]uint32, 0, len(members))
 	for _, m := range members {
 		list = append(list, m.ID)
@@ -125,33 +129,34 @@
 	return list
 }
 
-// centre returns another data centre.
-func (v *view) centre(name string) (centre, bool) {
-	for _, c := range v.there {
+// remoteDataCentre looks up another data centre by name.
+func (v *view) remoteDataCentre(name string) (dataCentre, bool) {
+	for _, c := range v.remote {
 		if c.name == name {
 			return c, true
 		}
 	}
-	return centre{}, false
+	return dataCentre{}, false
 }
 
-// relays are those of the own data centre.
-func (v *view) relays() []Member { return v.here[:count(v.here)] }
+// relays returns the relays of the own data centre.
+func (v *view) relays() []Member { return v.local[:relayCount(v.local)] }
 
-// choices are the instances that this one may tell, best first: itself if it is
-// a relay, else the relays in an order of its own, so that subscribers spread
-// over them, then the others.
-func (v *view) choices() []uint32 {
+// candidates returns the instances that this one may publish to, best first:
+// itself if it is a relay, then the relays in an order that differs between
+// instances, so that subscribers spread over them, then the other live members.
+func (v *view) candidates() []uint32 {
 	relays := slices.Clone(v.relays())
 	slices.SortFunc(relays, func(a, b Member) int {
 		own := v.self.ID
-		return cmp.Or(compare(a.ID != own, b.ID != own), compare(a.Stopping, b.Stopping),
+		return cmp.Or(compareBool(a.ID != own, b.ID != own), compareBool(a.Stopping, b.Stopping),
 			cmp.Compare(Hash(a.ID^Hash(own)), Hash(b.ID^Hash(own))))
 	})
-	return append(ids(relays), ids(v.here[len(relays):])...)
+	return append(memberIDs(relays), memberIDs(v.local[len(relays):])...)
 }
 
-// Hash spreads addresses, which differ in few bits, over all numbers.
+// Hash maps IDs, which are addresses that differ in few bits, evenly to 32
+// bits.
 func Hash(x uint32) uint32 {
 	x ^= x >> 16
 	x *= 0x7feb352d
