--- a/edge/peers.go
+++ b/edge/peers.go
@@ -174,7 +174,7 @@
 func (e *Edge) applyMessage(m *fleet.ReceivedMessage, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
-		s.placer.Forget(m.Source)
+		s.placer.RemoveInstance(m.Source)
 	}
 	for _, u := range m.Usage {
 		s.usage.ApplyReport(usage.Report{
@@ -185,7 +185,7 @@
 		e.applyAttempt(m.Source, a, m.Latest, now)
 	}
 	for _, service := range m.Refused {
-		s.placer.RefusedAt(service, now)
+		s.placer.RecordRefusal(service, now)
 	}
 	for _, n := range m.TableUpdates {
 		if n.StoreClockUS != 0 {
@@ -198,19 +198,19 @@
 func (e *Edge) applyAttempt(from uint32, a evidence.Attempt, latest bool, now time.Duration) {
 	s := &e.state
 	if latest {
-		s.placer.Outstanding(a.Server, from, int(a.Outstanding), now)
+		s.placer.SetOutstanding(a.Server, from, int(a.Outstanding), now)
 	}
 	if a.Number > 0 {
 		s.countAttempt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
-		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.LatencyMS), milliseconds(a.TypicalLatencyMS), now)
+		s.placer.RecordResult(a.Server, a.Result, false, milliseconds(a.LatencyMS), milliseconds(a.TypicalLatencyMS), now)
 	}
 	if a.Ended {
 		e.applyPeerLimit(a, now)
 	}
 	if a.RequestOutcome != evidence.RequestPending {
-		s.placer.ServedAt(a.Server, a.RequestOutcome == evidence.RequestServed, now)
+		s.placer.RecordServerOutcome(a.Server, a.RequestOutcome == evidence.RequestServed, now)
 	}
 }
 
