--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -32,16 +32,16 @@
 
 // run sends the call to servers until one has answered or nothing more may be
 // tried.
-func (e *Edge) run(ctx context.Context, c *call) (*attempt, *verdict) {
+func (e *Edge) run(ctx context.Context, c *call) (*attempt, *refusal) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(c.deadline-e.now()))
 	defer cancel()
-	r := &runner{e: e, c: c, ctx: ctx, done: make(chan *attempt, maxRunning)}
-	defer r.settle()
+	r := &runner{e: e, c: c, ctx: ctx, done: make(chan *attempt, maxConcurrentAttempts)}
+	defer r.cancelRemaining()
 	return r.run()
 }
 
-// maxRunning bounds the attempts of one call.
-const maxRunning = 8
+// maxConcurrentAttempts bounds the attempts of one call.
+const maxConcurrentAttempts = 8
 
 // runner drives the attempts of one call.
 type runner struct {
@@ -53,35 +53,35 @@
 	tried   []string
 	// mayHaveRun says that an attempt ended without proof that it didn't run.
 	mayHaveRun bool
-	// last is the newest whole answer with a server's own failure.
-	last *attempt
+	// lastServerError is the newest whole answer with a server's own failure.
+	lastServerError *attempt
 }
 
-func (r *runner) run() (*attempt, *verdict) {
-	if v := r.begin(); v != nil {
+func (r *runner) run() (*attempt, *refusal) {
+	if v := r.startAttempt(); v != nil {
 		r.e.publishRefusal(r.c)
 		return nil, v
 	}
-	late := time.NewTimer(r.e.patience(r.c))
+	late := time.NewTimer(r.e.lateAfter(r.c))
 	defer late.Stop()
 	for {
 		select {
 		case a := <-r.done:
 			r.remove(a)
-			if done, v := r.ended(a); done != nil || v != nil {
+			if done, v := r.handleEnd(a); done != nil || v != nil {
 				return done, v
 			}
 		case <-late.C:
-			r.hedge()
+			r.handleLate()
 		case <-r.ctx.Done():
-			return r.last, r.timedOut()
+			return r.lastServerError, r.timedOut()
 		}
 	}
 }
 
-// begin starts an attempt at the best server.
-func (r *runner) begin() *verdict {
-	choice, v := r.e.place(r.c, r.tried)
+// startAttempt starts an attempt at the best server.
+func (r *runner) startAttempt() *refusal {
+	choice, v := r.e.chooseServer(r.c, r.tried)
 	if v != nil {
 		return v
 	}
@@ -109,9 +109,9 @@
 	}
 }
 
-// ended decides what follows an attempt's end: an answer for the caller, a
+// handleEnd decides what follows an attempt's end: an answer for the caller, a
 // refusal, or neither while it goes on.
-func (r *runner) ended(a *attempt) (*attempt, *verdict) {
+func (r *runner) handleEnd(a *attempt) (*attempt, *refusal) {
 	if a.result == health.OK {
 		r.e.publishAttemptEnd(r.c, a, evidence.Served)
 		return a, nil
@@ -119,45 +119,45 @@
 	mayHaveRun := r.mayHaveRun
 	r.mayHaveRun = r.mayHaveRun || !a.result.ProvedNotRun()
 	if a.result == health.ServerError {
-		r.last = a
+		r.lastServerError = a
 	}
-	d := r.e.decide(r.c, a, len(r.tried), len(r.running), mayHaveRun)
+	d := r.e.decideRetry(r.c, a, len(r.tried), len(r.running), mayHaveRun)
 	switch d.Action {
 	case retry.Wait:
 		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
 		return nil, nil
 	case retry.Retry:
 		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
-		if v := r.begin(); v == nil {
+		if v := r.startAttempt(); v == nil {
 			return nil, nil
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
 		r.e.publishAttemptEnd(r.c, a, evidence.Unserved)
 	}
-	if r.last != nil {
-		return r.last, nil
+	if r.lastServerError != nil {
+		return r.lastServerError, nil
 	}
-	return nil, r.refusal(d)
+	return nil, r.notServed(d)
 }
 
-// refusal is the truth about a call without an answer.
-func (r *runner) refusal(d retry.Decision) *verdict {
+// notServed is the truth about a call without an answer.
+func (r *runner) notServed(d retry.Decision) *refusal {
 	if r.mayHaveRun {
-		return &verdict{status: http.StatusBadGateway, rule: RuleServerFailed}
+		return &refusal{status: http.StatusBadGateway, rule: RuleServerFailed}
 	}
-	return &verdict{http.StatusServiceUnavailable, RuleNotRun, d.RetryAfter}
+	return &refusal{http.StatusServiceUnavailable, RuleNotRun, d.RetryAfter}
 }
 
-func (r *runner) timedOut() *verdict {
-	if r.last != nil {
+func (r *runner) timedOut() *refusal {
+	if r.lastServerError != nil {
 		return nil
 	}
-	return &verdict{status: http.StatusGatewayTimeout, rule: RuleTimeout}
+	return &refusal{status: http.StatusGatewayTimeout, rule: RuleTimeout}
 }
 
-// hedge tells that the attempt is late, and asks a second server if the
+// handleLate tells that the attempt is late, and asks a second server if the
 // request may run twice.
-func (r *runner) hedge() {
+func (r *runner) handleLate() {
 	if len(r.running) != 1 {
 		return
 	}
@@ -165,13 +165,13 @@
 	r.e.publishLate(a)
 	if r.e.mayHedge(r.c, len(r.tried), r.mayHaveRun) {
 		// No room for a second attempt: the first goes on alone.
-		_ = r.begin()
+		_ = r.startAttempt()
 	}
 }
 
-// settle ends the attempts that nobody waits for any more and takes in how
+// cancelRemaining ends the attempts that nobody waits for any more and takes in how
 // they ended. A caller that left, or was answered, must not keep servers busy.
-func (r *runner) settle() {
+func (r *runner) cancelRemaining() {
 	running := r.running
 	for _, a := range running {
 		a.cancel()
@@ -191,8 +191,8 @@
 	}()
 }
 
-// decide asks the rules of retries.
-func (e *Edge) decide(c *call, a *attempt, number, running int, mayHaveRun bool) retry.Decision {
+// decideRetry asks the rules of retries.
+func (e *Edge) decideRetry(c *call, a *attempt, number, running int, mayHaveRun bool) retry.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.retryState(c, a.result, number, running, mayHaveRun)
@@ -224,8 +224,8 @@
 	}
 }
 
-// patience is how long an attempt may take before it counts as late.
-func (e *Edge) patience(c *call) time.Duration {
+// lateAfter is how long an attempt may take before it counts as late.
+func (e *Edge) lateAfter(c *call) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return retry.Patience(e.routeStatsFor(c.route).work)
@@ -285,7 +285,7 @@
 		slog.String("request", c.id), slog.Int("attempt", a.number),
 		slog.String("server", a.choice.Server.ID), slog.String("service", c.service),
 		slog.String("result", a.result.String()), slog.Int64("took_ms", a.took.Milliseconds()),
-		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round(a.choice.Risk)),
+		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round3(a.choice.Risk)),
 		slog.Int64("expected_ms", a.choice.Expected.Milliseconds()),
 	}
 	if a.answer.Err != nil {
--- a/edge/call.go
+++ b/edge/call.go
@@ -40,18 +40,18 @@
 )
 
 const (
-	// callerMargin is kept back of the time that a caller will wait, for the
+	// responseMargin is kept back of the time that a caller will wait, for the
 	// answer's way to it.
-	callerMargin = 30 * time.Millisecond
-	// deadlineDefault holds for callers that don't say how long they wait.
-	deadlineDefault = 30 * time.Second
-	// comeBackSoon is told where the cause passes within moments.
-	comeBackSoon = 500 * time.Millisecond
-	// firstWork is the share of the aim that a request is taken to need
+	responseMargin = 30 * time.Millisecond
+	// defaultDeadline holds for callers that don't say how long they wait.
+	defaultDeadline = 30 * time.Second
+	// retryAfterShort is told where the cause passes within moments.
+	retryAfterShort = 500 * time.Millisecond
+	// initialWorkShare is the share of the aim that a request is taken to need
 	// before any was measured.
-	firstWork = 0.3
-	// firstKB is the size of request and answer taken before any was measured.
-	firstKB = 5.0
+	initialWorkShare = 0.3
+	// initialSizeKB is the size of request and answer taken before any was measured.
+	initialSizeKB = 5.0
 )
 
 // call is a caller's request in progress.
@@ -68,24 +68,24 @@
 	workspace *routing.Workspace
 	service   string
 	version   uint32
-	keyAge    time.Duration
+	configAge time.Duration
 	// charged says that the workspace's rate has paid for it.
 	charged bool
 }
 
-// verdict is a refusal before any backend server was asked.
-type verdict struct {
+// refusal is a refusal before any backend server was asked.
+type refusal struct {
 	status     int
 	rule       Rule
 	retryAfter time.Duration
 }
 
-// open reads what a request asks for and whether it may.
-func (e *Edge) open(r *http.Request) (*call, *verdict) {
+// newCall reads what a request asks for and whether it may.
+func (e *Edge) newCall(r *http.Request) (*call, *refusal) {
 	c := &call{
 		id:     r.Header.Get(platform.HeaderAttempt),
 		method: r.Method,
-		target: target(r),
+		target: requestTarget(r),
 		host:   r.Host,
 		start:  e.now(),
 	}
@@ -94,28 +94,28 @@
 	defer e.mu.Unlock()
 	s := &e.state
 	if s.table == nil {
-		return c, &verdict{http.StatusServiceUnavailable, RuleNoConfig, comeBackSoon}
+		return c, &refusal{http.StatusServiceUnavailable, RuleNoConfig, retryAfterShort}
 	}
 	c.version = s.table.Version
-	c.keyAge = e.configAge(c.start)
+	c.configAge = e.configAge(c.start)
 	c.route = s.table.Route(r.Host, path)
 	if c.route == nil {
-		return c, &verdict{status: http.StatusNotFound, rule: RuleNoRoute}
+		return c, &refusal{status: http.StatusNotFound, rule: RuleNoRoute}
 	}
-	c.deadline = c.start + timeLeft(r.Header, c.route)
-	if v := e.checkKey(c, r.Header); v != nil {
+	c.deadline = c.start + remainingTime(r.Header, c.route)
+	if v := e.authenticate(c, r.Header); v != nil {
 		return c, v
 	}
 	if limit := s.table.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
-		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
+		return c, &refusal{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
-	c.service = s.split.Pick(c.route)
+	c.service = s.splitter.Pick(c.route)
 	return c, nil
 }
 
-// target is the path and query as the caller sent them. A caller may send the
+// requestTarget is the path and query as the caller sent them. A caller may send the
 // whole URL.
-func target(r *http.Request) string {
+func requestTarget(r *http.Request) string {
 	t := r.RequestURI
 	if strings.HasPrefix(t, "/") {
 		return t
@@ -128,39 +128,39 @@
 	return "/"
 }
 
-func timeLeft(h http.Header, r *routing.Route) time.Duration {
+func remainingTime(h http.Header, r *routing.Route) time.Duration {
 	left := platform.Deadline(h)
 	if left == 0 {
-		left = deadlineDefault
+		left = defaultDeadline
 	}
-	left -= callerMargin
+	left -= responseMargin
 	if r.Timeout > 0 {
 		left = min(left, r.Timeout)
 	}
 	return left
 }
 
-// checkKey finds the workspace. A key that was taken away must not work any
+// authenticate finds the workspace. A key that was taken away must not work any
 // longer than its bound, so that nothing with a key is admitted on a
 // configuration whose age isn't proved; nothing of it has run then.
-func (e *Edge) checkKey(c *call, h http.Header) *verdict {
+func (e *Edge) authenticate(c *call, h http.Header) *refusal {
 	s := &e.state
 	if !s.table.Keyed || c.route.Public {
 		return nil
 	}
-	if c.keyAge > s.bounds.Keys {
-		return &verdict{http.StatusServiceUnavailable, RuleConfigTooOld, comeBackSoon}
+	if c.configAge > s.bounds.Keys {
+		return &refusal{http.StatusServiceUnavailable, RuleConfigTooOld, retryAfterShort}
 	}
 	c.workspace = s.table.Workspace(platform.Key(h.Get(platform.HeaderKey)))
 	if c.workspace == nil {
-		return &verdict{status: http.StatusUnauthorized, rule: RuleUnknownKey}
+		return &refusal{status: http.StatusUnauthorized, rule: RuleUnknownKey}
 	}
 	return nil
 }
 
 // readBody holds the whole body, so that it can go to a second server if the
 // first didn't run it, and a slow sender holds no server's slot.
-func (e *Edge) readBody(c *call, w http.ResponseWriter, r *http.Request) *verdict {
+func (e *Edge) readBody(c *call, w http.ResponseWriter, r *http.Request) *refusal {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -172,18 +172,18 @@
 	e.mu.Unlock()
 	b, err := io.ReadAll(body)
 	if _, tooLarge := err.(*http.MaxBytesError); tooLarge { //nolint:errorlint // the reader returns it bare
-		return &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
+		return &refusal{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	if err != nil {
-		return &verdict{status: http.StatusBadRequest, rule: RuleBodyUnreadable}
+		return &refusal{status: http.StatusBadRequest, rule: RuleBodyUnreadable}
 	}
 	c.body = b
 	return nil
 }
 
-// place chooses a server for the next attempt. Charging the workspace comes
+// chooseServer chooses a server for the next attempt. Charging the workspace comes
 // last: only a request that is going to be sent uses up its rate.
-func (e *Edge) place(c *call, tried []string) (placement.Choice, *verdict) {
+func (e *Edge) chooseServer(c *call, tried []string) (placement.Choice, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := &e.state
@@ -191,28 +191,28 @@
 	// Between two beats of the heart a server may have run out of its grace;
 	// it would still get requests for up to a fifth of a second.
 	e.expireServers(now)
-	r := e.wanted(c, tried, now)
+	r := e.placementRequest(c, tried, now)
 	choice, ok := s.placer.Choose(r, now, rand.Float64)
 	if !ok {
-		return choice, e.unplaceable(r, now)
+		return choice, e.noServerRefusal(r, now)
 	}
 	rank := routing.Rank(c.route, c.workspace)
 	if !e.mechanisms.On(mechanism.Rank) {
 		rank = 0
 	}
 	if ok, wait := placement.Admit(choice, r, rank, rand.Float64()); !ok {
-		return choice, &verdict{http.StatusServiceUnavailable, RuleNoRoom, wait}
+		return choice, &refusal{http.StatusServiceUnavailable, RuleNoRoom, wait}
 	}
-	if v := e.charge(c, now); v != nil {
+	if v := e.chargeRate(c, now); v != nil {
 		return choice, v
 	}
 	s.placer.Sent(choice.Server.ID, r, now)
 	return choice, nil
 }
 
-// unplaceable is the refusal of a request that no server may get.
-func (e *Edge) unplaceable(r placement.Request, now time.Duration) *verdict {
-	v := &verdict{http.StatusServiceUnavailable, RuleNoServer, comeBackSoon}
+// noServerRefusal is the refusal of a request that no server may get.
+func (e *Edge) noServerRefusal(r placement.Request, now time.Duration) *refusal {
+	v := &refusal{http.StatusServiceUnavailable, RuleNoServer, retryAfterShort}
 	obstacle, wait := e.state.placer.Obstacle(r, now)
 	switch obstacle {
 	case placement.Outside:
@@ -220,28 +220,28 @@
 	case placement.Evacuated:
 		v.rule = RuleServersEvacuated
 	case placement.Limited:
-		v.rule, v.retryAfter = RuleServersAtLimit, untilShare(wait)
+		v.rule, v.retryAfter = RuleServersAtLimit, shareRetryAfter(wait)
 	case placement.Cold:
-		v.rule, v.retryAfter = RuleServersCold, untilShare(wait)
+		v.rule, v.retryAfter = RuleServersCold, shareRetryAfter(wait)
 	case placement.NoObstacle, placement.Draining:
 	}
 	return v
 }
 
-// untilShare is when to come back after this instance's share of a server was used
+// shareRetryAfter is when to come back after this instance's share of a server was used
 // up: another instance may hold one that is free at once.
-func untilShare(wait time.Duration) time.Duration {
-	return min(max(wait, comeBackElsewhere), comeBackSoon)
+func shareRetryAfter(wait time.Duration) time.Duration {
+	return min(max(wait, retryAfterElsewhere), retryAfterShort)
 }
 
-func (e *Edge) wanted(c *call, tried []string, now time.Duration) placement.Request {
+func (e *Edge) placementRequest(c *call, tried []string, now time.Duration) placement.Request {
 	stats := e.routeStatsFor(c.route)
 	repeatable := c.route.Kind.Repeatable()
 	allowed, _ := e.topology.Allowed(c.route, c.workspace)
 	return placement.Request{
 		Service:      c.service,
 		Repeatable:   repeatable,
-		RoomToRepeat: repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
+		RoomToRepeat: repeatable && c.route.MaxAttempts > 1 && e.hasRetryBudget(c.service),
 		Aim:          c.route.Aim - (now - c.start),
 		Left:         c.deadline - now,
 		Work:         stats.work,
@@ -252,15 +252,15 @@
 	}
 }
 
-func (e *Edge) charge(c *call, now time.Duration) *verdict {
+func (e *Edge) chargeRate(c *call, now time.Duration) *refusal {
 	if c.workspace == nil || c.charged {
 		return nil
 	}
 	ok, wait := e.state.usage.Take(workspaceHash(c.workspace.Name), now)
 	if !ok {
 		// Spread, so that callers refused together don't return together.
-		wait += time.Duration(rand.Float64() * float64(comeBackSoon))
-		return &verdict{http.StatusTooManyRequests, RuleOverRate, wait}
+		wait += time.Duration(rand.Float64() * float64(retryAfterShort))
+		return &refusal{http.StatusTooManyRequests, RuleOverRate, wait}
 	}
 	c.charged = true
 	return nil
@@ -269,7 +269,7 @@
 func (e *Edge) routeStatsFor(r *routing.Route) *routeStats {
 	st, ok := e.state.routes[r.Name]
 	if !ok {
-		st = &routeStats{work: time.Duration(firstWork * float64(r.Aim)), kb: firstKB}
+		st = &routeStats{work: time.Duration(initialWorkShare * float64(r.Aim)), kb: initialSizeKB}
 		e.state.routes[r.Name] = st
 	}
 	return st
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -19,10 +19,10 @@
 // if there are too few: what crosses data centres is slower, and dear.
 func (d directory) nearest(q platform.Question) []string {
 	near := d.ready[q.DataCentre]
-	if len(near) >= fewAddresses {
+	if len(near) >= minLocalAddresses {
 		return near
 	}
-	return append(slices.Clone(near), d.where(func(dc string) bool { return dc != q.DataCentre })...)
+	return append(slices.Clone(near), d.readyIn(func(dc string) bool { return dc != q.DataCentre })...)
 }
 
 // inRegions is nearest for a host whose routes are restricted to regions. Bodies
@@ -40,15 +40,15 @@
 		func(string) bool { return true },
 	}
 	for _, choice := range choices {
-		if list := d.where(choice); len(list) > 0 {
+		if list := d.readyIn(choice); len(list) > 0 {
 			return list
 		}
 	}
 	return nil
 }
 
-// where returns the ready instances of some data centres.
-func (d directory) where(is func(dataCentre string) bool) []string {
+// readyIn returns the ready instances of some data centres.
+func (d directory) readyIn(is func(dataCentre string) bool) []string {
 	var list []string
 	for _, dc := range slices.Sorted(maps.Keys(d.ready)) {
 		if is(dc) {
@@ -58,4 +58,4 @@
 	return list
 }
 
-func first(list []string, most int) []string { return list[:min(len(list), most)] }
+func firstN(list []string, most int) []string { return list[:min(len(list), most)] }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -47,18 +47,18 @@
 
 // Edge is one instance.
 type Edge struct {
-	settings settings.Settings
-	file     string
-	log      *slog.Logger
-	lines    *logging.Writer
-	budget   *logging.Budget
-	clock    clock.Clock
-	store    *platform.Store
-	pool     *upstream.Pool
-	metrics  *metrics
-	socket   *net.UDPConn
-	ports    ports
-	tree     *suture.Supervisor
+	settings     settings.Settings
+	settingsFile string
+	log          *slog.Logger
+	logWriter    *logging.Writer
+	budget       *logging.Budget
+	clock        clock.Clock
+	store        *platform.Store
+	pool         *upstream.Pool
+	metrics      *metrics
+	socket       *net.UDPConn
+	ports        ports
+	supervisor   *suture.Supervisor
 
 	self       uint32
 	epoch      uint32
@@ -72,8 +72,8 @@
 	// stopping is set by the signal to stop.
 	stopping atomic.Bool
 	// closing is set when a stopping instance takes no more requests.
-	closing atomic.Bool
-	callers *pipeline.Server
+	closing      atomic.Bool
+	callerServer *pipeline.Server
 	// pollNow wakes the poller.
 	pollNow chan struct{}
 	// fetchNow wakes the fetcher of the configuration.
@@ -97,7 +97,7 @@
 	// configUnreadable says that the newest configuration in the store couldn't be
 	// understood: what is in force is older, and its age can't be proved.
 	configUnreadable bool
-	split            routing.Splitter
+	splitter         routing.Splitter
 
 	// era of the store in the newest answer; eraKnown says that there was one.
 	// It began at eraSince of the store's clock, 0 if that was before this
@@ -135,9 +135,9 @@
 	missedServersDue  time.Duration
 	storeUnavailable  bool
 	nextInstancesRead time.Duration
-	// leftOut is the number of log lines left out that was logged last.
-	leftOut   uint64
-	leftOutAt time.Duration
+	// loggedDroppedLines is the number of log lines left out that was logged last.
+	loggedDroppedLines   uint64
+	droppedLinesLoggedAt time.Duration
 
 	serverList *discovery.List
 	placer     *placement.Placer
@@ -180,8 +180,8 @@
 	e := &Edge{
 		settings:      s,
 		mechanisms:    s.Trial.Disabled(),
-		file:          file,
-		lines:         lines,
+		settingsFile:  file,
+		logWriter:     lines,
 		log:           slog.New(slog.NewJSONHandler(lines, nil)).With(slog.String("instance", s.Name)),
 		budget:        logging.NewBudget(s.Log.LinesPerSecond),
 		clock:         clock.New(),
@@ -194,11 +194,11 @@
 		fetchNow:      make(chan struct{}, 1),
 		storeReadable: make(chan struct{}),
 	}
-	e.callers = e.newCallers()
+	e.callerServer = e.newCallerServer()
 	e.metrics = newMetrics(e)
 	e.state = state{
 		bounds:         freshness.NewBounds(settings.Seconds(s.Bounds.RevokeS)),
-		split:          routing.Splitter{Offset: rand.Float64()},
+		splitter:       routing.Splitter{Offset: rand.Float64()},
 		config:         replica.NewTable(),
 		servers:        replica.NewTable(),
 		instances:      replica.NewTable(),
@@ -219,7 +219,7 @@
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
-	e.plant()
+	e.addServices()
 	return e, nil
 }
 
@@ -233,7 +233,7 @@
 func (e *Edge) Run(ctx context.Context) error {
 	run, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	done := e.tree.ServeBackground(run)
+	done := e.supervisor.ServeBackground(run)
 	event.EdgeStarted.Log(e.log, slog.String("callers", e.settings.Listen.Callers),
 		slog.String("data_centre", e.settings.DataCentre), slog.String("store", e.settings.Store.Address))
 	select {
@@ -245,9 +245,9 @@
 	cancel()
 	select {
 	case <-done:
-	case <-time.After(endWait):
+	case <-time.After(shutdownWait):
 	}
-	e.lines.Flush()
+	e.logWriter.Flush()
 	return nil
 }
 
@@ -288,39 +288,39 @@
 	return nil
 }
 
-// plant puts the parts into the supervisor tree.
-func (e *Edge) plant() {
-	e.tree = suture.New("edge", suture.Spec{
+// addServices puts the parts into the supervisor tree.
+func (e *Edge) addServices() {
+	e.supervisor = suture.New("edge", suture.Spec{
 		EventHook: func(ev suture.Event) {
 			event.ChildFailed.Log(e.log, slog.String("error", ev.String()))
 		},
 		Timeout: time.Second,
 	})
-	e.tree.Add(part{"log", e.lines.Serve})
-	e.tree.Add(part{"receiver", e.receiveDatagrams})
-	e.tree.Add(part{"heart", e.sendHeartbeats})
-	e.tree.Add(part{"poller", e.pollStore})
-	e.tree.Add(part{"fetcher", e.fetchConfig})
-	e.tree.Add(part{"register", e.registerInstances})
-	e.tree.Add(part{"snapshots", e.serveSnapshots})
-	e.tree.Add(part{"settings", e.watchSettings})
-	e.tree.Add(part{"callers", e.serveCallers})
-	e.tree.Add(part{"readiness", e.serveHTTP(e.ports.readiness, http.HandlerFunc(e.answerReady))})
-	e.tree.Add(part{"directory", e.serveHTTP(e.ports.directory, http.HandlerFunc(e.answerDirectory))})
-	e.tree.Add(part{"metrics", e.serveHTTP(e.ports.metrics, e.metrics.handler(e.answerStatus))})
+	e.supervisor.Add(namedService{"log", e.logWriter.Serve})
+	e.supervisor.Add(namedService{"receiver", e.receiveDatagrams})
+	e.supervisor.Add(namedService{"heart", e.sendHeartbeats})
+	e.supervisor.Add(namedService{"poller", e.pollStore})
+	e.supervisor.Add(namedService{"fetcher", e.fetchConfig})
+	e.supervisor.Add(namedService{"register", e.registerInstances})
+	e.supervisor.Add(namedService{"snapshots", e.serveSnapshots})
+	e.supervisor.Add(namedService{"settings", e.watchSettings})
+	e.supervisor.Add(namedService{"callers", e.serveCallers})
+	e.supervisor.Add(namedService{"readiness", e.serveHTTP(e.ports.readiness, http.HandlerFunc(e.handleReadiness))})
+	e.supervisor.Add(namedService{"directory", e.serveHTTP(e.ports.directory, http.HandlerFunc(e.handleDirectory))})
+	e.supervisor.Add(namedService{"metrics", e.serveHTTP(e.ports.metrics, e.metrics.handler(e.handleStatus))})
 }
 
-// part is a named part of the tree.
-type part struct {
+// namedService is a named namedService of the tree.
+type namedService struct {
 	name  string
 	serve func(context.Context) error
 }
 
 // Serve implements suture.Service.
-func (p part) Serve(ctx context.Context) error { return p.serve(ctx) }
+func (p namedService) Serve(ctx context.Context) error { return p.serve(ctx) }
 
 // String names the part in logs.
-func (p part) String() string { return p.name }
+func (p namedService) String() string { return p.name }
 
 // parseIPv4 is the short form of an IPv4 address in messages.
 func parseIPv4(ip string) (uint32, error) {
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -70,7 +70,7 @@
 		s.placer.SetWarmUp(service.Name, placement.WarmUp{Time: service.WarmUp, Rate: service.WarmUpRate})
 	}
 	if c.Limits.IdleTimeout > 0 {
-		e.callers.SetIdle(c.Limits.IdleTimeout)
+		e.callerServer.SetIdle(c.Limits.IdleTimeout)
 	}
 	event.ConfigInForce.Log(e.log, slog.Uint64("version", uint64(c.Version)),
 		slog.Int("routes", len(c.Routes)), slog.Int("workspaces", len(c.Workspaces)))
--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -102,7 +102,7 @@
 	f.writeEntry(leaving, "draining")
 	time.Sleep(2 * time.Second)
 	before := leaving.total()
-	f.lookupsFor(time.Second, 10*time.Millisecond)
+	f.sendLookups(time.Second, 10*time.Millisecond)
 	must.Eq(t, before, leaving.total())
 }
 
@@ -128,11 +128,11 @@
 			f.fromACopy(c)
 			time.Sleep(time.Second)
 			before := leaving.total()
-			f.lookupsFor(time.Second, 10*time.Millisecond)
+			f.sendLookups(time.Second, 10*time.Millisecond)
 			must.Eq(t, before, leaving.total())
 			leave(f, leaving)
 			time.Sleep(time.Second)
-			f.lookupsFor(500*time.Millisecond, 10*time.Millisecond)
+			f.sendLookups(500*time.Millisecond, 10*time.Millisecond)
 			must.Eq(t, before, leaving.total())
 		})
 	}
@@ -156,7 +156,7 @@
 	f.writeEntry(cut, "ready")
 	time.Sleep(time.Second)
 	before := cut.total()
-	f.lookupsFor(2*time.Second, 10*time.Millisecond)
+	f.sendLookups(2*time.Second, 10*time.Millisecond)
 	must.Greater(t, before, cut.total())
 }
 
@@ -174,13 +174,13 @@
 	time.Sleep(time.Second)
 	before := away.total()
 	f.fromACopy(c)
-	f.lookupsFor(1500*time.Millisecond, 10*time.Millisecond)
+	f.sendLookups(1500*time.Millisecond, 10*time.Millisecond)
 	f.store.Put("op", "evacuate/away", []byte("{}"))
-	f.lookupsFor(1500*time.Millisecond, 10*time.Millisecond)
+	f.sendLookups(1500*time.Millisecond, 10*time.Millisecond)
 	must.Eq(t, before, away.total())
 	f.store.Remove("op", "evacuate/away")
 	eventually(t, 5*time.Second, "the data centre is used again", func() bool {
-		f.lookupsFor(100*time.Millisecond, 10*time.Millisecond)
+		f.sendLookups(100*time.Millisecond, 10*time.Millisecond)
 		return away.total() > before
 	})
 }
--- a/edge/fixture_test.go
+++ b/edge/fixture_test.go
@@ -64,12 +64,12 @@
 	return s.b.String()
 }
 
-var networks atomic.Uint32
+var lastNetwork atomic.Uint32
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{t: t, store: rowstore.New("op", "servers"), net: byte(10 + networks.Add(1))}
-	t.Cleanup(f.end)
+	f := &fleet{t: t, store: rowstore.New("op", "servers"), net: byte(10 + lastNetwork.Add(1))}
+	t.Cleanup(f.stopAll)
 	// All are held until the last is drawn: one that was given back might be
 	// drawn a second time.
 	for i := range f.ports {
@@ -85,8 +85,8 @@
 
 func (f *fleet) address(n, port int) string { return fmt.Sprintf("%s:%d", f.ip(n), f.ports[port]) }
 
-// end stops all instances, together: each takes a while for a planned stop.
-func (f *fleet) end() {
+// stopAll stops all instances, together: each takes a while for a planned stop.
+func (f *fleet) stopAll() {
 	for _, i := range f.instances {
 		i.cancel()
 	}
@@ -178,11 +178,11 @@
 	server *httptest.Server
 	mu     sync.Mutex
 	// writes counts its entries in the store.
-	writes  int
-	ran     map[string]int
-	last    http.Header
-	lastURI string
-	answer  func(w http.ResponseWriter, r *http.Request)
+	writes   int
+	executed map[string]int
+	last     http.Header
+	lastURI  string
+	answer   func(w http.ResponseWriter, r *http.Request)
 }
 
 // backend starts a server of service s; answer replaces its usual answer.
@@ -194,7 +194,7 @@
 // backendIn starts a server in a data centre.
 func (f *fleet) backendIn(zone, id string, answer func(w http.ResponseWriter, r *http.Request)) *backend {
 	f.t.Helper()
-	b := &backend{id: id, zone: zone, ran: make(map[string]int), answer: answer}
+	b := &backend{id: id, zone: zone, executed: make(map[string]int), answer: answer}
 	b.server = httptest.NewServer(b)
 	f.t.Cleanup(b.server.Close)
 	f.writeEntry(b, "ready")
@@ -223,7 +223,7 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	b.mu.Lock()
-	b.ran[id]++
+	b.executed[id]++
 	b.last, b.lastURI = r.Header.Clone(), r.RequestURI
 	b.mu.Unlock()
 	if b.answer != nil {
@@ -234,17 +234,17 @@
 	_, _ = w.Write(append([]byte(b.id+":"), body...))
 }
 
-func (b *backend) runs(id string) int {
+func (b *backend) executions(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ran[id]
+	return b.executed[id]
 }
 
 func (b *backend) total() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, k := range b.ran {
+	for _, k := range b.executed {
 		n += k
 	}
 	return n
@@ -267,12 +267,12 @@
 	closes bool
 }
 
-var attempts atomic.Uint32
+var lastAttempt atomic.Uint32
 
 // call sends a request to an instance.
 func (f *fleet) call(n int, method, path, body string, change func(*http.Request)) (result, string) {
 	f.t.Helper()
-	id := fmt.Sprintf("attempt-%d", attempts.Add(1))
+	id := fmt.Sprintf("attempt-%d", lastAttempt.Add(1))
 	req, err := http.NewRequest(method, "http://"+f.address(n, 0)+path, strings.NewReader(body))
 	must.NoError(f.t, err)
 	req.Host = "h.example"
--- a/edge/answer.go
+++ b/edge/handler.go
@@ -17,46 +17,46 @@
 // kept for refusals and failures.
 const routineLogShare = 0.5
 
-// hopHeaders concern one connection only and are never passed on.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only and are never passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// answerCaller serves one request of a caller.
-func (e *Edge) answerCaller(w http.ResponseWriter, r *http.Request) {
+// handleRequest serves one request of a caller.
+func (e *Edge) handleRequest(w http.ResponseWriter, r *http.Request) {
 	if e.stopping.Load() {
 		// The caller opens its next connection elsewhere; what it sends on
 		// this one until then is still served.
 		w.Header().Set("Connection", "close")
 	}
-	c, v := e.open(r)
+	c, v := e.newCall(r)
 	if e.closing.Load() {
-		v = &verdict{http.StatusServiceUnavailable, RuleStopping, comeBackElsewhere}
+		v = &refusal{http.StatusServiceUnavailable, RuleStopping, retryAfterElsewhere}
 	}
 	if v == nil {
 		v = e.readBody(c, w, r)
 	}
 	if v != nil {
-		e.refuse(w, c, v)
+		e.writeRefusal(w, c, v)
 		return
 	}
-	c.header = forwarded(r.Header)
+	c.header = upstreamHeader(r.Header)
 	a, v := e.run(r.Context(), c)
 	switch {
 	case r.Context().Err() != nil:
 		e.logRequest(c, 0, RuleCallerLeft, a)
 	case v != nil:
-		e.refuse(w, c, v)
+		e.writeRefusal(w, c, v)
 	default:
-		e.deliver(w, c, a)
+		e.writeResponse(w, c, a)
 	}
 }
 
-// forwarded returns the headers that a server gets. The key is for this fleet
+// upstreamHeader returns the headers that a server gets. The key is for this fleet
 // only, and nobody but this fleet says which workspace or server is meant.
-func forwarded(h http.Header) http.Header {
-	out := withoutHop(h)
+func upstreamHeader(h http.Header) http.Header {
+	out := withoutHopByHop(h)
 	for _, name := range []string{
 		platform.HeaderKey, platform.HeaderWorkspace, platform.HeaderExpect, platform.HeaderDeadline,
 	} {
@@ -65,7 +65,7 @@
 	return out
 }
 
-func withoutHop(h http.Header) http.Header {
+func withoutHopByHop(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
@@ -74,16 +74,16 @@
 			}
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// deliver passes a server's answer on.
-func (e *Edge) deliver(w http.ResponseWriter, c *call, a *attempt) {
+// writeResponse passes a server's answer on.
+func (e *Edge) writeResponse(w http.ResponseWriter, c *call, a *attempt) {
 	h := w.Header()
-	for name, values := range withoutHop(a.answer.Header) {
+	for name, values := range withoutHopByHop(a.answer.Header) {
 		h[name] = values
 	}
 	if c.method != http.MethodHead {
@@ -102,8 +102,8 @@
 	e.logRequest(c, a.answer.Status, rule, a)
 }
 
-// refuse answers a request that no server has answered.
-func (e *Edge) refuse(w http.ResponseWriter, c *call, v *verdict) {
+// writeRefusal answers a request that no server has answered.
+func (e *Edge) writeRefusal(w http.ResponseWriter, c *call, v *refusal) {
 	h := w.Header()
 	if c.id != "" {
 		h.Set(platform.HeaderAttempt, c.id)
@@ -120,7 +120,7 @@
 // logRequest writes how a request ended and the figures that decided it.
 func (e *Edge) logRequest(c *call, status int, rule Rule, a *attempt) {
 	now := e.now()
-	e.metrics.ended(rule, now-c.start)
+	e.metrics.observeRequest(rule, now-c.start)
 	weight := 1.0
 	if rule == RuleServed {
 		weight = routineLogShare
@@ -131,7 +131,7 @@
 	attrs := []slog.Attr{
 		slog.String("request", c.id), slog.Int("status", status), slog.String("rule", string(rule)),
 		slog.Int64("took_ms", (now - c.start).Milliseconds()),
-		slog.Uint64("version", uint64(c.version)), ageAttr(c.keyAge),
+		slog.Uint64("version", uint64(c.version)), ageAttr(c.configAge),
 	}
 	if c.route != nil {
 		attrs = append(attrs, slog.String("route", c.route.Name), slog.String("service", c.service),
@@ -143,26 +143,26 @@
 		e.mu.Unlock()
 		attrs = append(attrs, slog.String("workspace", c.workspace.Name),
 			slog.Float64("rate", c.workspace.Rate), slog.Float64("burst", c.workspace.Burst),
-			slog.Float64("tokens", round(tokens)), slog.Float64("share", round(share)))
+			slog.Float64("tokens", round3(tokens)), slog.Float64("share", round3(share)))
 	}
 	if a != nil {
 		attrs = append(attrs, slog.String("server", a.choice.Server.ID), slog.Int("attempt", a.number),
-			slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round(a.choice.Risk)))
+			slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round3(a.choice.Risk)))
 	}
 	event.RequestEnded.Log(e.log, attrs...)
 }
 
-// leftOutEvery is how often the number of lines that were left out is logged.
-const leftOutEvery = 10 * time.Second
+// droppedLinesLogInterval is how often the number of lines that were left out is logged.
+const droppedLinesLogInterval = 10 * time.Second
 
 // logDroppedLines logs how many lines were left out, if any were.
 func (e *Edge) logDroppedLines(now time.Duration) {
 	s := &e.state
-	count := e.budget.LeftOut() + e.lines.Dropped()
-	if count == s.leftOut || now-s.leftOutAt < leftOutEvery {
+	count := e.budget.LeftOut() + e.logWriter.Dropped()
+	if count == s.loggedDroppedLines || now-s.droppedLinesLoggedAt < droppedLinesLogInterval {
 		return
 	}
-	s.leftOut, s.leftOutAt = count, now
+	s.loggedDroppedLines, s.droppedLinesLoggedAt = count, now
 	event.LinesLeftOut.Log(e.log, slog.Uint64("count", count))
 }
 
@@ -174,12 +174,12 @@
 	return slog.Int64("age_ms", d.Milliseconds())
 }
 
-// milli is whole milliseconds; -1 for an age that isn't known.
-func milli(d time.Duration) int64 {
+// millisOrUnknown is whole milliseconds; -1 for an age that isn't known.
+func millisOrUnknown(d time.Duration) int64 {
 	if d > time.Hour {
 		return -1
 	}
 	return d.Milliseconds()
 }
 
-func round(x float64) float64 { return math.Round(x*1000) / 1000 }
+func round3(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -14,10 +14,10 @@
 	"foxtailspoke/upstream"
 )
 
-// limitMargin is how long another instance may take to learn of an answer that names
+// limitPropagationDelay is how long another instance may take to learn of an answer that names
 // a limit. An answer to a request that another instance sent within that time after
 // it doesn't end the limit.
-const limitMargin = time.Second
+const limitPropagationDelay = time.Second
 
 // updateLimit takes in what an answer says of its server's limit, and returns the
 // limit that it names for the other instances. The lock must be held.
@@ -35,13 +35,13 @@
 		return nil
 	case named:
 		milli := milliPerSecond(limit)
-		e.limit(hash, *milli, now)
+		e.setLimit(hash, *milli, now)
 		return milli
 	case a.result == health.OK && a.answer.Header.Get(platform.HeaderProof) == "":
 		// An error that nobody has signed may not come from the server itself.
 		return e.knownLimit(hash)
 	case a.result == health.OK && e.state.throttle.HeardBefore(hash, a.start):
-		e.unlimit(hash, now)
+		e.clearLimit(hash, now)
 	}
 	return nil
 }
@@ -55,11 +55,11 @@
 	return milliPerSecond(limit)
 }
 
-// perMilli is how many thousandths make a request a second.
-const perMilli = 1000
+// milliPerRequest is how many thousandths make a request a second.
+const milliPerRequest = 1000
 
 func milliPerSecond(perSecond float64) *uint32 {
-	m := uint32(math.Min(math.Round(perSecond*perMilli), math.MaxUint32))
+	m := uint32(math.Min(math.Round(perSecond*milliPerRequest), math.MaxUint32))
 	return &m
 }
 
@@ -67,17 +67,17 @@
 // limit. The lock must be held.
 func (e *Edge) applyPeerLimit(a evidence.Attempt, now time.Duration) {
 	if a.LimitMilli != nil {
-		e.limit(a.Server, *a.LimitMilli, now)
+		e.setLimit(a.Server, *a.LimitMilli, now)
 		return
 	}
 	start := now - milliseconds(a.TookMS)
-	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.HeardBefore(a.Server, start-limitMargin) {
-		e.unlimit(a.Server, now)
+	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.HeardBefore(a.Server, start-limitPropagationDelay) {
+		e.clearLimit(a.Server, now)
 	}
 }
 
-func (e *Edge) limit(server, milli uint32, now time.Duration) {
-	perSecond := float64(milli) / perMilli
+func (e *Edge) setLimit(server, milli uint32, now time.Duration) {
+	perSecond := float64(milli) / milliPerRequest
 	before, limited := e.state.throttle.Limit(server)
 	e.state.throttle.Named(server, perSecond, now)
 	if !limited || before != perSecond {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (e *Edge) unlimit(server uint32, now time.Duration) {
+func (e *Edge) clearLimit(server uint32, now time.Duration) {
 	before, _ := e.state.throttle.Limit(server)
 	e.state.throttle.Withdrawn(server)
 	e.logLimit(server, slog.Float64("limit", 0), slog.Float64("before", before), now)
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -36,8 +36,8 @@
 	return s
 }
 
-// since is how many requests have come since then.
-func (s *limitedServer) since(t time.Time) int {
+// requestsSince is how many requests have come requestsSince then.
+func (s *limitedServer) requestsSince(t time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -49,9 +49,9 @@
 	return n
 }
 
-// lookupsFor sends lookups to all instances in turn, one every gap, and returns
+// sendLookups sends lookups to all instances in turn, one every gap, and returns
 // how many were served.
-func (f *fleet) lookupsFor(d, gap time.Duration) int {
+func (f *fleet) sendLookups(d, gap time.Duration) int {
 	var served atomic.Int64
 	var wg sync.WaitGroup
 	n := 0
@@ -77,13 +77,13 @@
 	limited := f.limitedServer("limited", "2")
 	f.backend("other", nil)
 	f.startAll(4)
-	f.lookupsFor(time.Second, 10*time.Millisecond)
+	f.sendLookups(time.Second, 10*time.Millisecond)
 	start := time.Now()
-	served := f.lookupsFor(4*time.Second, 10*time.Millisecond)
+	served := f.sendLookups(4*time.Second, 10*time.Millisecond)
 	must.Positive(t, served)
 	// One and a half times what the limit allows in four seconds, and five more.
-	must.LessEq(t, 1.5*2*4+5, float64(limited.since(start)))
-	must.Positive(t, limited.since(start))
+	must.LessEq(t, 1.5*2*4+5, float64(limited.requestsSince(start)))
+	must.Positive(t, limited.requestsSince(start))
 }
 
 // A server that is well again stays at its former limit, and callers wait for the
@@ -95,13 +95,13 @@
 	limited := f.limitedServer("limited", "2")
 	f.backend("other", nil)
 	f.startAll(8)
-	f.lookupsFor(2*time.Second, 10*time.Millisecond)
+	f.sendLookups(2*time.Second, 10*time.Millisecond)
 	none := ""
 	limited.limit.Store(&none)
-	f.lookupsFor(4*time.Second, 10*time.Millisecond)
+	f.sendLookups(4*time.Second, 10*time.Millisecond)
 	start := time.Now()
-	f.lookupsFor(time.Second, 10*time.Millisecond)
-	must.Greater(t, 12, limited.since(start))
+	f.sendLookups(time.Second, 10*time.Millisecond)
+	must.Greater(t, 12, limited.requestsSince(start))
 }
 
 // All servers name limits. What goes beyond them is refused as not run, at once,
@@ -112,8 +112,8 @@
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "1")
 	f.startAll(1)
-	f.lookupsFor(500*time.Millisecond, 10*time.Millisecond)
-	before := limited.since(time.Time{})
+	f.sendLookups(500*time.Millisecond, 10*time.Millisecond)
+	before := limited.requestsSince(time.Time{})
 	for range 20 {
 		start := time.Now()
 		r, id := f.order(0)
@@ -123,10 +123,10 @@
 		must.Eq(t, http.StatusServiceUnavailable, r.status)
 		must.Eq(t, "servers-at-their-limit\n", r.body)
 		must.NotEq(t, "", r.header.Get("Retry-After"))
-		must.Zero(t, limited.runs(id))
+		must.Zero(t, limited.executions(id))
 		must.Less(t, 200*time.Millisecond, time.Since(start))
 	}
-	must.LessEq(t, before+2, limited.since(time.Time{}))
+	must.LessEq(t, before+2, limited.requestsSince(time.Time{}))
 }
 
 // A limited server's own error bears neither its signature nor its limit. Taken for
@@ -150,8 +150,8 @@
 	}
 	f.backend("other", nil)
 	f.startAll(4)
-	f.lookupsFor(time.Second, 10*time.Millisecond)
+	f.sendLookups(time.Second, 10*time.Millisecond)
 	start := time.Now()
-	f.lookupsFor(4*time.Second, 10*time.Millisecond)
-	must.LessEq(t, 1.5*2*4+5, float64(limited.since(start)))
+	f.sendLookups(4*time.Second, 10*time.Millisecond)
+	must.LessEq(t, 1.5*2*4+5, float64(limited.requestsSince(start)))
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -23,7 +23,7 @@
 type metrics struct {
 	registry          *prometheus.Registry
 	requests          *prometheus.CounterVec
-	took              *prometheus.HistogramVec
+	durations         *prometheus.HistogramVec
 	attempts          *prometheus.CounterVec
 	datagrams         prometheus.Counter
 	datagramsReceived prometheus.Counter
@@ -35,7 +35,7 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total", Help: "Callers' requests by the rule that ended them.",
 		}, []string{"rule"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's headers to its answer, by rule.",
 			Buckets: prometheus.ExponentialBuckets(1e-3, 2, 14),
 		}, []string{"rule"}),
@@ -49,7 +49,7 @@
 			Namespace: namespace, Name: "datagrams_received_total", Help: "Datagrams read from other instances.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsReceived)
+	m.registry.MustRegister(m.requests, m.durations, m.attempts, m.datagrams, m.datagramsReceived)
 	m.gauge("rounds_total", "Rounds sent to listeners and other relays.", e.locked(func() float64 {
 		return float64(e.state.messenger.Hub().Rounds())
 	}))
@@ -59,7 +59,7 @@
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
 	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.Opened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
-		return float64(e.budget.LeftOut() + e.lines.Dropped())
+		return float64(e.budget.LeftOut() + e.logWriter.Dropped())
 	})
 	m.gauge("configuration_age_seconds", "Age of the proof that the configuration in force is the newest.", e.locked(func() float64 {
 		return e.configAge(e.now()).Seconds()
@@ -120,27 +120,27 @@
 	return mux
 }
 
-func (m *metrics) ended(rule Rule, took time.Duration) {
+func (m *metrics) observeRequest(rule Rule, took time.Duration) {
 	m.requests.WithLabelValues(string(rule)).Inc()
-	m.took.WithLabelValues(string(rule)).Observe(took.Seconds())
+	m.durations.WithLabelValues(string(rule)).Observe(took.Seconds())
 }
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal.
-const settingsEvery = time.Second
+const settingsPollInterval = time.Second
 
 // watchSettings takes in changes of the settings file that can take effect
 // while the process runs: the store's address and the bounds.
 func (e *Edge) watchSettings(ctx context.Context) error {
 	current := e.settings
 	var seen os.FileInfo
-	for sleepContext(ctx, settingsEvery) {
-		info, err := os.Stat(e.file)
+	for sleepContext(ctx, settingsPollInterval) {
+		info, err := os.Stat(e.settingsFile)
 		if err != nil || (seen != nil && info.ModTime().Equal(seen.ModTime()) && info.Size() == seen.Size()) {
 			continue
 		}
 		seen = info
-		s, err := settings.Load(e.file)
+		s, err := settings.Load(e.settingsFile)
 		if err != nil {
 			event.SettingsRejected.Log(e.log, slog.Any("error", err))
 			continue
--- a/edge/pipeline_test.go
+++ b/edge/pipeline_test.go
@@ -14,36 +14,36 @@
 	"github.com/shoenig/test/must"
 )
 
-// line is a caller's connection on which requests are sent ahead.
-type line struct {
+// pipelinedConn is a caller's connection on which requests are sent ahead.
+type pipelinedConn struct {
 	t    *testing.T
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func (f *fleet) line(n int) *line {
+func (f *fleet) pipelinedConn(n int) *pipelinedConn {
 	f.t.Helper()
 	conn, err := net.Dial("tcp4", f.address(n, 0))
 	must.NoError(f.t, err)
 	f.t.Cleanup(func() { _ = conn.Close() })
 	must.NoError(f.t, conn.SetDeadline(time.Now().Add(10*time.Second)))
-	return &line{t: f.t, conn: conn, in: bufio.NewReader(conn)}
+	return &pipelinedConn{t: f.t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// ask is a request as it stands on the wire.
-func ask(method, path, id, body string) string {
+// rawRequest is a request as it stands on the wire.
+func rawRequest(method, path, id, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 3000\r\n"+
 		"Authorization: Token %s\r\nContent-Length: %d\r\n\r\n%s", method, path, id, key, len(body), body)
 }
 
-func (l *line) send(requests ...string) {
+func (l *pipelinedConn) send(requests ...string) {
 	l.t.Helper()
 	_, err := io.WriteString(l.conn, strings.Join(requests, ""))
 	must.NoError(l.t, err)
 }
 
-// next reads the next answer.
-func (l *line) next() (status int, id, body string, closes bool) {
+// readResponse reads the readResponse answer.
+func (l *pipelinedConn) readResponse() (status int, id, body string, closes bool) {
 	l.t.Helper()
 	r, err := http.ReadResponse(l.in, nil)
 	must.NoError(l.t, err)
@@ -52,14 +52,14 @@
 	return r.StatusCode, r.Header.Get("X-Attempt-Id"), string(b), r.Close
 }
 
-// ended reports that nothing more comes on the connection.
-func (l *line) ended() bool {
+// closed reports that nothing more comes on the connection.
+func (l *pipelinedConn) closed() bool {
 	_, err := l.in.ReadByte()
 	return err != nil
 }
 
-// sealed is a server's usual answer: the path of what it ran.
-func sealed(w http.ResponseWriter, r *http.Request) {
+// echoPath is a server's usual answer: the path of what it ran.
+func echoPath(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Response-Seal", "seal")
 	_, _ = io.WriteString(w, r.RequestURI)
 }
@@ -74,14 +74,14 @@
 		if strings.HasSuffix(r.RequestURI, "/0") {
 			time.Sleep(200 * time.Millisecond)
 		}
-		sealed(w, r)
+		echoPath(w, r)
 	})
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	wrongKey := strings.Replace(ask("GET", "/lookup/k", "a-k", ""), key, "wrong", 1)
-	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("GET", "/lookup/1", "a-1", ""),
-		ask("GET", "/nowhere/", "a-n", ""), wrongKey, ask("GET", "/lookup/2", "a-2", ""))
+	l := f.pipelinedConn(0)
+	wrongKey := strings.Replace(rawRequest("GET", "/lookup/k", "a-k", ""), key, "wrong", 1)
+	l.send(rawRequest("GET", "/lookup/0", "a-0", ""), rawRequest("GET", "/lookup/1", "a-1", ""),
+		rawRequest("GET", "/nowhere/", "a-n", ""), wrongKey, rawRequest("GET", "/lookup/2", "a-2", ""))
 	for _, want := range []struct {
 		status   int
 		id, body string
@@ -92,7 +92,7 @@
 		{401, "a-k", "unknown-key\n"},
 		{200, "a-2", "/lookup/2"},
 	} {
-		status, id, body, closes := l.next()
+		status, id, body, closes := l.readResponse()
 		must.Eq(t, want.status, status)
 		must.Eq(t, want.id, id)
 		must.Eq(t, want.body, body)
@@ -109,29 +109,29 @@
 	b := f.backend("i-1", nil)
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	smuggled := ask("GET", "/lookup/smuggled", "a-x", "")
-	chunked := strings.Replace(ask("POST", "/order/2", "a-2", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) +
+	l := f.pipelinedConn(0)
+	smuggled := rawRequest("GET", "/lookup/smuggled", "a-x", "")
+	chunked := strings.Replace(rawRequest("POST", "/order/2", "a-2", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) +
 		"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
-	l.send(ask("POST", "/order/0", "a-0", smuggled), ask("GET", "/lookup/1", "a-1", ""), chunked, ask("GET", "/lookup/3", "a-3", ""))
+	l.send(rawRequest("POST", "/order/0", "a-0", smuggled), rawRequest("GET", "/lookup/1", "a-1", ""), chunked, rawRequest("GET", "/lookup/3", "a-3", ""))
 	for i, want := range []string{"i-1:" + smuggled, "i-1:", "i-1:abcdefg", "i-1:"} {
-		status, id, body, _ := l.next()
+		status, id, body, _ := l.readResponse()
 		must.Eq(t, 200, status)
 		must.Eq(t, fmt.Sprintf("a-%d", i), id)
 		must.Eq(t, want, body)
 	}
-	must.Zero(t, b.runs("a-x"))
-	l.send(ask("POST", "/order/4", "a-4", strings.Repeat("x", 100001)), ask("GET", "/lookup/5", "a-5", ""))
-	status, id, _, closes := l.next()
+	must.Zero(t, b.executions("a-x"))
+	l.send(rawRequest("POST", "/order/4", "a-4", strings.Repeat("x", 100001)), rawRequest("GET", "/lookup/5", "a-5", ""))
+	status, id, _, closes := l.readResponse()
 	must.Eq(t, http.StatusRequestEntityTooLarge, status)
 	must.Eq(t, "a-4", id)
 	if closes {
 		// What lies behind counts as not read.
-		must.True(t, l.ended())
-		must.Zero(t, b.runs("a-5"))
+		must.True(t, l.closed())
+		must.Zero(t, b.executions("a-5"))
 		return
 	}
-	_, id, _, _ = l.next()
+	_, id, _, _ = l.readResponse()
 	must.Eq(t, "a-5", id)
 }
 
@@ -143,19 +143,19 @@
 	f := newFleet(t)
 	slow := func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(300 * time.Millisecond)
-		sealed(w, r)
+		echoPath(w, r)
 	}
 	f.backend("i-1", slow)
 	f.backend("i-2", slow)
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
+	l := f.pipelinedConn(0)
 	start := time.Now()
 	for i := range 4 {
-		l.send(ask("GET", fmt.Sprintf("/lookup/%d", i), fmt.Sprintf("a-%d", i), ""))
+		l.send(rawRequest("GET", fmt.Sprintf("/lookup/%d", i), fmt.Sprintf("a-%d", i), ""))
 	}
 	for i := range 4 {
-		status, id, _, _ := l.next()
+		status, id, _, _ := l.readResponse()
 		must.Eq(t, 200, status)
 		must.Eq(t, fmt.Sprintf("a-%d", i), id)
 	}
@@ -177,14 +177,14 @@
 		mu.Lock()
 		ran = append(ran, r.RequestURI)
 		mu.Unlock()
-		sealed(w, r)
+		echoPath(w, r)
 	})
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("POST", "/order/1", "a-1", "body"), ask("GET", "/lookup/2", "a-2", ""))
+	l := f.pipelinedConn(0)
+	l.send(rawRequest("GET", "/lookup/0", "a-0", ""), rawRequest("POST", "/order/1", "a-1", "body"), rawRequest("GET", "/lookup/2", "a-2", ""))
 	for i := range 3 {
-		_, id, _, _ := l.next()
+		_, id, _, _ := l.readResponse()
 		must.Eq(t, fmt.Sprintf("a-%d", i), id)
 	}
 	must.Eq(t, []string{"/lookup/0", "/order/1", "/lookup/2"}, ran)
@@ -202,23 +202,23 @@
 	b := f.backend("i-1", func(w http.ResponseWriter, r *http.Request) {
 		begun <- struct{}{}
 		<-release
-		sealed(w, r)
+		echoPath(w, r)
 	})
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("POST", "/order/1", "a-1", "body"), ask("POST", "/order/2", "a-2", "body"))
+	l := f.pipelinedConn(0)
+	l.send(rawRequest("GET", "/lookup/0", "a-0", ""), rawRequest("POST", "/order/1", "a-1", "body"), rawRequest("POST", "/order/2", "a-2", "body"))
 	<-begun
 	f.instances[0].cancel()
 	eventually(t, time.Second, "it stops", func() bool { return !f.ready(0) })
 	finish()
-	status, id, body, closes := l.next()
+	status, id, body, closes := l.readResponse()
 	must.Eq(t, 200, status)
 	must.Eq(t, "a-0", id)
 	must.Eq(t, "/lookup/0", body)
 	must.True(t, closes)
-	must.True(t, l.ended())
-	must.Zero(t, b.runs("a-1")+b.runs("a-2"))
+	must.True(t, l.closed())
+	must.Zero(t, b.executions("a-1")+b.executions("a-2"))
 }
 
 // The instance is told to stop while two lookups sent ahead are at work. Both
@@ -233,24 +233,24 @@
 	f.backend("i-1", func(w http.ResponseWriter, r *http.Request) {
 		begun <- struct{}{}
 		<-release
-		sealed(w, r)
+		echoPath(w, r)
 	})
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	l.send(ask("GET", "/lookup/0", "a-0", ""), ask("GET", "/lookup/1", "a-1", ""))
+	l := f.pipelinedConn(0)
+	l.send(rawRequest("GET", "/lookup/0", "a-0", ""), rawRequest("GET", "/lookup/1", "a-1", ""))
 	<-begun
 	<-begun
 	f.instances[0].cancel()
 	eventually(t, time.Second, "it stops", func() bool { return !f.ready(0) })
 	finish()
 	for i, last := range []bool{false, true} {
-		status, id, _, closes := l.next()
+		status, id, _, closes := l.readResponse()
 		must.Eq(t, 200, status)
 		must.Eq(t, fmt.Sprintf("a-%d", i), id)
 		must.Eq(t, last, closes)
 	}
-	must.True(t, l.ended())
+	must.True(t, l.closed())
 }
 
 // A caller leaves while lookups that it sent ahead are at work. Its servers
@@ -266,11 +266,11 @@
 	})
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	l.send(ask("GET", "/lookup/0", "a-0", ""))
+	l := f.pipelinedConn(0)
+	l.send(rawRequest("GET", "/lookup/0", "a-0", ""))
 	<-begun
 	// These arrive while the first is at work.
-	l.send(ask("GET", "/lookup/1", "a-1", ""), ask("POST", "/order/2", "a-2", "body"))
+	l.send(rawRequest("GET", "/lookup/1", "a-1", ""), rawRequest("POST", "/order/2", "a-2", "body"))
 	time.Sleep(50 * time.Millisecond)
 	_ = l.conn.Close()
 	select {
@@ -279,7 +279,7 @@
 		t.Fatal("the server is still at work for a caller that has left")
 	}
 	time.Sleep(300 * time.Millisecond)
-	must.Zero(t, b.runs("a-2"))
+	must.Zero(t, b.executions("a-2"))
 }
 
 // A caller sends three hundred lookups ahead at once. What one connection
@@ -299,21 +299,21 @@
 		mu.Lock()
 		now--
 		mu.Unlock()
-		sealed(w, r)
+		echoPath(w, r)
 	})
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
+	l := f.pipelinedConn(0)
 	const all = 300
 	go func() {
 		var b strings.Builder
 		for i := range all {
-			b.WriteString(ask("GET", fmt.Sprintf("/lookup/%d", i), fmt.Sprintf("a-%d", i), ""))
+			b.WriteString(rawRequest("GET", fmt.Sprintf("/lookup/%d", i), fmt.Sprintf("a-%d", i), ""))
 		}
 		_, _ = io.WriteString(l.conn, b.String())
 	}()
 	for i := range all {
-		_, id, _, _ := l.next()
+		_, id, _, _ := l.readResponse()
 		must.Eq(t, fmt.Sprintf("a-%d", i), id)
 	}
 	must.LessEq(t, 16, most)
@@ -324,16 +324,16 @@
 func TestBytesThatAreNoRequestEndTheConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.backend("i-1", sealed)
+	f.backend("i-1", echoPath)
 	f.configure(1000, key)
 	f.startAll(1)
-	l := f.line(0)
-	l.send(ask("GET", "/lookup/0", "a-0", ""), "no request\r\n\r\n")
-	status, id, _, _ := l.next()
+	l := f.pipelinedConn(0)
+	l.send(rawRequest("GET", "/lookup/0", "a-0", ""), "no request\r\n\r\n")
+	status, id, _, _ := l.readResponse()
 	must.Eq(t, 200, status)
 	must.Eq(t, "a-0", id)
-	status, _, _, closes := l.next()
+	status, _, _, closes := l.readResponse()
 	must.Eq(t, http.StatusBadRequest, status)
 	must.True(t, closes)
-	must.True(t, l.ended())
+	must.True(t, l.closed())
 }
--- a/edge/places_test.go
+++ b/edge/placement_test.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// evacuated is how long instances may take to obey an evacuation.
-const evacuated = 2 * time.Second
+// evacuationDelay is how long instances may take to obey an evacuation.
+const evacuationDelay = 2 * time.Second
 
 // Operators evacuate a data centre while the store refuses one of the instances.
 // Its servers would go on getting requests from those that don't hear of it.
@@ -30,7 +30,7 @@
 		return rowstore.None
 	})
 	f.store.Put("op", "evacuate/away", []byte("{}"))
-	time.Sleep(evacuated)
+	time.Sleep(evacuationDelay)
 	before := away.total()
 	for range 20 {
 		for i := range 3 {
@@ -46,7 +46,7 @@
 	must.Eq(t, 1, s.Services[0].Evacuated)
 
 	f.store.Remove("op", "evacuate/away")
-	eventually(t, 2*evacuated, "the data centre is used again", func() bool {
+	eventually(t, 2*evacuationDelay, "the data centre is used again", func() bool {
 		for i := range 3 {
 			f.lookup(i)
 		}
@@ -84,7 +84,7 @@
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	f.configure(1000, "other")
 	f.configure(1000, key)
-	time.Sleep(evacuated)
+	time.Sleep(evacuationDelay)
 	before := away.total()
 	for range 20 {
 		for i := range 3 {
@@ -94,7 +94,7 @@
 	must.Eq(t, before, away.total())
 }
 
-func regions(s *settings.Settings) { s.Regions = map[string]string{"dc": "here", "away": "there"} }
+func withRegions(s *settings.Settings) { s.Regions = map[string]string{"dc": "here", "away": "there"} }
 
 // A route is restricted to a region, and the workspace to another one or to the
 // same: data that must not leave a region would be sent to servers outside.
@@ -123,7 +123,7 @@
 				}
 				config["tenants"].([]any)[0].(map[string]any)["allowed_regions"] = tc.workspace
 			}, 1000, key)
-			f.start(regions)
+			f.start(withRegions)
 			eventually(t, 3*time.Second, "ready", func() bool { return f.ready(0) })
 			for range 10 {
 				r, _ := f.lookup(0)
--- a/edge/requests_test.go
+++ b/edge/requests_test.go
@@ -69,7 +69,7 @@
 		r, id := f.order(0)
 		must.Eq(t, http.StatusBadGateway, r.status)
 		must.Eq(t, "", r.header.Get("X-Response-Seal"))
-		must.Eq(t, 1, a.runs(id)+b.runs(id))
+		must.Eq(t, 1, a.executions(id)+b.executions(id))
 	}
 }
 
@@ -85,7 +85,7 @@
 	for range 10 {
 		r, id := f.order(0)
 		must.Eq(t, http.StatusOK, r.status)
-		must.Eq(t, 1, b.runs(id))
+		must.Eq(t, 1, b.executions(id))
 	}
 }
 
--- a/edge/repeats.go
+++ b/edge/retry_budget.go
@@ -11,7 +11,7 @@
 func (s *state) sharedRetryBudget(service string) *retry.Shared {
 	r, ok := s.budgets[service]
 	if !ok {
-		r = retry.NewShared(comeBackSoon, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		r = retry.NewShared(retryAfterShort, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		s.budgets[service] = r
 	}
 	return r
@@ -24,19 +24,19 @@
 	}
 }
 
-// repeatBound is the platform's bound on repeats, as far as this instance may
+// retryBound is the platform's bound on repeats, as far as this instance may
 // use it.
-func (e *Edge) repeatBound() retry.Bound {
+func (e *Edge) retryBound() retry.Bound {
 	b := e.settings.Bounds
 	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.Share}
 }
 
 // retryBudget is what may still be repeated at a service.
 func (e *Edge) retryBudget(service string) *retry.Budget {
-	return e.state.sharedRetryBudget(service).Budget(e.repeatBound(), e.now())
+	return e.state.sharedRetryBudget(service).Budget(e.retryBound(), e.now())
 }
 
-// roomToRepeat reports whether requests may be spent on finding out.
-func (e *Edge) roomToRepeat(service string) bool {
-	return e.state.sharedRetryBudget(service).Room(e.repeatBound(), e.now())
+// hasRetryBudget reports whether requests may be spent on finding out.
+func (e *Edge) hasRetryBudget(service string) bool {
+	return e.state.sharedRetryBudget(service).Room(e.retryBound(), e.now())
 }
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -20,48 +20,48 @@
 	// headerTimeout bounds the reading of a request's headers until the
 	// configuration has said otherwise; the platform's usual value.
 	headerTimeout = 5 * time.Second
-	// idleTimeoutFirst closes idle connections of callers until the
+	// initialIdleTimeout closes idle connections of callers until the
 	// configuration has said otherwise.
-	idleTimeoutFirst = 60 * time.Second
+	initialIdleTimeout = 60 * time.Second
 	// maxHeaderBytes bounds a request's headers; the platform's usual value.
 	maxHeaderBytes = 64 << 10
-	// mostAhead is how many requests of one connection may be at work: enough
+	// maxPipelinedRequests is how many requests of one connection may be at work: enough
 	// for a page's worth of lookups, and less than a tenth of the servers'
 	// slots of a small deployment.
-	mostAhead = 6
+	maxPipelinedRequests = 6
 	// addressTTL is how long callers keep an answer of the directory. A dead
 	// instance is left out of the answers after about a second, and callers
 	// have the new answer as much later.
 	addressTTL = 2 * time.Second
 	// maxAddresses is the most that callers take from an answer.
 	maxAddresses = 64
-	// fewAddresses is how many instances of the caller's data centre are
+	// minLocalAddresses is how many instances of the caller's data centre are
 	// enough not to name others beside them.
-	fewAddresses = 2
-	// stopMargin is kept back of the time until the end by force.
-	stopMargin = time.Second
-	// endWait is how long the end waits for the parts of the process. Nothing
+	minLocalAddresses = 2
+	// killMargin is kept back of the time until the end by force.
+	killMargin = time.Second
+	// shutdownWait is how long the end waits for the parts of the process. Nothing
 	// that they still do matters, and waiting for a call of the store once took
 	// longer than the stop may.
-	endWait = 200 * time.Millisecond
-	// acceptPart is the part of the time until the end by force during which a
+	shutdownWait = 200 * time.Millisecond
+	// acceptShare is the part of the time until the end by force during which a
 	// stopping instance still takes requests. By then callers have a newer
 	// answer of the directory, but for those that keep an old one for longer;
 	// what was taken has the other half to end in. Requests that were taken
 	// until the end were cut off with their servers at work.
-	acceptPart = 0.5
-	// comeBackElsewhere is told to callers that still come after that: another
+	acceptShare = 0.5
+	// retryAfterElsewhere is told to callers that still come after that: another
 	// instance can serve them at once.
-	comeBackElsewhere = 50 * time.Millisecond
-	// lingerStep is how often a stopping instance looks whether it is idle.
-	lingerStep = 100 * time.Millisecond
+	retryAfterElsewhere = 50 * time.Millisecond
+	// drainPollInterval is how often a stopping instance looks whether it is idle.
+	drainPollInterval = 100 * time.Millisecond
 )
 
 // serveHTTP serves a handler until the context ends.
 func (e *Edge) serveHTTP(l net.Listener, h http.Handler) func(context.Context) error {
 	return func(ctx context.Context) error {
 		return serve(ctx, l, &http.Server{
-			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeoutFirst,
+			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: initialIdleTimeout,
 			ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug),
 		})
 	}
@@ -69,22 +69,22 @@
 
 // serveCallers serves callers' requests.
 func (e *Edge) serveCallers(ctx context.Context) error {
-	return e.callers.Serve(ctx, e.ports.callers)
+	return e.callerServer.Serve(ctx, e.ports.callers)
 }
 
-// newCallers returns the server of callers' connections.
-func (e *Edge) newCallers() *pipeline.Server {
+// newCallerServer returns the server of callers' connections.
+func (e *Edge) newCallerServer() *pipeline.Server {
 	s := &pipeline.Server{
-		Handler: http.HandlerFunc(e.answerCaller), Beside: e.repeatable, MostAhead: mostAhead,
+		Handler: http.HandlerFunc(e.handleRequest), Beside: e.repeatable, MostAhead: maxPipelinedRequests,
 		HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	s.SetIdle(idleTimeoutFirst)
+	s.SetIdle(initialIdleTimeout)
 	return s
 }
 
 // repeatable reports whether a caller's request may run more than once.
 func (e *Edge) repeatable(r *http.Request) bool {
-	path, _, _ := strings.Cut(target(r), "?")
+	path, _, _ := strings.Cut(requestTarget(r), "?")
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state.table == nil {
@@ -114,8 +114,8 @@
 	return !e.stopping.Load() && s.table != nil && serversKnown && !s.configUnreadable && e.configAge(e.now()) < s.bounds.Keys
 }
 
-// answerReady answers the platform.
-func (e *Edge) answerReady(w http.ResponseWriter, r *http.Request) {
+// handleReadiness answers the platform.
+func (e *Edge) handleReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.PathReady {
 		http.NotFound(w, r)
 		return
@@ -128,8 +128,8 @@
 	}
 }
 
-// answerDirectory tells a caller which addresses to use.
-func (e *Edge) answerDirectory(w http.ResponseWriter, r *http.Request) {
+// handleDirectory tells a caller which addresses to use.
+func (e *Edge) handleDirectory(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.PathResolve {
 		http.NotFound(w, r)
 		return
@@ -169,9 +169,9 @@
 	}
 	d := directory{e.topology, ready}
 	if restricted {
-		return first(d.inRegions(q, regions), maxAddresses)
+		return firstN(d.inRegions(q, regions), maxAddresses)
 	}
-	return first(d.nearest(q), maxAddresses)
+	return firstN(d.nearest(q), maxAddresses)
 }
 
 // stop ends the instance as planned: it is named to nobody any more and asks
@@ -179,19 +179,19 @@
 // requests, and ends once it has finished those that it has.
 func (e *Edge) stop() {
 	e.stopping.Store(true)
-	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callers.Open()))
+	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callerServer.Open()))
 	start := e.now()
 	grace := settings.Seconds(e.settings.Bounds.GraceS)
 	e.mu.Lock()
 	e.announceReadiness()
 	e.mu.Unlock()
-	for e.now()-start < time.Duration(acceptPart*float64(grace)) {
-		time.Sleep(lingerStep)
+	for e.now()-start < time.Duration(acceptShare*float64(grace)) {
+		time.Sleep(drainPollInterval)
 	}
 	e.closing.Store(true)
-	e.callers.CloseIdle()
-	for e.callers.InFlight() > 0 && e.now()-start < grace-stopMargin {
-		time.Sleep(lingerStep)
+	e.callerServer.CloseIdle()
+	for e.callerServer.InFlight() > 0 && e.now()-start < grace-killMargin {
+		time.Sleep(drainPollInterval)
 	}
-	event.EdgeStopped.Log(e.log, slog.Int64("cut", e.callers.InFlight()))
+	event.EdgeStopped.Log(e.log, slog.Int64("cut", e.callerServer.InFlight()))
 }
--- a/edge/status.go
+++ b/edge/status.go
@@ -20,9 +20,9 @@
 	// suspectRisk is the risk from which a server is shown as a suspect: more
 	// likely to fail than not.
 	suspectRisk = 0.5
-	// nearRate is the part of its burst below which a workspace is shown as
+	// nearRateShare is the part of its burst below which a workspace is shown as
 	// near its rate.
-	nearRate = 0.25
+	nearRateShare = 0.25
 )
 
 // Status is what one instance knows of the fleet, for operators. All times are
@@ -106,14 +106,14 @@
 	s, now := &e.state, e.now()
 	st := Status{
 		Instance: e.settings.Name, DataCentre: e.settings.DataCentre, Ready: e.readyLocked(),
-		ConfigAgeMS: milli(e.configAge(now)), ServersAgeMS: -1, RateShare: round(s.usage.Share),
+		ConfigAgeMS: millisOrUnknown(e.configAge(now)), ServersAgeMS: -1, RateShare: round3(s.usage.Share),
 		Evacuated: s.evacuations.List(),
 	}
 	if s.table != nil {
 		st.Version = s.table.Version
 	}
 	if s.serversProof > 0 {
-		st.ServersAgeMS = milli(now - s.serversProof)
+		st.ServersAgeMS = millisOrUnknown(now - s.serversProof)
 	}
 	if s.lastReader != 0 {
 		st.Reader = addrPort(s.lastReader, 0).Addr().String()
@@ -123,17 +123,17 @@
 	for id, m := range s.messenger.Fleet().All() {
 		st.Instances = append(st.Instances, InstanceStatus{
 			IP: addrPort(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
-			HeardMS: milli(now - m.Heard), SlowLink: m.Slow,
+			HeardMS: millisOrUnknown(now - m.Heard), SlowLink: m.Slow,
 		})
 	}
 	slices.SortFunc(st.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.IP, b.IP) })
-	st.Services, st.Suspects = servers(s.placer.Views(now))
-	st.Workspaces = e.nearRate(now)
+	st.Services, st.Suspects = summarizeServers(s.placer.Views(now))
+	st.Workspaces = e.workspacesNearRate(now)
 	return st
 }
 
-// servers sums up the servers of each service and names the suspects.
-func servers(views []placement.View) (services []ServiceStatus, suspects []SuspectStatus) {
+// summarizeServers sums up the summarizeServers of each service and names the suspects.
+func summarizeServers(views []placement.View) (services []ServiceStatus, suspects []SuspectStatus) {
 	sums := make(map[string]*ServiceStatus)
 	for _, v := range views {
 		sum, ok := sums[v.Server.Service]
@@ -157,7 +157,7 @@
 		}
 		if v.Risk > suspectRisk {
 			sum.Suspects++
-			suspects = append(suspects, suspect(v))
+			suspects = append(suspects, suspectStatus(v))
 		}
 	}
 	for _, sum := range sums {
@@ -168,15 +168,15 @@
 	return services, suspects
 }
 
-func suspect(v placement.View) SuspectStatus {
-	s := SuspectStatus{Server: v.Server.ID, Service: v.Server.Service, Risk: round(v.Risk), LastFailureMS: -1}
+func suspectStatus(v placement.View) SuspectStatus {
+	s := SuspectStatus{Server: v.Server.ID, Service: v.Server.Service, Risk: round3(v.Risk), LastFailureMS: -1}
 	if v.LastFailure != health.OK {
-		s.LastFailure, s.LastFailureMS = v.LastFailure.String(), milli(v.SinceFailure)
+		s.LastFailure, s.LastFailureMS = v.LastFailure.String(), millisOrUnknown(v.SinceFailure)
 	}
 	return s
 }
 
-func (e *Edge) nearRate(now time.Duration) (near []WorkspaceStatus) {
+func (e *Edge) workspacesNearRate(now time.Duration) (near []WorkspaceStatus) {
 	if e.state.table == nil {
 		return nil
 	}
@@ -184,16 +184,16 @@
 		if w.Rate <= 0 {
 			continue
 		}
-		if tokens := e.state.usage.Tokens(workspaceHash(w.Name), now); tokens < nearRate*w.Burst {
-			near = append(near, WorkspaceStatus{Workspace: w.Name, Rate: w.Rate, Burst: w.Burst, Tokens: round(tokens)})
+		if tokens := e.state.usage.Tokens(workspaceHash(w.Name), now); tokens < nearRateShare*w.Burst {
+			near = append(near, WorkspaceStatus{Workspace: w.Name, Rate: w.Rate, Burst: w.Burst, Tokens: round3(tokens)})
 		}
 	}
 	slices.SortFunc(near, func(a, b WorkspaceStatus) int { return strings.Compare(a.Workspace, b.Workspace) })
 	return near
 }
 
-// answerStatus answers operators.
-func (e *Edge) answerStatus(w http.ResponseWriter, _ *http.Request) {
+// handleStatus answers operators.
+func (e *Edge) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(e.Status()); err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
