--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -16,22 +16,23 @@
 	"foxtailspoke/upstream"
 )
 
-// attempt is one try of a call at one server.
+// attempt is one attempt to have a call served by one backend server.
 type attempt struct {
 	choice placement.Choice
 	answer upstream.Answer
 	result health.Result
 	took   time.Duration
 	number int
-	// start is when it was sent.
+	// start is the time at which the attempt was sent.
 	start  time.Duration
 	cancel context.CancelFunc
-	// endPublished says that its end was told.
+	// endPublished is set once the end of the attempt was published to the other
+	// instances.
 	endPublished bool
 }
 
-// run sends the call to servers until one has answered or nothing more may be
-// tried.
+// run sends the call to backend servers until one has answered or no further
+// attempt is allowed.
 func (e *Edge) run(ctx context.Context, c *call) (*attempt, *refusal) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(c.deadline-e.now()))
 	defer cancel()
@@ -51,9 +52,11 @@
 	done    chan *attempt
 	running []*attempt
 	tried   []string
-	// mayHaveRun says that an attempt ended without proof that it didn't run.
+	// mayHaveRun is set once an attempt has ended without proof that the server did
+	// not execute the request.
 	mayHaveRun bool
-	// lastServerError is the newest whole answer with a server's own failure.
+	// lastServerError is the attempt with the latest complete response that reports
+	// a failure of the server itself.
 	lastServerError *attempt
 }
 
@@ -79,7 +82,7 @@
 	}
 }
 
-// startAttempt starts an attempt at the best server.
+// startAttempt starts an attempt at the best available server.
 func (r *runner) startAttempt() *refusal {
 	choice, v := r.e.chooseServer(r.c, r.tried)
 	if v != nil {
@@ -109,8 +112,8 @@
 	}
 }
 
-// handleEnd decides what follows an attempt's end: an answer for the caller, a
-// refusal, or neither while it goes on.
+// handleEnd decides what follows the end of an attempt. It returns a response or a
+// refusal for the caller, or neither if the call goes on.
 func (r *runner) handleEnd(a *attempt) (*attempt, *refusal) {
 	if a.result == health.OK {
 		r.e.publishAttemptEnd(r.c, a, evidence.Served)
@@ -140,7 +143,8 @@
 	return nil, r.notServed(d)
 }
 
-// notServed is the truth about a call without an answer.
+// notServed returns the refusal of a call that has no response. It reports the
+// call as not executed only if that is certain.
 func (r *runner) notServed(d retry.Decision) *refusal {
 	if r.mayHaveRun {
 		return &refusal{status: http.StatusBadGateway, rule: RuleServerFailed}
@@ -155,8 +159,8 @@
 	return &refusal{status: http.StatusGatewayTimeout, rule: RuleTimeout}
 }
 
-// handleLate tells that the attempt is late, and asks a second server if the
-// request may run twice.
+// handleLate publishes that the attempt is late and hedges it with a second server
+// if the request may be executed twice.
 func (r *runner) handleLate() {
 	if len(r.running) != 1 {
 		return
@@ -164,13 +168,15 @@
 	a := r.running[0]
 	r.e.publishLate(a)
 	if r.e.mayHedge(r.c, len(r.tried), r.mayHaveRun) {
-		// No room for a second attempt: the first goes on alone.
+		// If no server is available for a second attempt, the first one continues
+		// alone.
 		_ = r.startAttempt()
 	}
 }
 
-// cancelRemaining ends the attempts that nobody waits for any more and takes in how
-// they ended. A caller that left, or was answered, must not keep servers busy.
+// cancelRemaining cancels the attempts whose results are no longer needed and
+// records how they ended, so that a caller that has disconnected or been answered
+// does not keep servers busy.
 func (r *runner) cancelRemaining() {
 	running := r.running
 	for _, a := range running {
@@ -191,7 +197,7 @@
 	}()
 }
 
-// decideRetry asks the rules of retries.
+// decideRetry applies the retry rules to an attempt that has ended.
 func (e *Edge) decideRetry(c *call, a *attempt, number, running int, mayHaveRun bool) retry.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,14 +230,14 @@
 	}
 }
 
-// lateAfter is how long an attempt may take before it counts as late.
+// lateAfter returns the time after which an attempt counts as late.
 func (e *Edge) lateAfter(c *call) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return retry.Patience(e.routeStatsFor(c.route).work)
 }
 
-// classify says what an attempt's end tells of the server.
+// classify returns what the end of an attempt says about the server.
 func classify(a upstream.Answer) health.Result {
 	switch a.Outcome {
 	case upstream.NotSent:
@@ -254,13 +260,14 @@
 	case a.Status >= http.StatusInternalServerError:
 		return health.ServerError
 	case a.Status < http.StatusMultipleChoices && a.Header.Get(platform.HeaderProof) == "":
-		// A success that no server has signed is no server's answer.
+		// A successful response without a signature does not come from a backend
+		// server.
 		return health.Mismatch
 	}
 	return health.OK
 }
 
-// upstreamRequest is what a server gets.
+// upstreamRequest builds the request to send to the chosen server.
 func (e *Edge) upstreamRequest(c *call, choice placement.Choice) upstream.Request {
 	h := c.header.Clone()
 	h.Set(platform.HeaderExpect, choice.Server.ID)
@@ -275,8 +282,8 @@
 	}
 }
 
-// logAttempt writes what was expected of a server and what came of it. Good
-// answers are told by the line of their request.
+// logAttempt logs the expected and the actual outcome of an attempt. Successful
+// attempts are covered by the log line of their request.
 func (e *Edge) logAttempt(c *call, a *attempt, now time.Duration) {
 	if a.result == health.OK || !e.budget.Take(now, 1) {
 		return
--- a/edge/call.go
+++ b/edge/call.go
@@ -13,10 +13,9 @@
 	"foxtailspoke/routing"
 )
 
-// Rule is the reason for which a request was answered as it was.
+// Rule identifies why a request got its response.
 type Rule string
 
-// The rules.
 const (
 	RuleServed            Rule = "served"
 	RuleNoConfig          Rule = "no-configuration"
@@ -40,21 +39,22 @@
 )
 
 const (
-	// responseMargin is kept back of the time that a caller will wait, for the
-	// answer's way to it.
+	// responseMargin is subtracted from the time that a caller waits, for the
+	// transfer of the response.
 	responseMargin = 30 * time.Millisecond
-	// defaultDeadline holds for callers that don't say how long they wait.
+	// defaultDeadline applies to callers that send no deadline.
 	defaultDeadline = 30 * time.Second
-	// retryAfterShort is told where the cause passes within moments.
+	// retryAfterShort is the Retry-After for causes that pass within moments.
 	retryAfterShort = 500 * time.Millisecond
-	// initialWorkShare is the share of the aim that a request is taken to need
-	// before any was measured.
+	// initialWorkShare is the part of the latency target that a request is assumed
+	// to need before one of its route was measured.
 	initialWorkShare = 0.3
-	// initialSizeKB is the size of request and answer taken before any was measured.
+	// initialSizeKB is the assumed size of request and response before one of the
+	// route was measured.
 	initialSizeKB = 5.0
 )
 
-// call is a caller's request in progress.
+// call is a request of a caller in progress.
 type call struct {
 	id        string
 	method    string
@@ -69,18 +69,19 @@
 	service   string
 	version   uint32
 	configAge time.Duration
-	// charged says that the workspace's rate has paid for it.
+	// charged is set once the request was counted against the workspace's rate.
 	charged bool
 }
 
-// refusal is a refusal before any backend server was asked.
+// refusal is the response to a request that no backend server has served.
 type refusal struct {
 	status     int
 	rule       Rule
 	retryAfter time.Duration
 }
 
-// newCall reads what a request asks for and whether it may.
+// newCall resolves the route, deadline, workspace and service of a request. It
+// returns a refusal if the request is not allowed.
 func (e *Edge) newCall(r *http.Request) (*call, *refusal) {
 	c := &call{
 		id:     r.Header.Get(platform.HeaderAttempt),
@@ -113,8 +114,8 @@
 	return c, nil
 }
 
-// requestTarget is the path and query as the caller sent them. A caller may send the
-// whole URL.
+// requestTarget returns the path and query exactly as the caller sent them. The
+// request line may hold an absolute URL.
 func requestTarget(r *http.Request) string {
 	t := r.RequestURI
 	if strings.HasPrefix(t, "/") {
@@ -140,9 +141,10 @@
 	return left
 }
 
-// authenticate finds the workspace. A key that was taken away must not work any
-// longer than its bound, so that nothing with a key is admitted on a
-// configuration whose age isn't proved; nothing of it has run then.
+// authenticate finds the workspace of the request's key. A revoked key must stop
+// working within its bound, so requests that need a key are refused while the age
+// of the configuration is not proved to be within it. Such a request has not been
+// executed.
 func (e *Edge) authenticate(c *call, h http.Header) *refusal {
 	s := &e.state
 	if !s.table.Keyed || c.route.Public {
@@ -158,8 +160,9 @@
 	return nil
 }
 
-// readBody holds the whole body, so that it can go to a second server if the
-// first didn't run it, and a slow sender holds no server's slot.
+// readBody buffers the whole body. It can then be sent to a second server if the
+// first did not execute the request, and a slow sender does not occupy a slot of a
+// server.
 func (e *Edge) readBody(c *call, w http.ResponseWriter, r *http.Request) *refusal {
 	if r.ContentLength == 0 {
 		return nil
@@ -181,15 +184,15 @@
 	return nil
 }
 
-// chooseServer chooses a server for the next attempt. Charging the workspace comes
-// last: only a request that is going to be sent uses up its rate.
+// chooseServer chooses the backend server for the next attempt. The workspace's
+// rate is charged last, so that only requests that are sent count against it.
 func (e *Edge) chooseServer(c *call, tried []string) (placement.Choice, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := &e.state
 	now := e.now()
-	// Between two beats of the heart a server may have run out of its grace;
-	// it would still get requests for up to a fifth of a second.
+	// The grace period of a server may have ended since the last heartbeat. Without
+	// this it would get requests for up to 200 ms more.
 	e.expireServers(now)
 	r := e.placementRequest(c, tried, now)
 	choice, ok := s.placer.Choose(r, now, rand.Float64)
@@ -210,7 +213,8 @@
 	return choice, nil
 }
 
-// noServerRefusal is the refusal of a request that no server may get.
+// noServerRefusal returns the refusal of a request for which no server is
+// available.
 func (e *Edge) noServerRefusal(r placement.Request, now time.Duration) *refusal {
 	v := &refusal{http.StatusServiceUnavailable, RuleNoServer, retryAfterShort}
 	obstacle, wait := e.state.placer.Obstacle(r, now)
@@ -228,8 +232,9 @@
 	return v
 }
 
-// shareRetryAfter is when to come back after this instance's share of a server was used
-// up: another instance may hold one that is free at once.
+// shareRetryAfter returns the Retry-After for a server of which this instance has
+// used up its share. Another instance may have a free share at once, so the wait
+// is bounded.
 func shareRetryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, retryAfterElsewhere), retryAfterShort)
 }
@@ -258,7 +263,8 @@
 	}
 	ok, wait := e.state.usage.Take(workspaceHash(c.workspace.Name), now)
 	if !ok {
-		// Spread, so that callers refused together don't return together.
+		// Random jitter keeps callers that are refused together from returning
+		// together.
 		wait += time.Duration(rand.Float64() * float64(retryAfterShort))
 		return &refusal{http.StatusTooManyRequests, RuleOverRate, wait}
 	}
@@ -275,8 +281,9 @@
 	return st
 }
 
-// updateRouteStats takes in the time and size of an answered request. A request that
-// had to wait for a slot tells nothing of its work.
+// updateRouteStats updates the time and size statistics of the route with a
+// completed request. took is 0 for a request that waited for a slot, as its time
+// says nothing about the work.
 func (e *Edge) updateRouteStats(c *call, took time.Duration, bytes int) {
 	st := e.routeStatsFor(c.route)
 	if took > 0 {
@@ -285,7 +292,7 @@
 	st.kb += routeSmoothing * (float64(bytes)/1024 - st.kb)
 }
 
-// routeSmoothing is the weight of one request among those of its route.
+// routeSmoothing is the weight of a new sample in the moving averages of a route.
 const routeSmoothing = 0.08
 
 func workspaceHash(name string) uint32 { return placement.Hash(name) }
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -8,15 +8,16 @@
 	"foxtailspoke/routing"
 )
 
-// directory chooses the instances that a caller is told of.
+// directory selects the instances whose addresses a caller gets.
 type directory struct {
 	topology routing.Topology
-	// ready holds the addresses of each data centre's ready instances.
+	// ready holds the addresses of the ready instances by data centre.
 	ready map[string][]string
 }
 
-// nearest returns those of the caller's data centre, and all others beside them
-// if there are too few: what crosses data centres is slower, and dear.
+// nearest returns the ready instances of the caller's data centre. If there are
+// fewer than minLocalAddresses it adds those of all other data centres, which come
+// last because traffic between data centres is slower and costs more.
 func (d directory) nearest(q platform.Question) []string {
 	near := d.ready[q.DataCentre]
 	if len(near) >= minLocalAddresses {
@@ -25,9 +26,9 @@
 	return append(slices.Clone(near), d.readyIn(func(dc string) bool { return dc != q.DataCentre })...)
 }
 
-// inRegions is nearest for a host whose routes are restricted to regions. Bodies
-// may only be sent to instances of these regions or of the caller's own, so that
-// others are named only if there is none at all.
+// inRegions is nearest for a host whose routes are restricted to regions. Request
+// bodies may only be sent to instances in these regions or in the caller's own
+// region, so other instances are returned only if there are none in either.
 func (d directory) inRegions(q platform.Question, regions []string) []string {
 	region := q.Region
 	if region == "" {
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// readyIn returns the ready instances of some data centres.
+// readyIn returns the ready instances of the data centres for which is returns
+// true.
 func (d directory) readyIn(is func(dataCentre string) bool) []string {
 	var list []string
 	for _, dc := range slices.Sorted(maps.Keys(d.ready)) {
--- a/edge/directory_test.go
+++ b/edge/directory_test.go
@@ -22,7 +22,8 @@
 	for _, tc := range []struct {
 		name  string
 		ready map[string][]string
-		// regions of the host's routes; nil if they aren't restricted.
+		// regions are the allowed regions of the host's routes; nil if there is no
+		// restriction.
 		regions []string
 		want    []string
 	}{
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -1,12 +1,11 @@
-// Package edge is one instance of the fleet on the users' platform: it takes
-// callers' requests, chooses backend servers for them, and shares what it
-// learns with the other instances.
+// Package edge implements one instance of the fleet on the users' platform. It
+// accepts callers' requests, chooses backend servers for them, and shares its
+// observations with the other instances.
 //
-// The decisions are made by packages without input or output: routing,
-// discovery, placement, usage, retry, freshness. This package feeds them and
-// does what they say. All of their state is behind one lock: a decision takes
-// some microseconds, and an instance has one core and some tens of requests a
-// second.
+// Decisions are made by packages that do no I/O: routing, discovery, placement,
+// usage, retry and freshness. This package supplies their inputs and carries out
+// their results. A single lock guards all of their state: a decision takes a few
+// microseconds, and an instance has one core and some tens of requests per second.
 package edge
 
 import (
@@ -64,21 +63,21 @@
 	epoch      uint32
 	peerPort   uint16
 	callerPort uint16
-	// topology is the region of each data centre.
+	// topology maps each data centre to its region.
 	topology routing.Topology
-	// mechanisms are the mechanisms that a trial has switched mechanisms.
+	// mechanisms holds the mechanisms that a trial has disabled.
 	mechanisms mechanism.Off
 
-	// stopping is set by the signal to stop.
+	// stopping is set when the process receives the signal to stop.
 	stopping atomic.Bool
-	// closing is set when a stopping instance takes no more requests.
+	// closing is set when a stopping instance no longer accepts requests.
 	closing      atomic.Bool
 	callerServer *pipeline.Server
 	// pollNow wakes the poller.
 	pollNow chan struct{}
-	// fetchNow wakes the fetcher of the configuration.
+	// fetchNow wakes the configuration fetcher.
 	fetchNow chan struct{}
-	// storeReadable is closed when the store may be read.
+	// storeReadable is closed when this instance may read the store.
 	storeReadable chan struct{}
 	joinOnce      sync.Once
 
@@ -86,27 +85,28 @@
 	state state
 }
 
-// state is all that decisions are made on, guarded by Edge.mu.
+// state holds everything that decisions depend on. Edge.mu guards it.
 type state struct {
 	bounds freshness.Bounds
 
 	table *routing.Table
-	// configInForce is the configuration that table was made of, as operators
-	// wrote it.
+	// configInForce is the configuration from which table was built, as the
+	// operators wrote it.
 	configInForce []byte
-	// configUnreadable says that the newest configuration in the store couldn't be
-	// understood: what is in force is older, and its age can't be proved.
+	// configUnreadable is set if the newest configuration in the store could not be
+	// parsed. The configuration in force is then older, and its age cannot be
+	// proved.
 	configUnreadable bool
 	splitter         routing.Splitter
 
-	// era of the store in the newest answer; eraKnown says that there was one.
-	// It began at eraSince of the store's clock, 0 if that was before this
-	// instance started.
+	// era is the store's era in the newest response, valid if eraKnown is set.
+	// eraStart is when that era began on the store's clock, or 0 if it began before
+	// this instance started.
 	era      uint64
 	eraKnown bool
 	eraStart time.Duration
-	// restoredUntil is how long what the store had confirmed may be missing
-	// since it came back from a copy.
+	// restoredUntil is the time until which entries that the store had confirmed may
+	// be missing after it was restored from a copy.
 	restoredUntil time.Duration
 	clock         freshness.Clock
 	poll          freshness.Poll
@@ -115,27 +115,29 @@
 	instances     *replica.Table
 	recent        [evidence.Tables]replica.Recent
 	// announcedConfig is the newest version of the configuration's row that another
-	// instance told of; its content comes by fetchConfig.
+	// instance has announced. fetchConfig reads its content.
 	announcedConfig replica.Point
-	// announcedServers is the newest version of the list of servers that another
-	// instance told of.
+	// announcedServers is the newest version of the server list that another
+	// instance has announced.
 	announcedServers replica.Point
-	// configProof is the store's stamp up to which the configuration in force
-	// is proved to be the newest.
+	// configProof is the store's timestamp up to which the configuration in force is
+	// proved to be the newest, valid if configProved is set.
 	configProof  time.Duration
 	configProved bool
-	// serversProof is when the list of servers was last known to be complete.
+	// serversProof is the last time at which the server list was known to be
+	// complete.
 	serversProof time.Duration
-	// outageEnd is when the store last came back after an outage.
+	// outageEnd is the time at which the store last returned after an outage.
 	outageEnd time.Duration
-	// lastReader is the instance that read the store last, as far as is known.
+	// lastReader is the instance that is known to have read the store most recently.
 	lastReader uint32
-	// missedServersDue is when to read the changes of the servers that were missed; 0
-	// if none were.
+	// missedServersDue is when to read server changes that this instance has missed,
+	// or 0 if it has missed none.
 	missedServersDue  time.Duration
 	storeUnavailable  bool
 	nextInstancesRead time.Duration
-	// loggedDroppedLines is the number of log lines left out that was logged last.
+	// loggedDroppedLines is the number of dropped log lines in the last log line
+	// about them.
 	loggedDroppedLines   uint64
 	droppedLinesLoggedAt time.Duration
 
@@ -146,32 +148,33 @@
 	routes     map[string]*routeStats
 
 	messenger *fleet.Messenger
-	// roundTimer goes off when messenger has something to do, at roundsAt; 0 if it
-	// is stopped.
+	// roundTimer fires at roundDue, when messenger has work to do. roundDue is 0 if
+	// the timer is stopped.
 	roundTimer *time.Timer
 	roundDue   time.Duration
-	// announcedReady says that the others were told that this instance is ready.
+	// announcedReady is set once the other instances were told that this one is
+	// ready.
 	announcedReady bool
 	ownOutstanding map[uint32]uint16
 
 	evacuations discovery.Evacuations
-	// limiter bounds what cold servers get, shared among holders.
+	// limiter bounds the rate of requests to cold servers, shared among holders.
 	limiter *warmup.Limiter
 	holders []uint32
-	// throttle keeps the fleet within the limits that servers name.
+	// throttle keeps the fleet within the limits that servers set.
 	throttle *throttle.Limiter
 }
 
-// routeStats is what an instance knows of one route's requests.
+// routeStats holds the moving averages of one route's requests.
 type routeStats struct {
-	// work is the usual time of a request.
+	// work is the average time of a request.
 	work time.Duration
-	// kb is the usual size of request and answer.
+	// kb is the average size of request and response in KiB.
 	kb float64
 }
 
-// New returns an instance that listens on its addresses and serves once Run
-// is called.
+// New returns an instance that listens on its addresses. It serves requests once
+// Run is called.
 func New(file string, s settings.Settings, lines *logging.Writer) (*Edge, error) {
 	self, err := parseIPv4(s.IP)
 	if err != nil {
@@ -223,13 +226,13 @@
 	return e, nil
 }
 
-// newEpoch draws the number that tells this start of the instance from others.
-// The time of the start isn't enough: a process that is killed is back within
-// the same second, and clocks jump back. The other instances would then take
-// its messages for repeats of those before its end, until it has sent as many.
+// newEpoch returns a random number that identifies this run of the instance. The
+// start time is not sufficient: a killed process may restart within the same
+// second, and clocks may jump back. The other instances would then drop its
+// messages as duplicates until it had sent as many as before the restart.
 func newEpoch() uint32 { return rand.Uint32() }
 
-// Run serves until the context ends, which begins a planned stop.
+// Run serves until the context ends and then performs a planned stop.
 func (e *Edge) Run(ctx context.Context) error {
 	run, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -251,10 +254,11 @@
 	return nil
 }
 
-// now reads the instance's clock, which goes on while the machine sleeps.
+// now returns the time on the instance's clock, which keeps running while the
+// machine is suspended.
 func (e *Edge) now() time.Duration { return e.clock.Now() }
 
-// ports are the listeners of an instance.
+// ports holds the listeners of an instance.
 type ports struct {
 	callers, readiness, directory, metrics, snapshots net.Listener
 }
@@ -288,7 +292,7 @@
 	return nil
 }
 
-// addServices puts the parts into the supervisor tree.
+// addServices adds the services to the supervisor tree.
 func (e *Edge) addServices() {
 	e.supervisor = suture.New("edge", suture.Spec{
 		EventHook: func(ev suture.Event) {
@@ -310,7 +314,7 @@
 	e.supervisor.Add(namedService{"metrics", e.serveHTTP(e.ports.metrics, e.metrics.handler(e.handleStatus))})
 }
 
-// namedService is a named namedService of the tree.
+// namedService is a service of the supervisor tree with a name.
 type namedService struct {
 	name  string
 	serve func(context.Context) error
@@ -319,25 +323,25 @@
 // Serve implements suture.Service.
 func (p namedService) Serve(ctx context.Context) error { return p.serve(ctx) }
 
-// String names the part in logs.
+// String returns the name that the supervisor logs.
 func (p namedService) String() string { return p.name }
 
-// parseIPv4 is the short form of an IPv4 address in messages.
+// parseIPv4 converts an IPv4 address to the number that represents it in messages.
 func parseIPv4(ip string) (uint32, error) {
 	a, err := netip.ParseAddr(ip)
 	if err != nil || !a.Is4() {
-		return 0, errors.Newf("%q isn't an IPv4 address", ip)
+		return 0, errors.Newf("%q is not an IPv4 address", ip)
 	}
 	return ipv4Number(a), nil
 }
 
-// ipv4Number is addressNumber of an address that is known to be IPv4.
+// ipv4Number is parseIPv4 for a parsed address that is known to be IPv4.
 func ipv4Number(a netip.Addr) uint32 {
 	b := a.Unmap().As4()
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// addrPort is the opposite of addressNumber, with a port.
+// addrPort converts the number of an IPv4 address back and adds a port.
 func addrPort(n uint32, port uint16) netip.AddrPort {
 	var b [4]byte
 	binary.BigEndian.PutUint32(b[:], n)
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -13,11 +13,11 @@
 	"foxtailspoke/platform"
 )
 
-// routineLogShare of the log's budget is for lines that tell the usual; the rest is
-// kept for refusals and failures.
+// routineLogShare is the part of the log budget that routine lines may use. The
+// rest is reserved for refusals and failures.
 const routineLogShare = 0.5
 
-// hopByHopHeaders concern one connection only and are never passed on.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
@@ -26,8 +26,8 @@
 // handleRequest serves one request of a caller.
 func (e *Edge) handleRequest(w http.ResponseWriter, r *http.Request) {
 	if e.stopping.Load() {
-		// The caller opens its next connection elsewhere; what it sends on
-		// this one until then is still served.
+		// The caller opens its next connection to another instance. Requests on this
+		// connection are still served until then.
 		w.Header().Set("Connection", "close")
 	}
 	c, v := e.newCall(r)
@@ -53,8 +53,9 @@
 	}
 }
 
-// upstreamHeader returns the headers that a server gets. The key is for this fleet
-// only, and nobody but this fleet says which workspace or server is meant.
+// upstreamHeader returns the headers to forward to a backend server. It removes
+// the API key, which only the fleet may see, and the headers that name the
+// workspace and the server, which only the fleet may set.
 func upstreamHeader(h http.Header) http.Header {
 	out := withoutHopByHop(h)
 	for _, name := range []string{
@@ -80,7 +81,7 @@
 	return out
 }
 
-// writeResponse passes a server's answer on.
+// writeResponse forwards a backend server's response to the caller.
 func (e *Edge) writeResponse(w http.ResponseWriter, c *call, a *attempt) {
 	h := w.Header()
 	for name, values := range withoutHopByHop(a.answer.Header) {
@@ -93,7 +94,8 @@
 		h.Set("Connection", "close")
 	}
 	w.WriteHeader(a.answer.Status)
-	// A caller that has gone can't be told; the server closes the connection.
+	// A write error means that the caller has disconnected; net/http closes the
+	// connection.
 	_, _ = w.Write(a.answer.Body)
 	rule := RuleServed
 	if a.answer.Status >= http.StatusInternalServerError {
@@ -102,7 +104,8 @@
 	e.logRequest(c, a.answer.Status, rule, a)
 }
 
-// writeRefusal answers a request that no server has answered.
+// writeRefusal responds to a request for which there is no response from a backend
+// server.
 func (e *Edge) writeRefusal(w http.ResponseWriter, c *call, v *refusal) {
 	h := w.Header()
 	if c.id != "" {
@@ -117,7 +120,7 @@
 	e.logRequest(c, v.status, v.rule, nil)
 }
 
-// logRequest writes how a request ended and the figures that decided it.
+// logRequest logs the outcome of a request with the values that led to it.
 func (e *Edge) logRequest(c *call, status int, rule Rule, a *attempt) {
 	now := e.now()
 	e.metrics.observeRequest(rule, now-c.start)
@@ -152,10 +155,11 @@
 	event.RequestEnded.Log(e.log, attrs...)
 }
 
-// droppedLinesLogInterval is how often the number of lines that were left out is logged.
+// droppedLinesLogInterval is the minimum time between two log lines about dropped
+// log lines.
 const droppedLinesLogInterval = 10 * time.Second
 
-// logDroppedLines logs how many lines were left out, if any were.
+// logDroppedLines logs the number of dropped log lines if it has changed.
 func (e *Edge) logDroppedLines(now time.Duration) {
 	s := &e.state
 	count := e.budget.LeftOut() + e.logWriter.Dropped()
@@ -166,7 +170,8 @@
 	event.LinesLeftOut.Log(e.log, slog.Uint64("count", count))
 }
 
-// ageAttr is the attribute of an age, left out if it isn't known.
+// ageAttr returns the log attribute of an age, or an empty attribute if the age is
+// unknown.
 func ageAttr(d time.Duration) slog.Attr {
 	if d == freshness.Unknown {
 		return slog.Attr{}
@@ -174,7 +179,7 @@
 	return slog.Int64("age_ms", d.Milliseconds())
 }
 
-// millisOrUnknown is whole milliseconds; -1 for an age that isn't known.
+// millisOrUnknown returns d in milliseconds, or -1 if the age is unknown.
 func millisOrUnknown(d time.Duration) int64 {
 	if d > time.Hour {
 		return -1
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -14,13 +14,13 @@
 	"foxtailspoke/upstream"
 )
 
-// limitPropagationDelay is how long another instance may take to learn of an answer that names
-// a limit. An answer to a request that another instance sent within that time after
-// it doesn't end the limit.
+// limitPropagationDelay is the time that another instance may take to learn of a
+// response that sets a limit. A response without a limit does not end the limit if
+// another instance sent its request within this time after the limit was set.
 const limitPropagationDelay = time.Second
 
-// updateLimit takes in what an answer says of its server's limit, and returns the
-// limit that it names for the other instances. The lock must be held.
+// updateLimit applies the limit in a server's response and returns the limit to
+// announce to the other instances, if any. The lock must be held.
 func (e *Edge) updateLimit(a *attempt, now time.Duration) *uint32 {
 	if a.answer.Outcome != upstream.Answered || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
 		return nil
@@ -38,7 +38,8 @@
 		e.setLimit(hash, *milli, now)
 		return milli
 	case a.result == health.OK && a.answer.Header.Get(platform.HeaderProof) == "":
-		// An error that nobody has signed may not come from the server itself.
+		// An unsigned error may not come from the server itself, so it does not end
+		// the limit.
 		return e.knownLimit(hash)
 	case a.result == health.OK && e.state.throttle.HeardBefore(hash, a.start):
 		e.clearLimit(hash, now)
@@ -46,7 +47,8 @@
 	return nil
 }
 
-// knownLimit is the limit that a server last named, for the other instances.
+// knownLimit returns the limit that the server last set, to announce to the other
+// instances.
 func (e *Edge) knownLimit(server uint32) *uint32 {
 	limit, limited := e.state.throttle.Limit(server)
 	if !limited {
@@ -55,7 +57,8 @@
 	return milliPerSecond(limit)
 }
 
-// milliPerRequest is how many thousandths make a request a second.
+// milliPerRequest converts requests per second to thousandths of a request per
+// second.
 const milliPerRequest = 1000
 
 func milliPerSecond(perSecond float64) *uint32 {
@@ -63,8 +66,8 @@
 	return &m
 }
 
-// applyPeerLimit takes in what an answer to another instance says of its server's
-// limit. The lock must be held.
+// applyPeerLimit applies the limit in a server's response to another instance. The
+// lock must be held.
 func (e *Edge) applyPeerLimit(a evidence.Attempt, now time.Duration) {
 	if a.LimitMilli != nil {
 		e.setLimit(a.Server, *a.LimitMilli, now)
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -18,8 +18,9 @@
 
 const namespace = "foxtailspoke_edge"
 
-// metrics of one instance. No label is a workspace or a server: thousands of
-// them would be as many series. How single ones fare is in the logs.
+// metrics of one instance. No label is a workspace or a server, since there are
+// thousands of each and every value would add a time series. The logs have the
+// details of individual ones.
 type metrics struct {
 	registry          *prometheus.Registry
 	requests          *prometheus.CounterVec
@@ -103,7 +104,7 @@
 		prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// locked wraps a reader of the state.
+// locked wraps a function so that it reads the state with the lock held.
 func (e *Edge) locked(read func() float64) func() float64 {
 	return func() float64 {
 		e.mu.Lock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// handler serves the metrics under every path but that of the status.
+// handler serves the metrics on every path except that of the status.
 func (m *metrics) handler(status http.HandlerFunc) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathStatus, status)
@@ -125,12 +126,12 @@
 	m.durations.WithLabelValues(string(rule)).Observe(took.Seconds())
 }
 
-// settingsPollInterval is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPollInterval is how often the settings file is checked for changes, as
+// the platform may change it without a signal.
 const settingsPollInterval = time.Second
 
-// watchSettings takes in changes of the settings file that can take effect
-// while the process runs: the store's address and the bounds.
+// watchSettings applies the settings that can change while the process runs: the
+// store's address and the bounds.
 func (e *Edge) watchSettings(ctx context.Context) error {
 	current := e.settings
 	var seen os.FileInfo
--- a/edge/retry_budget.go
+++ b/edge/retry_budget.go
@@ -7,7 +7,7 @@
 	"foxtailspoke/retry"
 )
 
-// sharedRetryBudget returns the shared budget of a service.
+// sharedRetryBudget returns the retry budget of a service, which the fleet shares.
 func (s *state) sharedRetryBudget(service string) *retry.Shared {
 	r, ok := s.budgets[service]
 	if !ok {
@@ -17,26 +17,26 @@
 	return r
 }
 
-// countAttempt counts an attempt at a server.
+// countAttempt counts an attempt at a server against the budget of its service.
 func (s *state) countAttempt(server uint32, number uint8, now time.Duration) {
 	if entry, ok := s.placer.Server(server); ok {
 		s.sharedRetryBudget(entry.Service).Count(number > 1, now)
 	}
 }
 
-// retryBound is the platform's bound on repeats, as far as this instance may
-// use it.
+// retryBound returns this instance's share of the platform's bound on retries.
 func (e *Edge) retryBound() retry.Bound {
 	b := e.settings.Bounds
 	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.Share}
 }
 
-// retryBudget is what may still be repeated at a service.
+// retryBudget returns the remaining retry budget of a service.
 func (e *Edge) retryBudget(service string) *retry.Budget {
 	return e.state.sharedRetryBudget(service).Budget(e.retryBound(), e.now())
 }
 
-// hasRetryBudget reports whether requests may be spent on finding out.
+// hasRetryBudget reports whether the budget allows requests that probe uncertain
+// servers, since a failed one needs a retry.
 func (e *Edge) hasRetryBudget(service string) bool {
 	return e.state.sharedRetryBudget(service).Room(e.retryBound(), e.now())
 }
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -17,47 +17,49 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers until the
-	// configuration has said otherwise; the platform's usual value.
+	// headerTimeout bounds the reading of a request's headers until a configuration
+	// is in force. It is the platform's usual value.
 	headerTimeout = 5 * time.Second
-	// initialIdleTimeout closes idle connections of callers until the
-	// configuration has said otherwise.
+	// initialIdleTimeout is how long callers' idle connections stay open until a
+	// configuration is in force.
 	initialIdleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a request's headers; the platform's usual value.
+	// maxHeaderBytes bounds the size of a request's headers. It is the platform's
+	// usual value.
 	maxHeaderBytes = 64 << 10
-	// maxPipelinedRequests is how many requests of one connection may be at work: enough
-	// for a page's worth of lookups, and less than a tenth of the servers'
-	// slots of a small deployment.
+	// maxPipelinedRequests bounds the requests of one connection that are in
+	// progress. It is enough for the lookups of one page, and less than a tenth of
+	// the servers' slots in a small deployment.
 	maxPipelinedRequests = 6
-	// addressTTL is how long callers keep an answer of the directory. A dead
-	// instance is left out of the answers after about a second, and callers
-	// have the new answer as much later.
+	// addressTTL is how long callers may cache a response of the directory. A failed
+	// instance is left out of responses after about 1 s; callers then learn of it
+	// within this time.
 	addressTTL = 2 * time.Second
-	// maxAddresses is the most that callers take from an answer.
+	// maxAddresses is the number of addresses that callers use of one response.
 	maxAddresses = 64
-	// minLocalAddresses is how many instances of the caller's data centre are
-	// enough not to name others beside them.
+	// minLocalAddresses is the number of ready instances in the caller's data centre
+	// from which instances of other data centres are left out.
 	minLocalAddresses = 2
-	// killMargin is kept back of the time until the end by force.
+	// killMargin is the part of the grace period that is left unused before the
+	// platform kills the process.
 	killMargin = time.Second
-	// shutdownWait is how long the end waits for the parts of the process. Nothing
-	// that they still do matters, and waiting for a call of the store once took
-	// longer than the stop may.
+	// shutdownWait bounds the wait for the services of the process to end after the
+	// requests are finished. Their remaining work no longer matters, and waiting for
+	// a pending call of the store could exceed the grace period.
 	shutdownWait = 200 * time.Millisecond
-	// acceptShare is the part of the time until the end by force during which a
-	// stopping instance still takes requests. By then callers have a newer
-	// answer of the directory, but for those that keep an old one for longer;
-	// what was taken has the other half to end in. Requests that were taken
-	// until the end were cut off with their servers at work.
+	// acceptShare is the part of the grace period during which a stopping instance
+	// still accepts requests. By its end most callers have refreshed their
+	// addresses; the rest of the period is for requests in progress. Accepting
+	// requests until the end cut them off while servers were executing them.
 	acceptShare = 0.5
-	// retryAfterElsewhere is told to callers that still come after that: another
-	// instance can serve them at once.
+	// retryAfterElsewhere is the Retry-After where another instance can serve the
+	// request at once, such as when this one no longer accepts requests.
 	retryAfterElsewhere = 50 * time.Millisecond
-	// drainPollInterval is how often a stopping instance looks whether it is idle.
+	// drainPollInterval is how often a stopping instance checks whether requests are
+	// in progress.
 	drainPollInterval = 100 * time.Millisecond
 )
 
-// serveHTTP serves a handler until the context ends.
+// serveHTTP returns a service that serves h on l until its context ends.
 func (e *Edge) serveHTTP(l net.Listener, h http.Handler) func(context.Context) error {
 	return func(ctx context.Context) error {
 		return serve(ctx, l, &http.Server{
@@ -67,12 +69,11 @@
 	}
 }
 
-// serveCallers serves callers' requests.
 func (e *Edge) serveCallers(ctx context.Context) error {
 	return e.callerServer.Serve(ctx, e.ports.callers)
 }
 
-// newCallerServer returns the server of callers' connections.
+// newCallerServer returns the server for callers' connections.
 func (e *Edge) newCallerServer() *pipeline.Server {
 	s := &pipeline.Server{
 		Handler: http.HandlerFunc(e.handleRequest), Beside: e.repeatable, MostAhead: maxPipelinedRequests,
@@ -82,7 +83,7 @@
 	return s
 }
 
-// repeatable reports whether a caller's request may run more than once.
+// repeatable reports whether a caller's request may be executed more than once.
 func (e *Edge) repeatable(r *http.Request) bool {
 	path, _, _ := strings.Cut(requestTarget(r), "?")
 	e.mu.Lock()
@@ -101,20 +102,20 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return ctx.Err()
 	}
-	return errors.Wrap(err, "server")
+	return errors.Wrap(err, "serving HTTP")
 }
 
-// readyLocked reports whether callers should be sent here. The lock must be
+// readyLocked reports whether callers should use this instance. The lock must be
 // held.
 func (e *Edge) readyLocked() bool {
 	s := &e.state
-	// The store may have told the configuration and not yet the servers. An
-	// instance that took itself for ready then refused every request.
+	// The configuration may arrive before the server list. An instance that reported
+	// ready in between would refuse every request.
 	_, serversKnown := s.servers.Version()
 	return !e.stopping.Load() && s.table != nil && serversKnown && !s.configUnreadable && e.configAge(e.now()) < s.bounds.Keys
 }
 
-// handleReadiness answers the platform.
+// handleReadiness serves the platform's readiness check.
 func (e *Edge) handleReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.PathReady {
 		http.NotFound(w, r)
@@ -128,7 +129,7 @@
 	}
 }
 
-// handleDirectory tells a caller which addresses to use.
+// handleDirectory returns the addresses that a caller should use.
 func (e *Edge) handleDirectory(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.PathResolve {
 		http.NotFound(w, r)
@@ -148,7 +149,7 @@
 	}
 }
 
-// addressesFor names ready instances to a caller.
+// addressesFor returns the addresses of ready instances for a caller.
 func (e *Edge) addressesFor(q platform.Question) []string {
 	ready := make(map[string][]string)
 	add := func(id uint32, dc string) {
@@ -174,9 +175,10 @@
 	return firstN(d.nearest(q), maxAddresses)
 }
 
-// stop ends the instance as planned: it is named to nobody any more and asks
-// callers to go elsewhere with each answer; after a while it takes no more
-// requests, and ends once it has finished those that it has.
+// stop performs a planned stop. The instance is no longer returned to callers, and
+// its responses ask callers to use other instances. After acceptShare of the grace
+// period it refuses new requests, and it ends once those in progress are finished
+// or the grace period is nearly over.
 func (e *Edge) stop() {
 	e.stopping.Store(true)
 	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callerServer.Open()))
--- a/edge/settings/settings.go
+++ b/edge/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads the settings of an edge instance: JSON with comments,
-// rendered by the platform from deploy/settings.template.jsonc.
+// which the platform renders from deploy/settings.template.jsonc.
 package settings
 
 import (
@@ -17,57 +17,58 @@
 
 // Settings of one edge instance.
 type Settings struct {
-	// Name of the instance in logs.
+	// Name identifies the instance in logs.
 	Name       string `json:"name"`
 	DataCentre string `json:"dataCentre"`
-	// IP of the instance. Others know it by this.
+	// IP is the address by which other instances identify this one.
 	IP string `json:"ip"`
 
-	// Regions is the region of each data centre. It may be left out where no
-	// route and no workspace is restricted to regions.
+	// Regions maps each data centre to its region. It may be omitted if no route and
+	// no workspace is restricted to regions.
 	Regions map[string]string `json:"regions,omitempty"`
 
 	Listen Listen `json:"listen"`
 	Store  Store  `json:"store"`
 	Bounds Bounds `json:"bounds"`
-	// Seeds are "ip:port" of instances that may run; only the ip is used. With
-	// one of them an instance starts while the store turns it away.
+	// Seeds are "ip:port" addresses of instances that may be running; only the IP is
+	// used. Through one of them an instance can start while the store rejects its
+	// calls.
 	Seeds []string `json:"seeds"`
-	// FirstStart says that the whole fleet starts for the first time, and
-	// callers come some seconds later. Default false.
+	// FirstStart indicates the first start of the whole fleet, with callers arriving
+	// some seconds later. Default false.
 	FirstStart bool `json:"firstStart"`
-	// LinkMbps is the machine's own link; 0 if it isn't known.
+	// LinkMbps is the bandwidth of the machine's network link; 0 if unknown.
 	LinkMbps float64 `json:"linkMbps"`
 	Log      Log     `json:"log"`
-	// Trial is for experiments only; nothing of it belongs on machines that
-	// serve users.
+	// Trial is for experiments only and must not be used on machines that serve
+	// users.
 	Trial Trial `json:"trial"`
 }
 
-// Trial switches mechanisms off, to measure what they are worth.
+// Trial disables mechanisms to measure their effect.
 type Trial struct {
-	// DisabledMechanisms names the mechanisms.
+	// DisabledMechanisms lists the mechanisms by name.
 	DisabledMechanisms []string `json:"without,omitempty"`
 }
 
-// Disabled returns the mechanisms that are switched off. Load has checked them.
+// Disabled returns the disabled mechanisms. Load has validated their names.
 func (t Trial) Disabled() mechanism.Off {
 	off, _ := mechanism.Parse(t.DisabledMechanisms)
 	return off
 }
 
-// Listen holds the addresses of an instance, each "ip:port".
+// Listen holds the addresses on which an instance listens, each "ip:port".
 type Listen struct {
-	// Callers send their requests here.
+	// Callers accepts callers' requests.
 	Callers string `json:"callers"`
-	// Readiness is asked by the platform.
+	// Readiness serves the platform's readiness check.
 	Readiness string `json:"readiness"`
-	// Directory tells callers which addresses to use.
+	// Directory returns the addresses that callers should use.
 	Directory string `json:"directory"`
-	// Peers carries datagrams and snapshots between instances. All instances
+	// Peers carries datagrams and snapshots between instances. All instances must
 	// use the same port.
 	Peers string `json:"peers"`
-	// Metrics serves figures and the status as text.
+	// Metrics serves the metrics and the status.
 	Metrics string `json:"metrics"`
 }
 
@@ -76,33 +77,34 @@
 	Address string `json:"address"`
 }
 
-// Bounds are the platform's promises and demands, in seconds.
+// Bounds are the platform's guarantees and requirements. Times are in seconds.
 type Bounds struct {
-	// RevokeS is how long a key that was taken away may still work.
+	// RevokeS is how long a revoked key may still work.
 	RevokeS float64 `json:"revokeS"`
-	// GraceS is the time between the signal to stop and the end by force.
+	// GraceS is the time between the signal to stop and the forced end of the
+	// process.
 	GraceS float64 `json:"graceS"`
-	// AddressTTLS is the longest that callers may keep an answer.
+	// AddressTTLS is the longest time for which callers may cache addresses.
 	AddressTTLS float64 `json:"addressTTLS"`
-	// RetryRatio and RetrySlack bound the repeats to a service over all
-	// instances, as a share of its requests and a number beside it.
+	// RetryRatio and RetrySlack bound the retries to a service by all instances, as
+	// a share of its requests and a fixed number added to it.
 	RetryRatio float64 `json:"retryRatio"`
 	RetrySlack float64 `json:"retrySlack"`
-	// RateOvershoot and RateSlack are the platform's tolerance on workspaces'
-	// rates: a share of the rate and burst, and a number of requests beside
-	// it, in each RateWindowS.
+	// RateOvershoot and RateSlack are the platform's tolerance on workspaces' rates:
+	// a share of the rate and burst, and a fixed number of requests added to it, in
+	// each window of RateWindowS.
 	RateOvershoot float64 `json:"rateOvershoot"`
 	RateSlack     float64 `json:"rateSlack"`
 	RateWindowS   float64 `json:"rateWindowS"`
 }
 
-// Log is what is logged.
+// Log configures logging.
 type Log struct {
-	// LinesPerSecond bounds the lines on requests. Default 150.
+	// LinesPerSecond bounds the log lines about requests. Default 150.
 	LinesPerSecond int `json:"linesPerSecond"`
 }
 
-// defaults stand for what the file leaves out.
+// defaults returns the values of settings that the file omits.
 func defaults() Settings {
 	return Settings{
 		Bounds: Bounds{RevokeS: 5, GraceS: 6, AddressTTLS: 5, RetryRatio: 0.2, RateWindowS: 5},
@@ -110,27 +112,27 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return Settings{}, errors.Wrap(err, "settings")
+		return Settings{}, errors.Wrap(err, "reading settings")
 	}
 	return Parse(data)
 }
 
-// Parse reads and checks settings. Fields that aren't known are a fault: a
-// name that is misspelt would otherwise leave its default in force unseen.
+// Parse decodes and validates settings. Unknown fields are an error, because a
+// misspelt name would otherwise leave its default in force unnoticed.
 func Parse(data []byte) (Settings, error) {
 	standard, err := hujson.Standardize(data)
 	if err != nil {
-		return Settings{}, errors.Wrap(err, "settings")
+		return Settings{}, errors.Wrap(err, "parsing settings")
 	}
 	s := defaults()
 	d := json.NewDecoder(bytes.NewReader(standard))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return Settings{}, errors.Wrap(err, "settings")
+		return Settings{}, errors.Wrap(err, "parsing settings")
 	}
 	return s, s.check()
 }
@@ -157,16 +159,16 @@
 	b := s.Bounds
 	if b.RevokeS <= 0 || b.GraceS <= 0 || b.AddressTTLS <= 0 || b.RetryRatio < 0 || b.RetrySlack < 0 ||
 		b.RateOvershoot < 0 || b.RateSlack < 0 || b.RateWindowS <= 0 {
-		return errors.New("settings: bounds must not be negative, and times must be above 0")
+		return errors.New("settings: bounds must not be negative, and revokeS, graceS, addressTTLS and rateWindowS must be positive")
 	}
 	if s.DataCentre == "" {
-		return errors.New("settings: dataCentre is missing")
+		return errors.New("settings: dataCentre must be set")
 	}
 	if s.Log.LinesPerSecond < 1 {
-		return errors.New("settings: log.linesPerSecond must be 1 or more")
+		return errors.New("settings: log.linesPerSecond must be at least 1")
 	}
 	return nil
 }
 
-// Seconds turns a setting into a duration.
+// Seconds converts a setting in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/edge/status.go
+++ b/edge/status.go
@@ -13,41 +13,41 @@
 	"foxtailspoke/placement"
 )
 
-// PathStatus is where an instance's Status is asked for, at its metrics address.
+// PathStatus is the path of an instance's Status on its metrics address.
 const PathStatus = "/status"
 
 const (
-	// suspectRisk is the risk from which a server is shown as a suspect: more
-	// likely to fail than not.
+	// suspectRisk is the failure risk above which a server is listed as a suspect:
+	// it is more likely to fail than not.
 	suspectRisk = 0.5
-	// nearRateShare is the part of its burst below which a workspace is shown as
-	// near its rate.
+	// nearRateShare is the part of its burst below which the remaining tokens of a
+	// workspace make it count as near its rate.
 	nearRateShare = 0.25
 )
 
-// Status is what one instance knows of the fleet, for operators. All times are
-// in milliseconds; -1 for what isn't known.
+// Status describes an instance's view of the fleet, for operators. Times are in
+// milliseconds; -1 means unknown.
 type Status struct {
 	Instance   string `json:"instance"`
 	DataCentre string `json:"dataCentre"`
-	// Ready instances are named to callers.
+	// Ready reports whether callers are given the address of this instance.
 	Ready bool `json:"ready"`
-	// Version of the configuration in force, and the age of the proof that it
-	// is the newest.
+	// Version is the version of the configuration in force. ConfigAgeMS is the age
+	// of the proof that it is the newest.
 	Version     uint32 `json:"version"`
 	ConfigAgeMS int64  `json:"configAgeMS"`
 	// ServersAgeMS is the age of the list of backend servers.
 	ServersAgeMS int64 `json:"serversAgeMS"`
-	// Reader is the instance that read the store last.
+	// Reader is the instance that read the store most recently.
 	Reader string `json:"reader"`
-	// Relay is the instance that this one tells what others must hear; itself
-	// if it is one. Listeners is how many it sends rounds to.
+	// Relay is the instance through which this one sends to the others; it is this
+	// instance itself if it is a relay. Listeners is the number of instances to
+	// which this one sends rounds.
 	Relay     string `json:"relay"`
 	Listeners int    `json:"listeners"`
-	// RateShare is the part of each workspace's rate that this instance may
-	// count on.
+	// RateShare is the part of each workspace's rate that this instance may use.
 	RateShare float64 `json:"rateShare"`
-	// Evacuated data centres' backend servers get nothing.
+	// Evacuated lists the data centres whose backend servers get no requests.
 	Evacuated  []string          `json:"evacuated"`
 	Instances  []InstanceStatus  `json:"instances"`
 	Services   []ServiceStatus   `json:"services"`
@@ -55,43 +55,45 @@
 	Workspaces []WorkspaceStatus `json:"workspacesNearRate"`
 }
 
-// InstanceStatus is another instance.
+// InstanceStatus describes another instance.
 type InstanceStatus struct {
 	IP         string `json:"ip"`
 	DataCentre string `json:"dataCentre"`
 	Alive      bool   `json:"alive"`
-	// Leaving instances aren't ready, or are stopping.
+	// Leaving is set if the instance is not ready or is stopping.
 	Leaving  bool  `json:"leaving"`
 	HeardMS  int64 `json:"heardMS"`
 	SlowLink bool  `json:"slowLink"`
 }
 
-// ServiceStatus sums up the backend servers of a service.
+// ServiceStatus summarizes the backend servers of a service.
 type ServiceStatus struct {
 	Service  string `json:"service"`
 	Servers  int    `json:"servers"`
 	Draining int    `json:"draining"`
-	// Cold servers get no more than they bear, Limited ones no more than they name
-	// in their answers, and Evacuated ones nothing.
+	// Cold, Limited and Evacuated count servers with restrictions: cold servers get
+	// requests at their warm-up rate, limited ones at most the rate that their
+	// responses set, and evacuated ones none.
 	Cold      int `json:"cold"`
 	Limited   int `json:"limited"`
 	Evacuated int `json:"evacuated"`
-	// Outstanding requests of all instances.
+	// Outstanding is the number of requests in progress from all instances.
 	Outstanding int `json:"outstanding"`
 	Suspects    int `json:"suspects"`
 }
 
-// SuspectStatus is a backend server that more likely fails than not.
+// SuspectStatus describes a backend server that is more likely to fail than not.
 type SuspectStatus struct {
 	Server  string  `json:"server"`
 	Service string  `json:"service"`
 	Risk    float64 `json:"risk"`
-	// LastFailure is how the last failed attempt went, LastFailureMS ago.
+	// LastFailure is the result of the last failed attempt, which ended
+	// LastFailureMS ago.
 	LastFailure   string `json:"lastFailure"`
 	LastFailureMS int64  `json:"lastFailureMS"`
 }
 
-// WorkspaceStatus is a workspace that has used up most of its burst.
+// WorkspaceStatus describes a workspace that has used up most of its burst.
 type WorkspaceStatus struct {
 	Workspace string  `json:"workspace"`
 	Rate      float64 `json:"rate"`
@@ -99,7 +101,7 @@
 	Tokens    float64 `json:"tokens"`
 }
 
-// Status returns what this instance knows now.
+// Status returns this instance's current view of the fleet.
 func (e *Edge) Status() Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +134,7 @@
 	return st
 }
 
-// summarizeServers sums up the summarizeServers of each service and names the suspects.
+// summarizeServers summarizes the servers of each service and lists the suspects.
 func summarizeServers(views []placement.View) (services []ServiceStatus, suspects []SuspectStatus) {
 	sums := make(map[string]*ServiceStatus)
 	for _, v := range views {
@@ -192,7 +194,7 @@
 	return near
 }
 
-// handleStatus answers operators.
+// handleStatus serves the status as JSON.
 func (e *Edge) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(e.Status()); err != nil {
