--- a/edge/directory_test.go
+++ b/edge/directory_test.go
@@ -28,12 +28,12 @@
 		want    []string
 	}{
 		{"own data centre", ready("a1", "a1", "b1"), nil, []string{"a1-0", "a1-1"}},
-		{"too few in the own", ready("a1", "b1"), nil, []string{"a1-0", "b1-0"}},
+		{"too few in own data centre", ready("a1", "b1"), nil, []string{"a1-0", "b1-0"}},
 		{"restricted, own data centre", ready("a1", "b1", "b1"), []string{"b"}, []string{"a1-0"}},
 		{"restricted, own region", ready("a2", "b1", "c1"), []string{"b"}, []string{"a2-0"}},
 		{"restricted, allowed region", ready("b1", "c1"), []string{"b"}, []string{"b1-0"}},
 		{"restricted, none is there", ready("c1"), []string{"b"}, []string{"c1-0"}},
-		{"nobody is ready", ready(), []string{"b"}, nil},
+		{"no instance is ready", ready(), []string{"b"}, nil},
 	} {
 		d := directory{topology, tc.ready}
 		got := d.nearest(from)
--- a/edge/fixture_test.go
+++ b/edge/fixture_test.go
@@ -28,8 +28,8 @@
 	revokeS = 2
 )
 
-// fleet is a store, backend servers and instances, each at an address of its
-// own of the loopback network.
+// fleet is a store with backend servers and edge instances, each on its own
+// loopback address.
 type fleet struct {
 	t         *testing.T
 	store     *rowstore.Store
@@ -46,7 +46,7 @@
 	log    *syncBuffer
 }
 
-// syncBuffer is a buffer for a log that is read while it is written.
+// syncBuffer is a log buffer that may be read while it is written.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -70,8 +70,8 @@
 	t.Helper()
 	f := &fleet{t: t, store: rowstore.New("op", "servers"), net: byte(10 + lastNetwork.Add(1))}
 	t.Cleanup(f.stopAll)
-	// All are held until the last is drawn: one that was given back might be
-	// drawn a second time.
+	// All listeners stay open until the last port is assigned; a port that was
+	// released might be assigned twice.
 	for i := range f.ports {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		must.NoError(t, err)
@@ -85,7 +85,7 @@
 
 func (f *fleet) address(n, port int) string { return fmt.Sprintf("%s:%d", f.ip(n), f.ports[port]) }
 
-// stopAll stops all instances, together: each takes a while for a planned stop.
+// stopAll stops all instances concurrently, as each planned stop takes a while.
 func (f *fleet) stopAll() {
 	for _, i := range f.instances {
 		i.cancel()
@@ -98,8 +98,9 @@
 	}
 }
 
-// storeAddress returns an address of the store for one instance. The kernel has
-// all of them call from the same address; this one tells the store who calls.
+// storeAddress returns an address of the store for one instance. All instances
+// would reach the store from the same loopback address, so this one sets the
+// caller's address.
 func (f *fleet) storeAddress(ip string) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.RemoteAddr = net.JoinHostPort(ip, "1")
@@ -109,7 +110,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// start starts an instance and returns its number.
+// start starts an instance and returns its index.
 func (f *fleet) start(change func(*settings.Settings)) int {
 	f.t.Helper()
 	n := len(f.instances)
@@ -143,7 +144,7 @@
 // configure puts a configuration in force. The keys belong to workspace w.
 func (f *fleet) configure(rate float64, keys ...string) { f.configureWith(nil, rate, keys...) }
 
-// configureWith changes the configuration before it puts it in force.
+// configureWith is configure with a change to the configuration.
 func (f *fleet) configureWith(change func(config map[string]any), rate float64, keys ...string) {
 	f.version += 3
 	route := func(name, prefix, kind string, public bool) map[string]any {
@@ -171,13 +172,13 @@
 	f.store.Put("op", "config", b)
 }
 
-// backend is a backend server.
+// backend is a backend server that counts its executions.
 type backend struct {
 	id     string
 	zone   string
 	server *httptest.Server
 	mu     sync.Mutex
-	// writes counts its entries in the store.
+	// writes is the sequence number of its last entry in the store.
 	writes   int
 	executed map[string]int
 	last     http.Header
@@ -185,13 +186,13 @@
 	answer   func(w http.ResponseWriter, r *http.Request)
 }
 
-// backend starts a server of service s; answer replaces its usual answer.
+// backend starts a server of service s; answer replaces its default response.
 func (f *fleet) backend(id string, answer func(w http.ResponseWriter, r *http.Request)) *backend {
 	f.t.Helper()
 	return f.backendIn("dc", id, answer)
 }
 
-// backendIn starts a server in a data centre.
+// backendIn starts a server in the given data centre.
 func (f *fleet) backendIn(zone, id string, answer func(w http.ResponseWriter, r *http.Request)) *backend {
 	f.t.Helper()
 	b := &backend{id: id, zone: zone, executed: make(map[string]int), answer: answer}
@@ -203,7 +204,8 @@
 
 func (f *fleet) writeEntry(b *backend, state string) { f.writeColdEntry(b, state, 0) }
 
-// writeColdEntry writes the entry of a server that is cold for some seconds yet.
+// writeColdEntry writes the entry of a server that stays cold for coldS more
+// seconds.
 func (f *fleet) writeColdEntry(b *backend, state string, coldS float64) {
 	b.writes++
 	v, err := json.Marshal(map[string]any{
@@ -257,19 +259,19 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// result is an answer as a caller sees it.
+// result is a response as the caller receives it.
 type result struct {
 	status int
 	header http.Header
 	body   string
 	err    error
-	// closes: the instance asks the caller to use another connection.
+	// closes is set if the instance closes the connection after this response.
 	closes bool
 }
 
 var lastAttempt atomic.Uint32
 
-// call sends a request to an instance.
+// call sends a request to instance n and returns the result and the request's id.
 func (f *fleet) call(n int, method, path, body string, change func(*http.Request)) (result, string) {
 	f.t.Helper()
 	id := fmt.Sprintf("attempt-%d", lastAttempt.Add(1))
@@ -323,7 +325,8 @@
 	return d.Addresses
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test if it does not in
+// time.
 func eventually(t *testing.T, within time.Duration, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -331,17 +334,17 @@
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", within, what)
+	t.Fatalf("condition not met within %v: %s", within, what)
 }
 
-// startAll starts instances and waits until they are ready and know each other.
+// startAll starts n instances and waits until all are ready and know each other.
 func (f *fleet) startAll(n int) {
 	f.t.Helper()
 	for range n {
 		f.start(nil)
 	}
 	for i := range n {
-		eventually(f.t, 5*time.Second, "ready with all others known", func() bool {
+		eventually(f.t, 5*time.Second, "instance is ready and knows all others", func() bool {
 			return f.ready(i) && len(f.addresses(i)) == n
 		})
 	}
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// limitedServer is a backend server whose answers name a limit, with the times at
-// which its requests came.
+// limitedServer is a backend server that sets a limit in its responses and records
+// the arrival times of its requests.
 type limitedServer struct {
 	*backend
-	// limit is the header's value; empty names none.
+	// limit is the value of the Server-Limit header; empty for no header.
 	limit atomic.Pointer[string]
 	mu    sync.Mutex
 	times []time.Time
@@ -36,7 +36,7 @@
 	return s
 }
 
-// requestsSince is how many requests have come requestsSince then.
+// requestsSince returns the number of requests that arrived after t.
 func (s *limitedServer) requestsSince(t time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,8 +49,8 @@
 	return n
 }
 
-// sendLookups sends lookups to all instances in turn, one every gap, and returns
-// how many were served.
+// sendLookups sends lookups to all instances in turn for d, with a pause of gap
+// between them, and returns how many were served.
 func (f *fleet) sendLookups(d, gap time.Duration) int {
 	var served atomic.Int64
 	var wg sync.WaitGroup
@@ -68,8 +68,8 @@
 	return int(served.Load())
 }
 
-// A backend server in need names a limit, and the instances together go on
-// sending it many times as much.
+// A server sets a limit. Guards against the instances together sending it many
+// times as much, which happens if each applies the limit by itself.
 func TestInstancesTogetherKeepToTheLimitOfAServer(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -81,13 +81,13 @@
 	start := time.Now()
 	served := f.sendLookups(4*time.Second, 10*time.Millisecond)
 	must.Positive(t, served)
-	// One and a half times what the limit allows in four seconds, and five more.
+	// 1.5 times the limit over four seconds, plus five requests.
 	must.LessEq(t, 1.5*2*4+5, float64(limited.requestsSince(start)))
 	must.Positive(t, limited.requestsSince(start))
 }
 
-// A server that is well again stays at its former limit, and callers wait for the
-// others.
+// Guards against a recovered server staying at its former limit, which makes
+// callers wait for the other servers.
 func TestServerIsUsedAtWillOnceItNamesNoLimit(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -104,8 +104,8 @@
 	must.Greater(t, 12, limited.requestsSince(start))
 }
 
-// All servers name limits. What goes beyond them is refused as not run, at once,
-// and nothing waits until its deadline.
+// All servers are at their limits. Excess requests must be refused at once as not
+// executed, and must not wait until their deadline.
 func TestRequestsAboveAllLimitsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -129,8 +129,9 @@
 	must.LessEq(t, before+2, limited.requestsSince(time.Time{}))
 }
 
-// A limited server's own error bears neither its signature nor its limit. Taken for
-// the limit's end, it would let everybody send at will until the next good answer.
+// A limited server's error response has neither a signature nor a limit header.
+// Taken for the end of the limit, it would let all instances send without limit
+// until the next signed response.
 func TestUnsignedErrorDoesNotEndALimit(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/edge/pipeline_test.go
+++ b/edge/pipeline_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pipelinedConn is a caller's connection on which requests are sent ahead.
+// pipelinedConn is a caller's connection that pipelines requests.
 type pipelinedConn struct {
 	t    *testing.T
 	conn net.Conn
@@ -30,7 +30,7 @@
 	return &pipelinedConn{t: f.t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// rawRequest is a request as it stands on the wire.
+// rawRequest returns a request in its wire format.
 func rawRequest(method, path, id, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 3000\r\n"+
 		"Authorization: Token %s\r\nContent-Length: %d\r\n\r\n%s", method, path, id, key, len(body), body)
@@ -42,7 +42,7 @@
 	must.NoError(l.t, err)
 }
 
-// readResponse reads the readResponse answer.
+// readResponse reads the next response.
 func (l *pipelinedConn) readResponse() (status int, id, body string, closes bool) {
 	l.t.Helper()
 	r, err := http.ReadResponse(l.in, nil)
@@ -52,21 +52,21 @@
 	return r.StatusCode, r.Header.Get("X-Attempt-Id"), string(b), r.Close
 }
 
-// closed reports that nothing more comes on the connection.
+// closed reports that the instance has closed the connection.
 func (l *pipelinedConn) closed() bool {
 	_, err := l.in.ReadByte()
 	return err != nil
 }
 
-// echoPath is a server's usual answer: the path of what it ran.
+// echoPath is a signed response with the path of the executed request.
 func echoPath(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Response-Seal", "seal")
 	_, _ = io.WriteString(w, r.RequestURI)
 }
 
-// A caller sends lookups ahead. The first takes longest at its server; the
-// answers must come in the order of the requests all the same, each with its
-// own id and body, whether a server or the instance itself gives them.
+// The first of several pipelined lookups takes longest. Responses must arrive in
+// the order of the requests, each with its own id and body, whether they come from
+// a server or from the instance itself.
 func TestRequestsSentAheadAreAnsweredInTheirOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -100,9 +100,9 @@
 	}
 }
 
-// Requests with bodies lie among those sent ahead, with a length and in
-// chunks, also one that is too large. Not a byte of a body may be taken for the
-// next request, nor may a request be lost behind one.
+// Pipelines requests with bodies, of known length, chunked, and too large. Guards
+// against a part of a body being parsed as the next request, and against losing
+// the request after a body.
 func TestBodiesAmongRequestsSentAhead(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -126,7 +126,7 @@
 	must.Eq(t, http.StatusRequestEntityTooLarge, status)
 	must.Eq(t, "a-4", id)
 	if closes {
-		// What lies behind counts as not read.
+		// The caller treats the later requests as not read.
 		must.True(t, l.closed())
 		must.Zero(t, b.executions("a-5"))
 		return
@@ -135,9 +135,9 @@
 	must.Eq(t, "a-5", id)
 }
 
-// A caller sends four lookups ahead, each of which keeps a server busy for
-// 300 ms. One after the other they would take 1.2 s, and the last would miss
-// its aim behind answers that have nothing to do with it.
+// Four pipelined lookups take 300 ms each. Executed one after the other they would
+// take 1.2 s, and the last would miss its latency target because of unrelated
+// requests.
 func TestLookupsSentAheadRunAtTheSameTime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -162,9 +162,9 @@
 	must.Less(t, 900*time.Millisecond, time.Since(start))
 }
 
-// An order lies behind a lookup whose answer may close the connection; the
-// caller then sends the order again on another one. It must not have run
-// before the lookup is answered.
+// An order follows a lookup whose response may close the connection, in which case
+// the caller resends the order on another one. The order must not be executed
+// before the lookup is answered, or it might be executed twice.
 func TestOrderSentAheadWaitsForWhatIsBeforeIt(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -190,9 +190,9 @@
 	must.Eq(t, []string{"/lookup/0", "/order/1", "/lookup/2"}, ran)
 }
 
-// The instance is told to stop while three requests sent ahead are with it. It
-// closes the connection with one answer; what lies behind that counts as not
-// read, is sent again by the caller whatever its kind, and must not run here.
+// The instance stops while three pipelined requests are pending and closes the
+// connection with the first response. The caller treats the later requests as not
+// read and resends them whatever their kind, so they must not be executed here.
 func TestWhatLiesBehindAClosingAnswerIsntRun(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -210,7 +210,7 @@
 	l.send(rawRequest("GET", "/lookup/0", "a-0", ""), rawRequest("POST", "/order/1", "a-1", "body"), rawRequest("POST", "/order/2", "a-2", "body"))
 	<-begun
 	f.instances[0].cancel()
-	eventually(t, time.Second, "it stops", func() bool { return !f.ready(0) })
+	eventually(t, time.Second, "instance is not ready", func() bool { return !f.ready(0) })
 	finish()
 	status, id, body, closes := l.readResponse()
 	must.Eq(t, 200, status)
@@ -221,9 +221,9 @@
 	must.Zero(t, b.executions("a-1")+b.executions("a-2"))
 }
 
-// The instance is told to stop while two lookups sent ahead are at work. Both
-// are answered, and only the last answer closes the connection: the caller of
-// the second couldn't know whether it has run.
+// The instance stops while two pipelined lookups are in progress. Both must be
+// answered, and only the last response may close the connection: otherwise the
+// caller cannot know whether the second was executed.
 func TestStopAnswersAllThatWasStarted(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -242,7 +242,7 @@
 	<-begun
 	<-begun
 	f.instances[0].cancel()
-	eventually(t, time.Second, "it stops", func() bool { return !f.ready(0) })
+	eventually(t, time.Second, "instance is not ready", func() bool { return !f.ready(0) })
 	finish()
 	for i, last := range []bool{false, true} {
 		status, id, _, closes := l.readResponse()
@@ -253,8 +253,9 @@
 	must.True(t, l.closed())
 }
 
-// A caller leaves while lookups that it sent ahead are at work. Its servers
-// must be free again within half a second, and what wasn't begun isn't.
+// A caller disconnects while its pipelined lookups are in progress. Their servers
+// must be free within half a second, and requests that have not started must not
+// be executed.
 func TestCallerLeavesRequestsSentAhead(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -269,22 +270,21 @@
 	l := f.pipelinedConn(0)
 	l.send(rawRequest("GET", "/lookup/0", "a-0", ""))
 	<-begun
-	// These arrive while the first is at work.
+	// These arrive while the first is in progress.
 	l.send(rawRequest("GET", "/lookup/1", "a-1", ""), rawRequest("POST", "/order/2", "a-2", "body"))
 	time.Sleep(50 * time.Millisecond)
 	_ = l.conn.Close()
 	select {
 	case <-left:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the server is still at work for a caller that has left")
+		t.Fatal("server not cancelled within 500 ms after its caller disconnected")
 	}
 	time.Sleep(300 * time.Millisecond)
 	must.Zero(t, b.executions("a-2"))
 }
 
-// A caller sends three hundred lookups ahead at once. What one connection
-// holds is bounded, so that it can't take the servers from all others, and all
-// of them are answered.
+// A caller pipelines 300 lookups at once. The number in progress must be bounded,
+// so that one connection cannot occupy the servers, and all must be answered.
 func TestOneConnectionHoldsFewRequestsAtATime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -319,8 +319,8 @@
 	must.LessEq(t, 16, most)
 }
 
-// What comes behind a request isn't HTTP. The answers due before it are given,
-// it is refused, and the connection ends.
+// A request is followed by bytes that are not HTTP. Pending responses must be
+// sent, the bytes must be refused, and the connection must be closed.
 func TestBytesThatAreNoRequestEndTheConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/edge/placement_test.go
+++ b/edge/placement_test.go
@@ -11,11 +11,12 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// evacuationDelay is how long instances may take to obey an evacuation.
+// evacuationDelay is how long instances may take to apply an evacuation.
 const evacuationDelay = 2 * time.Second
 
-// Operators evacuate a data centre while the store refuses one of the instances.
-// Its servers would go on getting requests from those that don't hear of it.
+// Operators evacuate a data centre while the store rejects the calls of one
+// instance. Guards against that instance not learning of the evacuation and
+// sending requests to the evacuated servers.
 func TestEvacuatedServersGetNothing(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -46,7 +47,7 @@
 	must.Eq(t, 1, s.Services[0].Evacuated)
 
 	f.store.Remove("op", "evacuate/away")
-	eventually(t, 2*evacuationDelay, "the data centre is used again", func() bool {
+	eventually(t, 2*evacuationDelay, "data centre gets requests again", func() bool {
 		for i := range 3 {
 			f.lookup(i)
 		}
@@ -54,8 +55,8 @@
 	})
 }
 
-// All processes are killed during an evacuation: what they read at their start
-// has to hold it.
+// All instances restart during an evacuation. They must learn of it with the first
+// data that they read.
 func TestInstanceThatStartsObeysAnEvacuation(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -72,8 +73,9 @@
 	must.Zero(t, away.total())
 }
 
-// A newer configuration is told together with an evacuation. An instance that
-// has yet to fetch the configuration must not put the evacuation off.
+// A newer configuration is announced together with an evacuation. Guards against
+// an instance that has yet to fetch the configuration delaying the evacuation
+// until then.
 func TestEvacuationWithANewConfiguration(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -96,8 +98,8 @@
 
 func withRegions(s *settings.Settings) { s.Regions = map[string]string{"dc": "here", "away": "there"} }
 
-// A route is restricted to a region, and the workspace to another one or to the
-// same: data that must not leave a region would be sent to servers outside.
+// A route and a workspace are restricted to the same or to different regions.
+// Guards against sending data that must stay in a region to servers outside it.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -124,7 +126,7 @@
 				config["tenants"].([]any)[0].(map[string]any)["allowed_regions"] = tc.workspace
 			}, 1000, key)
 			f.start(withRegions)
-			eventually(t, 3*time.Second, "ready", func() bool { return f.ready(0) })
+			eventually(t, 3*time.Second, "instance is ready", func() bool { return f.ready(0) })
 			for range 10 {
 				r, _ := f.lookup(0)
 				must.Eq(t, tc.status, r.status)
@@ -134,8 +136,8 @@
 	}
 }
 
-// A server starts during traffic and is cold. Every instance finds it idle; if
-// each sent it a request at once, it would break down.
+// A server starts under load and is cold. Guards against every instance sending it
+// a request at once because it looks idle, which would overload it.
 func TestColdServerGetsWhatItBears(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -147,7 +149,7 @@
 	f.startAll(5)
 	cold := f.backend("i-cold", nil)
 	f.writeColdEntry(cold, "ready", 3)
-	eventually(t, 3*time.Second, "the cold server is used", func() bool {
+	eventually(t, 3*time.Second, "cold server gets a request", func() bool {
 		for i := range 5 {
 			f.lookup(i)
 		}
@@ -164,8 +166,8 @@
 	must.Positive(t, warm.total())
 }
 
-// The only server of a service is cold and gets what it bears already. Callers
-// are told at once, and when to come back.
+// The only server of a service is cold and already at its warm-up rate. Callers
+// must be refused at once with a Retry-After.
 func TestRefusalWhileAllServersAreCold(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -176,7 +178,7 @@
 	f.startAll(1)
 	cold := f.backend("i-cold", nil)
 	f.writeColdEntry(cold, "ready", 3)
-	eventually(t, 3*time.Second, "the server is known", func() bool {
+	eventually(t, 3*time.Second, "server gets a request", func() bool {
 		r, _ := f.lookup(0)
 		return r.status == http.StatusOK
 	})
--- a/edge/requests_test.go
+++ b/edge/requests_test.go
@@ -45,7 +45,7 @@
 	must.False(t, f.ready(0))
 
 	f.configure(1000, key)
-	eventually(t, 3*time.Second, "ready", func() bool { return f.ready(0) })
+	eventually(t, 3*time.Second, "instance is ready", func() bool { return f.ready(0) })
 	r, _ = f.call(0, http.MethodGet, "/elsewhere/1", "", nil)
 	must.Eq(t, http.StatusNotFound, r.status)
 	r, _ = f.call(0, http.MethodGet, "/lookup/1", "", func(r *http.Request) { r.Header.Set("Authorization", "Token wrong") })
@@ -57,8 +57,8 @@
 	must.Eq(t, 1, b.total())
 }
 
-// The server resets the connection of an order that it may have run. The
-// caller is told that nobody knows (502); a second server must not get it.
+// The server resets the connection of an order that it may have executed. The
+// caller must get 502, and no second server may get the order.
 func TestOrderThatMayHaveRunIsntRepeated(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -73,8 +73,8 @@
 	}
 }
 
-// A server says that it had no room. That is proof that it didn't run the
-// order, so another may get it.
+// A server reports that it had no capacity. This proves that it did not execute
+// the order, so another server may get it.
 func TestRefusedOrderGoesToAnotherServer(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -89,8 +89,8 @@
 	}
 }
 
-// All servers say that they have no room. The refusal is true and says when to
-// come back.
+// All servers report that they have no capacity. The refusal must report the order
+// as not executed and have a Retry-After.
 func TestOrderThatNobodyRanIsRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -117,8 +117,8 @@
 	}
 }
 
-// A success without a server's proof is nobody's answer; it must not reach the
-// caller as one.
+// A successful response without a server's signature must not reach the caller as
+// a success.
 func TestUnprovedSuccessIsntDelivered(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -130,7 +130,7 @@
 	must.StrNotContains(t, r.body, "forged")
 }
 
-// A server's own failure is passed on with its proof and status.
+// A server's signed error response is forwarded with its signature and status.
 func TestServersOwnFailureIsDelivered(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -145,8 +145,9 @@
 	must.Eq(t, "s500", r.header.Get("X-Response-Seal"))
 }
 
-// The server hangs. The caller's final answer comes at the route's time limit
-// of 1.5 s, not at its own deadline of 2 s, and doesn't claim "not run".
+// The server does not respond. The caller must get its response at the route's
+// timeout of 1.5 s, not at its own deadline of 2 s, and without the claim that the
+// order was not executed.
 func TestAnswerComesAtTheRoutesTimeout(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -159,7 +160,8 @@
 	must.Between(t, 1400*time.Millisecond, time.Since(start), 1900*time.Millisecond)
 }
 
-// The caller gives up. Its server must learn of it at once and stop the work.
+// The caller disconnects. The server must see the cancellation at once so that it
+// can stop working.
 func TestCallerThatLeavesStopsTheWork(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -180,6 +182,6 @@
 	select {
 	case <-left:
 	case <-time.After(400 * time.Millisecond):
-		t.Fatal("the server is still at work 0.4 s after its caller has left")
+		t.Fatal("server not cancelled within 400 ms after its caller disconnected")
 	}
 }
--- a/edge/sharing_test.go
+++ b/edge/sharing_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A workspace sends far more than its rate to three instances. The sum that
-// runs keeps to rate and burst; who is refused is told when to come back.
+// A workspace exceeds its rate at three instances. The total that is executed must
+// keep to its rate and burst, and refusals must have a Retry-After.
 func TestRateHoldsOverAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -37,8 +37,8 @@
 	must.Between(t, 40, b.total(), 20+20*3+10)
 }
 
-// A failure that one instance saw is known to the others: their next orders go
-// elsewhere.
+// A failure seen by one instance must be known to the others, so that their next
+// orders go to another server.
 func TestFailureIsKnownToAll(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -52,7 +52,7 @@
 		}
 	}
 	bad := f.backend("i-2", resetConnection)
-	eventually(t, 5*time.Second, "the newcomer has got a request", func() bool {
+	eventually(t, 5*time.Second, "new server gets a request", func() bool {
 		f.lookup(0)
 		return bad.total() > 0
 	})
--- a/edge/status_test.go
+++ b/edge/status_test.go
@@ -21,9 +21,9 @@
 	return s
 }
 
-// A server resets everything and a workspace has spent its burst. An operator
-// who asks any instance must see both, who reads the store, and how old what
-// the instance knows is.
+// A server resets all connections and a workspace has used up its burst. The
+// status of any instance must show both, which instance reads the store, and the
+// age of its data.
 func TestStatusShowsWhatAnInstanceKnows(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -32,7 +32,7 @@
 	f.configure(20, key)
 	f.startAll(2)
 	var s edge.Status
-	eventually(t, 5*time.Second, "the suspect and the workspace are known at the other instance", func() bool {
+	eventually(t, 5*time.Second, "suspect and workspace in the status of the other instance", func() bool {
 		for range 10 {
 			f.lookup(0)
 		}
--- a/edge/stop_test.go
+++ b/edge/stop_test.go
@@ -12,9 +12,9 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// A planned stop: the instance is named to nobody any more at once, finishes
-// what it has, asks callers to go elsewhere, and after half of its time says
-// so to those that still come.
+// On a planned stop an instance must be removed from the directory at once, finish
+// its requests and ask callers to use other instances. After half of the grace
+// period it must refuse requests that still arrive.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -34,7 +34,7 @@
 	wg.Go(func() { slow, _ = f.call(0, http.MethodPost, "/order/slow", "body", nil) })
 	time.Sleep(100 * time.Millisecond)
 	f.instances[0].cancel()
-	eventually(t, 500*time.Millisecond, "not named any more", func() bool {
+	eventually(t, 500*time.Millisecond, "instance removed from the directory", func() bool {
 		return !f.ready(0) && len(f.addresses(1)) == 1 && f.addresses(1)[0] == f.address(1, 0)
 	})
 	r, _ := f.lookup(0)
@@ -44,7 +44,7 @@
 	finish()
 	wg.Wait()
 	must.Eq(t, http.StatusOK, slow.status)
-	eventually(t, 2*time.Second, "told to go elsewhere, or gone", func() bool {
+	eventually(t, 2*time.Second, "request refused with a Retry-After, or instance ended", func() bool {
 		r, _ := f.lookup(0)
 		return r.err != nil || (r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != "")
 	})
@@ -52,12 +52,12 @@
 	case <-f.instances[0].done:
 		f.instances[0].done <- nil
 	case <-time.After(3 * time.Second):
-		t.Fatal("the instance doesn't end")
+		t.Fatal("instance did not end within 3 s")
 	}
 }
 
-// A server hangs on a request, and the store hangs on a call, when the instance
-// is told to stop. It must end before it is ended by force.
+// A server and the store do not respond while the instance stops. It must end
+// before the platform kills it.
 func TestPlannedStopEndsInTime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
