--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -70,7 +70,7 @@
 
 // A server sets a limit. Guards against the instances together sending it many
 // times as much, which happens if each applies the limit by itself.
-func TestInstancesTogetherKeepToTheLimitOfAServer(t *testing.T) {
+func TestServerLimitHoldsOverAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -88,7 +88,7 @@
 
 // Guards against a recovered server staying at its former limit, which makes
 // callers wait for the other servers.
-func TestServerIsUsedAtWillOnceItNamesNoLimit(t *testing.T) {
+func TestServerLimitEndsWithResponseWithoutLimit(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
--- a/edge/pipeline_test.go
+++ b/edge/pipeline_test.go
@@ -67,7 +67,7 @@
 // The first of several pipelined lookups takes longest. Responses must arrive in
 // the order of the requests, each with its own id and body, whether they come from
 // a server or from the instance itself.
-func TestRequestsSentAheadAreAnsweredInTheirOrder(t *testing.T) {
+func TestPipelinedResponsesKeepRequestOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +103,7 @@
 // Pipelines requests with bodies, of known length, chunked, and too large. Guards
 // against a part of a body being parsed as the next request, and against losing
 // the request after a body.
-func TestBodiesAmongRequestsSentAhead(t *testing.T) {
+func TestPipelinedRequestsWithBodies(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
@@ -138,7 +138,7 @@
 // Four pipelined lookups take 300 ms each. Executed one after the other they would
 // take 1.2 s, and the last would miss its latency target because of unrelated
 // requests.
-func TestLookupsSentAheadRunAtTheSameTime(t *testing.T) {
+func TestPipelinedLookupsRunConcurrently(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	slow := func(w http.ResponseWriter, r *http.Request) {
@@ -165,7 +165,7 @@
 // An order follows a lookup whose response may close the connection, in which case
 // the caller resends the order on another one. The order must not be executed
 // before the lookup is answered, or it might be executed twice.
-func TestOrderSentAheadWaitsForWhatIsBeforeIt(t *testing.T) {
+func TestPipelinedOrderWaitsForEarlierRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	var mu sync.Mutex
@@ -193,7 +193,7 @@
 // The instance stops while three pipelined requests are pending and closes the
 // connection with the first response. The caller treats the later requests as not
 // read and resends them whatever their kind, so they must not be executed here.
-func TestWhatLiesBehindAClosingAnswerIsntRun(t *testing.T) {
+func TestRequestsAfterClosingResponseAreNotExecuted(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	begun, release := make(chan struct{}, 8), make(chan struct{})
@@ -224,7 +224,7 @@
 // The instance stops while two pipelined lookups are in progress. Both must be
 // answered, and only the last response may close the connection: otherwise the
 // caller cannot know whether the second was executed.
-func TestStopAnswersAllThatWasStarted(t *testing.T) {
+func TestStopAnswersStartedPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	begun, release := make(chan struct{}, 8), make(chan struct{})
@@ -256,7 +256,7 @@
 // A caller disconnects while its pipelined lookups are in progress. Their servers
 // must be free within half a second, and requests that have not started must not
 // be executed.
-func TestCallerLeavesRequestsSentAhead(t *testing.T) {
+func TestDisconnectCancelsPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	begun, left := make(chan struct{}, 8), make(chan struct{}, 8)
@@ -285,7 +285,7 @@
 
 // A caller pipelines 300 lookups at once. The number in progress must be bounded,
 // so that one connection cannot occupy the servers, and all must be answered.
-func TestOneConnectionHoldsFewRequestsAtATime(t *testing.T) {
+func TestPipelinedRequestsInProgressAreBounded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	var mu sync.Mutex
@@ -321,7 +321,7 @@
 
 // A request is followed by bytes that are not HTTP. Pending responses must be
 // sent, the bytes must be refused, and the connection must be closed.
-func TestBytesThatAreNoRequestEndTheConnection(t *testing.T) {
+func TestInvalidRequestClosesConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", echoPath)
--- a/edge/placement_test.go
+++ b/edge/placement_test.go
@@ -57,7 +57,7 @@
 
 // All instances restart during an evacuation. They must learn of it with the first
 // data that they read.
-func TestInstanceThatStartsObeysAnEvacuation(t *testing.T) {
+func TestStartingInstanceAppliesEvacuation(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	away := f.backendIn("away", "i-away", nil)
@@ -138,7 +138,7 @@
 
 // A server starts under load and is cold. Guards against every instance sending it
 // a request at once because it looks idle, which would overload it.
-func TestColdServerGetsWhatItBears(t *testing.T) {
+func TestColdServerKeepsToWarmUpRate(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configureWith(func(config map[string]any) {
--- a/edge/requests_test.go
+++ b/edge/requests_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRequestReachesAServerAsItWasSent(t *testing.T) {
+func TestRequestIsForwardedAsSent(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
@@ -59,7 +59,7 @@
 
 // The server resets the connection of an order that it may have executed. The
 // caller must get 502, and no second server may get the order.
-func TestOrderThatMayHaveRunIsntRepeated(t *testing.T) {
+func TestPossiblyExecutedOrderIsNotRetried(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	a, b := f.backend("i-1", resetConnection), f.backend("i-2", resetConnection)
@@ -91,7 +91,7 @@
 
 // All servers report that they have no capacity. The refusal must report the order
 // as not executed and have a Retry-After.
-func TestOrderThatNobodyRanIsRefusedAsNotRun(t *testing.T) {
+func TestUnexecutedOrderIsRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", rejectNotExecuted)
@@ -103,7 +103,7 @@
 	must.NotEq(t, "", r.header.Get("Retry-After"))
 }
 
-func TestLookupIsRepeatedAtAnotherServer(t *testing.T) {
+func TestLookupIsRetriedOnAnotherServer(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", resetConnection)
@@ -119,7 +119,7 @@
 
 // A successful response without a server's signature must not reach the caller as
 // a success.
-func TestUnprovedSuccessIsntDelivered(t *testing.T) {
+func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("forged")) })
@@ -131,7 +131,7 @@
 }
 
 // A server's signed error response is forwarded with its signature and status.
-func TestServersOwnFailureIsDelivered(t *testing.T) {
+func TestServerErrorIsForwarded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", func(w http.ResponseWriter, _ *http.Request) {
@@ -148,7 +148,7 @@
 // The server does not respond. The caller must get its response at the route's
 // timeout of 1.5 s, not at its own deadline of 2 s, and without the claim that the
 // order was not executed.
-func TestAnswerComesAtTheRoutesTimeout(t *testing.T) {
+func TestResponseAtRouteTimeout(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -162,7 +162,7 @@
 
 // The caller disconnects. The server must see the cancellation at once so that it
 // can stop working.
-func TestCallerThatLeavesStopsTheWork(t *testing.T) {
+func TestDisconnectCancelsServerRequest(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	left := make(chan struct{})
--- a/edge/sharing_test.go
+++ b/edge/sharing_test.go
@@ -39,7 +39,7 @@
 
 // A failure seen by one instance must be known to the others, so that their next
 // orders go to another server.
-func TestFailureIsKnownToAll(t *testing.T) {
+func TestFailureIsSharedWithOtherInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
--- a/edge/stop_test.go
+++ b/edge/stop_test.go
@@ -15,7 +15,7 @@
 // On a planned stop an instance must be removed from the directory at once, finish
 // its requests and ask callers to use other instances. After half of the grace
 // period it must refuse requests that still arrive.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopFinishesRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	release := make(chan struct{})
