--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -19,7 +19,7 @@
 // attempt is one attempt to have a call served by one backend server.
 type attempt struct {
 	choice placement.Choice
-	answer upstream.Answer
+	answer upstream.Response
 	result health.Result
 	took   time.Duration
 	number int
@@ -116,7 +116,7 @@
 // refusal for the caller, or neither if the call goes on.
 func (r *runner) handleEnd(a *attempt) (*attempt, *refusal) {
 	if a.result == health.OK {
-		r.e.publishAttemptEnd(r.c, a, evidence.Served)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestServed)
 		return a, nil
 	}
 	mayHaveRun := r.mayHaveRun
@@ -127,15 +127,15 @@
 	d := r.e.decideRetry(r.c, a, len(r.tried), len(r.running), mayHaveRun)
 	switch d.Action {
 	case retry.Wait:
-		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		return nil, nil
 	case retry.Retry:
-		r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		if v := r.startAttempt(); v == nil {
 			return nil, nil
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		r.e.publishAttemptEnd(r.c, a, evidence.Unserved)
+		r.e.publishAttemptEnd(r.c, a, evidence.RequestUnserved)
 	}
 	if r.lastServerError != nil {
 		return r.lastServerError, nil
@@ -192,7 +192,7 @@
 			if a.result != health.OK && !timedOut {
 				a.result = health.Cancelled
 			}
-			r.e.publishAttemptEnd(r.c, a, evidence.NotFinal)
+			r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		}
 	}()
 }
@@ -202,7 +202,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.retryState(c, a.result, number, running, mayHaveRun)
-	state.FreeSlot = !a.choice.Waits()
+	state.FreeSlot = !a.choice.MustQueue()
 	return retry.Decide(e.now(), state, e.retryBudget(c.service))
 }
 
@@ -238,7 +238,7 @@
 }
 
 // classify returns what the end of an attempt says about the server.
-func classify(a upstream.Answer) health.Result {
+func classify(a upstream.Response) health.Result {
 	switch a.Outcome {
 	case upstream.NotSent:
 		return health.ConnectFailed
@@ -248,7 +248,7 @@
 		return health.Timeout
 	case upstream.Cancelled:
 		return health.Cancelled
-	case upstream.Answered:
+	case upstream.Completed:
 	}
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
@@ -278,7 +278,7 @@
 	return upstream.Request{
 		Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body,
 		IDHeader: platform.HeaderAttempt, ID: c.id,
-		Once: !c.route.Kind.Repeatable() && e.mechanisms.On(mechanism.Fresh),
+		NonIdempotent: !c.route.Kind.Repeatable() && e.mechanisms.On(mechanism.Fresh),
 	}
 }
 
@@ -293,7 +293,7 @@
 		slog.String("server", a.choice.Server.ID), slog.String("service", c.service),
 		slog.String("result", a.result.String()), slog.Int64("took_ms", a.took.Milliseconds()),
 		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round3(a.choice.Risk)),
-		slog.Int64("expected_ms", a.choice.Expected.Milliseconds()),
+		slog.Int64("expected_ms", a.choice.ExpectedLatency.Milliseconds()),
 	}
 	if a.answer.Err != nil {
 		attrs = append(attrs, slog.String("error", a.answer.Err.Error()))
--- a/edge/call.go
+++ b/edge/call.go
@@ -107,7 +107,7 @@
 	if v := e.authenticate(c, r.Header); v != nil {
 		return c, v
 	}
-	if limit := s.table.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
+	if limit := s.table.Limits.MaxBodyBytes; limit > 0 && r.ContentLength > limit {
 		return c, &refusal{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	c.service = s.splitter.Pick(c.route)
@@ -147,13 +147,13 @@
 // executed.
 func (e *Edge) authenticate(c *call, h http.Header) *refusal {
 	s := &e.state
-	if !s.table.Keyed || c.route.Public {
+	if !s.table.RequireKey || c.route.Public {
 		return nil
 	}
-	if c.configAge > s.bounds.Keys {
+	if c.configAge > s.bounds.MaxKeyAge {
 		return &refusal{http.StatusServiceUnavailable, RuleConfigTooOld, retryAfterShort}
 	}
-	c.workspace = s.table.Workspace(platform.Key(h.Get(platform.HeaderKey)))
+	c.workspace = s.table.WorkspaceByKey(platform.Key(h.Get(platform.HeaderKey)))
 	if c.workspace == nil {
 		return &refusal{status: http.StatusUnauthorized, rule: RuleUnknownKey}
 	}
@@ -169,7 +169,7 @@
 	}
 	body := r.Body
 	e.mu.Lock()
-	if limit := e.state.table.Limits.BodyBytes; limit > 0 {
+	if limit := e.state.table.Limits.MaxBodyBytes; limit > 0 {
 		body = http.MaxBytesReader(w, body, limit)
 	}
 	e.mu.Unlock()
@@ -199,7 +199,7 @@
 	if !ok {
 		return choice, e.noServerRefusal(r, now)
 	}
-	rank := routing.Rank(c.route, c.workspace)
+	rank := routing.Priority(c.route, c.workspace)
 	if !e.mechanisms.On(mechanism.Rank) {
 		rank = 0
 	}
@@ -209,7 +209,7 @@
 	if v := e.chargeRate(c, now); v != nil {
 		return choice, v
 	}
-	s.placer.Sent(choice.Server.ID, r, now)
+	s.placer.RecordSent(choice.Server.ID, r, now)
 	return choice, nil
 }
 
@@ -217,17 +217,17 @@
 // available.
 func (e *Edge) noServerRefusal(r placement.Request, now time.Duration) *refusal {
 	v := &refusal{http.StatusServiceUnavailable, RuleNoServer, retryAfterShort}
-	obstacle, wait := e.state.placer.Obstacle(r, now)
+	obstacle, wait := e.state.placer.ExclusionReason(r, now)
 	switch obstacle {
-	case placement.Outside:
+	case placement.RegionNotAllowed:
 		v.rule = RuleNoServerInRegions
 	case placement.Evacuated:
 		v.rule = RuleServersEvacuated
-	case placement.Limited:
+	case placement.RateLimited:
 		v.rule, v.retryAfter = RuleServersAtLimit, shareRetryAfter(wait)
 	case placement.Cold:
 		v.rule, v.retryAfter = RuleServersCold, shareRetryAfter(wait)
-	case placement.NoObstacle, placement.Draining:
+	case placement.NotExcluded, placement.DrainingOrTried:
 	}
 	return v
 }
@@ -242,18 +242,18 @@
 func (e *Edge) placementRequest(c *call, tried []string, now time.Duration) placement.Request {
 	stats := e.routeStatsFor(c.route)
 	repeatable := c.route.Kind.Repeatable()
-	allowed, _ := e.topology.Allowed(c.route, c.workspace)
+	allowed, _ := e.topology.AllowedDataCentres(c.route, c.workspace)
 	return placement.Request{
-		Service:      c.service,
-		Repeatable:   repeatable,
-		RoomToRepeat: repeatable && c.route.MaxAttempts > 1 && e.hasRetryBudget(c.service),
-		Aim:          c.route.Aim - (now - c.start),
-		Left:         c.deadline - now,
-		Work:         stats.work,
-		KB:           stats.kb,
-		DataCentre:   e.settings.DataCentre,
-		Tried:        tried,
-		Allowed:      allowed,
+		Service:            c.service,
+		Retryable:          repeatable,
+		RetryBudgetAmple:   repeatable && c.route.MaxAttempts > 1 && e.hasRetryBudget(c.service),
+		LatencyTarget:      c.route.LatencyTarget - (now - c.start),
+		Remaining:          c.deadline - now,
+		ServiceTime:        stats.work,
+		SizeKB:             stats.kb,
+		DataCentre:         e.settings.DataCentre,
+		TriedServers:       tried,
+		AllowedDataCentres: allowed,
 	}
 }
 
@@ -275,7 +275,7 @@
 func (e *Edge) routeStatsFor(r *routing.Route) *routeStats {
 	st, ok := e.state.routes[r.Name]
 	if !ok {
-		st = &routeStats{work: time.Duration(initialWorkShare * float64(r.Aim)), kb: initialSizeKB}
+		st = &routeStats{work: time.Duration(initialWorkShare * float64(r.LatencyTarget)), kb: initialSizeKB}
 		e.state.routes[r.Name] = st
 	}
 	return st
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -108,18 +108,18 @@
 	// restoredUntil is the time until which entries that the store had confirmed may
 	// be missing after it was restored from a copy.
 	restoredUntil time.Duration
-	clock         freshness.Clock
-	poll          freshness.Poll
+	clock         freshness.StoreClock
+	poll          freshness.PollSchedule
 	config        *replica.Table
 	servers       *replica.Table
 	instances     *replica.Table
-	recent        [evidence.Tables]replica.Recent
+	recent        [evidence.TableCount]replica.RecentChanges
 	// announcedConfig is the newest version of the configuration's row that another
 	// instance has announced. fetchConfig reads its content.
-	announcedConfig replica.Point
+	announcedConfig replica.Position
 	// announcedServers is the newest version of the server list that another
 	// instance has announced.
-	announcedServers replica.Point
+	announcedServers replica.Position
 	// configProof is the store's timestamp up to which the configuration in force is
 	// proved to be the newest, valid if configProved is set.
 	configProof  time.Duration
@@ -214,8 +214,8 @@
 		limiter:        warmup.NewLimiter(self),
 		throttle:       throttle.NewLimiter(self),
 	}
-	e.state.placer.SetLimiter(e.state.limiter)
-	e.state.placer.SetThrottle(e.state.throttle)
+	e.state.placer.SetWarmUpLimiter(e.state.limiter)
+	e.state.placer.SetRateLimiter(e.state.throttle)
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{
 		Self: e.selfMember(), Epoch: e.epoch, Seeds: e.seedIDs(), Leaving: func() bool { return !e.readyLocked() }, Stopping: e.stopping.Load,
 	})
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -67,10 +67,10 @@
 		s.usage.SetLimit(workspaceHash(w.Name), e.limitOf(w), now)
 	}
 	for _, service := range c.Services {
-		s.placer.SetWarmUp(service.Name, placement.WarmUp{Time: service.WarmUp, Rate: service.WarmUpRate})
+		s.placer.SetWarmUp(service.Name, placement.WarmUp{Duration: service.WarmUp, Rate: service.WarmUpRate})
 	}
 	if c.Limits.IdleTimeout > 0 {
-		e.callerServer.SetIdle(c.Limits.IdleTimeout)
+		e.callerServer.SetIdleTimeout(c.Limits.IdleTimeout)
 	}
 	event.ConfigInForce.Log(e.log, slog.Uint64("version", uint64(c.Version)),
 		slog.Int("routes", len(c.Routes)), slog.Int("workspaces", len(c.Workspaces)))
@@ -80,18 +80,18 @@
 // a row of that version that is older: instances that start learn it from there.
 func (e *Edge) keepConfig(version uint64) {
 	if e.state.configInForce != nil {
-		e.state.config.Note(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
+		e.state.config.ApplyOwnWrite(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
 	}
 }
 
 // limitOf is the limit that a workspace is held to.
 func (e *Edge) limitOf(w routing.Workspace) usage.Limit {
 	if !e.mechanisms.On(mechanism.Tolerance) {
-		return usage.Strict(w.Rate, w.Burst)
+		return usage.StrictLimit(w.Rate, w.Burst)
 	}
 	b := e.settings.Bounds
 	t := usage.Tolerance{Overshoot: b.RateOvershoot, Slack: b.RateSlack, Window: settings.Seconds(b.RateWindowS)}
-	return t.Loosen(usage.Strict(w.Rate, w.Burst))
+	return t.Loosen(usage.StrictLimit(w.Rate, w.Burst))
 }
 
 // takeServers takes in changed entries of backend servers, and returns those
@@ -104,11 +104,11 @@
 	s := &e.state
 	var keepUntil time.Duration
 	if s.outageEnd > 0 {
-		keepUntil = s.outageEnd + discovery.Grace
+		keepUntil = s.outageEnd + discovery.RemovalGracePeriod
 	}
 	var changed []replica.Row
 	for _, r := range rows {
-		unsettled := s.serverList.Unsettled(r.Key)
+		unsettled := s.serverList.DiffersFromStore(r.Key)
 		c, ok := e.serverChange(r, restored, now, keepUntil)
 		if ok {
 			e.applyServer(c, now)
@@ -134,18 +134,18 @@
 		return s.serverList.Remove(r.Key, now, now)
 	}
 	if restored {
-		return s.serverList.Restore(entry, now)
+		return s.serverList.PutAfterRestore(entry, now)
 	}
 	return s.serverList.Put(entry, now)
 }
 
 func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
-	if c.Gone {
-		e.pool.Drop(c.Server.Address)
+	if c.Removed {
+		e.pool.CloseIdle(c.Server.Address)
 	}
 	event.ServerChanged.Log(e.log, slog.String("server", c.Server.ID), slog.String("service", c.Server.Service),
-		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Gone),
+		slog.String("address", c.Server.Address), slog.Bool("draining", c.Server.Draining), slog.Bool("gone", c.Removed),
 		slog.Int64("warm_up_ms", c.Server.WarmUp.Milliseconds()))
 }
 
@@ -168,7 +168,7 @@
 		return
 	}
 	if r.Gone {
-		e.state.messenger.Unlisted(id)
+		e.state.messenger.MarkUnlisted(id)
 		return
 	}
 	var d instanceDocument
@@ -176,5 +176,5 @@
 		event.EntryIgnored.Log(e.log, slog.String("instance", r.Key), slog.Any("error", err))
 		return
 	}
-	e.state.messenger.Listed(id, d.DataCentre, d.SlowLink, now)
+	e.state.messenger.MarkListed(id, d.DataCentre, d.SlowLink, now)
 }
--- a/edge/era.go
+++ b/edge/era.go
@@ -37,12 +37,12 @@
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
 	age := e.configAge(now)
-	s.clock.Restart()
+	s.clock.Reset()
 	s.configProof = stamp - age
 	s.era, s.eraStart = era, stamp
 	// Entries that were first written after the copy are missing.
 	s.outageEnd = now
-	s.restoredUntil = now + discovery.Grace
+	s.restoredUntil = now + discovery.RemovalGracePeriod
 	s.nextInstancesRead = 0
 	for i := range s.recent {
 		s.recent[i].Reset()
@@ -57,6 +57,6 @@
 
 // currentEra reports whether a copy is of the store's present era.
 func (e *Edge) currentEra(t *replica.Table) bool {
-	at, known := t.Point()
+	at, known := t.Position()
 	return known && at.Era == e.state.era
 }
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -138,11 +138,11 @@
 	}
 	if c.route != nil {
 		attrs = append(attrs, slog.String("route", c.route.Name), slog.String("service", c.service),
-			slog.Int64("aim_ms", c.route.Aim.Milliseconds()))
+			slog.Int64("aim_ms", c.route.LatencyTarget.Milliseconds()))
 	}
 	if c.workspace != nil {
 		e.mu.Lock()
-		tokens, share := e.state.usage.Tokens(workspaceHash(c.workspace.Name), now), e.state.usage.Share
+		tokens, share := e.state.usage.Tokens(workspaceHash(c.workspace.Name), now), e.state.usage.RateShare
 		e.mu.Unlock()
 		attrs = append(attrs, slog.String("workspace", c.workspace.Name),
 			slog.Float64("rate", c.workspace.Rate), slog.Float64("burst", c.workspace.Burst),
@@ -173,7 +173,7 @@
 // ageAttr returns the log attribute of an age, or an empty attribute if the age is
 // unknown.
 func ageAttr(d time.Duration) slog.Attr {
-	if d == freshness.Unknown {
+	if d == freshness.UnknownAge {
 		return slog.Attr{}
 	}
 	return slog.Int64("age_ms", d.Milliseconds())
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -24,10 +24,10 @@
 	e := &Edge{self: 1}
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{Self: e.selfMember()})
 	others := e.state.messenger.Fleet()
-	others.Meet(2, time.Second).Listed = true
-	alive, _ := others.Touch(3, time.Second)
+	others.GetOrAdd(2, time.Second).Listed = true
+	alive, _ := others.MarkAlive(3, time.Second)
 	alive.Listed = true
-	others.Meet(4, time.Second)
+	others.GetOrAdd(4, time.Second)
 	must.Len(t, 0, e.goneRows(time.Minute))
 	rows := e.goneRows(time.Second + goneAfter + 1)
 	must.Len(t, 1, rows)
@@ -46,7 +46,7 @@
 	s.clock.Observe(time.Second, e.now())
 	s.configProof, s.configProved = time.Second, true
 	must.False(t, e.readyLocked())
-	s.servers.Apply(replica.Answer{Whole: true, Version: 1}, 0)
+	s.servers.Apply(replica.ReadResult{Full: true, Version: 1}, 0)
 	must.True(t, e.readyLocked())
 }
 
@@ -56,7 +56,7 @@
 func TestRestartWithinASecondIsHeardAtOnce(t *testing.T) {
 	var m fleet.Instance
 	for _, sequence := range []uint32{100, 1} {
-		fresh, restarted := m.Fresh(newEpoch(), sequence)
+		fresh, restarted := m.MarkSeen(newEpoch(), sequence)
 		must.True(t, fresh)
 		must.True(t, restarted)
 	}
@@ -65,7 +65,7 @@
 // An instance that has just started knows nothing yet. Its lines leave the age
 // out; a number in its place reads like an age of a hundred years.
 func TestUnknownAgesAreLeftOutOfLines(t *testing.T) {
-	must.True(t, ageAttr((&freshness.Poll{}).Age(time.Minute)).Equal(slog.Attr{}))
+	must.True(t, ageAttr((&freshness.PollSchedule{}).Age(time.Minute)).Equal(slog.Attr{}))
 	must.True(t, ageAttr(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
 }
 
@@ -92,16 +92,16 @@
 	must.True(t, limited)
 	must.Eq(t, 2.5, limit)
 	for _, a := range []evidence.Attempt{
-		{Server: 9, Ended: true, TookMS: 300},
-		{Server: 9, Ended: true, TookMS: 3000},
-		{Server: 9, Ended: true, Result: health.Incomplete, TookMS: 10},
+		{Server: 9, Ended: true, LatencyMS: 300},
+		{Server: 9, Ended: true, LatencyMS: 3000},
+		{Server: 9, Ended: true, Result: health.Incomplete, LatencyMS: 10},
 		{Server: 9, Ended: true},
 	} {
 		e.applyPeerLimit(a, 11*time.Second)
 		_, limited = e.state.throttle.Limit(9)
 		must.True(t, limited)
 	}
-	e.applyPeerLimit(evidence.Attempt{Server: 9, Ended: true, TookMS: 300}, 12*time.Second)
+	e.applyPeerLimit(evidence.Attempt{Server: 9, Ended: true, LatencyMS: 300}, 12*time.Second)
 	_, limited = e.state.throttle.Limit(9)
 	must.False(t, limited)
 }
@@ -113,7 +113,7 @@
 	source, newcomer := newQuiet(t), newQuiet(t)
 	now := source.now()
 	source.state.clock.Observe(100*time.Second, now)
-	source.state.config.Apply(replica.Answer{Version: 5, Whole: true}, 0)
+	source.state.config.Apply(replica.ReadResult{Version: 5, Full: true}, 0)
 	source.prove(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	newcomer.takeSnapshot(source.snapshot(now), now)
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -22,7 +22,7 @@
 // updateLimit applies the limit in a server's response and returns the limit to
 // announce to the other instances, if any. The lock must be held.
 func (e *Edge) updateLimit(a *attempt, now time.Duration) *uint32 {
-	if a.answer.Outcome != upstream.Answered || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
+	if a.answer.Outcome != upstream.Completed || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
 		return nil
 	}
 	hash := placement.Hash(a.choice.Server.ID)
@@ -41,7 +41,7 @@
 		// An unsigned error may not come from the server itself, so it does not end
 		// the limit.
 		return e.knownLimit(hash)
-	case a.result == health.OK && e.state.throttle.HeardBefore(hash, a.start):
+	case a.result == health.OK && e.state.throttle.LimitOlderThan(hash, a.start):
 		e.clearLimit(hash, now)
 	}
 	return nil
@@ -73,8 +73,8 @@
 		e.setLimit(a.Server, *a.LimitMilli, now)
 		return
 	}
-	start := now - milliseconds(a.TookMS)
-	if a.Result == health.OK && a.TookMS > 0 && e.state.throttle.HeardBefore(a.Server, start-limitPropagationDelay) {
+	start := now - milliseconds(a.LatencyMS)
+	if a.Result == health.OK && a.LatencyMS > 0 && e.state.throttle.LimitOlderThan(a.Server, start-limitPropagationDelay) {
 		e.clearLimit(a.Server, now)
 	}
 }
@@ -82,7 +82,7 @@
 func (e *Edge) setLimit(server, milli uint32, now time.Duration) {
 	perSecond := float64(milli) / milliPerRequest
 	before, limited := e.state.throttle.Limit(server)
-	e.state.throttle.Named(server, perSecond, now)
+	e.state.throttle.SetLimit(server, perSecond, now)
 	if !limited || before != perSecond {
 		e.logLimit(server, slog.Float64("limit", perSecond), slog.Float64("before", before), now)
 	}
@@ -90,7 +90,7 @@
 
 func (e *Edge) clearLimit(server uint32, now time.Duration) {
 	before, _ := e.state.throttle.Limit(server)
-	e.state.throttle.Withdrawn(server)
+	e.state.throttle.RemoveLimit(server)
 	e.logLimit(server, slog.Float64("limit", 0), slog.Float64("before", before), now)
 }
 
--- a/edge/members.go
+++ b/edge/members.go
@@ -26,7 +26,7 @@
 
 // selfMember is this instance as others see it.
 func (e *Edge) selfMember() relay.Member {
-	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.hasSlowLink()}
+	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, SlowLink: e.hasSlowLink()}
 }
 
 // newUsageCounters returns counters that admit nothing until countShare: as long as it
@@ -34,7 +34,7 @@
 // whole of every rate.
 func newUsageCounters() *usage.Counters {
 	c := usage.NewCounters()
-	c.Share, c.Fresh = 0, 0
+	c.RateShare, c.StartupShare = 0, 0
 	return c
 }
 
@@ -43,7 +43,7 @@
 func (e *Edge) countShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
-		e.state.usage.Share, e.state.usage.Fresh = fleet.Heard(), fleet.Fresh()
+		e.state.usage.RateShare, e.state.usage.StartupShare = fleet.AliveShare(), fleet.AliveSinceStartShare()
 	}
 }
 
@@ -75,13 +75,13 @@
 func (e *Edge) lost(fell []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
 	for _, m := range fell {
-		s.usage.Forget(m.ID)
-		s.placer.Forget(m.ID)
+		s.usage.ForgetInstance(m.ID)
+		s.placer.RemoveInstance(m.ID)
 		event.PeerSilent.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
-			slog.Duration("silence", now-m.Heard))
+			slog.Duration("silence", now-m.LastHeard))
 	}
 	if float64(len(fell)) > manySilent*float64(all) {
-		s.placer.Disturbed(now)
+		s.placer.RecordInstanceLoss(now)
 	}
 	e.countShare()
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -50,7 +50,7 @@
 		return float64(e.state.messenger.Hub().Subscribers())
 	}))
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
-	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.Opened()) })
+	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.ConnectionsOpened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
 		return float64(e.budget.LeftOut() + e.logWriter.Dropped())
 	})
@@ -64,12 +64,12 @@
 		return float64(e.state.table.Version)
 	}))
 	m.gauge("rate_share", "Part of the workspaces' rates that this instance may count on.", e.locked(func() float64 {
-		return e.state.usage.Share
+		return e.state.usage.RateShare
 	}))
 	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.serverList.Len()) }))
 	m.gauge("suspect_servers", "Backend servers that more likely fail than not.", e.locked(func() float64 {
 		n := 0
-		for _, v := range e.state.placer.Views(e.now()) {
+		for _, v := range e.state.placer.ServerStatuses(e.now()) {
 			if v.Risk > suspectRisk {
 				n++
 			}
@@ -77,7 +77,7 @@
 		return float64(n)
 	}))
 	m.gauge("limited_servers", "Backend servers that name a limit in their answers.", e.locked(func() float64 {
-		return float64(e.state.throttle.Limited())
+		return float64(e.state.throttle.LimitedServers())
 	}))
 	m.gauge("instances_alive", "Other instances that are heard.", e.locked(func() float64 {
 		n := 0
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -107,7 +107,7 @@
 
 // sendHeartbeats sends heartbeats, and looks at what time alone changes.
 func (e *Edge) sendHeartbeats(ctx context.Context) error {
-	ticker := time.NewTicker(fleet.PulseEvery)
+	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
@@ -124,7 +124,7 @@
 func (e *Edge) pulse(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
-	fell, out, err := s.messenger.Pulse(now)
+	fell, out, err := s.messenger.Tick(now)
 	e.lost(fell, all, now)
 	e.sendAll(out, err)
 	e.keepRounds(now)
@@ -158,37 +158,37 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	t, err := e.state.messenger.Take(ipv4Number(from.Addr()), b, now)
+	t, err := e.state.messenger.Receive(ipv4Number(from.Addr()), b, now)
 	if err != nil && e.budget.Take(now, routineLogShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
-	e.found(t.Returned)
-	for i := range t.Received {
-		e.applyMessage(&t.Received[i], now)
+	e.found(t.NewlyAlive)
+	for i := range t.Messages {
+		e.applyMessage(&t.Messages[i], now)
 	}
-	e.send(t.Send)
+	e.send(t.Outgoing)
 	e.keepRounds(now)
 }
 
 // applyMessage takes in one message.
-func (e *Edge) applyMessage(m *fleet.Received, now time.Duration) {
+func (e *Edge) applyMessage(m *fleet.ReceivedMessage, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
-		s.placer.Forget(m.Source)
+		s.placer.RemoveInstance(m.Source)
 	}
 	for _, u := range m.Usage {
-		s.usage.Heard(usage.Word{
-			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, FromStart: m.From.FromStart,
+		s.usage.ApplyReport(usage.Report{
+			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, ReceivedSinceStart: m.From.AliveSinceStart,
 		}, now)
 	}
 	for _, a := range m.Attempts {
 		e.applyAttempt(m.Source, a, m.Latest, now)
 	}
 	for _, service := range m.Refused {
-		s.placer.RefusedAt(service, now)
+		s.placer.RecordRefusal(service, now)
 	}
-	for _, n := range m.Notices {
-		if n.StampUS != 0 {
+	for _, n := range m.TableUpdates {
+		if n.StoreClockUS != 0 {
 			s.lastReader = m.Source
 		}
 		e.applyNotice(n, now)
@@ -198,19 +198,19 @@
 func (e *Edge) applyAttempt(from uint32, a evidence.Attempt, latest bool, now time.Duration) {
 	s := &e.state
 	if latest {
-		s.placer.Outstanding(a.Server, from, int(a.Outstanding), now)
+		s.placer.SetOutstanding(a.Server, from, int(a.Outstanding), now)
 	}
 	if a.Number > 0 {
 		s.countAttempt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
-		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.TookMS), milliseconds(a.WorkMS), now)
+		s.placer.RecordResult(a.Server, a.Result, false, milliseconds(a.LatencyMS), milliseconds(a.TypicalLatencyMS), now)
 	}
 	if a.Ended {
 		e.applyPeerLimit(a, now)
 	}
-	if a.Final != evidence.NotFinal {
-		s.placer.ServedAt(a.Server, a.Final == evidence.Served, now)
+	if a.RequestOutcome != evidence.RequestPending {
+		s.placer.RecordServerOutcome(a.Server, a.RequestOutcome == evidence.RequestServed, now)
 	}
 }
 
--- a/edge/register.go
+++ b/edge/register.go
@@ -96,7 +96,7 @@
 	var rows []replica.Row
 	for _, m := range members {
 		key := addrPort(m.ID, 0).Addr().String()
-		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.Slow})
+		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.SlowLink})
 		if err != nil {
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
 			continue
@@ -112,7 +112,7 @@
 // them.
 func (e *Edge) noteListed(rows []replica.Row) {
 	for _, r := range rows {
-		e.state.instances.Note(r)
+		e.state.instances.ApplyOwnWrite(r)
 		e.takeInstance(r, e.now())
 	}
 }
@@ -135,7 +135,7 @@
 func (e *Edge) goneRows(now time.Duration) []replica.Row {
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
-		if m.Listed && !m.Alive && now-m.Heard > goneAfter && len(rows) < maxRows {
+		if m.Listed && !m.Alive && now-m.LastHeard > goneAfter && len(rows) < maxRows {
 			rows = append(rows, replica.Row{Key: addrPort(id, 0).Addr().String(), Gone: true})
 		}
 	}
--- a/edge/retry_budget.go
+++ b/edge/retry_budget.go
@@ -27,7 +27,7 @@
 // retryBound returns this instance's share of the platform's bound on retries.
 func (e *Edge) retryBound() retry.Bound {
 	b := e.settings.Bounds
-	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.Share}
+	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.RateShare}
 }
 
 // retryBudget returns the remaining retry budget of a service.
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -76,10 +76,10 @@
 // newCallerServer returns the server for callers' connections.
 func (e *Edge) newCallerServer() *pipeline.Server {
 	s := &pipeline.Server{
-		Handler: http.HandlerFunc(e.handleRequest), Beside: e.repeatable, MostAhead: maxPipelinedRequests,
+		Handler: http.HandlerFunc(e.handleRequest), AllowConcurrent: e.repeatable, MaxPipelined: maxPipelinedRequests,
 		HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	s.SetIdle(initialIdleTimeout)
+	s.SetIdleTimeout(initialIdleTimeout)
 	return s
 }
 
@@ -112,7 +112,7 @@
 	// The configuration may arrive before the server list. An instance that reported
 	// ready in between would refuse every request.
 	_, serversKnown := s.servers.Version()
-	return !e.stopping.Load() && s.table != nil && serversKnown && !s.configUnreadable && e.configAge(e.now()) < s.bounds.Keys
+	return !e.stopping.Load() && s.table != nil && serversKnown && !s.configUnreadable && e.configAge(e.now()) < s.bounds.MaxKeyAge
 }
 
 // handleReadiness serves the platform's readiness check.
@@ -181,7 +181,7 @@
 // or the grace period is nearly over.
 func (e *Edge) stop() {
 	e.stopping.Store(true)
-	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callerServer.Open()))
+	event.EdgeStopping.Log(e.log, slog.Int("connections", e.callerServer.OpenConnections()))
 	start := e.now()
 	grace := settings.Seconds(e.settings.Bounds.GraceS)
 	e.mu.Lock()
--- a/edge/status.go
+++ b/edge/status.go
@@ -108,7 +108,7 @@
 	s, now := &e.state, e.now()
 	st := Status{
 		Instance: e.settings.Name, DataCentre: e.settings.DataCentre, Ready: e.readyLocked(),
-		ConfigAgeMS: millisOrUnknown(e.configAge(now)), ServersAgeMS: -1, RateShare: round3(s.usage.Share),
+		ConfigAgeMS: millisOrUnknown(e.configAge(now)), ServersAgeMS: -1, RateShare: round3(s.usage.RateShare),
 		Evacuated: s.evacuations.List(),
 	}
 	if s.table != nil {
@@ -125,17 +125,17 @@
 	for id, m := range s.messenger.Fleet().All() {
 		st.Instances = append(st.Instances, InstanceStatus{
 			IP: addrPort(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
-			HeardMS: millisOrUnknown(now - m.Heard), SlowLink: m.Slow,
+			HeardMS: millisOrUnknown(now - m.LastHeard), SlowLink: m.SlowLink,
 		})
 	}
 	slices.SortFunc(st.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.IP, b.IP) })
-	st.Services, st.Suspects = summarizeServers(s.placer.Views(now))
+	st.Services, st.Suspects = summarizeServers(s.placer.ServerStatuses(now))
 	st.Workspaces = e.workspacesNearRate(now)
 	return st
 }
 
 // summarizeServers summarizes the servers of each service and lists the suspects.
-func summarizeServers(views []placement.View) (services []ServiceStatus, suspects []SuspectStatus) {
+func summarizeServers(views []placement.ServerStatus) (services []ServiceStatus, suspects []SuspectStatus) {
 	sums := make(map[string]*ServiceStatus)
 	for _, v := range views {
 		sum, ok := sums[v.Server.Service]
@@ -151,7 +151,7 @@
 		if v.Cold {
 			sum.Cold++
 		}
-		if v.Limited {
+		if v.RateLimited {
 			sum.Limited++
 		}
 		if v.Evacuated {
@@ -170,7 +170,7 @@
 	return services, suspects
 }
 
-func suspectStatus(v placement.View) SuspectStatus {
+func suspectStatus(v placement.ServerStatus) SuspectStatus {
 	s := SuspectStatus{Server: v.Server.ID, Service: v.Server.Service, Risk: round3(v.Risk), LastFailureMS: -1}
 	if v.LastFailure != health.OK {
 		s.LastFailure, s.LastFailureMS = v.LastFailure.String(), millisOrUnknown(v.SinceFailure)
