--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -10,9 +10,9 @@
 
 const namespace = "foxtailspoke_edge"
 
-// metrics of one instance. No label is a workspace or a server, since there are
-// thousands of each and every value would add a time series. The logs have the
-// details of individual ones.
+// metrics of one instance. No label is a workspace or a server: there are
+// thousands of each, and every value would add a time series. The logs have their
+// details.
 type metrics struct {
 	registry          *prometheus.Registry
 	requests          *prometheus.CounterVec
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers until a configuration
-	// is in force. It is the platform's usual value.
+	// headerTimeout bounds the reading of a request's headers. It is the platform's
+	// usual value and applies until a configuration is in force.
 	headerTimeout = 5 * time.Second
 	// initialIdleTimeout is how long callers' idle connections stay open until a
 	// configuration is in force.
