--- a/edge/call.go
+++ b/edge/call.go
@@ -13,10 +13,9 @@
 	"foxtailspoke/routing"
 )
 
-// Rule is the reason for which a request was answered as it was.
+// Rule identifies why a request got its response.
 type Rule string
 
-// The rules.
 const (
 	RuleServed            Rule = "served"
 	RuleNoConfig          Rule = "no-configuration"
@@ -40,21 +39,22 @@
 )
 
 const (
-	// callerMargin is kept back of the time that a caller will wait, for the
-	// answer's way to it.
-	callerMargin = 30 * time.Millisecond
-	// deadlineDefault holds for callers that don't say how long they wait.
-	deadlineDefault = 30 * time.Second
-	// comeBackSoon is told where the cause passes within moments.
-	comeBackSoon = 500 * time.Millisecond
-	// firstWork is the share of the aim that a request is taken to need
-	// before any was measured.
-	firstWork = 0.3
-	// firstKB is the size of request and answer taken before any was measured.
-	firstKB = 5.0
+	// responseMargin is subtracted from the time that a caller waits, for the
+	// transfer of the response.
+	responseMargin = 30 * time.Millisecond
+	// defaultDeadline applies to callers that send no deadline.
+	defaultDeadline = 30 * time.Second
+	// retryAfterShort is the Retry-After for causes that pass within moments.
+	retryAfterShort = 500 * time.Millisecond
+	// initialWorkShare is the part of the latency target that a request is assumed
+	// to need before one of its route was measured.
+	initialWorkShare = 0.3
+	// initialSizeKB is the assumed size of request and response before one of the
+	// route was measured.
+	initialSizeKB = 5.0
 )
 
-// call is a caller's request in progress.
+// call is a request of a caller in progress.
 type call struct {
 	id        string
 	method    string
@@ -68,24 +68,25 @@
 	workspace *routing.Workspace
 	service   string
 	version   uint32
-	keyAge    time.Duration
-	// charged says that the workspace's rate has paid for it.
+	configAge time.Duration
+	// charged is set once the request was counted against the workspace's rate.
 	charged bool
 }
 
-// verdict is a refusal before any backend server was asked.
-type verdict struct {
+// refusal is the response to a request that no backend server has served.
+type refusal struct {
 	status     int
 	rule       Rule
 	retryAfter time.Duration
 }
 
-// open reads what a request asks for and whether it may.
-func (e *Edge) open(r *http.Request) (*call, *verdict) {
+// newCall resolves the route, deadline, workspace and service of a request. It
+// returns a refusal if the request is not allowed.
+func (e *Edge) newCall(r *http.Request) (*call, *refusal) {
 	c := &call{
 		id:     r.Header.Get(platform.HeaderAttempt),
 		method: r.Method,
-		target: target(r),
+		target: requestTarget(r),
 		host:   r.Host,
 		start:  e.now(),
 	}
@@ -94,28 +95,28 @@
 	defer e.mu.Unlock()
 	s := &e.state
 	if s.table == nil {
-		return c, &verdict{http.StatusServiceUnavailable, RuleNoConfig, comeBackSoon}
+		return c, &refusal{http.StatusServiceUnavailable, RuleNoConfig, retryAfterShort}
 	}
 	c.version = s.table.Version
-	c.keyAge = e.configAge(c.start)
+	c.configAge = e.configAge(c.start)
 	c.route = s.table.Route(r.Host, path)
 	if c.route == nil {
-		return c, &verdict{status: http.StatusNotFound, rule: RuleNoRoute}
+		return c, &refusal{status: http.StatusNotFound, rule: RuleNoRoute}
 	}
-	c.deadline = c.start + timeLeft(r.Header, c.route)
-	if v := e.checkKey(c, r.Header); v != nil {
+	c.deadline = c.start + remainingTime(r.Header, c.route)
+	if v := e.authenticate(c, r.Header); v != nil {
 		return c, v
 	}
 	if limit := s.table.Limits.MaxBodyBytes; limit > 0 && r.ContentLength > limit {
-		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
+		return c, &refusal{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
-	c.service = s.split.Pick(c.route)
+	c.service = s.splitter.Pick(c.route)
 	return c, nil
 }
 
-// target is the path and query as the caller sent them. A caller may send the
-// whole URL.
-func target(r *http.Request) string {
+// requestTarget returns the path and query exactly as the caller sent them. The
+// request line may hold an absolute URL.
+func requestTarget(r *http.Request) string {
 	t := r.RequestURI
 	if strings.HasPrefix(t, "/") {
 		return t
@@ -128,39 +129,41 @@
 	return "/"
 }
 
-func timeLeft(h http.Header, r *routing.Route) time.Duration {
+func remainingTime(h http.Header, r *routing.Route) time.Duration {
 	left := platform.Deadline(h)
 	if left == 0 {
-		left = deadlineDefault
+		left = defaultDeadline
 	}
-	left -= callerMargin
+	left -= responseMargin
 	if r.Timeout > 0 {
 		left = min(left, r.Timeout)
 	}
 	return left
 }
 
-// checkKey finds the workspace. A key that was taken away must not work any
-// longer than its bound, so that nothing with a key is admitted on a
-// configuration whose age isn't proved; nothing of it has run then.
-func (e *Edge) checkKey(c *call, h http.Header) *verdict {
+// authenticate finds the workspace of the request's key. A revoked key must stop
+// working within its bound, so requests that need a key are refused while the age
+// of the configuration is not proved to be within it. Such a request has not been
+// executed.
+func (e *Edge) authenticate(c *call, h http.Header) *refusal {
 	s := &e.state
 	if !s.table.RequireKey || c.route.Public {
 		return nil
 	}
-	if c.keyAge > s.bounds.MaxKeyAge {
-		return &verdict{http.StatusServiceUnavailable, RuleConfigTooOld, comeBackSoon}
+	if c.configAge > s.bounds.MaxKeyAge {
+		return &refusal{http.StatusServiceUnavailable, RuleConfigTooOld, retryAfterShort}
 	}
 	c.workspace = s.table.WorkspaceByKey(platform.Key(h.Get(platform.HeaderKey)))
 	if c.workspace == nil {
-		return &verdict{status: http.StatusUnauthorized, rule: RuleUnknownKey}
+		return &refusal{status: http.StatusUnauthorized, rule: RuleUnknownKey}
 	}
 	return nil
 }
 
-// readBody holds the whole body, so that it can go to a second server if the
-// first didn't run it, and a slow sender holds no server's slot.
-func (e *Edge) readBody(c *call, w http.ResponseWriter, r *http.Request) *verdict {
+// readBody buffers the whole body. It can then be sent to a second server if the
+// first did not execute the request, and a slow sender does not occupy a slot of a
+// server.
+func (e *Edge) readBody(c *call, w http.ResponseWriter, r *http.Request) *refusal {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -172,47 +175,48 @@
 	e.mu.Unlock()
 	b, err := io.ReadAll(body)
 	if _, tooLarge := err.(*http.MaxBytesError); tooLarge { //nolint:errorlint // the reader returns it bare
-		return &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
+		return &refusal{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	if err != nil {
-		return &verdict{status: http.StatusBadRequest, rule: RuleBodyUnreadable}
+		return &refusal{status: http.StatusBadRequest, rule: RuleBodyUnreadable}
 	}
 	c.body = b
 	return nil
 }
 
-// place chooses a server for the next attempt. Charging the workspace comes
-// last: only a request that is going to be sent uses up its rate.
-func (e *Edge) place(c *call, tried []string) (placement.Choice, *verdict) {
+// chooseServer chooses the backend server for the next attempt. The workspace's
+// rate is charged last, so that only requests that are sent count against it.
+func (e *Edge) chooseServer(c *call, tried []string) (placement.Choice, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := &e.state
 	now := e.now()
-	// Between two beats of the heart a server may have run out of its grace;
-	// it would still get requests for up to a fifth of a second.
+	// The grace period of a server may have ended since the last heartbeat. Without
+	// this it would get requests for up to 200 ms more.
 	e.expireServers(now)
-	r := e.wanted(c, tried, now)
+	r := e.placementRequest(c, tried, now)
 	choice, ok := s.placer.Choose(r, now, rand.Float64)
 	if !ok {
-		return choice, e.unplaceable(r, now)
+		return choice, e.noServerRefusal(r, now)
 	}
 	rank := routing.Priority(c.route, c.workspace)
 	if !e.mechanisms.On(mechanism.Rank) {
 		rank = 0
 	}
 	if ok, wait := placement.Admit(choice, r, rank, rand.Float64()); !ok {
-		return choice, &verdict{http.StatusServiceUnavailable, RuleNoRoom, wait}
+		return choice, &refusal{http.StatusServiceUnavailable, RuleNoRoom, wait}
 	}
-	if v := e.charge(c, now); v != nil {
+	if v := e.chargeRate(c, now); v != nil {
 		return choice, v
 	}
 	s.placer.RecordSent(choice.Server.ID, r, now)
 	return choice, nil
 }
 
-// unplaceable is the refusal of a request that no server may get.
-func (e *Edge) unplaceable(r placement.Request, now time.Duration) *verdict {
-	v := &verdict{http.StatusServiceUnavailable, RuleNoServer, comeBackSoon}
+// noServerRefusal returns the refusal of a request for which no server is
+// available.
+func (e *Edge) noServerRefusal(r placement.Request, now time.Duration) *refusal {
+	v := &refusal{http.StatusServiceUnavailable, RuleNoServer, retryAfterShort}
 	obstacle, wait := e.state.placer.ExclusionReason(r, now)
 	switch obstacle {
 	case placement.RegionNotAllowed:
@@ -220,28 +224,29 @@
 	case placement.Evacuated:
 		v.rule = RuleServersEvacuated
 	case placement.RateLimited:
-		v.rule, v.retryAfter = RuleServersAtLimit, untilShare(wait)
+		v.rule, v.retryAfter = RuleServersAtLimit, shareRetryAfter(wait)
 	case placement.Cold:
-		v.rule, v.retryAfter = RuleServersCold, untilShare(wait)
+		v.rule, v.retryAfter = RuleServersCold, shareRetryAfter(wait)
 	case placement.NotExcluded, placement.DrainingOrTried:
 	}
 	return v
 }
 
-// untilShare is when to come back after this instance's share of a server was used
-// up: another instance may hold one that is free at once.
-func untilShare(wait time.Duration) time.Duration {
-	return min(max(wait, comeBackElsewhere), comeBackSoon)
+// shareRetryAfter returns the Retry-After for a server of which this instance has
+// used up its share. Another instance may have a free share at once, so the wait
+// is bounded.
+func shareRetryAfter(wait time.Duration) time.Duration {
+	return min(max(wait, retryAfterElsewhere), retryAfterShort)
 }
 
-func (e *Edge) wanted(c *call, tried []string, now time.Duration) placement.Request {
+func (e *Edge) placementRequest(c *call, tried []string, now time.Duration) placement.Request {
 	stats := e.routeStatsFor(c.route)
 	repeatable := c.route.Kind.Repeatable()
 	allowed, _ := e.topology.AllowedDataCentres(c.route, c.workspace)
 	return placement.Request{
 		Service:            c.service,
 		Retryable:          repeatable,
-		RetryBudgetAmple:   repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
+		RetryBudgetAmple:   repeatable && c.route.MaxAttempts > 1 && e.hasRetryBudget(c.service),
 		LatencyTarget:      c.route.LatencyTarget - (now - c.start),
 		Remaining:          c.deadline - now,
 		ServiceTime:        stats.work,
@@ -252,15 +257,16 @@
 	}
 }
 
-func (e *Edge) charge(c *call, now time.Duration) *verdict {
+func (e *Edge) chargeRate(c *call, now time.Duration) *refusal {
 	if c.workspace == nil || c.charged {
 		return nil
 	}
 	ok, wait := e.state.usage.Take(workspaceHash(c.workspace.Name), now)
 	if !ok {
-		// Spread, so that callers refused together don't return together.
-		wait += time.Duration(rand.Float64() * float64(comeBackSoon))
-		return &verdict{http.StatusTooManyRequests, RuleOverRate, wait}
+		// Random jitter keeps callers that are refused together from returning
+		// together.
+		wait += time.Duration(rand.Float64() * float64(retryAfterShort))
+		return &refusal{http.StatusTooManyRequests, RuleOverRate, wait}
 	}
 	c.charged = true
 	return nil
@@ -269,14 +275,15 @@
 func (e *Edge) routeStatsFor(r *routing.Route) *routeStats {
 	st, ok := e.state.routes[r.Name]
 	if !ok {
-		st = &routeStats{work: time.Duration(firstWork * float64(r.LatencyTarget)), kb: firstKB}
+		st = &routeStats{work: time.Duration(initialWorkShare * float64(r.LatencyTarget)), kb: initialSizeKB}
 		e.state.routes[r.Name] = st
 	}
 	return st
 }
 
-// updateRouteStats takes in the time and size of an answered request. A request that
-// had to wait for a slot tells nothing of its work.
+// updateRouteStats updates the time and size statistics of the route with a
+// completed request. took is 0 for a request that waited for a slot, as its time
+// says nothing about the work.
 func (e *Edge) updateRouteStats(c *call, took time.Duration, bytes int) {
 	st := e.routeStatsFor(c.route)
 	if took > 0 {
@@ -285,7 +292,7 @@
 	st.kb += routeSmoothing * (float64(bytes)/1024 - st.kb)
 }
 
-// routeSmoothing is the weight of one request among those of its route.
+// routeSmoothing is the weight of a new sample in the moving averages of a route.
 const routeSmoothing = 0.08
 
 func workspaceHash(name string) uint32 { return placement.Hash(name) }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -14,13 +14,13 @@
 	"foxtailspoke/upstream"
 )
 
-// limitMargin is how long another instance may take to learn of an answer that names
-// a limit. An answer to a request that another instance sent within that time after
-// it doesn't end the limit.
-const limitMargin = time.Second
+// limitPropagationDelay is the time that another instance may take to learn of a
+// response that sets a limit. A response without a limit does not end the limit if
+// another instance sent its request within this time after the limit was set.
+const limitPropagationDelay = time.Second
 
-// updateLimit takes in what an answer says of its server's limit, and returns the
-// limit that it names for the other instances. The lock must be held.
+// updateLimit applies the limit in a server's response and returns the limit to
+// announce to the other instances, if any. The lock must be held.
 func (e *Edge) updateLimit(a *attempt, now time.Duration) *uint32 {
 	if a.answer.Outcome != upstream.Completed || a.result == health.Mismatch || a.answer.Status == http.StatusMisdirectedRequest {
 		return nil
@@ -35,18 +35,20 @@
 		return nil
 	case named:
 		milli := milliPerSecond(limit)
-		e.limit(hash, *milli, now)
+		e.setLimit(hash, *milli, now)
 		return milli
 	case a.result == health.OK && a.answer.Header.Get(platform.HeaderProof) == "":
-		// An error that nobody has signed may not come from the server itself.
+		// An unsigned error may not come from the server itself, so it does not end
+		// the limit.
 		return e.knownLimit(hash)
 	case a.result == health.OK && e.state.throttle.LimitOlderThan(hash, a.start):
-		e.unlimit(hash, now)
+		e.clearLimit(hash, now)
 	}
 	return nil
 }
 
-// knownLimit is the limit that a server last named, for the other instances.
+// knownLimit returns the limit that the server last set, to announce to the other
+// instances.
 func (e *Edge) knownLimit(server uint32) *uint32 {
 	limit, limited := e.state.throttle.Limit(server)
 	if !limited {
@@ -55,29 +57,30 @@
 	return milliPerSecond(limit)
 }
 
-// perMilli is how many thousandths make a request a second.
-const perMilli = 1000
+// milliPerRequest converts requests per second to thousandths of a request per
+// second.
+const milliPerRequest = 1000
 
 func milliPerSecond(perSecond float64) *uint32 {
-	m := uint32(math.Min(math.Round(perSecond*perMilli), math.MaxUint32))
+	m := uint32(math.Min(math.Round(perSecond*milliPerRequest), math.MaxUint32))
 	return &m
 }
 
-// applyPeerLimit takes in what an answer to another instance says of its server's
-// limit. The lock must be held.
+// applyPeerLimit applies the limit in a server's response to another instance. The
+// lock must be held.
 func (e *Edge) applyPeerLimit(a evidence.Attempt, now time.Duration) {
 	if a.LimitMilli != nil {
-		e.limit(a.Server, *a.LimitMilli, now)
+		e.setLimit(a.Server, *a.LimitMilli, now)
 		return
 	}
 	start := now - milliseconds(a.LatencyMS)
-	if a.Result == health.OK && a.LatencyMS > 0 && e.state.throttle.LimitOlderThan(a.Server, start-limitMargin) {
-		e.unlimit(a.Server, now)
+	if a.Result == health.OK && a.LatencyMS > 0 && e.state.throttle.LimitOlderThan(a.Server, start-limitPropagationDelay) {
+		e.clearLimit(a.Server, now)
 	}
 }
 
-func (e *Edge) limit(server, milli uint32, now time.Duration) {
-	perSecond := float64(milli) / perMilli
+func (e *Edge) setLimit(server, milli uint32, now time.Duration) {
+	perSecond := float64(milli) / milliPerRequest
 	before, limited := e.state.throttle.Limit(server)
 	e.state.throttle.SetLimit(server, perSecond, now)
 	if !limited || before != perSecond {
@@ -85,7 +88,7 @@
 	}
 }
 
-func (e *Edge) unlimit(server uint32, now time.Duration) {
+func (e *Edge) clearLimit(server uint32, now time.Duration) {
 	before, _ := e.state.throttle.Limit(server)
 	e.state.throttle.RemoveLimit(server)
 	e.logLimit(server, slog.Float64("limit", 0), slog.Float64("before", before), now)
