--- a/membership/call.go
+++ b/membership/call.go
@@ -100,7 +100,7 @@
 	if w.Revision > m.log.Revision() {
 		m.hurry(now)
 	}
-	return &Witnessed{Revision: m.log.Revision(), Seated: m.Seated()}
+	return &Witnessed{Revision: m.log.Revision(), Seated: m.IsWitness()}
 }
 
 // hurry makes the next read or pull come soon, after word of a revision
--- a/membership/force.go
+++ b/membership/force.go
@@ -67,10 +67,10 @@
 	return m.rules.covers(m.force.reached, rev)
 }
 
-// Missing returns the witnesses that a revision waits for: those that
+// PendingWitnesses returns the witnesses that a revision waits for: those that
 // haven't said that they know it and haven't ended. It is empty if a
 // majority knows it.
-func (m *Member) Missing(rev storage.Revision) []string {
+func (m *Member) PendingWitnesses(rev storage.Revision) []string {
 	if rev <= m.force.covered() {
 		return nil
 	}
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -182,7 +182,7 @@
 	leaver := first[0]
 	s.step(leaver, leaver.m.Leave)
 	s.run(s.now + 2*time.Second)
-	must.False(t, leaver.m.Seated())
+	must.False(t, leaver.m.IsWitness())
 
 	for _, n := range first[1:6] {
 		n.dead = true
--- a/membership/member.go
+++ b/membership/member.go
@@ -26,15 +26,15 @@
 	Reads uint64
 	// Calls to other instances that were sent, and those without an answer.
 	Calls, FailedCalls uint64
-	// Lower counts answers with a lower revision than the replica's.
-	Lower uint64
+	// OlderRevisions counts answers with a lower revision than the replica's.
+	OlderRevisions uint64
 	// StaleReads counts reads of the table that ended below the replica's
 	// revision. The platform promises that there are none.
 	StaleReads uint64
 	// Rounds to the witnesses that were started, and that gave a proof.
-	Rounds, ProvedRounds uint64
-	// SeatWrites counts the changes to the list of witnesses that were sent.
-	SeatWrites uint64
+	Rounds, ConfirmedRounds uint64
+	// WitnessListWrites counts the changes to the list of witnesses that were sent.
+	WitnessListWrites uint64
 }
 
 // Member is one instance's part in the fleet. It isn't safe for use by
@@ -88,9 +88,9 @@
 // Settings returns the settings with their defaults filled in.
 func (m *Member) Settings() Settings { return m.set }
 
-// Live returns the platform's list of instances as heard. The Directory
+// Directory returns the platform's list of instances as heard. The Directory
 // stays valid and follows the list.
-func (m *Member) Live() *Directory { return m.dir }
+func (m *Member) Directory() *Directory { return m.dir }
 
 // Counters returns what the Member saw so far.
 func (m *Member) Counters() Counters { return m.count }
@@ -129,15 +129,15 @@
 	return m.tickSeats(now)
 }
 
-// Seated says whether the instance is a witness as far as it knows.
-func (m *Member) Seated() bool {
+// IsWitness says whether the instance is a witness as far as it knows.
+func (m *Member) IsWitness() bool {
 	return seated(m.log.Witnesses(), m.set.Self)
 }
 
 // apply takes changes of the table from anywhere.
 func (m *Member) apply(now time.Duration, c storage.Changes) {
 	if c.Revision < m.log.Revision() {
-		m.count.Lower++
+		m.count.OlderRevisions++
 	}
 	if !m.log.Apply(c) {
 		return
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -180,14 +180,14 @@
 	m, _ := newMember(members("b", "c", "d"))
 	wait := m.set.Wait()
 	ids := callsTo(m.Require(100*ms, 10), false)
-	must.SliceContainsAll(t, []string{"b", "c", "d"}, m.Missing(10))
+	must.SliceContainsAll(t, []string{"b", "c", "d"}, m.PendingWitnesses(10))
 	m.CallDone(110*ms, ids["b"], witnessed(10, true), true)
 	must.False(t, m.InForce(time.Hour, 10))
 
 	m.applyList(200*ms, storage.InstanceChanges{Version: 2, Changed: []storage.Instance{
 		{ID: "c", Kind: storage.Entry, State: storage.Ended},
 	}})
-	must.SliceEmpty(t, m.Missing(10))
+	must.SliceEmpty(t, m.PendingWitnesses(10))
 	must.False(t, m.InForce(200*ms+wait-1, 10))
 	must.True(t, m.InForce(200*ms+wait, 10))
 
--- a/membership/read.go
+++ b/membership/read.go
@@ -31,7 +31,7 @@
 }
 
 // reads says whether the instance reads the table regularly.
-func (m *Member) reads() bool { return m.watches() || m.Seated() }
+func (m *Member) reads() bool { return m.watches() || m.IsWitness() }
 
 // tableAway says whether the last read of the table had no answer or has
 // been without one for long. A watcher then asks the witnesses. Waiting for
--- a/membership/round.go
+++ b/membership/round.go
@@ -126,7 +126,7 @@
 		return
 	}
 	m.round.open = false
-	m.count.ProvedRounds++
+	m.count.ConfirmedRounds++
 	m.prove(&m.byWitnesses, m.rules.proofStart(m.round.start, now))
 }
 
--- a/membership/seats.go
+++ b/membership/seats.go
@@ -63,7 +63,7 @@
 }
 
 func (m *Member) caresForSeats() bool {
-	return m.watches() || (m.leaving && m.Seated())
+	return m.watches() || (m.leaving && m.IsWitness())
 }
 
 // maySeat says whether the instance sees the table now, with a read that
@@ -82,7 +82,7 @@
 	if m.seats.row != row || !m.seats.needed {
 		m.seats.needed, m.seats.row, m.seats.since = true, row, now
 	}
-	if m.leaving && m.Seated() {
+	if m.leaving && m.IsWitness() {
 		return true
 	}
 	turns := position(witnessKey, m.set.Self, m.dir.allWatchers())
@@ -202,7 +202,7 @@
 	m.seats.id = m.nextID()
 	m.seats.sent = now
 	m.seats.needed = false
-	m.count.SeatWrites++
+	m.count.WitnessListWrites++
 	txn := storage.Txn{
 		Attempt: fmt.Sprintf("%s/%s/%d", m.set.Self, config.WitnessesKey, m.seats.attempts),
 		Conditions: []storage.Condition{{
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -53,7 +53,7 @@
 	if !ok {
 		return false
 	}
-	server, _ := n.member.Live().Instance(id)
+	server, _ := n.member.Directory().Instance(id)
 	a := n.newAttempt(r, server)
 	r.tried = append(r.tried, id)
 	r.server = id
@@ -185,7 +185,7 @@
 	case e.Result == health.Shed:
 		rule = decision.RuleShed
 	}
-	r.figures.Servers = len(n.member.Live().Servers(r.service.Name))
+	r.figures.Servers = len(n.member.Directory().Servers(r.service.Name))
 	r.figures.Usable, _ = n.others(r)
 	n.refuse(r, rule, max(d.RetryAfter, e.RetryAfter))
 }
--- a/node/claims.go
+++ b/node/claims.go
@@ -67,7 +67,7 @@
 }
 
 func (n *Node) peerState(id string) claim.PeerState {
-	i, ok := n.member.Live().Instance(id)
+	i, ok := n.member.Directory().Instance(id)
 	if !ok || i.State == storage.Ended {
 		return claim.PeerEnded
 	}
--- a/node/locate.go
+++ b/node/locate.go
@@ -35,7 +35,7 @@
 func (n *Node) addresses(workspace string, self bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
 	ids := n.holders(shard)
-	for _, id := range n.member.Live().HolderCandidates("locate/"+workspace, n.settings.LocateAddresses) {
+	for _, id := range n.member.Directory().HolderCandidates("locate/"+workspace, n.settings.LocateAddresses) {
 		if !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
@@ -52,7 +52,7 @@
 		if own && (!self || n.leaving) {
 			continue
 		}
-		if i, ok := n.member.Live().Instance(id); ok {
+		if i, ok := n.member.Directory().Instance(id); ok {
 			addresses = append(addresses, i.Address)
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 func (n *Node) entryIDs() []string {
-	entries := n.member.Live().Entries()
+	entries := n.member.Directory().Entries()
 	ids := make([]string, len(entries))
 	for i, e := range entries {
 		ids[i] = e.ID
--- a/node/node.go
+++ b/node/node.go
@@ -231,10 +231,10 @@
 // noticeRevision follows the replica and the instance list after anything
 // that may have changed them.
 func (n *Node) noticeRevision() {
-	if list := n.member.Live().Version(); list != n.seenList {
+	if list := n.member.Directory().Version(); list != n.seenList {
 		n.seenList = list
 		n.rankShards()
-		n.collector.SetFleetSize(len(n.member.Live().Entries()), len(n.member.Live().DataCentres()))
+		n.collector.SetFleetSize(len(n.member.Directory().Entries()), len(n.member.Directory().DataCentres()))
 		n.noticeServers()
 	}
 	if n.replica.Revision() == n.seen {
--- a/node/operations.go
+++ b/node/operations.go
@@ -106,7 +106,7 @@
 		n.refuse(r, decision.RuleOperationLost, 0)
 		return
 	}
-	minter, _ := n.member.Live().Instance(key.Minter)
+	minter, _ := n.member.Directory().Instance(key.Minter)
 	r.forwards++
 	a := n.newAttempt(r, minter)
 	a.forwarded = true
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -340,7 +340,7 @@
 			l.fillList(s)
 			l.pass(time.Second)
 			l.pass(time.Second)
-			must.Eq(b, s.entries, len(l.node.member.Live().Entries()))
+			must.Eq(b, s.entries, len(l.node.member.Directory().Entries()))
 			b.ReportMetric(float64(heapBytes()-before)/float64(s.entries+s.targets), "B/instance")
 			runtime.KeepAlive(l)
 		})
--- a/node/servers.go
+++ b/node/servers.go
@@ -16,18 +16,18 @@
 // subset of the backend servers, with their weights.
 func (n *Node) servers(r *request) []balance.Server {
 	service := r.service
-	listed := n.member.Live().Servers(service.Name)
+	listed := n.member.Directory().Servers(service.Name)
 	ids := make([]string, len(listed))
 	for i, s := range listed {
 		ids[i] = s.ID
 	}
-	entries := len(n.member.Live().Entries())
+	entries := len(n.member.Directory().Entries())
 	subset := balance.Subset(n.settings.Self.ID, entries, ids, n.settings.MaxConnections)
 	permits := n.replica.Permits(service.Name)
 	view := make([]balance.Server, 0, len(subset))
 	var usable []string
 	for _, id := range subset {
-		s, _ := n.member.Live().Instance(id)
+		s, _ := n.member.Directory().Instance(id)
 		b := balance.Server{
 			ID:         id,
 			DataCentre: s.DataCentre,
@@ -98,7 +98,7 @@
 	for _, service := range sortedKeys(n.budgets) {
 		permits := n.replica.Permits(service)
 		var all, inUse []string
-		for _, s := range n.member.Live().Servers(service) {
+		for _, s := range n.member.Directory().Servers(service) {
 			all = append(all, s.ID)
 			if s.State == storage.Live && !isEjected(permits, s.ID) {
 				inUse = append(inUse, s.ID)
@@ -112,7 +112,7 @@
 // reportHealth sends what this instance saw to the services' collectors.
 func (n *Node) reportHealth() {
 	for _, report := range n.observer.DueReports(n.now) {
-		collector := n.member.Live().Collector(report.Service)
+		collector := n.member.Directory().Collector(report.Service)
 		switch collector {
 		case "":
 		case n.settings.Self.ID:
@@ -132,7 +132,7 @@
 // permits stay as they are.
 func (n *Node) collect() {
 	for _, service := range n.replica.Services() {
-		if n.member.Live().Collector(service) != n.settings.Self.ID || n.leaving {
+		if n.member.Directory().Collector(service) != n.settings.Self.ID || n.leaving {
 			continue
 		}
 		if n.member.Confirmed(n.now).State == membership.ByTable {
@@ -147,7 +147,7 @@
 		return
 	}
 	var live []string
-	for _, s := range n.member.Live().Servers(service) {
+	for _, s := range n.member.Directory().Servers(service) {
 		if s.State == storage.Live {
 			live = append(live, s.ID)
 		}
@@ -169,7 +169,7 @@
 func (n *Node) probe(service string) {
 	about, _ := n.replica.Service(service)
 	for _, probe := range n.collector.Probes(n.now, service, n.replica.Permits(service)) {
-		server, ok := n.member.Live().Instance(probe.Server)
+		server, ok := n.member.Directory().Instance(probe.Server)
 		if !ok {
 			continue
 		}
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -15,7 +15,7 @@
 func (n *Node) rankShards() {
 	n.shards.limited = 0
 	clear(n.shards.line)
-	entries := n.member.Live().Entries()
+	entries := n.member.Directory().Entries()
 	for _, name := range n.shards.names {
 		if place, ok := n.place(name, entries); ok {
 			n.shards.line[name] = place
@@ -124,7 +124,7 @@
 
 // candidates lists the instances that may hold parts.
 func (n *Node) candidates() []quota.Candidate {
-	entries := n.member.Live().Entries()
+	entries := n.member.Directory().Entries()
 	list := make([]quota.Candidate, 0, len(entries))
 	for _, e := range entries {
 		if e.ID == n.settings.Self.ID && n.leaving {
--- a/node/status.go
+++ b/node/status.go
@@ -86,7 +86,7 @@
 		Confirmation: n.member.Confirmed(n.now),
 		Fresh:        n.member.Settings().Fresh,
 		Lists:        n.replica.Lists(),
-		Entries:      slices.Clone(n.member.Live().Entries()),
+		Entries:      slices.Clone(n.member.Directory().Entries()),
 		Leaving:      n.leaving,
 		Counters:     n.member.Counters(),
 		Buckets:      n.holder.Buckets(),
@@ -104,7 +104,7 @@
 	view := n.servers(&request{service: definition})
 	s := ServiceStatus{
 		Service: definition,
-		Servers: len(n.member.Live().Servers(name)),
+		Servers: len(n.member.Directory().Servers(name)),
 		Ejected: n.replica.Permits(name).Ejected,
 	}
 	for _, server := range view {
@@ -151,7 +151,7 @@
 // know it and which are missing.
 func (n *Node) InForce(now time.Duration, revision storage.Revision) (inForce bool, known, missing []string) {
 	n.now = max(n.now, now)
-	missing = n.member.Missing(revision)
+	missing = n.member.PendingWitnesses(revision)
 	for _, id := range n.replica.Witnesses().Members {
 		if !slices.Contains(missing, id) {
 			known = append(known, id)
@@ -166,7 +166,7 @@
 	if address, ok := membership.SeedAddress(id); ok {
 		return address
 	}
-	i, ok := n.member.Live().Instance(id)
+	i, ok := n.member.Directory().Instance(id)
 	if !ok || i.State == storage.Ended {
 		return ""
 	}
@@ -182,4 +182,4 @@
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // Seated says whether the instance is a witness as far as it knows.
-func (n *Node) Seated() bool { return n.member.Seated() }
+func (n *Node) Seated() bool { return n.member.IsWitness() }
--- a/node/unadvertised.go
+++ b/node/unadvertised.go
@@ -58,7 +58,7 @@
 // its failures.
 func (n *Node) judgeReporter(from, service string) {
 	u := &n.unadvertised
-	bound := max(1, len(n.member.Live().Entries())/unadvertisedShare)
+	bound := max(1, len(n.member.Directory().Entries())/unadvertisedShare)
 	if len(u.instances) >= bound || slices.Contains(u.instances, from) || !n.collector.ReporterAtFault(n.now, from, service) {
 		return
 	}
@@ -69,7 +69,7 @@
 // over, and forgets those that have ended.
 func (n *Node) endUnadvertised() {
 	u := &n.unadvertised
-	if len(u.instances) == 0 || n.member.Live().Collector(unadvertisedRole) != n.settings.Self.ID {
+	if len(u.instances) == 0 || n.member.Directory().Collector(unadvertisedRole) != n.settings.Self.ID {
 		return
 	}
 	live := n.entryIDs()
