--- a/membership/alone.go
+++ b/membership/alone.go
@@ -6,9 +6,9 @@
 	"foxtailspoke/effect"
 )
 
-// alone is the state of an instance's attempts to prove its revision by
+// fallback is the state of an instance's attempts to prove its revision by
 // itself, when nobody that proves for others can be reached.
-type alone struct {
+type fallback struct {
 	// next is when the next attempt may start.
 	next     time.Duration
 	failures int
@@ -21,22 +21,22 @@
 // longestAlone bounds the time between attempts.
 const longestAlone = 16 * time.Second
 
-// tickAlone reads the table, the list, and asks the witnesses, if pulls give
+// tickFallback reads the table, the list, and asks the witnesses, if pulls give
 // no proof. The attempts are few and spread: if every instance tried as
 // often as a watcher, the platform's return would drown it in reads just
 // when it recovers, and it would go away again.
-func (m *Member) tickAlone(now time.Duration) []effect.Effect {
-	if now < m.alone.next {
+func (m *Member) tickFallback(now time.Duration) []effect.Effect {
+	if now < m.fallback.next {
 		return nil
 	}
-	if old := m.oldAt(); now < old {
-		m.alone.next = old
+	if old := m.proofOverdueAt(); now < old {
+		m.fallback.next = old
 		return nil
 	}
-	m.alone.next = now + m.aloneGap()
-	m.alone.failures++
+	m.fallback.next = now + m.aloneGap()
+	m.fallback.failures++
 	m.table.wanted = m.table.wanted || !m.reads()
-	m.list.wanted = m.list.wanted || !m.watches()
+	m.list.wanted = m.list.wanted || !m.isWatcher()
 	out := m.tickTable(now)
 	out = append(out, m.tickList(now)...)
 	if m.round.open && now-m.round.start < m.set.CallTimeout {
@@ -45,9 +45,9 @@
 	return append(out, m.startRound(now)...)
 }
 
-// oldAt returns when the youngest proof is so old that a healthy instance
+// proofOverdueAt returns when the youngest proof is so old that a healthy instance
 // would have a younger one.
-func (m *Member) oldAt() time.Duration {
+func (m *Member) proofOverdueAt() time.Duration {
 	p := m.youngest()
 	if !p.held {
 		return 0
@@ -59,7 +59,7 @@
 // and after every failure, and never the same for two instances.
 func (m *Member) aloneGap() time.Duration {
 	gap := time.Duration(len(m.dir.entryIDs)) * time.Second / time.Duration(m.set.SelfReadsPerSecond)
-	gap = max(gap, m.set.PollEvery) << min(m.alone.failures, maxBackoffDoublings)
+	gap = max(gap, m.set.PollEvery) << min(m.fallback.failures, maxBackoffDoublings)
 	gap = min(gap, longestAlone)
 	return gap + time.Duration(m.rng.Int64N(int64(gap)))
 }
--- a/membership/call.go
+++ b/membership/call.go
@@ -11,10 +11,10 @@
 type callKind int
 
 const (
-	// regularPull is one of the pulls that every instance but a watcher makes.
-	regularPull callKind = iota
-	// fetch pulls a newer revision from a witness that knows it.
-	fetch
+	// periodicPull is one of the pulls that every instance but a watcher makes.
+	periodicPull callKind = iota
+	// catchUpPull pulls a newer revision from a witness that knows it.
+	catchUpPull
 	// witnessCall asks or informs a witness.
 	witnessCall
 )
@@ -29,7 +29,7 @@
 	round uint64
 }
 
-func (m *Member) send(now time.Duration, c call, r Request) effect.Effect {
+func (m *Member) sendCall(now time.Duration, c call, r Request) effect.Effect {
 	c.sent = now
 	id := m.nextID()
 	m.calls[id] = c
@@ -58,7 +58,7 @@
 
 func (m *Member) callFailed(now time.Duration, c call) {
 	m.count.FailedCalls++
-	if c.kind == regularPull {
+	if c.kind == periodicPull {
 		m.pullFailed(now, c)
 	}
 }
@@ -98,24 +98,24 @@
 		m.apply(now, *w.Offer)
 	}
 	if w.Revision > m.log.Revision() {
-		m.hurry(now)
+		m.expediteReads(now)
 	}
 	return &Witnessed{Revision: m.log.Revision(), Seated: m.IsWitness()}
 }
 
-// hurry makes the next read or pull come soon, after word of a revision
+// expediteReads makes the next read or pull come soon, after word of a revision
 // that the replica lacks.
-func (m *Member) hurry(now time.Duration) {
-	m.pull.next = min(m.pull.next, max(now, m.pull.last+hurryGap))
+func (m *Member) expediteReads(now time.Duration) {
+	m.pull.next = min(m.pull.next, max(now, m.pull.last+minReadInterval))
 	if m.reads() {
-		m.table.next = min(m.table.next, max(now, m.table.sent+hurryGap))
+		m.table.next = min(m.table.next, max(now, m.table.sent+minReadInterval))
 	}
 }
 
-// hurryGap bounds how often word of a newer revision makes an instance read.
-const hurryGap = 100 * time.Millisecond
+// minReadInterval bounds how often word of a newer revision makes an instance read.
+const minReadInterval = 100 * time.Millisecond
 
-func (m *Member) offer(since storage.Revision) *storage.Changes {
+func (m *Member) offerChanges(since storage.Revision) *storage.Changes {
 	c := m.changesSince(since)
 	return &c
 }
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -24,14 +24,14 @@
 	entryIDs    []string
 	byService   map[string][]storage.Instance
 	dataCentres []string
-	byCentre    map[string][]string
+	entryIDsByDataCentre    map[string][]string
 	watchers    map[string][]string
 	collectors  map[string]string
 	witnesses   []string // all live entries in the order of the witness role
 	// strings has the names that many instances share.
 	strings map[string]string
-	// selfWatches says that the instance itself is a watcher.
-	selfWatches bool
+	// selfIsWatcher says that the instance itself is a watcher.
+	selfIsWatcher bool
 }
 
 type listed struct {
@@ -167,7 +167,7 @@
 	d.entries = nil
 	d.entryIDs = nil
 	d.byService = map[string][]storage.Instance{}
-	d.byCentre = map[string][]string{}
+	d.entryIDsByDataCentre = map[string][]string{}
 	for _, id := range sortedKeys(d.instances) {
 		d.indexInstance(d.instances[id].Instance)
 	}
@@ -178,8 +178,8 @@
 	d.watchers = map[string][]string{}
 	d.witnesses = nil
 	d.followCollectors(before)
-	d.dataCentres = sortedKeys(d.byCentre)
-	d.selfWatches = d.isWatcher(d.set.Self)
+	d.dataCentres = sortedKeys(d.entryIDsByDataCentre)
+	d.selfIsWatcher = d.isWatcher(d.set.Self)
 }
 
 // addToIndex puts one instance where indexInstance would. Making the index
@@ -191,9 +191,9 @@
 		at, _ := slices.BinarySearchFunc(d.entries, i, compareInstances)
 		d.entries = slices.Insert(slices.Clone(d.entries), at, i)
 		d.entryIDs = slices.Insert(slices.Clone(d.entryIDs), at, i.ID)
-		ids := d.byCentre[i.DataCentre]
+		ids := d.entryIDsByDataCentre[i.DataCentre]
 		at, _ = slices.BinarySearch(ids, i.ID)
-		d.byCentre[i.DataCentre] = slices.Insert(slices.Clone(ids), at, i.ID)
+		d.entryIDsByDataCentre[i.DataCentre] = slices.Insert(slices.Clone(ids), at, i.ID)
 	case isServer(i):
 		servers := d.byService[i.Service]
 		at, _ := slices.BinarySearchFunc(servers, i, compareInstances)
@@ -207,9 +207,9 @@
 	case isLiveEntry(i):
 		d.entries = slices.DeleteFunc(slices.Clone(d.entries), same)
 		d.entryIDs = remove(d.entryIDs, i.ID)
-		d.byCentre[i.DataCentre] = remove(d.byCentre[i.DataCentre], i.ID)
-		if len(d.byCentre[i.DataCentre]) == 0 {
-			delete(d.byCentre, i.DataCentre)
+		d.entryIDsByDataCentre[i.DataCentre] = remove(d.entryIDsByDataCentre[i.DataCentre], i.ID)
+		if len(d.entryIDsByDataCentre[i.DataCentre]) == 0 {
+			delete(d.entryIDsByDataCentre, i.DataCentre)
 		}
 	case isServer(i):
 		d.byService[i.Service] = slices.DeleteFunc(slices.Clone(d.byService[i.Service]), same)
@@ -231,7 +231,7 @@
 	case isLiveEntry(i):
 		d.entries = append(d.entries, i)
 		d.entryIDs = append(d.entryIDs, i.ID)
-		d.byCentre[i.DataCentre] = append(d.byCentre[i.DataCentre], i.ID)
+		d.entryIDsByDataCentre[i.DataCentre] = append(d.entryIDsByDataCentre[i.DataCentre], i.ID)
 	case isServer(i):
 		d.byService[i.Service] = append(d.byService[i.Service], i)
 	}
--- a/membership/force.go
+++ b/membership/force.go
@@ -8,8 +8,8 @@
 	"foxtailspoke/storage"
 )
 
-// force is what the Member knows of which revisions are in force.
-type force struct {
+// inForceTracker is what the Member knows of which revisions are in inForceTracker.
+type inForceTracker struct {
 	// target is the highest revision that somebody waits for.
 	target storage.Revision
 	// known is the highest revision that each witness said it knows. A
@@ -17,8 +17,8 @@
 	known map[string]storage.Revision
 	// takings are the revisions that a majority knew, ascending.
 	takings []taking
-	// reached is the highest revision in force.
-	reached storage.Revision
+	// revision is the highest revision in force.
+	revision storage.Revision
 	// next is when to inform again the witnesses that don't know.
 	next time.Duration
 }
@@ -31,32 +31,32 @@
 	at       time.Duration
 }
 
-func newForce() force {
-	return force{known: map[string]storage.Revision{}}
+func newForce() inForceTracker {
+	return inForceTracker{known: map[string]storage.Revision{}}
 }
 
-func (f *force) learn(id string, r storage.Revision) {
+func (f *inForceTracker) recordRevision(id string, r storage.Revision) {
 	f.known[id] = max(f.known[id], r)
 }
 
-// covered is the highest revision that a majority is known to know.
-func (f *force) covered() storage.Revision {
+// majorityRevision is the highest revision that a majority is known to know.
+func (f *inForceTracker) majorityRevision() storage.Revision {
 	if n := len(f.takings); n > 0 {
 		return f.takings[n-1].revision
 	}
-	return f.reached
+	return f.revision
 }
 
 // Require starts finding out whether a majority of the witnesses knows a
 // revision, and tells them if they don't. For a revision that the replica
 // lacks, say the outcome of an own write, it reads the table first.
 func (m *Member) Require(now time.Duration, rev storage.Revision) []effect.Effect {
-	if rev <= m.force.target {
+	if rev <= m.inForce.target {
 		return nil
 	}
-	m.force.target = rev
-	m.force.next = now
-	m.countKnown(now)
+	m.inForce.target = rev
+	m.inForce.next = now
+	m.updateMajority(now)
 	return m.Tick(now)
 }
 
@@ -64,14 +64,14 @@
 // more. It becomes true only after Require, or a later one's.
 func (m *Member) InForce(now time.Duration, rev storage.Revision) bool {
 	m.settleForce(now)
-	return m.rules.covers(m.force.reached, rev)
+	return m.rules.covers(m.inForce.revision, rev)
 }
 
 // PendingWitnesses returns the witnesses that a revision waits for: those that
 // haven't said that they know it and haven't ended. It is empty if a
 // majority knows it.
 func (m *Member) PendingWitnesses(rev storage.Revision) []string {
-	if rev <= m.force.covered() {
+	if rev <= m.inForce.majorityRevision() {
 		return nil
 	}
 	var missing []string
@@ -84,9 +84,9 @@
 }
 
 func (m *Member) settleForce(now time.Duration) {
-	for len(m.force.takings) > 0 && now >= m.force.takings[0].at+m.rules.wait {
-		m.force.reached = m.force.takings[0].revision
-		m.force.takings = m.force.takings[1:]
+	for len(m.inForce.takings) > 0 && now >= m.inForce.takings[0].at+m.rules.wait {
+		m.inForce.revision = m.inForce.takings[0].revision
+		m.inForce.takings = m.inForce.takings[1:]
 	}
 }
 
@@ -96,24 +96,24 @@
 	if id == m.set.Self {
 		return m.log.Revision() >= rev
 	}
-	return m.force.known[id] >= rev || m.ended(id)
+	return m.inForce.known[id] >= rev || m.ended(id)
 }
 
-// countKnown notes the highest revision that a majority knows by now. Only
+// updateMajority notes the highest revision that a majority knows by now. Only
 // revisions that the replica has count, because only then it has the list
 // of witnesses that must know them.
-func (m *Member) countKnown(now time.Duration) {
+func (m *Member) updateMajority(now time.Duration) {
 	own := m.log.Revision()
-	if m.force.target == 0 || m.force.covered() >= own {
+	if m.inForce.target == 0 || m.inForce.majorityRevision() >= own {
 		return
 	}
 	for _, rev := range m.candidates(own) {
-		if rev <= m.force.covered() {
+		if rev <= m.inForce.majorityRevision() {
 			return
 		}
 		knows := func(id string) bool { return m.knows(id, rev) }
 		if m.rules.known(m.log.Witnesses(), knows) {
-			m.force.takings = append(m.force.takings, taking{revision: rev, at: now})
+			m.inForce.takings = append(m.inForce.takings, taking{revision: rev, at: now})
 			return
 		}
 	}
@@ -124,7 +124,7 @@
 func (m *Member) candidates(own storage.Revision) []storage.Revision {
 	revisions := []storage.Revision{own}
 	for _, id := range witnessIDs(m.log.Witnesses()) {
-		revisions = append(revisions, min(own, m.force.known[id]))
+		revisions = append(revisions, min(own, m.inForce.known[id]))
 	}
 	slices.Sort(revisions)
 	slices.Reverse(revisions)
@@ -132,11 +132,11 @@
 }
 
 func (m *Member) tickForce(now time.Duration) []effect.Effect {
-	if m.force.covered() >= m.force.target || now < m.force.next {
+	if m.inForce.majorityRevision() >= m.inForce.target || now < m.inForce.next {
 		return nil
 	}
-	m.force.next = now + m.set.CallTimeout
-	if m.log.Revision() < m.force.target {
+	m.inForce.next = now + m.set.CallTimeout
+	if m.log.Revision() < m.inForce.target {
 		m.table.wanted = true
 		return m.tickTable(now)
 	}
@@ -146,26 +146,26 @@
 func (m *Member) inform(now time.Duration) []effect.Effect {
 	var out []effect.Effect
 	for _, id := range witnessIDs(m.log.Witnesses()) {
-		if m.knows(id, m.force.target) {
+		if m.knows(id, m.inForce.target) {
 			continue
 		}
-		known := m.force.known[id]
+		known := m.inForce.known[id]
 		if known == 0 {
 			out = append(out, m.ask(now, id, 0, nil, 0))
 			continue
 		}
-		out = append(out, m.ask(now, id, 0, m.offer(known), known))
+		out = append(out, m.ask(now, id, 0, m.offerChanges(known), known))
 	}
 	return out
 }
 
 func (m *Member) wakeForce() time.Duration {
 	next := never
-	if m.force.covered() < m.force.target {
-		next = m.force.next
+	if m.inForce.majorityRevision() < m.inForce.target {
+		next = m.inForce.next
 	}
-	if len(m.force.takings) > 0 {
-		next = min(next, m.force.takings[0].at+m.rules.wait)
+	if len(m.inForce.takings) > 0 {
+		next = min(next, m.inForce.takings[0].at+m.rules.wait)
 	}
 	return next
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -51,21 +51,21 @@
 
 	// byTable and byWitnesses are the youngest proofs of each kind.
 	byTable, byWitnesses proof
-	// base is the revision of the last full changes. The replica doesn't
+	// lastFullRevision is the revision of the last full changes. The replica doesn't
 	// know what was deleted before.
-	base storage.Revision
+	lastFullRevision storage.Revision
 
 	lastID uint64
 	calls  map[uint64]call
 	table  reading
 	list   reading
-	// listHeard is when the list last came, by a read or with a pull.
-	listHeard time.Duration
+	// listReceivedAt is when the list last came, by a read or with a pull.
+	listReceivedAt time.Duration
 	pull      pulling
 	round     round
-	force     force
+	inForce     inForceTracker
 	seats     seats
-	alone     alone
+	fallback     fallback
 
 	leaving bool
 }
@@ -81,7 +81,7 @@
 		rules: defaultRules(s),
 		dir:   newDirectory(s),
 		calls: map[uint64]call{},
-		force: newForce(),
+		inForce: newForce(),
 	}
 }
 
@@ -104,7 +104,7 @@
 	out = append(out, m.tickList(now)...)
 	out = append(out, m.tickPull(now)...)
 	out = append(out, m.tickRound(now)...)
-	out = append(out, m.tickAlone(now)...)
+	out = append(out, m.tickFallback(now)...)
 	out = append(out, m.tickForce(now)...)
 	out = append(out, m.tickSeats(now)...)
 	return out
@@ -113,7 +113,7 @@
 // NextWake returns the time at which Tick has something to do. It may be in
 // the past, which means at once. Ask again after each call to the Member.
 func (m *Member) NextWake() time.Duration {
-	next := m.alone.next
+	next := m.fallback.next
 	for _, c := range m.calls {
 		next = min(next, c.sent+m.set.CallTimeout)
 	}
@@ -143,10 +143,10 @@
 		return
 	}
 	if c.Full {
-		m.base = c.Revision
+		m.lastFullRevision = c.Revision
 	}
 	m.settleRound(now)
-	m.countKnown(now)
+	m.updateMajority(now)
 }
 
 // changesSince returns what another instance lacks. A replica that began
@@ -154,7 +154,7 @@
 // caller below base a delta would leave a withdrawn key in place. The whole
 // table takes it away.
 func (m *Member) changesSince(since storage.Revision) storage.Changes {
-	if since < m.base {
+	if since < m.lastFullRevision {
 		since = 0
 	}
 	return m.log.Since(since)
@@ -171,5 +171,5 @@
 	return d - time.Duration(m.rng.Int64N(int64(d)/10+1))
 }
 
-// watches says whether the instance is a watcher of its data centre.
-func (m *Member) watches() bool { return m.dir.selfWatches }
+// isWatcher says whether the instance is a watcher of its data centre.
+func (m *Member) isWatcher() bool { return m.dir.selfIsWatcher }
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -102,7 +102,7 @@
 func (h *history) askForce() {
 	for _, n := range h.nodes {
 		rev, holds := n.holds()
-		if holds && rev > n.m.force.target {
+		if holds && rev > n.m.inForce.target {
 			h.step(n, func(now time.Duration) []effect.Effect { return n.m.Require(now, rev) })
 		}
 	}
--- a/membership/proof.go
+++ b/membership/proof.go
@@ -88,7 +88,7 @@
 // prove takes a proof of either kind.
 func (m *Member) prove(kind *proof, start time.Duration) {
 	kind.add(start)
-	m.alone.failures = 0
+	m.fallback.failures = 0
 }
 
 // youngest returns the younger proof of the two kinds.
--- a/membership/pull.go
+++ b/membership/pull.go
@@ -43,8 +43,8 @@
 	switch {
 	case m.pull.inFlight || (m.dir.version == 0 && len(m.set.Seeds) == 0):
 		return never
-	case m.watches():
-		return max(m.pull.next, m.oldAt())
+	case m.isWatcher():
+		return max(m.pull.next, m.proofOverdueAt())
 	}
 	return m.pull.next
 }
@@ -68,12 +68,12 @@
 	m.pull.inFlight = true
 	m.pull.last = now
 	m.pull.next = now + m.jitter(m.set.PullEvery)
-	return []effect.Effect{m.sendPull(now, regularPull, to)}
+	return []effect.Effect{m.sendPull(now, periodicPull, to)}
 }
 
 func (m *Member) sendPull(now time.Duration, kind callKind, to string) effect.Effect {
 	p := &Pull{Since: m.log.Revision(), ListSince: m.dir.version}
-	return m.send(now, call{kind: kind, to: to}, Request{Pull: p})
+	return m.sendCall(now, call{kind: kind, to: to}, Request{Pull: p})
 }
 
 // pullTarget returns the watcher that answered last, or else the next: those
@@ -132,7 +132,7 @@
 		proved = true
 	}
 	switch {
-	case c.kind == fetch:
+	case c.kind == catchUpPull:
 	case proved:
 		m.pullSucceeded(now, c)
 	default:
@@ -142,7 +142,7 @@
 }
 
 func (m *Member) pullSucceeded(now time.Duration, c call) {
-	m.listHeard = now
+	m.listReceivedAt = now
 	m.pull.inFlight = false
 	m.pull.from = c.to
 	m.pull.failures = 0
--- a/membership/read.go
+++ b/membership/read.go
@@ -31,7 +31,7 @@
 }
 
 // reads says whether the instance reads the table regularly.
-func (m *Member) reads() bool { return m.watches() || m.IsWitness() }
+func (m *Member) reads() bool { return m.isWatcher() || m.IsWitness() }
 
 // tableAway says whether the last read of the table had no answer or has
 // been without one for long. A watcher then asks the witnesses. Waiting for
@@ -79,12 +79,12 @@
 // would drown it (see tickAlone).
 func (m *Member) listDue() time.Duration {
 	switch {
-	case m.watches():
+	case m.isWatcher():
 		return m.list.next
 	case m.dir.version == 0:
 		return max(m.list.next, m.list.sent+m.set.ListEvery<<min(m.list.failures, maxListDoublings))
 	}
-	due := max(m.list.next, m.listHeard+listPatience*m.set.ListEvery)
+	due := max(m.list.next, m.listReceivedAt+listPatience*m.set.ListEvery)
 	if p := m.youngest(); !p.held || due >= p.start+m.set.Fresh {
 		return never
 	}
@@ -113,7 +113,7 @@
 	if !r.begun {
 		return 0
 	}
-	return r.sent + hurryGap<<min(r.failures, maxBackoffDoublings)
+	return r.sent + minReadInterval<<min(r.failures, maxBackoffDoublings)
 }
 
 const maxBackoffDoublings = 6
@@ -193,7 +193,7 @@
 	if ok {
 		m.list.failures = 0
 		m.list.answered = m.list.sent
-		m.listHeard = now
+		m.listReceivedAt = now
 		m.applyList(now, c)
 	}
 	return m.Tick(now)
@@ -201,6 +201,6 @@
 
 func (m *Member) applyList(now time.Duration, c storage.InstanceChanges) {
 	if m.dir.apply(c) {
-		m.countKnown(now)
+		m.updateMajority(now)
 	}
 }
--- a/membership/roles.go
+++ b/membership/roles.go
@@ -16,7 +16,7 @@
 func (d *Directory) Watchers(dataCentre string) []string {
 	watchers, ok := d.watchers[dataCentre]
 	if !ok {
-		ids := d.byCentre[dataCentre]
+		ids := d.entryIDsByDataCentre[dataCentre]
 		ranked := Rank(watcherKey, ids)
 		watchers = ranked[:min(len(ranked), d.watcherCount(len(ids)))]
 		d.watchers[dataCentre] = watchers
--- a/membership/round.go
+++ b/membership/round.go
@@ -22,7 +22,7 @@
 }
 
 func (m *Member) tickRound(now time.Duration) []effect.Effect {
-	if !m.watches() || now < m.round.next || !m.tableAway(now) {
+	if !m.isWatcher() || now < m.round.next || !m.tableAway(now) {
 		return nil
 	}
 	return m.startRound(now)
@@ -30,7 +30,7 @@
 
 func (m *Member) wakeRound() time.Duration {
 	switch {
-	case !m.watches():
+	case !m.isWatcher():
 		return never
 	case m.table.failures > 0:
 		return m.round.next
@@ -66,14 +66,14 @@
 
 func (m *Member) ask(now time.Duration, to string, round uint64, offer *storage.Changes, since storage.Revision) effect.Effect {
 	w := &Witness{Revision: m.log.Revision(), Offer: offer, Since: since}
-	return m.send(now, call{kind: witnessCall, to: to, round: round}, Request{Witness: w})
+	return m.sendCall(now, call{kind: witnessCall, to: to, round: round}, Request{Witness: w})
 }
 
 // witnessed takes a witness's answer: into the open round if it belongs to
 // it, and into what is known of that witness in any case.
 func (m *Member) witnessed(now time.Duration, c call, w Witnessed) []effect.Effect {
-	m.force.learn(c.to, w.Revision)
-	m.countKnown(now)
+	m.inForce.recordRevision(c.to, w.Revision)
+	m.updateMajority(now)
 	var out []effect.Effect
 	if c.round == m.round.number && m.round.open {
 		m.round.answers[c.to] = w
@@ -90,7 +90,7 @@
 		return nil
 	}
 	m.round.fetched[from] = true
-	return []effect.Effect{m.sendPull(now, fetch, from)}
+	return []effect.Effect{m.sendPull(now, catchUpPull, from)}
 }
 
 // offerTo sends a witness what it lacks, if that matters: because a change
@@ -100,10 +100,10 @@
 	if w.Revision >= own || !seated(m.log.Witnesses(), c.to) {
 		return nil
 	}
-	if w.Seated && w.Revision >= m.force.target {
+	if w.Seated && w.Revision >= m.inForce.target {
 		return nil
 	}
-	return []effect.Effect{m.ask(now, c.to, c.round, m.offer(w.Revision), w.Revision)}
+	return []effect.Effect{m.ask(now, c.to, c.round, m.offerChanges(w.Revision), w.Revision)}
 }
 
 // settleRound ends the open round with a proof if a majority answered and
--- a/membership/seats.go
+++ b/membership/seats.go
@@ -63,7 +63,7 @@
 }
 
 func (m *Member) caresForSeats() bool {
-	return m.watches() || (m.leaving && m.IsWitness())
+	return m.isWatcher() || (m.leaving && m.IsWitness())
 }
 
 // maySeat says whether the instance sees the table now, with a read that
@@ -104,7 +104,7 @@
 		return config.Witnesses{Members: chosen}, false, len(chosen) > 0
 	}
 	if len(w.Previous) > 0 {
-		drop := m.rules.mayDrop(m.force.covered(), row)
+		drop := m.rules.mayDrop(m.inForce.majorityRevision(), row)
 		return config.Witnesses{Members: w.Members}, !drop, true
 	}
 	members, changed := m.improveSeats(w.Members)
--- a/membership/sim_holder_test.go
+++ b/membership/sim_holder_test.go
@@ -51,8 +51,8 @@
 			continue
 		}
 		now := n.clock(s.now)
-		if n.m.InForce(now, 0); n.m.force.reached > s.inForce {
-			s.inForce = n.m.force.reached
+		if n.m.InForce(now, 0); n.m.inForce.revision > s.inForce {
+			s.inForce = n.m.inForce.revision
 		}
 		if n.acts(now) {
 			acting = append(acting, n.id)
