--- a/node/node.go
+++ b/node/node.go
@@ -180,7 +180,7 @@
 	n.lookForAbandonedClaims()
 	if n.now >= n.forgetAt {
 		n.forgetAt = n.now + time.Minute
-		n.holder.Forget(n.now)
+		n.holder.EvictIdle(n.now)
 		n.forgetLeavers()
 		n.forgetDoubts()
 		n.fares.forget(n.now)
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -327,7 +327,7 @@
 		n.shards.writing = false
 	})
 	part("rankShards", n.rankShards)
-	part("holderForget", func() { n.holder.Forget(n.now) })
+	part("holderForget", func() { n.holder.EvictIdle(n.now) })
 }
 
 // BenchmarkScaleBytes reports the memory of an instance's list and of the
--- a/node/shards.go
+++ b/node/shards.go
@@ -107,7 +107,7 @@
 		formerUntil: n.now + n.member.Settings().Wait(),
 	}
 	held := n.shards.held[name]
-	if held == nil && len(quota.Pending(shard, n.settings.Self.ID)) == 0 {
+	if held == nil && len(quota.EntryRevisions(shard, n.settings.Self.ID)) == 0 {
 		return
 	}
 	if held == nil {
@@ -127,7 +127,7 @@
 	if n.now >= seen.formerUntil {
 		return seen.row
 	}
-	return quota.WithFormer(seen.row, seen.former)
+	return quota.WithPreviousHolders(seen.row, seen.former)
 }
 
 // settleShard hands the holder the entries of a row that are in force. Parts
@@ -142,12 +142,12 @@
 	rowInForce := n.member.InForce(n.now, held.revision)
 	inForce := func(since uint64) bool { return held.granted[since] || rowInForce }
 	grants := quota.Grants(row, n.settings.Self.ID, inForce)
-	n.holder.SetGrantsUntil(n.now, name, grants, lostUntil)
+	n.holder.SetGrantsWithGrace(n.now, name, grants, lostUntil)
 	held.granted = map[uint64]bool{}
 	for _, g := range grants {
 		held.granted[g.Since] = true
 	}
-	pending := quota.Pending(row, n.settings.Self.ID)
+	pending := quota.EntryRevisions(row, n.settings.Self.ID)
 	held.waiting = len(grants) < len(pending)
 	if held.waiting {
 		n.shards.next = min(n.shards.next, n.now+settleEvery)
--- a/node/status.go
+++ b/node/status.go
@@ -89,7 +89,7 @@
 		Entries:      slices.Clone(n.member.Live().Entries()),
 		Leaving:      n.leaving,
 		Counters:     n.member.Counters(),
-		Buckets:      n.holder.Buckets(),
+		Buckets:      n.holder.BucketCount(),
 		Requests:     len(n.requests),
 	}
 	for _, name := range n.replica.Services() {
@@ -128,8 +128,8 @@
 			Workspace: b.Workspace,
 			Service:   b.Service,
 			Limit:     limit,
-			Parts:     quota.Parts(shard)[n.settings.Self.ID],
-			Tokens:    n.holder.Level(n.now, b, limit).Float(),
+			Parts:     quota.PartsByInstance(shard)[n.settings.Self.ID],
+			Tokens:    n.holder.Available(n.now, b, limit).Float(),
 			Count:     count,
 		})
 	}
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -41,7 +41,7 @@
 }
 
 func (n *Node) balanceTokens(row config.Shard, b quota.Bucket, l config.Limit) {
-	if to, ask, ok := n.holder.Balance(n.now, row, b, l); ok {
+	if to, ask, ok := n.holder.Rebalance(n.now, row, b, l); ok {
 		n.ask(to, ask, "")
 	}
 }
@@ -49,7 +49,7 @@
 // settleTokens tells givers that what they gave is used. Nothing depends on
 // their answer.
 func (n *Node) settleTokens() {
-	for _, s := range n.holder.Settlements() {
+	for _, s := range n.holder.DrainSettlements() {
 		n.emit(n.own(pending{owner: ownerSettlement}, effect.Call{To: s.To, Request: PeerRequest{Settlement: &s}}))
 	}
 }
@@ -60,9 +60,9 @@
 	answered := ok && t != nil
 	if answered {
 		limit, _ := n.replica.Limit(t.Bucket.Workspace, t.Bucket.Service)
-		n.holder.Accept(n.now, limit, *t)
+		n.holder.HandleTransfer(n.now, limit, *t)
 	} else {
-		n.holder.Lost(n.now, ask)
+		n.holder.AskFailed(n.now, ask)
 	}
 	r, waiting := n.requests[id]
 	if !waiting {
@@ -88,7 +88,7 @@
 	case r.lost > 0:
 		rule = decision.RulePeerUnreachable
 	}
-	r.figures.Parts = quota.Parts(n.replica.Shard(n.shardOf(r)))[n.settings.Self.ID]
+	r.figures.Parts = quota.PartsByInstance(n.replica.Shard(n.shardOf(r)))[n.settings.Self.ID]
 	n.refuse(r, rule, retryAfter)
 }
 
@@ -111,7 +111,7 @@
 	if !ok {
 		return quota.Transfer{}, false
 	}
-	t := n.holder.Give(n.now, limit, a)
+	t := n.holder.HandleAsk(n.now, limit, a)
 	shard := quota.ShardOf(a.Bucket.Workspace, n.settings.Shards)
 	n.balanceTokens(n.holderRow(shard), a.Bucket, limit)
 	return t, true
@@ -120,7 +120,7 @@
 // settle takes another instance's word that what it was given is used.
 func (n *Node) settle(s quota.Settlement) {
 	if limit, ok := n.replica.Limit(s.Bucket.Workspace, s.Bucket.Service); ok {
-		n.holder.Settle(n.now, limit, s)
+		n.holder.HandleSettlement(n.now, limit, s)
 	}
 }
 
--- a/quota/ask.go
+++ b/quota/ask.go
@@ -21,8 +21,8 @@
 	left     Amount
 }
 
-// Ask opens an ask for what lacks. The time counts from now.
-func (h *Holder) Ask(now time.Duration, to string, b Bucket, l config.Limit, want Amount) Ask {
+// StartAsk opens an ask for what lacks. The time counts from now.
+func (h *Holder) StartAsk(now time.Duration, to string, b Bucket, l config.Limit, want Amount) Ask {
 	h.expire(now)
 	a := Ask{From: h.self, Bucket: b, Want: want}
 	if own, parts := h.bucket(now, b, l); own != nil {
@@ -38,11 +38,11 @@
 	return a
 }
 
-// Balance returns an ask for tokens ahead of need, if this instance's share
+// Rebalance returns an ask for tokens ahead of need, if this instance's share
 // has become low, to be called after Take and Give. Without it one holder
 // that gets all requests would be empty while others are full and gain
 // nothing: the workspace would lose a part of its rate.
-func (h *Holder) Balance(now time.Duration, row config.Shard, b Bucket, l config.Limit) (string, Ask, bool) {
+func (h *Holder) Rebalance(now time.Duration, row config.Shard, b Bucket, l config.Limit) (string, Ask, bool) {
 	own, parts := h.bucket(now, b, l)
 	if own == nil || now < own.calm || h.gathering(b) {
 		return "", Ask{}, false
@@ -52,12 +52,12 @@
 	if !low || full < Token {
 		return "", Ask{}, false
 	}
-	peers := h.Peers(now, row, b)
+	peers := h.AskTargets(now, row, b)
 	if len(peers) == 0 {
 		return "", Ask{}, false
 	}
 	own.calm = now + h.settings.TransferTime
-	return peers[0], h.Ask(now, peers[0], b, l, 0), true
+	return peers[0], h.StartAsk(now, peers[0], b, l, 0), true
 }
 
 // lowFraction of the capacity may be used before a holder asks for more.
@@ -84,21 +84,21 @@
 	return capacity(l, parts) - own.given(now) - own.level
 }
 
-// Settlements returns the settlements to send and forgets them. To be called
+// DrainSettlements returns the settlements to send and forgets them. To be called
 // after Accept and Next; they may also be left unsent.
-func (h *Holder) Settlements() []Settlement {
+func (h *Holder) DrainSettlements() []Settlement {
 	due := h.due
 	h.due = nil
 	return due
 }
 
-// Accept takes a transfer in and returns how much of it can be used. What
+// HandleTransfer takes a transfer in and returns how much of it can be used. What
 // fits into the own capacity is stored there; the rest must be used within
 // the transfer time, counted from the start of the ask.
 //
 // An answer that comes twice, late, or to an instance that didn't ask (a
 // former incarnation did) is dropped: the giver doesn't count on it any more.
-func (h *Holder) Accept(now time.Duration, l config.Limit, t Transfer) Amount {
+func (h *Holder) HandleTransfer(now time.Duration, l config.Limit, t Transfer) Amount {
 	h.expire(now)
 	a := h.findAsk(t.Ask)
 	if a == nil || a.answered || a.to != t.From || a.bucket != t.Bucket {
@@ -154,9 +154,9 @@
 	return fits
 }
 
-// Lost ends an ask that got no answer, so that its holder isn't asked again
+// AskFailed ends an ask that got no answer, so that its holder isn't asked again
 // for a transfer time.
-func (h *Holder) Lost(now time.Duration, id uint64) {
+func (h *Holder) AskFailed(now time.Duration, id uint64) {
 	a := h.findAsk(id)
 	if a == nil || a.answered {
 		return
@@ -165,11 +165,11 @@
 	h.setShort(now, Transfer{From: a.to, Bucket: a.bucket, RetryAfter: h.settings.TransferTime})
 }
 
-// Peers returns the holders worth asking for a bucket's tokens, in order:
+// AskTargets returns the holders worth asking for a bucket's tokens, in order:
 // those of the row that haven't just said that they have none. It keeps a
 // workspace that floods from flooding the holders with asks. Each call starts
 // with another holder, so that they are used evenly.
-func (h *Holder) Peers(now time.Duration, row config.Shard, b Bucket) []string {
+func (h *Holder) AskTargets(now time.Duration, row config.Shard, b Bucket) []string {
 	order := AskOrder(row, h.self)
 	if len(order) == 0 {
 		return nil
--- a/quota/assign_test.go
+++ b/quota/assign_test.go
@@ -107,7 +107,7 @@
 	}
 	must.Eq(t, []Grant{{Since: 1, Parts: 20}}, Grants(row, "a", until(3)))
 	must.Eq(t, []Grant{{Since: 1, Parts: 20}, {Since: 4, Parts: 20}}, Grants(row, "a", until(4)))
-	must.Eq(t, []uint64{1, 4}, Pending(row, "a"))
+	must.Eq(t, []uint64{1, 4}, EntryRevisions(row, "a"))
 	must.SliceEmpty(t, Grants(row, "c", until(9)))
 	must.Eq(t, []string{"a", "b"}, AskOrder(row, "c"))
 	must.Eq(t, []string{"b"}, AskOrder(row, "a"))
@@ -144,11 +144,11 @@
 		b := Bucket{Workspace: instanceID(i), Service: "s"}
 		must.True(t, h.Take(now, b, l, 10*Token).Admitted)
 	}
-	must.Eq(t, 55_000, h.Buckets())
-	h.Forget(now + DefaultSettings().IdleTime - 1)
-	must.Eq(t, 55_000, h.Buckets())
+	must.Eq(t, 55_000, h.BucketCount())
+	h.EvictIdle(now + DefaultSettings().IdleTime - 1)
+	must.Eq(t, 55_000, h.BucketCount())
 	now += DefaultSettings().IdleTime
-	h.Forget(now)
-	must.Zero(t, h.Buckets())
+	h.EvictIdle(now)
+	must.Zero(t, h.BucketCount())
 	must.True(t, h.Take(now, Bucket{Workspace: "i7", Service: "s"}, l, 10*Token).Admitted)
 }
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -23,11 +23,11 @@
 	d := x.Take(now, bucket, limit, quota.Tokens(1))
 	fmt.Println(d.Admitted, d.Missing.Float(), d.RetryAfter)
 
-	ask := x.Ask(now, "y", bucket, limit, d.Missing)
+	ask := x.StartAsk(now, "y", bucket, limit, d.Missing)
 	// y has subtracted it already. It gives more than was asked for, so that
 	// both shares are equally full afterwards.
-	transfer := y.Give(now, limit, ask)
-	fmt.Println(x.Accept(now, limit, transfer).Float())
+	transfer := y.HandleAsk(now, limit, ask)
+	fmt.Println(x.HandleTransfer(now, limit, transfer).Float())
 	fmt.Println(x.Take(now, bucket, limit, quota.Tokens(1)).Admitted)
 	// Output:
 	// true
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -34,7 +34,7 @@
 
 func replace(f *fleet, i, _ int, _ time.Duration) { f.nodes[i] = f.start() }
 
-func forget(f *fleet, i, _ int, _ time.Duration) { f.nodes[i].holder.Forget(f.clock(f.nodes[i])) }
+func forget(f *fleet, i, _ int, _ time.Duration) { f.nodes[i].holder.EvictIdle(f.clock(f.nodes[i])) }
 
 func newLimit(f *fleet, _, _ int, _ time.Duration) { f.changeLimit() }
 
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -168,7 +168,7 @@
 	before := n.fresh
 	if n.revision != read {
 		n.revision = read
-		n.holder.SetGrantsUntil(f.clock(n), "0", Grants(f.rows[read].shard, n.id, f.inForce), before)
+		n.holder.SetGrantsWithGrace(f.clock(n), "0", Grants(f.rows[read].shard, n.id, f.inForce), before)
 	}
 	n.fresh = f.clock(n) - time.Duration(float64(took)*n.rate) + freshTime
 	f.act(n)
@@ -211,13 +211,13 @@
 func (f *fleet) balance(i int, now time.Duration) {
 	n := f.nodes[i]
 	r := f.rows[n.revision]
-	if to, a, ok := n.holder.Balance(now, r.shard, f.bucket, r.limit); ok {
+	if to, a, ok := n.holder.Rebalance(now, r.shard, f.bucket, r.limit); ok {
 		f.send(i, f.index(to), a)
 	}
 }
 
 func (f *fleet) settle(i int) {
-	for _, due := range f.nodes[i].holder.Settlements() {
+	for _, due := range f.nodes[i].holder.DrainSettlements() {
 		f.send(i, f.index(due.To), due)
 	}
 }
@@ -263,16 +263,16 @@
 	switch p := m.payload.(type) {
 	case Ask:
 		if now < n.fresh {
-			f.send(m.to, m.from, n.holder.Give(now, limit, p))
+			f.send(m.to, m.from, n.holder.HandleAsk(now, limit, p))
 			f.balance(m.to, now)
 		}
 	case Settlement:
-		n.holder.Settle(now, limit, p)
+		n.holder.HandleSettlement(now, limit, p)
 	case Transfer:
 		if now >= n.fresh {
 			return
 		}
-		n.holder.Accept(now, limit, p)
+		n.holder.HandleTransfer(now, limit, p)
 		defer f.settle(m.to)
 		if w := n.waiting[p.Ask]; w != nil {
 			delete(n.waiting, p.Ask)
--- a/quota/give.go
+++ b/quota/give.go
@@ -7,11 +7,11 @@
 	"foxtailspoke/config"
 )
 
-// Give answers an ask out of the own bucket.
+// HandleAsk answers an ask out of the own bucket.
 //
 // The tokens keep their place in the capacity until the asker can't use them
 // any more. An ask that arrives again gets the same answer while it is known.
-func (h *Holder) Give(now time.Duration, l config.Limit, a Ask) Transfer {
+func (h *Holder) HandleAsk(now time.Duration, l config.Limit, a Ask) Transfer {
 	t := Transfer{Ask: a.ID, From: h.self, Bucket: a.Bucket}
 	own, parts := h.bucket(now, a.Bucket, l)
 	if own == nil {
@@ -73,8 +73,8 @@
 // tightFraction of the capacity may be given away without a Settlement.
 const tightFraction = 4
 
-// Settle takes a Settlement in.
-func (h *Holder) Settle(now time.Duration, l config.Limit, s Settlement) {
+// HandleSettlement takes a Settlement in.
+func (h *Holder) HandleSettlement(now time.Duration, l config.Limit, s Settlement) {
 	own, parts := h.bucket(now, s.Bucket, l)
 	if own == nil {
 		return
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -72,15 +72,15 @@
 // the former holders gave may still be used. Fewer parts take their share
 // of the tokens along.
 func (h *Holder) SetGrants(now time.Duration, name string, grants []Grant) {
-	h.SetGrantsUntil(now, name, grants, now)
+	h.SetGrantsWithGrace(now, name, grants, now)
 }
 
-// SetGrantsUntil is SetGrants for a new row, where the parts that it takes
+// SetGrantsWithGrace is SetGrants for a new row, where the parts that it takes
 // away may be used for a little longer: until the end of the time for which
 // the instance was fresh by the row before. Nobody else uses them before that,
 // because the new row comes in force later still, and stopping at once would
 // leave these parts unused in between.
-func (h *Holder) SetGrantsUntil(now time.Duration, name string, grants []Grant, until time.Duration) {
+func (h *Holder) SetGrantsWithGrace(now time.Duration, name string, grants []Grant, until time.Duration) {
 	s := h.shards[name]
 	if s == nil {
 		if len(grants) == 0 {
@@ -223,10 +223,10 @@
 	return &bucket{limit: l, at: start, used: start}
 }
 
-// Forget drops the buckets that would be full by now even if their last use
+// EvictIdle drops the buckets that would be full by now even if their last use
 // had emptied them, to be called about once a minute. It bounds the memory
 // by the buckets in use.
-func (h *Holder) Forget(now time.Duration) {
+func (h *Holder) EvictIdle(now time.Duration) {
 	h.expire(now)
 	for name, s := range h.shards {
 		s.forget(now, h.settings)
@@ -260,8 +260,8 @@
 	}
 }
 
-// Level returns the tokens that this instance has for a bucket now.
-func (h *Holder) Level(now time.Duration, b Bucket, l config.Limit) Amount {
+// Available returns the tokens that this instance has for a bucket now.
+func (h *Holder) Available(now time.Duration, b Bucket, l config.Limit) Amount {
 	level := h.received(b)
 	if own, _ := h.bucket(now, b, l); own != nil {
 		level += own.level
@@ -269,8 +269,8 @@
 	return level
 }
 
-// Buckets returns how many buckets are kept, for metrics.
-func (h *Holder) Buckets() int {
+// BucketCount returns how many buckets are kept, for metrics.
+func (h *Holder) BucketCount() int {
 	n := 0
 	for _, s := range h.shards {
 		n += len(s.buckets)
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -22,8 +22,8 @@
 	for range 20 {
 		d := x.Take(now, b, l, Token)
 		if !d.Admitted {
-			a := x.Ask(now, "y", b, l, d.Missing)
-			x.Accept(now, l, y.Give(now, l, a))
+			a := x.StartAsk(now, "y", b, l, d.Missing)
+			x.HandleTransfer(now, l, y.HandleAsk(now, l, a))
 			d = x.Take(now, b, l, Token)
 		}
 		if d.Admitted {
--- a/quota/parts_test.go
+++ b/quota/parts_test.go
@@ -84,9 +84,9 @@
 	until := now + heard
 	if drain {
 		until = now + fresh
-		s.asked = WithFormer(s.row, before)
+		s.asked = WithPreviousHolders(s.row, before)
 	}
-	s.nodes[i].SetGrantsUntil(now, "0", nil, until)
+	s.nodes[i].SetGrantsWithGrace(now, "0", nil, until)
 	s.startAt = now + fresh
 }
 
@@ -119,10 +119,10 @@
 		step = n.Next(now, search, s.askRow(), s.limit)
 	}
 	s.balance(now, i)
-	for _, due := range s.nodes[i].Settlements() {
+	for _, due := range s.nodes[i].DrainSettlements() {
 		s.messages++
 		if j := s.index(due.To); s.live[j] {
-			s.nodes[j].Settle(now+peerTime/2, s.limit, due)
+			s.nodes[j].HandleSettlement(now+peerTime/2, s.limit, due)
 		}
 	}
 	return step.Admitted
@@ -133,11 +133,11 @@
 	s.messages++
 	j := s.index(id)
 	if !s.live[j] {
-		s.nodes[i].Lost(now, a.ID)
+		s.nodes[i].AskFailed(now, a.ID)
 		return now
 	}
-	t := s.nodes[j].Give(now+peerTime/2, s.limit, a)
-	s.nodes[i].Accept(now+peerTime, s.limit, t)
+	t := s.nodes[j].HandleAsk(now+peerTime/2, s.limit, a)
+	s.nodes[i].HandleTransfer(now+peerTime, s.limit, t)
 	if a.Want > 0 {
 		s.balance(now+peerTime/2, j)
 	}
@@ -149,7 +149,7 @@
 }
 
 func (s *parts) balance(now time.Duration, i int) {
-	if id, a, ok := s.nodes[i].Balance(now, s.askRow(), s.bucket, s.limit); ok {
+	if id, a, ok := s.nodes[i].Rebalance(now, s.askRow(), s.bucket, s.limit); ok {
 		s.exchange(now, i, id, a)
 	}
 }
@@ -157,7 +157,7 @@
 // holder returns an instance that holds parts, or one that doesn't.
 func (s *parts) holder(holds bool) int {
 	for i := range s.nodes {
-		if s.live[i] && (Parts(s.row)[instanceID(i)] > 0) == holds {
+		if s.live[i] && (PartsByInstance(s.row)[instanceID(i)] > 0) == holds {
 			return i
 		}
 	}
--- a/quota/safety_test.go
+++ b/quota/safety_test.go
@@ -43,13 +43,13 @@
 	giveAndLook := func(at time.Duration) int {
 		g, r := holding("g", drifting, 60), NewHolder("r", 1, drifting)
 		start := time.Minute
-		tr := g.Give(start, sharp, r.Ask(0, "g", sheets, sharp, 40*Token))
+		tr := g.HandleAsk(start, sharp, r.StartAsk(0, "g", sheets, sharp, 40*Token))
 		must.Eq(t, 40*Token, tr.Amount)
 		return has(g, start+at, sharp)
 	}
 	useAt := func(at time.Duration) int {
 		g, r := holding("g", drifting, 60), NewHolder("r", 1, drifting)
-		r.Accept(1, sharp, g.Give(time.Minute, sharp, r.Ask(0, "g", sheets, sharp, 40*Token)))
+		r.HandleTransfer(1, sharp, g.HandleAsk(time.Minute, sharp, r.StartAsk(0, "g", sheets, sharp, 40*Token)))
 		return has(r, at, sharp)
 	}
 	last := drifting.TransferTime - 1
@@ -79,7 +79,7 @@
 
 	r := NewHolder("r", 1, drifting)
 	old := holding("old", drifting, 60)
-	r.Accept(1, sharp, old.Give(time.Minute, sharp, r.Ask(0, "old", sheets, sharp, 100*Token)))
+	r.HandleTransfer(1, sharp, old.HandleAsk(time.Minute, sharp, r.StartAsk(0, "old", sheets, sharp, 100*Token)))
 	must.Eq(t, 100, has(r, drifting.TransferTime-1, sharp))
 
 	firstUse := func(learnt time.Duration) float64 {
@@ -140,22 +140,22 @@
 	} {
 		h := holding("h", s, 60)
 		must.True(t, h.Take(time.Second, sheets, l, 0).Admitted)
-		h.SetGrantsUntil(learnt, "0", []Grant{{Since: 1, Parts: 30}}, until)
+		h.SetGrantsWithGrace(learnt, "0", []Grant{{Since: 1, Parts: 30}}, until)
 		h.SetGrants(learnt+1, "0", []Grant{{Since: 1, Parts: 30}})
 		must.Eq(t, c.want, has(h, c.at, l), must.Sprint(c.at))
 	}
 	h := holding("h", s, 60)
 	must.Eq(t, 600, has(h, learnt, l))
-	h.SetGrantsUntil(learnt, "0", []Grant{{Since: 1, Parts: 30}}, until)
+	h.SetGrantsWithGrace(learnt, "0", []Grant{{Since: 1, Parts: 30}}, until)
 	must.Eq(t, 60, has(h, until+time.Second, l)) // 30 kept of 60, and 30 more
-	h.SetGrantsUntil(until+time.Second, "0", nil, until)
-	h.Forget(until + time.Second)
+	h.SetGrantsWithGrace(until+time.Second, "0", nil, until)
+	h.EvictIdle(until + time.Second)
 	must.MapEmpty(t, h.shards)
 
 	// An entry that comes back, which it shouldn't, counts as a new one.
 	h = holding("h", s, 60)
 	must.Eq(t, 600, has(h, learnt, l))
-	h.SetGrantsUntil(learnt, "0", nil, until)
+	h.SetGrantsWithGrace(learnt, "0", nil, until)
 	h.SetGrants(learnt, "0", []Grant{{Since: 1, Parts: 60}})
 	must.Eq(t, 30, has(h, learnt+500*time.Millisecond, l))
 	must.Eq(t, 0, has(h, until, l))
@@ -196,10 +196,10 @@
 	now := 200 * time.Second
 	must.Eq(t, 100, has(h, now, high))
 	must.False(t, h.Take(now, sheets, low, Token).Admitted)
-	h.Forget(now + 500*time.Millisecond)
-	must.Eq(t, 1, h.Buckets())
-	h.Forget(now + 2*time.Second)
-	must.Eq(t, 0, h.Buckets())
+	h.EvictIdle(now + 500*time.Millisecond)
+	must.Eq(t, 1, h.BucketCount())
+	h.EvictIdle(now + 2*time.Second)
+	must.Eq(t, 0, h.BucketCount())
 	must.Eq(t, 3, has(h, now+3*time.Second, high))
 }
 
@@ -208,7 +208,7 @@
 func TestBucketWithGivenTokensIsNotForgotten(t *testing.T) {
 	s := Settings{TransferTime: 3 * time.Second, IdleTime: time.Second}
 	h := holding("h", s, 60)
-	h.Give(time.Minute, sharp, Ask{ID: 1, From: "x", Bucket: sheets, Want: 100 * Token})
-	h.Forget(time.Minute + 2*time.Second)
+	h.HandleAsk(time.Minute, sharp, Ask{ID: 1, From: "x", Bucket: sheets, Want: 100 * Token})
+	h.EvictIdle(time.Minute + 2*time.Second)
 	must.Eq(t, 0, has(h, time.Minute+2*time.Second, sharp))
 }
--- a/quota/search.go
+++ b/quota/search.go
@@ -56,7 +56,7 @@
 		return SearchStep{RetryAfter: h.retryAfter(now, s.Bucket, d)}
 	}
 	s.tried = append(s.tried, to)
-	a := h.Ask(now, to, s.Bucket, l, d.Missing)
+	a := h.StartAsk(now, to, s.Bucket, l, d.Missing)
 	a.Partial = a.Partial || s.partial
 	return SearchStep{To: to, Ask: a}
 }
@@ -86,7 +86,7 @@
 
 // untried returns a holder worth asking. In the second round all are.
 func (h *Holder) untried(now time.Duration, s *Search, row config.Shard) (string, bool) {
-	peers := h.Peers(now, row, s.Bucket)
+	peers := h.AskTargets(now, row, s.Bucket)
 	if s.partial {
 		peers = AskOrder(row, h.self)
 	}
@@ -120,7 +120,7 @@
 // if nobody else took it.
 func (h *Holder) estimate(now time.Duration, b Bucket, row config.Shard, l config.Limit) Amount {
 	var sum Amount
-	parts := Parts(row)
+	parts := PartsByInstance(row)
 	for id, s := range h.short[b] {
 		if p := parts[id]; p > 0 && !s.contended {
 			has := s.has + refill(l, p, now-s.at, h.settings.Drift)
--- a/quota/shard.go
+++ b/quota/shard.go
@@ -43,9 +43,9 @@
 	return grants
 }
 
-// Pending returns the Since of the instance's entries in a row, whether in
+// EntryRevisions returns the Since of the instance's entries in a row, whether in
 // force or not, ascending.
-func Pending(row config.Shard, instance string) []uint64 {
+func EntryRevisions(row config.Shard, instance string) []uint64 {
 	var since []uint64
 	for _, e := range row.Holders {
 		if e.Instance == instance {
@@ -56,8 +56,8 @@
 	return since
 }
 
-// Parts returns the parts per instance of a row.
-func Parts(row config.Shard) map[string]int {
+// PartsByInstance returns the parts per instance of a row.
+func PartsByInstance(row config.Shard) map[string]int {
 	parts := make(map[string]int, len(row.Holders))
 	for _, e := range row.Holders {
 		parts[e.Instance] += e.Parts
@@ -65,11 +65,11 @@
 	return parts
 }
 
-// WithFormer returns a row for AskOrder, Peers, Next and Balance that names the
+// WithPreviousHolders returns a row for AskOrder, Peers, Next and Balance that names the
 // holders of the row before as well. To be used while these may still use
 // their parts (SetGrantsUntil), else nobody would ask them for these tokens.
-func WithFormer(row, before config.Shard) config.Shard {
-	now := Parts(row)
+func WithPreviousHolders(row, before config.Shard) config.Shard {
+	now := PartsByInstance(row)
 	both := config.Shard{Holders: slices.Clone(row.Holders)}
 	for _, e := range before.Holders {
 		if now[e.Instance] == 0 {
@@ -83,7 +83,7 @@
 // in which to ask them for tokens: most parts first. Askers with the same
 // choice spread over the holders by their ids.
 func AskOrder(row config.Shard, self string) []string {
-	parts := Parts(row)
+	parts := PartsByInstance(row)
 	delete(parts, self)
 	order := make([]string, 0, len(parts))
 	for id, p := range parts {
--- a/quota/transfer_test.go
+++ b/quota/transfer_test.go
@@ -13,29 +13,29 @@
 // again, comes late, or reaches the next incarnation of the asker.
 func TestTransferCountsOnce(t *testing.T) {
 	g, r := holding("g", drifting, 60), NewHolder("r", 1, drifting)
-	tr := g.Give(time.Minute, sharp, r.Ask(0, "g", sheets, sharp, 10*Token))
-	must.Eq(t, 10*Token, r.Accept(0, sharp, tr))
+	tr := g.HandleAsk(time.Minute, sharp, r.StartAsk(0, "g", sheets, sharp, 10*Token))
+	must.Eq(t, 10*Token, r.HandleTransfer(0, sharp, tr))
 	must.True(t, r.Take(0, sheets, sharp, Token).Admitted)
-	must.Eq(t, 0, r.Accept(1, sharp, tr))
+	must.Eq(t, 0, r.HandleTransfer(1, sharp, tr))
 	must.Eq(t, 9, has(r, drifting.TransferTime-1, sharp))
 
 	twice := Ask{ID: 99, From: "x", Bucket: sheets, Want: 30 * Token}
-	must.Eq(t, g.Give(time.Minute, sharp, twice), g.Give(time.Minute, sharp, twice))
+	must.Eq(t, g.HandleAsk(time.Minute, sharp, twice), g.HandleAsk(time.Minute, sharp, twice))
 	must.Eq(t, 60, has(g, time.Minute, sharp))
 
 	g = holding("g", drifting, 60)
-	more := g.Give(time.Minute, sharp, r.Ask(0, "g", sheets, sharp, Token))
+	more := g.HandleAsk(time.Minute, sharp, r.StartAsk(0, "g", sheets, sharp, Token))
 	more.Amount = 50 * Token
-	must.Eq(t, Token, r.Accept(0, sharp, more))
+	must.Eq(t, Token, r.HandleTransfer(0, sharp, more))
 	must.True(t, r.Take(0, sheets, sharp, Token).Admitted)
 
-	late := g.Give(time.Minute, sharp, r.Ask(0, "g", sheets, sharp, 10*Token))
-	must.Eq(t, 0, r.Accept(drifting.TransferTime, sharp, late))
-	must.Eq(t, 0, NewHolder("r2", 1, drifting).Accept(0, sharp, late))
+	late := g.HandleAsk(time.Minute, sharp, r.StartAsk(0, "g", sheets, sharp, 10*Token))
+	must.Eq(t, 0, r.HandleTransfer(drifting.TransferTime, sharp, late))
+	must.Eq(t, 0, NewHolder("r2", 1, drifting).HandleTransfer(0, sharp, late))
 
 	other := NewHolder("r", 1, drifting)
-	kept := g.Give(time.Minute, sharp, other.Ask(0, "g", sheets, sharp, 10*Token))
-	must.Eq(t, 10*Token, other.Accept(drifting.TransferTime-1, sharp, kept))
+	kept := g.HandleAsk(time.Minute, sharp, other.StartAsk(0, "g", sheets, sharp, 10*Token))
+	must.Eq(t, 10*Token, other.HandleTransfer(drifting.TransferTime-1, sharp, kept))
 	must.Eq(t, 0, has(other, drifting.TransferTime, sharp))
 }
 
@@ -46,10 +46,10 @@
 	fast := config.Limit{Rate: 1e9, Burst: 60}
 	g, r := holding("g", drifting, 40), holding("r", drifting, 20)
 	must.Eq(t, 20, has(r, time.Minute, fast))
-	must.Eq(t, 40*Token, g.Give(time.Minute, fast, Ask{ID: 9, From: "x", Bucket: sheets, Want: 40 * Token}).Amount)
+	must.Eq(t, 40*Token, g.HandleAsk(time.Minute, fast, Ask{ID: 9, From: "x", Bucket: sheets, Want: 40 * Token}).Amount)
 	g = holding("g", drifting, 40)
-	tr := g.Give(time.Minute, fast, r.Ask(time.Minute, "g", sheets, l, 40*Token))
-	must.Eq(t, 40*Token, r.Accept(time.Minute, l, tr))
+	tr := g.HandleAsk(time.Minute, fast, r.StartAsk(time.Minute, "g", sheets, l, 40*Token))
+	must.Eq(t, 40*Token, r.HandleTransfer(time.Minute, l, tr))
 	must.Eq(t, 20, has(r, time.Minute+drifting.TransferTime, l))
 }
 
@@ -59,7 +59,7 @@
 	g, r := holding("g", drifting, 60), NewHolder("r", 1, drifting)
 	now := time.Minute
 	ask := func(n Amount) {
-		r.Accept(0, sharp, g.Give(now, sharp, r.Ask(0, "g", sheets, sharp, n*Token)))
+		r.HandleTransfer(0, sharp, g.HandleAsk(now, sharp, r.StartAsk(0, "g", sheets, sharp, n*Token)))
 	}
 	ask(40)
 	must.True(t, r.Take(0, sheets, sharp, Token).Admitted)
@@ -86,13 +86,13 @@
 		missing := hs[asker].Take(now, sheets, l, Token).Missing
 		for peer, id := range []string{"a", "b", "c"} {
 			if peer != asker {
-				gather = append(gather, hs[asker].Ask(now, id, sheets, l, missing))
+				gather = append(gather, hs[asker].StartAsk(now, id, sheets, l, missing))
 			}
 		}
 	}
 	to := []int{1, 2, 0, 2}
 	for i, a := range gather {
-		hs[i/2].Accept(now, l, hs[to[i]].Give(now, l, a))
+		hs[i/2].HandleTransfer(now, l, hs[to[i]].HandleAsk(now, l, a))
 	}
 	must.True(t, hs[0].Take(now, sheets, l, Token).Admitted)
 	must.False(t, hs[1].Take(now, sheets, l, Token).Admitted)
@@ -113,14 +113,14 @@
 	} {
 		g, r := holding("g", drifting, 60), NewHolder("r", 1, drifting)
 		must.True(t, g.Take(time.Minute, sheets, sharp, 0).Admitted)
-		tr := g.Give(time.Minute, still, r.Ask(0, "g", sheets, still, 10*Token))
-		must.Eq(t, 10*Token, r.Accept(1, still, tr))
+		tr := g.HandleAsk(time.Minute, still, r.StartAsk(0, "g", sheets, still, 10*Token))
+		must.Eq(t, 10*Token, r.HandleTransfer(1, still, tr))
 		r.giveBack(sheets)
-		due := r.Settlements()
+		due := r.DrainSettlements()
 		must.Len(t, 1, due)
 		must.Eq(t, 0, has(r, 2, still))
-		g.Settle(time.Minute+c.after, still, due[0])
-		g.Settle(time.Minute+c.after, still, due[0])
+		g.HandleSettlement(time.Minute+c.after, still, due[0])
+		g.HandleSettlement(time.Minute+c.after, still, due[0])
 		must.Eq(t, c.want, has(g, time.Minute+c.after, still), must.Sprint(c.name))
 	}
 }
