--- a/health/alone.go
+++ b/health/alone.go
@@ -73,7 +73,7 @@
 	switch {
 	case mine.all < aloneFailures,
 		mine.all < aloneShare*r.rate*memory,
-		2*len(mine.servers) < p.failed.servers:
+		2*len(mine.servers) < p.failed.serverCount:
 		return false
 	}
 	for _, n := range mine.workspaces {
--- a/health/collector.go
+++ b/health/collector.go
@@ -19,8 +19,8 @@
 
 // pool is the pooled evidence on one service.
 type pool struct {
-	failed *ledger
-	late   *ledger
+	failed *outcomeStats
+	late   *outcomeStats
 	// reporters are the instances that reported lately.
 	reporters map[string]*reporter
 	// servers are those under suspicion, relieved, ejected or returned.
@@ -134,8 +134,8 @@
 	if !ok {
 		s := c.settings
 		p = &pool{
-			failed:    newLedger(s.FailureShare, s.SickFailureShare, s.PooledMemory),
-			late:      newLedger(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
+			failed:    newOutcomeStats(s.FailureShare, s.SickFailureShare, s.PooledMemory),
+			late:      newOutcomeStats(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
 			reporters: map[string]*reporter{},
 			servers:   map[string]*serverState{},
 		}
@@ -160,7 +160,7 @@
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setUsual(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
+		p.late.setBaseline(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
 		p.advised = c.advise(now, p)
 	}
 	for _, s := range p.advised {
--- a/health/ejection.go
+++ b/health/ejection.go
@@ -28,8 +28,8 @@
 // beyond that together either.
 func (c *Collector) Propose(now time.Duration, service, by string, servers []string, row config.Permits, floor int) (Proposal, bool) {
 	p := c.pool(service)
-	p.failed.servers = len(servers)
-	p.late.servers = len(servers)
+	p.failed.serverCount = len(servers)
+	p.late.serverCount = len(servers)
 	c.addSilent(now, p, len(servers)-len(row.Ejected))
 	p.failed.advance(now)
 	p.late.advance(now)
@@ -135,8 +135,8 @@
 	lateNeed = 1.25
 )
 
-func reason(service, server string, l *ledger, late bool) string {
-	r := l.runs[server]
+func reason(service, server string, l *outcomeStats, late bool) string {
+	r := l.byServer[server]
 	what := "failed"
 	if late {
 		what = "answered late, also with little to do,"
@@ -169,7 +169,7 @@
 			s.effectAt = now
 			s.relieved = s.inEffect || now-s.relievedAt < maxHearing
 		case s.relieved && !s.reset && now-s.effectAt >= c.settings.Settle:
-			p.late.forget(id)
+			p.late.removeServer(id)
 			s.reset = true
 		case s.relieved && now-s.effectAt >= c.settings.Relief:
 			s.relieved = false
--- a/health/latency.go
+++ b/health/latency.go
@@ -13,17 +13,17 @@
 	bucketsPerDoubling = 4
 	// latencyWindow is the number of answers after which old ones count half.
 	latencyWindow = 512
-	// minLatencies is how many answers a quantile needs.
-	minLatencies = 20
+	// minLatencySamples is how many answers a quantile needs.
+	minLatencySamples = 20
 )
 
-// latencies is the fading distribution of one service's latencies.
-type latencies struct {
+// latencyHistogram is the fading distribution of one service's latencyHistogram.
+type latencyHistogram struct {
 	count   int
 	buckets [latencyBuckets]uint16
 }
 
-func (l *latencies) add(d time.Duration) {
+func (l *latencyHistogram) add(d time.Duration) {
 	l.buckets[latencyBucket(d)]++
 	l.count++
 	if l.count < latencyWindow {
@@ -45,7 +45,7 @@
 }
 
 // quantile returns the upper end of the bucket that holds the quantile.
-func (l *latencies) quantile(q float64) time.Duration {
+func (l *latencyHistogram) quantile(q float64) time.Duration {
 	rank := int(math.Ceil(q * float64(l.count)))
 	for i, n := range l.buckets {
 		rank -= int(n)
--- a/health/ledger.go
+++ b/health/ledger.go
@@ -25,10 +25,10 @@
 // otherSource takes the sources beyond maxSources.
 var otherSource = source{reporter: "…", workspace: "…"}
 
-// run is the evidence on one server since the first bad attempt after which
+// serverStats is the evidence on one server since the first bad attempt after which
 // it wasn't cleared again. Attempts before don't dilute it: a server that was
 // well for an hour and fails now is suspect now.
-type run struct {
+type serverStats struct {
 	attempts float64
 	// cells are in order of arrival: sums of the same numbers in another
 	// order round differently, and a replay would come out differently.
@@ -51,35 +51,35 @@
 	bad float64
 }
 
-// ledger collects one kind of bad attempts (failed, or late) at the servers
+// outcomeStats collects one kind of bad attempts (failed, or late) at the servers
 // of one service. It keeps only servers under suspicion.
-type ledger struct {
+type outcomeStats struct {
 	healthy  float64 // share of bad attempts at a healthy server
 	sick     float64 // the same at a sick one
 	halfLife time.Duration
-	servers  int // of the service, suspect or not
+	serverCount  int // of the service, suspect or not
 	at       time.Duration
 	version  uint64
-	runs     map[string]*run
+	byServer     map[string]*serverStats
 	// buffer and tallyBuffer save allocations.
 	buffer      []float64
 	tallyBuffer []tally
 	tallies     map[string]*tally
 }
 
-func newLedger(healthy, sick float64, halfLife time.Duration) *ledger {
-	return &ledger{
+func newOutcomeStats(healthy, sick float64, halfLife time.Duration) *outcomeStats {
+	return &outcomeStats{
 		healthy:  healthy,
 		sick:     sick,
 		halfLife: halfLife,
-		runs:     map[string]*run{},
+		byServer:     map[string]*serverStats{},
 		tallies:  map[string]*tally{},
 	}
 }
 
-// setUsual raises what counts as healthy to the service's present state. While
+// setBaseline raises what counts as healthy to the service's present state. While
 // a quarter of all answers are late, a late answer says little about a server.
-func (l *ledger) setUsual(share, healthy, sick float64) {
+func (l *outcomeStats) setBaseline(share, healthy, sick float64) {
 	l.healthy = min(maxUsual, max(healthy, usualMargin*share))
 	l.sick = min(1-(1-l.healthy)/2, max(sick, sickMargin*l.healthy))
 }
@@ -93,16 +93,16 @@
 )
 
 // add counts attempts of one source at a server, some of them bad.
-func (l *ledger) add(now time.Duration, server string, s source, attempts, bad float64) {
+func (l *outcomeStats) add(now time.Duration, server string, s source, attempts, bad float64) {
 	l.advance(now)
 	l.addTally(s.workspace, attempts, bad)
-	r := l.runs[server]
+	r := l.byServer[server]
 	if r == nil {
 		if bad == 0 {
 			return
 		}
-		r = &run{sums: newMarginals(), pairs: map[string]*pair{}}
-		l.runs[server] = r
+		r = &serverStats{sums: newMarginals(), pairs: map[string]*pair{}}
+		l.byServer[server] = r
 	}
 	l.version++
 	r.attempts += attempts
@@ -113,7 +113,7 @@
 	l.settle(server, r)
 }
 
-func (r *run) addPair(s source, attempts, bad float64) {
+func (r *serverStats) addPair(s source, attempts, bad float64) {
 	p := r.pairs[s.workspace]
 	if p == nil {
 		if bad == 0 || len(r.pairs) >= maxSources {
@@ -130,7 +130,7 @@
 }
 
 // add counts bad attempts of a source, and returns what they were put under.
-func (r *run) add(s source, bad float64) source {
+func (r *serverStats) add(s source, bad float64) source {
 	at := func(s source) int {
 		return slices.IndexFunc(r.cells, func(c cell) bool { return c.source == s })
 	}
@@ -149,7 +149,7 @@
 }
 
 // addTally follows a workspace over all servers once it had a bad attempt.
-func (l *ledger) addTally(workspace string, attempts, bad float64) {
+func (l *outcomeStats) addTally(workspace string, attempts, bad float64) {
 	t := l.tallies[workspace]
 	if t == nil {
 		if bad == 0 || len(l.tallies) >= maxSources {
@@ -163,9 +163,9 @@
 }
 
 // addSilent counts good attempts of instances that had nothing to report.
-func (l *ledger) addSilent(now time.Duration, server string, attempts float64) {
+func (l *outcomeStats) addSilent(now time.Duration, server string, attempts float64) {
 	l.advance(now)
-	r := l.runs[server]
+	r := l.byServer[server]
 	if r == nil || attempts <= 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // advance fades all evidence alike, in steps.
-func (l *ledger) advance(now time.Duration) {
+func (l *outcomeStats) advance(now time.Duration) {
 	passed := now - l.at
 	if passed < l.halfLife/fadeSteps {
 		return
@@ -183,7 +183,7 @@
 	l.at = now
 	l.version++
 	f := math.Exp2(-passed.Seconds() / l.halfLife.Seconds())
-	for server, r := range l.runs {
+	for server, r := range l.byServer {
 		r.scale(f)
 		r.sums.scale(f)
 		for w, p := range r.pairs {
@@ -192,7 +192,7 @@
 			}
 		}
 		if r.bad < minBad && len(r.pairs) == 0 {
-			delete(l.runs, server)
+			delete(l.byServer, server)
 		}
 	}
 	for w, t := range l.tallies {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (r *run) scale(f float64) {
+func (r *serverStats) scale(f float64) {
 	r.attempts *= f
 	r.bad *= f
 	for i := range r.cells {
@@ -215,7 +215,7 @@
 // settle ends what speaks for the server, and bounds what speaks against it.
 // The whole and the pairs end each by itself: a pair that lasts must not keep
 // the good attempts of hours, which would cover a server's next failure.
-func (l *ledger) settle(server string, r *run) {
+func (l *outcomeStats) settle(server string, r *serverStats) {
 	for w := range r.pairs {
 		if s := l.pair(r, w); s <= 0 {
 			delete(r.pairs, w)
@@ -228,7 +228,7 @@
 		r.attempts, r.bad, r.cells, r.sums = 0, 0, nil, newMarginals()
 	}
 	if r.bad < minBad && len(r.pairs) == 0 {
-		delete(l.runs, server)
+		delete(l.byServer, server)
 		return
 	}
 	if raw <= maxScore {
@@ -240,14 +240,14 @@
 	}
 }
 
-// forget drops what is known of a server.
-func (l *ledger) forget(server string) {
-	delete(l.runs, server)
+// removeServer drops what is known of a server.
+func (l *outcomeStats) removeServer(server string) {
+	delete(l.byServer, server)
 	l.version++
 }
 
 // ratio is the log-likelihood ratio of "sick" against "healthy".
-func (l *ledger) ratio(attempts, bad, sick float64) float64 {
+func (l *outcomeStats) ratio(attempts, bad, sick float64) float64 {
 	return logRatio(attempts, bad, l.healthy, sick)
 }
 
--- a/health/observer.go
+++ b/health/observer.go
@@ -21,9 +21,9 @@
 // serviceView is the evidence on one service's servers.
 type serviceView struct {
 	name      string
-	latencies latencies
-	failed    *ledger
-	late      *ledger
+	latencies latencyHistogram
+	failed    *outcomeStats
+	late      *outcomeStats
 	// shed is when a server last refused for want of room.
 	shed map[string]time.Duration
 	// advice is what the service's collector said last.
@@ -63,10 +63,10 @@
 	if ob.Result == Shed {
 		v.shed[ob.Server] = now
 	}
-	if ob.Result == OK && o.suspicion(now, v, ob.Server, "") < suspectScore {
+	if ob.Result == OK && o.suspicionScore(now, v, ob.Server, "") < suspectScore {
 		v.learn(ob.Latency)
 	}
-	v.pending.note(now, v, ob, failed, late, counts)
+	v.pending.record(now, v, ob, failed, late, counts)
 	if len(v.pending.servers) > 0 {
 		o.pending[ob.Service] = struct{}{}
 	}
@@ -83,7 +83,7 @@
 		return
 	}
 	v.lateShare += (one(late) - v.lateShare) / lateShareWindow
-	v.late.setUsual(v.lateShare, o.settings.judgedLateShare(), o.settings.SickLateShare)
+	v.late.setBaseline(v.lateShare, o.settings.judgedLateShare(), o.settings.SickLateShare)
 }
 
 // learn takes a latency into what counts as usual. While the whole service is
@@ -149,7 +149,7 @@
 }
 
 func (o *Observer) lateAfter(v *serviceView) time.Duration {
-	if v.latencies.count < minLatencies {
+	if v.latencies.count < minLatencySamples {
 		return o.settings.InitialLate
 	}
 	median := v.latencies.quantile(0.5)
@@ -162,8 +162,8 @@
 		s := o.settings
 		v = &serviceView{
 			name:   service,
-			failed: newLedger(s.FailureShare, s.SickFailureShare, s.LocalMemory),
-			late:   newLedger(s.judgedLateShare(), s.SickLateShare, s.LocalMemory),
+			failed: newOutcomeStats(s.FailureShare, s.SickFailureShare, s.LocalMemory),
+			late:   newOutcomeStats(s.judgedLateShare(), s.SickLateShare, s.LocalMemory),
 			shed:   map[string]time.Duration{},
 			advice: map[string]Suspect{},
 		}
@@ -190,10 +190,10 @@
 		keep[id] = true
 	}
 	gone := func(id string) bool { return !keep[id] }
-	for _, l := range []*ledger{v.failed, v.late} {
-		for id := range l.runs {
+	for _, l := range []*outcomeStats{v.failed, v.late} {
+		for id := range l.byServer {
 			if gone(id) {
-				l.forget(id)
+				l.removeServer(id)
 			}
 		}
 	}
--- a/health/pooled.go
+++ b/health/pooled.go
@@ -9,10 +9,10 @@
 // suspects lists the servers with evidence against them or under relief.
 func (p *pool) suspects() []string {
 	ids := map[string]bool{}
-	for id := range p.failed.runs {
+	for id := range p.failed.byServer {
 		ids[id] = true
 	}
-	for id := range p.late.runs {
+	for id := range p.late.byServer {
 		ids[id] = true
 	}
 	for id, s := range p.servers {
@@ -27,7 +27,7 @@
 // of one workspace.
 func (c *Collector) failedScore(now time.Duration, p *pool, server string) float64 {
 	score := c.pooledScore(now, p, p.failed, server)
-	r := p.failed.runs[server]
+	r := p.failed.byServer[server]
 	if r == nil {
 		return score
 	}
@@ -45,9 +45,9 @@
 // pooledScore is a ledger's score, as far as reporters in several places
 // agree: one reporter, or one data centre whose packets get lost one way,
 // can't have a server ejected from the whole fleet.
-func (c *Collector) pooledScore(now time.Duration, p *pool, l *ledger, server string) float64 {
+func (c *Collector) pooledScore(now time.Duration, p *pool, l *outcomeStats, server string) float64 {
 	l.advance(now)
-	r := l.runs[server]
+	r := l.byServer[server]
 	if r == nil {
 		return 0
 	}
@@ -62,7 +62,7 @@
 }
 
 // reporters sums a run's bad attempts by reporter.
-func (r *run) reporters() map[string]float64 {
+func (r *serverStats) reporters() map[string]float64 {
 	m := map[string]float64{}
 	for _, c := range r.cells {
 		m[c.reporter] += c.bad
@@ -116,10 +116,10 @@
 		return
 	}
 	each := p.typicalRate(now) * passed.Seconds() / float64(max(1, servers))
-	for _, l := range []*ledger{p.failed, p.late} {
+	for _, l := range []*outcomeStats{p.failed, p.late} {
 		l.advance(now)
-		for _, id := range slices.Sorted(maps.Keys(l.runs)) {
-			l.addSilent(now, id, each*float64(c.silent(now, p, l.runs[id], id)))
+		for _, id := range slices.Sorted(maps.Keys(l.byServer)) {
+			l.addSilent(now, id, each*float64(c.silent(now, p, l.byServer[id], id)))
 		}
 	}
 }
@@ -128,7 +128,7 @@
 // Those that were advised to use it less aren't among them: counting their
 // usual requests as good ones would clear the server just because it is
 // avoided.
-func (c *Collector) silent(now time.Duration, p *pool, r *run, server string) int {
+func (c *Collector) silent(now time.Duration, p *pool, r *serverStats, server string) int {
 	vocal := map[string]bool{}
 	for from := range r.sums.reporters {
 		vocal[from] = true
--- a/health/probe.go
+++ b/health/probe.go
@@ -62,8 +62,8 @@
 	for id, s := range p.servers {
 		if s.probing.ejected && !ejected[id] {
 			s.probing.comeBack(now)
-			p.failed.forget(id)
-			p.late.forget(id)
+			p.failed.removeServer(id)
+			p.late.removeServer(id)
 			s.relieved = false
 		}
 	}
--- a/health/report.go
+++ b/health/report.go
@@ -68,8 +68,8 @@
 	rateAt time.Duration
 }
 
-// note adds an observation if its server is in doubt or its workspace named.
-func (p *pending) note(now time.Duration, v *serviceView, ob Observation, failed, late bool, c counted) {
+// record adds an observation if its server is in doubt or its workspace named.
+func (p *pending) record(now time.Duration, v *serviceView, ob Observation, failed, late bool, c counted) {
 	if ob.Result != Late {
 		p.rate = p.rate*rateFade(now-p.rateAt) + 1
 		p.rateAt = now
@@ -114,7 +114,7 @@
 
 // pairs reports whether the workspace had a bad answer at the server lately.
 func (v *serviceView) pairs(server, workspace string) bool {
-	r := v.failed.runs[server]
+	r := v.failed.byServer[server]
 	return r != nil && r.pairs[workspace] != nil
 }
 
@@ -131,7 +131,7 @@
 	if advised && now-v.advisedAt < adviceMemory {
 		return true
 	}
-	return v.failed.runs[server] != nil || v.late.runs[server] != nil
+	return v.failed.byServer[server] != nil || v.late.byServer[server] != nil
 }
 
 // rateFade is what is left of a count of attempts after d.
--- a/health/score.go
+++ b/health/score.go
@@ -9,16 +9,16 @@
 
 // score is how much the evidence speaks for a sick server, as a
 // log-likelihood ratio; 0 or less means that nothing is held against it.
-func (l *ledger) score(now time.Duration, server string) float64 {
+func (l *outcomeStats) score(now time.Duration, server string) float64 {
 	l.advance(now)
-	r := l.runs[server]
+	r := l.byServer[server]
 	if r == nil {
 		return 0
 	}
 	return l.judge(r)
 }
 
-func (l *ledger) judge(r *run) float64 {
+func (l *outcomeStats) judge(r *serverStats) float64 {
 	if r.version != l.version {
 		r.score = l.ratio(r.attempts, r.bad, l.sick)
 		if r.score > 0 {
@@ -30,9 +30,9 @@
 }
 
 // pairScore is the same for one workspace's requests at the server.
-func (l *ledger) pairScore(now time.Duration, server, workspace string) float64 {
+func (l *outcomeStats) pairScore(now time.Duration, server, workspace string) float64 {
 	l.advance(now)
-	r := l.runs[server]
+	r := l.byServer[server]
 	if r == nil {
 		return 0
 	}
@@ -43,7 +43,7 @@
 // workspace (a corrupt partition, say) and look well over all. But a
 // workspace that sends bad requests fails wherever they go, so the server is
 // compared with how the workspace fares elsewhere.
-func (l *ledger) pair(r *run, workspace string) float64 {
+func (l *outcomeStats) pair(r *serverStats, workspace string) float64 {
 	p := r.pairs[workspace]
 	if p == nil {
 		return 0
@@ -52,7 +52,7 @@
 }
 
 // pairWith is pair with only so many of the bad attempts.
-func (l *ledger) pairWith(r *run, workspace string, bad float64) float64 {
+func (l *outcomeStats) pairWith(r *serverStats, workspace string, bad float64) float64 {
 	elsewhere, usual := l.usual(r, workspace)
 	if usual >= pairSickShare {
 		return 0
@@ -60,14 +60,14 @@
 	// The workspace's attempts are spread over the servers. Where only the
 	// bad ones here were reported, its attempts elsewhere tell how many there
 	// must have been.
-	attempts := max(r.pairs[workspace].attempts, elsewhere/float64(max(1, l.servers-1)))
+	attempts := max(r.pairs[workspace].attempts, elsewhere/float64(max(1, l.serverCount-1)))
 	return pairDiscount * logRatio(attempts, bad, usual, pairSickShare)
 }
 
 // usual is the share of a workspace's requests that is bad elsewhere, the
 // worst other servers aside: they may be sick too. It also returns how many
 // attempts there were elsewhere.
-func (l *ledger) usual(r *run, workspace string) (elsewhere, usual float64) {
+func (l *outcomeStats) usual(r *serverStats, workspace string) (elsewhere, usual float64) {
 	t := l.tallies[workspace]
 	if t == nil {
 		return 0, max(l.healthy, priorBad/priorAttempts)
@@ -86,9 +86,9 @@
 }
 
 // worstPairs returns the workspace's worst tallies at other servers.
-func (l *ledger) worstPairs(r *run, workspace string) []tally {
+func (l *outcomeStats) worstPairs(r *serverStats, workspace string) []tally {
 	l.tallyBuffer = l.tallyBuffer[:0]
-	for _, other := range l.runs {
+	for _, other := range l.byServer {
 		if p := other.pairs[workspace]; p != nil && other != r {
 			l.tallyBuffer = append(l.tallyBuffer, p.tally)
 		}
@@ -100,7 +100,7 @@
 }
 
 // worst is how many servers may be sick and still be told from the others.
-func (l *ledger) worst() int { return int(worstShare * float64(l.servers)) }
+func (l *outcomeStats) worst() int { return int(worstShare * float64(l.serverCount)) }
 
 const (
 	// priorBad in priorAttempts is what is assumed of a workspace's requests
@@ -113,7 +113,7 @@
 // the same reporter, the same workspace or everybody meets at the other
 // servers as well is the reporter's network, the workspace's requests or the
 // service's state.
-func (l *ledger) effective(r *run) float64 {
+func (l *outcomeStats) effective(r *serverStats) float64 {
 	all := l.standsOut(r, func(m *marginals) float64 { return m.all })
 	if all == 0 {
 		return 0
@@ -141,7 +141,7 @@
 }
 
 // byWorkspace sums a run's bad attempts that stand out, by workspace.
-func (l *ledger) byWorkspace(r *run, all float64) []workspaceBad {
+func (l *outcomeStats) byWorkspace(r *serverStats, all float64) []workspaceBad {
 	var list []workspaceBad
 	for _, c := range r.cells {
 		i := slices.IndexFunc(list, func(w workspaceBad) bool { return w.workspace == c.workspace })
@@ -169,7 +169,7 @@
 // standsOut is the share of the bad attempts at one server beyond what the
 // others have too, with room for chance: counts as small as these vary by
 // their square root.
-func (l *ledger) standsOut(r *run, of func(*marginals) float64) float64 {
+func (l *outcomeStats) standsOut(r *serverStats, of func(*marginals) float64) float64 {
 	here := of(&r.sums)
 	if here <= 0 {
 		return 0
@@ -180,14 +180,14 @@
 
 // others is what is usual at the other servers: their mean without the worst
 // of them, so that several sick servers don't excuse each other.
-func (l *ledger) others(r *run, of func(*marginals) float64) float64 {
-	n := l.servers - 1
+func (l *outcomeStats) others(r *serverStats, of func(*marginals) float64) float64 {
+	n := l.serverCount - 1
 	worst := l.worst()
-	if len(l.runs)-1 <= worst || n <= worst {
+	if len(l.byServer)-1 <= worst || n <= worst {
 		return 0
 	}
 	l.buffer = l.buffer[:0]
-	for _, other := range l.runs {
+	for _, other := range l.byServer {
 		if other != r {
 			l.buffer = append(l.buffer, of(&other.sums))
 		}
--- a/health/weights.go
+++ b/health/weights.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return 1
 	}
-	w := weightOf(o.suspicion(now, v, server, workspace))
+	w := weightOf(o.suspicionScore(now, v, server, workspace))
 	if at, ok := v.shed[server]; ok && now-at < shedMemory && !v.slow() {
 		w = min(w, shedWeight+(1-shedWeight)*(now-at).Seconds()/shedMemory.Seconds())
 	}
@@ -53,8 +53,8 @@
 // would send everything to a few, which then fail under load as well.
 func (o *Observer) Weights(now time.Duration, service, workspace string, servers []string, floor int) []float64 {
 	v := o.view(service)
-	v.failed.servers = len(servers)
-	v.late.servers = len(servers)
+	v.failed.serverCount = len(servers)
+	v.late.serverCount = len(servers)
 	weights := make([]float64, len(servers))
 	for i, s := range servers {
 		weights[i] = o.Weight(now, service, s, workspace)
@@ -81,8 +81,8 @@
 	return weights
 }
 
-// suspicion is the highest score against a server, for a workspace if given.
-func (o *Observer) suspicion(now time.Duration, v *serviceView, server, workspace string) float64 {
+// suspicionScore is the highest score against a server, for a workspace if given.
+func (o *Observer) suspicionScore(now time.Duration, v *serviceView, server, workspace string) float64 {
 	s := v.failed.score(now, server)
 	if !v.slow() {
 		// While the whole service is slow, lateness tells servers apart badly,
