--- a/edge/entries.go
+++ b/edge/entries.go
@@ -17,38 +17,38 @@
 	"foxtailspoke/usage"
 )
 
-// takeRows takes in changed rows and returns those that changed anything. Restored
+// applyRows takes in changed rows and returns those that changed anything. Restored
 // says that they are those of a store that just came back from a copy.
-func (e *Edge) takeRows(t evidence.Table, rows []replica.Row, restored bool, now time.Duration) []replica.Row {
+func (e *Edge) applyRows(t evidence.Table, rows []replica.Row, restored bool, now time.Duration) []replica.Row {
 	switch t {
 	case evidence.Config:
 		for _, r := range rows {
-			e.takeConfig(r, now)
+			e.applyConfig(r, now)
 		}
-		e.takeEvacuations(now)
+		e.applyEvacuationRows(now)
 		return rows
 	case evidence.Servers:
-		return e.takeServers(rows, restored, now)
+		return e.applyServerRows(rows, restored, now)
 	default:
 		for _, r := range rows {
 			if restored && r.Gone {
 				// It may have been written after the copy. Readers write it again.
 				continue
 			}
-			e.takeInstance(r, now)
+			e.applyInstanceRow(r, now)
 		}
 		return rows
 	}
 }
 
-// takeConfig puts a new configuration in force.
-func (e *Edge) takeConfig(r replica.Row, now time.Duration) {
+// applyConfig puts a new configuration in force.
+func (e *Edge) applyConfig(r replica.Row, now time.Duration) {
 	s := &e.state
 	if r.Key != platform.KeyConfig {
 		return
 	}
 	if r.Gone {
-		e.keepConfig(0)
+		e.retainConfigRow(0)
 		return
 	}
 	c, err := platform.DecodeConfig(r.Value)
@@ -59,12 +59,12 @@
 	}
 	s.misread = false
 	if s.table != nil && c.Version < s.table.Version {
-		e.keepConfig(r.Version)
+		e.retainConfigRow(r.Version)
 		return
 	}
 	s.table, s.configInForce = routing.NewTable(c), r.Value
 	for _, w := range s.table.Workspaces() {
-		s.usage.SetLimit(workspaceHash(w.Name), e.limitOf(w), now)
+		s.usage.SetLimit(workspaceHash(w.Name), e.workspaceLimit(w), now)
 	}
 	for _, service := range c.Services {
 		s.placer.SetWarmUp(service.Name, placement.WarmUp{Time: service.WarmUp, Rate: service.WarmUpRate})
@@ -76,16 +76,16 @@
 		slog.Int("routes", len(c.Routes)), slog.Int("workspaces", len(c.Workspaces)))
 }
 
-// keepConfig puts the configuration in force into the copy of the table, in place of
+// retainConfigRow puts the configuration in force into the copy of the table, in place of
 // a row of that version that is older: instances that start learn it from there.
-func (e *Edge) keepConfig(version uint64) {
+func (e *Edge) retainConfigRow(version uint64) {
 	if e.state.configInForce != nil {
 		e.state.config.Note(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
 	}
 }
 
-// limitOf is the limit that a workspace is held to.
-func (e *Edge) limitOf(w routing.Workspace) usage.Limit {
+// workspaceLimit is the limit that a workspace is held to.
+func (e *Edge) workspaceLimit(w routing.Workspace) usage.Limit {
 	if !e.off.On(mechanism.Tolerance) {
 		return usage.Strict(w.Rate, w.Burst)
 	}
@@ -94,13 +94,13 @@
 	return t.Loosen(usage.Strict(w.Rate, w.Burst))
 }
 
-// takeServers takes in changed entries of backend servers, and returns those
+// applyServerRows takes in changed entries of backend servers, and returns those
 // that others must hear of: all but entries that only renewed themselves. An
 // entry that came back unchanged after it had run out with the store is news
 // to them. If it weren't told, their copies would lack it from then on: they
 // would drop a living server, and whoever of them read later that it leaves
 // would have nothing to remove and nothing to tell.
-func (e *Edge) takeServers(rows []replica.Row, restored bool, now time.Duration) []replica.Row {
+func (e *Edge) applyServerRows(rows []replica.Row, restored bool, now time.Duration) []replica.Row {
 	s := &e.state
 	var keepUntil time.Duration
 	if s.outageEnd > 0 {
@@ -109,9 +109,9 @@
 	var changed []replica.Row
 	for _, r := range rows {
 		unsettled := s.list.Unsettled(r.Key)
-		c, ok := e.serverChange(r, restored, now, keepUntil)
+		c, ok := e.updateServerList(r, restored, now, keepUntil)
 		if ok {
-			e.applyServer(c, now)
+			e.applyServerChange(c, now)
 		}
 		if ok || r.Gone || unsettled {
 			changed = append(changed, r)
@@ -120,7 +120,7 @@
 	return changed
 }
 
-func (e *Edge) serverChange(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
+func (e *Edge) updateServerList(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
 	s := &e.state
 	if r.Gone {
 		return s.list.Remove(r.Key, now, keepUntil)
@@ -139,7 +139,7 @@
 	return s.list.Put(entry, now)
 }
 
-func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
+func (e *Edge) applyServerChange(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
 	if c.Gone {
 		e.pool.Drop(c.Server.Address)
@@ -152,7 +152,7 @@
 // expireServers drops servers that didn't come back after an outage.
 func (e *Edge) expireServers(now time.Duration) {
 	for _, c := range e.state.list.Expire(now) {
-		e.applyServer(c, now)
+		e.applyServerChange(c, now)
 	}
 }
 
@@ -162,7 +162,7 @@
 	SlowLink   bool   `json:"slowLink,omitempty"`
 }
 
-func (e *Edge) takeInstance(r replica.Row, now time.Duration) {
+func (e *Edge) applyInstanceRow(r replica.Row, now time.Duration) {
 	id, err := addressNumber(r.Key)
 	if err != nil || id == e.self {
 		return
--- a/edge/era.go
+++ b/edge/era.go
@@ -9,15 +9,15 @@
 	"foxtailspoke/replica"
 )
 
-// rewriteWait is how long after the store's return from a copy its answers prove
+// configRewriteTime is how long after the store's return from a copy its answers prove
 // nothing of the configuration: operators' latest changes, such as a key that they
 // took away, may not be written again yet.
-const rewriteWait = time.Second
+const configRewriteTime = time.Second
 
-// observe takes in the era and the clock of an answer of the store, to this instance
+// observeStore takes in the era and the clock of an answer of the store, to this instance
 // or another one. It reports false if the answer is of an era that has passed: the
 // store has forgotten what it says.
-func (e *Edge) observe(era uint64, stamp, now time.Duration) bool {
+func (e *Edge) observeStore(era uint64, stamp, now time.Duration) bool {
 	s := &e.state
 	switch {
 	case !s.eraKnown:
@@ -49,14 +49,14 @@
 	}
 }
 
-// rewriting reports whether at this moment of the store's clock the configuration
+// inConfigRewrite reports whether at this moment of the store's clock the configuration
 // may lack what operators have to write again.
-func (e *Edge) rewriting(stamp time.Duration) bool {
-	return e.state.eraSince > 0 && stamp < e.state.eraSince+rewriteWait
+func (e *Edge) inConfigRewrite(stamp time.Duration) bool {
+	return e.state.eraSince > 0 && stamp < e.state.eraSince+configRewriteTime
 }
 
-// currentEra reports whether a copy is of the store's present era.
-func (e *Edge) currentEra(t *replica.Table) bool {
+// isCurrentEra reports whether a copy is of the store's present era.
+func (e *Edge) isCurrentEra(t *replica.Table) bool {
 	at, known := t.Point()
 	return known && at.Era == e.state.era
 }
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -16,16 +16,16 @@
 func TestProofsKeepTheirAgeWhenTheStoreComesBack(t *testing.T) {
 	e := newQuiet(t)
 	now := e.now()
-	must.True(t, e.observe(0, 100*time.Second, now))
+	must.True(t, e.observeStore(0, 100*time.Second, now))
 	e.prove(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
-	must.True(t, e.observe(1, 20*time.Second, now))
+	must.True(t, e.observeStore(1, 20*time.Second, now))
 	must.Eq(t, 3*time.Second, e.configAge(now))
 	e.prove(evidence.Config, 20*time.Second, now)
 	must.Eq(t, 3*time.Second, e.configAge(now))
-	now += rewriteWait
-	must.True(t, e.observe(1, 20*time.Second+rewriteWait, now))
-	e.prove(evidence.Config, 20*time.Second+rewriteWait, now)
+	now += configRewriteTime
+	must.True(t, e.observeStore(1, 20*time.Second+configRewriteTime, now))
+	e.prove(evidence.Config, 20*time.Second+configRewriteTime, now)
 	must.Eq(t, 0, e.configAge(now))
 }
 
@@ -34,7 +34,7 @@
 func TestWordOfAPassedEraIsIgnored(t *testing.T) {
 	e := newQuiet(t)
 	now := e.now()
-	must.True(t, e.observe(1, 100*time.Second, now))
+	must.True(t, e.observeStore(1, 100*time.Second, now))
 	_, ok := e.takeAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
 	must.True(t, ok)
 	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
@@ -51,12 +51,12 @@
 	e := newQuiet(t)
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
-	must.True(t, e.observe(0, 100*time.Second, now))
+	must.True(t, e.observeStore(0, 100*time.Second, now))
 	_, ok := e.takeAnswer(evidence.Instances, replica.Answer{Version: 3, Whole: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	listed := func() bool { return e.state.messenger.Fleet().All()[0x0a000007].Listed }
 	must.True(t, listed())
-	must.True(t, e.observe(1, 103*time.Second, now))
+	must.True(t, e.observeStore(1, 103*time.Second, now))
 	_, ok = e.takeAnswer(evidence.Instances, replica.Answer{Era: 1, Version: 1, Whole: true}, 0, now)
 	must.True(t, ok)
 	must.True(t, listed())
@@ -80,7 +80,7 @@
 	now := e.now()
 	take := func(era uint64, row replica.Row) {
 		t.Helper()
-		must.True(t, e.observe(era, 100*time.Second, now))
+		must.True(t, e.observeStore(era, 100*time.Second, now))
 		a := replica.Answer{Era: era, Version: row.Version, Whole: true, Rows: []replica.Row{row}}
 		_, ok := e.takeAnswer(evidence.Config, a, 0, now)
 		must.True(t, ok)
@@ -90,7 +90,7 @@
 	must.Eq(t, 31, e.state.table.Version)
 	newcomer.takeSnapshot(e.snapshot(now), now)
 	must.Eq(t, 31, newcomer.state.table.Version)
-	must.Eq(t, replica.Point{Era: 1, Version: 20}, newcomer.configRow())
+	must.Eq(t, replica.Point{Era: 1, Version: 20}, newcomer.configRowPoint())
 }
 
 // The store comes back from a copy of before the first configuration. Instances
@@ -100,15 +100,15 @@
 	e := newQuiet(t)
 	now := e.now()
 	row := configRow("0000001f", 30)
-	must.True(t, e.observe(0, 100*time.Second, now))
+	must.True(t, e.observeStore(0, 100*time.Second, now))
 	_, ok := e.takeAnswer(evidence.Config, replica.Answer{Version: 30, Whole: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
-	must.True(t, e.observe(1, 100*time.Second, now))
+	must.True(t, e.observeStore(1, 100*time.Second, now))
 	_, ok = e.takeAnswer(evidence.Config, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
 	must.True(t, ok)
-	now += 2 * rewriteWait
+	now += 2 * configRewriteTime
 	e.applyNotice(evidence.Notice{Table: evidence.Config, Era: 1, Version: 5, StampUS: 102_000_000}, now)
-	must.True(t, e.hasToldConfig())
+	must.True(t, e.hasAnnouncedConfig())
 	must.Eq(t, 0, e.configAge(now))
 	must.Eq(t, 31, e.state.table.Version)
 	newcomer := newQuiet(t)
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -23,18 +23,18 @@
 	return rows
 }
 
-// takeEvacuations acts on the evacuations that the copy of the table holds.
-func (e *Edge) takeEvacuations(now time.Duration) {
+// applyEvacuationRows acts on the evacuations that the copy of the table holds.
+func (e *Edge) applyEvacuationRows(now time.Duration) {
 	at, known := e.state.config.Point()
 	if known {
-		e.evacuate(at, dataCentresOf(e.evacuationRows()), now)
+		e.setEvacuations(at, evacuatedDataCentres(e.evacuationRows()), now)
 	}
 }
 
-// applyEvacuations acts on the evacuations that a notice tells, whether or not
+// applyNoticeEvacuations acts on the evacuations that a notice tells, whether or not
 // this instance has the configuration of that version. It returns the rows that
 // bring its copy to the same state.
-func (e *Edge) applyEvacuations(n evidence.Notice, told []evidence.Row, now time.Duration) []evidence.Row {
+func (e *Edge) applyNoticeEvacuations(n evidence.Notice, told []evidence.Row, now time.Duration) []evidence.Row {
 	listed := make(map[string]bool, len(told))
 	var dataCentres []string
 	for _, r := range told {
@@ -43,7 +43,7 @@
 			listed[r.Key] = true
 		}
 	}
-	e.evacuate(replica.Point{Era: n.Era, Version: n.Version}, dataCentres, now)
+	e.setEvacuations(replica.Point{Era: n.Era, Version: n.Version}, dataCentres, now)
 	for _, r := range e.evacuationRows() {
 		if !listed[r.Key] {
 			told = append(told, evidence.Row{Key: r.Key, Gone: true})
@@ -52,7 +52,7 @@
 	return told
 }
 
-func (e *Edge) evacuate(at replica.Point, dataCentres []string, now time.Duration) {
+func (e *Edge) setEvacuations(at replica.Point, dataCentres []string, now time.Duration) {
 	s := &e.state
 	if now < s.restoredUntil {
 		dataCentres = append(dataCentres, s.evacuations.List()...)
@@ -70,7 +70,7 @@
 	}
 }
 
-func dataCentresOf(rows []replica.Row) []string {
+func evacuatedDataCentres(rows []replica.Row) []string {
 	var dataCentres []string
 	for _, r := range rows {
 		if dc, ok := platform.EvacuatedDataCentre(r.Key); ok {
@@ -80,10 +80,10 @@
 	return dataCentres
 }
 
-// updateHolders tells the limiters of cold and limited servers which instances
+// updateLimiterInstances tells the limiters of cold and limited servers which instances
 // there are, heard or not. They know nothing until the store's list is known: an
 // instance that has just started would otherwise take the shares of all others.
-func (e *Edge) updateHolders() {
+func (e *Edge) updateLimiterInstances() {
 	s := &e.state
 	if _, known := s.instances.Version(); !known {
 		return
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// fetchSpread spreads the reads of a new configuration.
-	fetchSpread = 60 * time.Millisecond
-	// fetchRetry is the least pause after a read that failed.
-	fetchRetry = 500 * time.Millisecond
-	// readersEach is how many instances of a data centre read from the store
+	// fetchJitter spreads the reads of a new configuration.
+	fetchJitter = 60 * time.Millisecond
+	// fetchRetryDelay is the least pause after a read that failed.
+	fetchRetryDelay = 500 * time.Millisecond
+	// readersPerDataCentre is how many instances of a data centre read from the store
 	// what is too large to be told; the others ask these. If all of them did,
 	// the calls would grow with the fleet, up to all that the store answers.
-	readersEach = 2
-	// readersFirst leaves the readers time for their call: 4 ms as a rule.
-	readersFirst = 50 * time.Millisecond
+	readersPerDataCentre = 2
+	// readerHeadStart leaves the readers time for their call: 4 ms as a rule.
+	readerHeadStart = 50 * time.Millisecond
 )
 
 // fetchConfig reads the configuration when another instance says that there is
@@ -40,27 +40,27 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchSpread))) {
+		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchJitter))) {
 			return ctx.Err()
 		}
-		if e.hasToldConfig() || e.askReaders(ctx, methodConfig, configTimeout, e.hasToldConfig) {
+		if e.hasAnnouncedConfig() || e.fetchFromReaders(ctx, methodConfig, configTimeout, e.hasAnnouncedConfig) {
 			continue
 		}
 		if !e.readConfig(ctx) {
 			e.askPeer(ctx)
-			sleepContext(ctx, fetchRetry)
+			sleepContext(ctx, fetchRetryDelay)
 		}
 	}
 }
 
-// askReaders asks the readers of this data centre until one of them has brought
+// fetchFromReaders asks the readers of this data centre until one of them has brought
 // what is missing. It reports false if this instance is one of them, or none of
 // them has it.
-func (e *Edge) askReaders(ctx context.Context, method string, timeout time.Duration, has func() bool) bool {
+func (e *Edge) fetchFromReaders(ctx context.Context, method string, timeout time.Duration, has func() bool) bool {
 	e.mu.Lock()
 	readers := e.readers()
 	e.mu.Unlock()
-	if slices.Contains(readers, e.self) || !sleepContext(ctx, readersFirst) {
+	if slices.Contains(readers, e.self) || !sleepContext(ctx, readerHeadStart) {
 		return false
 	}
 	for _, reader := range readers {
@@ -72,25 +72,25 @@
 	return has()
 }
 
-// hasToldConfig reports whether the newest configuration that another instance
+// hasAnnouncedConfig reports whether the newest configuration that another instance
 // told of is here.
-func (e *Edge) hasToldConfig() bool {
+func (e *Edge) hasAnnouncedConfig() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, known := e.state.config.Point()
-	return known && !e.configRow().Before(e.state.configTold)
+	return known && !e.configRowPoint().Before(e.state.configTold)
 }
 
-// configRow is the version of the configuration's row in this instance's copy.
-func (e *Edge) configRow() replica.Point {
+// configRowPoint is the version of the configuration's row in this instance's copy.
+func (e *Edge) configRowPoint() replica.Point {
 	at, _ := e.state.config.Point()
 	// A copy of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
 	return replica.Point{Era: at.Era, Version: row.Version}
 }
 
-// hasToldServers is the same for the list of servers.
-func (e *Edge) hasToldServers() bool {
+// hasAnnouncedServers is the same for the list of servers.
+func (e *Edge) hasAnnouncedServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at, known := e.state.servers.Point()
@@ -116,7 +116,7 @@
 		return cmp.Compare(relay.Mix(a.ID), relay.Mix(b.ID))
 	})
 	var ids []uint32
-	for _, m := range members[:min(len(members), readersEach)] {
+	for _, m := range members[:min(len(members), readersPerDataCentre)] {
 		ids = append(ids, m.ID)
 	}
 	return ids
@@ -139,7 +139,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.observe(p.answer.Era, p.answer.Stamp, now) {
+	if !e.observeStore(p.answer.Era, p.answer.Stamp, now) {
 		return false
 	}
 	if _, ok := e.takeAnswer(p.table, p.answer, p.since, now); !ok {
--- a/edge/join.go
+++ b/edge/join.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// joinStep is how often an instance that has just started looks whether
+	// joinPollInterval is how often an instance that has just started looks whether
 	// others know already what it would read from the store.
-	joinStep = 20 * time.Millisecond
-	// joinFirst bounds that wait at the first start of the whole fleet, for
+	joinPollInterval = 20 * time.Millisecond
+	// firstStartJoinTimeout bounds that wait at the first start of the whole fleet, for
 	// instances that aren't readers: callers come later than that, and some
 	// hundred instances would read three tables within a second.
-	joinFirst = 4 * time.Second
-	// joinReaders leaves readers of a first start time to find each other.
-	joinReaders = 300 * time.Millisecond
-	// joinSpread spreads those whose wait has ended then.
-	joinSpread = 250 * time.Millisecond
-	// joinAgain bounds the wait of an instance that starts later: a moment, in
+	firstStartJoinTimeout = 4 * time.Second
+	// readerJoinTimeout leaves readers of a first start time to find each other.
+	readerJoinTimeout = 300 * time.Millisecond
+	// joinJitter spreads those whose wait has ended then.
+	joinJitter = 250 * time.Millisecond
+	// restartJoinTimeout bounds the wait of an instance that starts later: a moment, in
 	// which others that serve answer its greeting. After a kill of all nobody
 	// else knows anything, and callers are waiting.
-	joinAgain = 40 * time.Millisecond
+	restartJoinTimeout = 40 * time.Millisecond
 )
 
-// join waits until another instance has told what it knows, or until it is time
+// waitForPeerState waits until another instance has told what it knows, or until it is time
 // to read the store.
-func (e *Edge) join(ctx context.Context) {
+func (e *Edge) waitForPeerState(ctx context.Context) {
 	defer close(e.joined)
 	start := e.now()
 	spread := rand.Float64()
-	for !e.knowsServers() && e.now()-start < e.joinWithin(spread) {
-		if !sleepContext(ctx, joinStep) {
+	for !e.hasConfigAndServers() && e.now()-start < e.joinTimeout(spread) {
+		if !sleepContext(ctx, joinPollInterval) {
 			return
 		}
-		if e.othersAreReady() && !e.askReaders(ctx, methodGet, snapshotTimeout, e.knowsServers) {
+		if e.hasReadyPeer() && !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasConfigAndServers) {
 			e.askPeer(ctx)
 		}
 	}
 }
 
-// joinWithin is how long to wait for others, given a number from 0 to 1.
-func (e *Edge) joinWithin(spread float64) time.Duration {
-	late := time.Duration(spread * float64(joinSpread))
+// joinTimeout is how long to wait for others, given a number from 0 to 1.
+func (e *Edge) joinTimeout(spread float64) time.Duration {
+	late := time.Duration(spread * float64(joinJitter))
 	switch {
 	case !e.settings.FirstStart:
-		return joinAgain
+		return restartJoinTimeout
 	case e.isReader():
-		return joinReaders + late
+		return readerJoinTimeout + late
 	default:
-		return joinFirst + late
+		return firstStartJoinTimeout + late
 	}
 }
 
-// othersAreReady reports whether another instance knows all that there is to
+// hasReadyPeer reports whether another instance knows all that there is to
 // know.
-func (e *Edge) othersAreReady() bool {
+func (e *Edge) hasReadyPeer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, m := range e.state.messenger.Fleet().All() {
@@ -66,7 +66,7 @@
 	return false
 }
 
-func (e *Edge) knowsServers() bool {
+func (e *Edge) hasConfigAndServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, known := e.state.servers.Version()
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -47,7 +47,7 @@
 
 // pollStore asks the store whenever this instance's turn comes.
 func (e *Edge) pollStore(ctx context.Context) error {
-	e.joining.Do(func() { e.join(ctx) })
+	e.joining.Do(func() { e.waitForPeerState(ctx) })
 	for {
 		e.mu.Lock()
 		wait := e.untilPoll(e.now())
@@ -82,7 +82,7 @@
 	e.mu.Lock()
 	lacks := e.state.gapEnds > 0
 	e.mu.Unlock()
-	if !lacks || !e.askReaders(ctx, methodGet, snapshotTimeout, e.hasToldServers) {
+	if !lacks || !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasAnnouncedServers) {
 		return false
 	}
 	e.mu.Lock()
@@ -169,7 +169,7 @@
 			e.logStoreError(p, now)
 			continue
 		}
-		if !e.observe(p.answer.Era, p.answer.Stamp, now) {
+		if !e.observeStore(p.answer.Era, p.answer.Stamp, now) {
 			well = false
 			continue
 		}
@@ -208,7 +208,7 @@
 		return nil, false
 	}
 	restored := known && before.Era < a.Era
-	return e.takeRows(t, changed, restored, now), true
+	return e.applyRows(t, changed, restored, now), true
 }
 
 // noteIgnored logs an answer that is older than what is known.
@@ -238,7 +238,7 @@
 	at := now - s.clock.Age(stamp, now)
 	switch t {
 	case evidence.Config:
-		if !s.misread && (stamp > s.configProof || !s.proved) && !e.rewriting(stamp) {
+		if !s.misread && (stamp > s.configProof || !s.proved) && !e.inConfigRewrite(stamp) {
 			s.configProof = stamp
 			s.proved = true
 		}
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -48,7 +48,7 @@
 		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StampUS: p.answer.Stamp.Microseconds(),
 	}
 	if p.table == evidence.Config {
-		n.Changed = e.configRow().Version
+		n.Changed = e.configRowPoint().Version
 		return e.withEvacuations(n)
 	}
 	recent := &s.recent[p.table]
@@ -107,19 +107,19 @@
 		s.poll.Attempted(now)
 		return
 	}
-	if !e.observe(n.Era, n.Stamp(), now) {
+	if !e.observeStore(n.Era, n.Stamp(), now) {
 		return
 	}
 	version, _ := e.copyOf(n.Table).Version()
-	complete := e.currentEra(e.copyOf(n.Table)) && version >= n.Since
+	complete := e.isCurrentEra(e.copyOf(n.Table)) && version >= n.Since
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
 		changed := replica.Point{Era: n.Era, Version: n.Changed}
 		s.configTold = later(s.configTold, changed)
-		complete = e.currentEra(s.config) && !e.configRow().Before(changed)
+		complete = e.isCurrentEra(s.config) && !e.configRowPoint().Before(changed)
 		n.Since = version
 		if err == nil {
-			rows = e.applyEvacuations(n, rows, now)
+			rows = e.applyNoticeEvacuations(n, rows, now)
 		}
 	}
 	if n.Table == evidence.Servers {
@@ -178,7 +178,7 @@
 func (e *Edge) gapPause() time.Duration {
 	spread := time.Duration(rand.Float64() * float64(gapSpread))
 	switch {
-	case e.currentEra(e.state.servers):
+	case e.isCurrentEra(e.state.servers):
 		return spread + gapWait
 	case slices.Contains(e.readers(), e.self):
 		return 0
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -37,7 +37,7 @@
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
 	p := polled{table: evidence.Servers, since: since, answer: a}
-	asker.observe(a.Era, a.Stamp, at)
+	asker.observeStore(a.Era, a.Stamp, at)
 	asker.noteReturn(p.table, a.Stamp, at)
 	told, _ := asker.takeAnswer(p.table, a, since, at)
 	notices := asker.notices(p, told)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -128,7 +128,7 @@
 	e.lost(fell, all, now)
 	e.sendAll(out, err)
 	e.keepRounds(now)
-	e.updateHolders()
+	e.updateLimiterInstances()
 	e.noteKnown(now)
 	e.expireServers(now)
 	e.noteStore(now)
--- a/edge/register.go
+++ b/edge/register.go
@@ -113,7 +113,7 @@
 func (e *Edge) noteListed(rows []replica.Row) {
 	for _, r := range rows {
 		e.state.instances.Note(r)
-		e.takeInstance(r, e.now())
+		e.applyInstanceRow(r, e.now())
 	}
 }
 
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.edge.mu.Lock()
-	row := s.edge.configRow()
+	row := s.edge.configRowPoint()
 	at, _ := s.edge.state.config.Point()
 	era := s.edge.state.era
 	rows := s.edge.state.config.Rows()
@@ -143,7 +143,7 @@
 		all.Clock = clock
 	}
 	for _, t := range []evidence.Table{evidence.Config, evidence.Servers, evidence.Instances} {
-		if !e.currentEra(e.copyOf(t)) {
+		if !e.isCurrentEra(e.copyOf(t)) {
 			continue
 		}
 		at, _ := e.copyOf(t).Point()
@@ -241,7 +241,7 @@
 // can't begin an era.
 func (e *Edge) observeSnapshot(s Snapshot, now time.Duration) bool {
 	if s.Clock > 0 {
-		return e.observe(s.Era, s.Clock, now)
+		return e.observeStore(s.Era, s.Clock, now)
 	}
 	if !e.state.eraKnown {
 		e.state.era, e.state.eraKnown = s.Era, true
