--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -17,15 +17,15 @@
 	e := newQuiet(t)
 	now := e.now()
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	e.prove(evidence.Config, 100*time.Second, now)
+	e.recordProof(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	must.True(t, e.observeStore(1, 20*time.Second, now))
 	must.Eq(t, 3*time.Second, e.configAge(now))
-	e.prove(evidence.Config, 20*time.Second, now)
+	e.recordProof(evidence.Config, 20*time.Second, now)
 	must.Eq(t, 3*time.Second, e.configAge(now))
 	now += configRewriteTime
 	must.True(t, e.observeStore(1, 20*time.Second+configRewriteTime, now))
-	e.prove(evidence.Config, 20*time.Second+configRewriteTime, now)
+	e.recordProof(evidence.Config, 20*time.Second+configRewriteTime, now)
 	must.Eq(t, 0, e.configAge(now))
 }
 
@@ -35,7 +35,7 @@
 	e := newQuiet(t)
 	now := e.now()
 	must.True(t, e.observeStore(1, 100*time.Second, now))
-	_, ok := e.takeAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
+	_, ok := e.applyAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
 	must.True(t, ok)
 	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
 	at, _ := e.state.servers.Point()
@@ -52,17 +52,17 @@
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	_, ok := e.takeAnswer(evidence.Instances, replica.Answer{Version: 3, Whole: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.applyAnswer(evidence.Instances, replica.Answer{Version: 3, Whole: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	listed := func() bool { return e.state.messenger.Fleet().All()[0x0a000007].Listed }
 	must.True(t, listed())
 	must.True(t, e.observeStore(1, 103*time.Second, now))
-	_, ok = e.takeAnswer(evidence.Instances, replica.Answer{Era: 1, Version: 1, Whole: true}, 0, now)
+	_, ok = e.applyAnswer(evidence.Instances, replica.Answer{Era: 1, Version: 1, Whole: true}, 0, now)
 	must.True(t, ok)
 	must.True(t, listed())
 	removed := replica.Answer{Era: 1, Version: 2, Rows: []replica.Row{{Key: "10.0.0.7", Gone: true, Version: 2}}}
 	e.state.instances.Note(row)
-	_, ok = e.takeAnswer(evidence.Instances, removed, 1, now)
+	_, ok = e.applyAnswer(evidence.Instances, removed, 1, now)
 	must.True(t, ok)
 	must.False(t, listed())
 }
@@ -82,7 +82,7 @@
 		t.Helper()
 		must.True(t, e.observeStore(era, 100*time.Second, now))
 		a := replica.Answer{Era: era, Version: row.Version, Whole: true, Rows: []replica.Row{row}}
-		_, ok := e.takeAnswer(evidence.Config, a, 0, now)
+		_, ok := e.applyAnswer(evidence.Config, a, 0, now)
 		must.True(t, ok)
 	}
 	take(0, configRow("0000001f", 30))
@@ -101,10 +101,10 @@
 	now := e.now()
 	row := configRow("0000001f", 30)
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	_, ok := e.takeAnswer(evidence.Config, replica.Answer{Version: 30, Whole: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.applyAnswer(evidence.Config, replica.Answer{Version: 30, Whole: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	must.True(t, e.observeStore(1, 100*time.Second, now))
-	_, ok = e.takeAnswer(evidence.Config, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
+	_, ok = e.applyAnswer(evidence.Config, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
 	must.True(t, ok)
 	now += 2 * configRewriteTime
 	e.applyNotice(evidence.Notice{Table: evidence.Config, Era: 1, Version: 5, StampUS: 102_000_000}, now)
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -131,7 +131,7 @@
 
 // readConfig reads the configuration from the store.
 func (e *Edge) readConfig(ctx context.Context) bool {
-	p := e.ask(ctx, evidence.Config)
+	p := e.readTable(ctx, evidence.Config)
 	if p.err != nil {
 		e.logStoreError(p, e.now())
 		return false
@@ -142,10 +142,10 @@
 	if !e.observeStore(p.answer.Era, p.answer.Stamp, now) {
 		return false
 	}
-	if _, ok := e.takeAnswer(p.table, p.answer, p.since, now); !ok {
+	if _, ok := e.applyAnswer(p.table, p.answer, p.since, now); !ok {
 		return false
 	}
-	e.prove(p.table, p.answer.Stamp, now)
+	e.recordProof(p.table, p.answer.Stamp, now)
 	return true
 }
 
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -114,7 +114,7 @@
 	now := source.now()
 	source.state.clock.Observe(100*time.Second, now)
 	source.state.config.Apply(replica.Answer{Version: 5, Whole: true}, 0)
-	source.prove(evidence.Config, 100*time.Second, now)
+	source.recordProof(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	newcomer.takeSnapshot(source.snapshot(now), now)
 	must.Eq(t, 3*time.Second, newcomer.configAge(now))
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// listedEvery is how often whoever asks the store also looks for changes
+	// instancesReadInterval is how often whoever asks the store also looks for changes
 	// of the list of instances. Instances introduce themselves to each other;
 	// the list only finds those that were out of reach then.
-	listedEvery = 5 * time.Second
-	// lostAfter is the age of the newest proof from which the store counts as
+	instancesReadInterval = 5 * time.Second
+	// storeLostAfter is the age of the newest proof from which the store counts as
 	// lost in logs.
-	lostAfter = 2 * time.Second
+	storeLostAfter = 2 * time.Second
 )
 
 // tableNames are the store's names of the tables in notices.
@@ -34,7 +34,7 @@
 	evidence.Instances: platform.TableInstances,
 }
 
-func (e *Edge) copyOf(t evidence.Table) *replica.Table {
+func (e *Edge) replicaOf(t evidence.Table) *replica.Table {
 	switch t {
 	case evidence.Config:
 		return e.state.config
@@ -50,10 +50,10 @@
 	e.joining.Do(func() { e.waitForPeerState(ctx) })
 	for {
 		e.mu.Lock()
-		wait := e.untilPoll(e.now())
+		wait := e.pollDelay(e.now())
 		e.mu.Unlock()
 		if wait <= 0 {
-			if !e.fillGap(ctx) {
+			if !e.fetchMissedServers(ctx) {
 				e.pollOnce(ctx)
 			}
 			continue
@@ -67,7 +67,7 @@
 	}
 }
 
-func (e *Edge) untilPoll(now time.Duration) time.Duration {
+func (e *Edge) pollDelay(now time.Duration) time.Duration {
 	s := &e.state
 	due := s.poll.Next(e.state.messenger.Rank(), rand.Float64(), now)
 	if s.gapEnds > 0 {
@@ -76,9 +76,9 @@
 	return due - now
 }
 
-// fillGap asks the readers for the changes of the servers that this instance
+// fetchMissedServers asks the readers for the changes of the servers that this instance
 // lacks, if it lacks any. It reports whether it has them now.
-func (e *Edge) fillGap(ctx context.Context) bool {
+func (e *Edge) fetchMissedServers(ctx context.Context) bool {
 	e.mu.Lock()
 	lacks := e.state.gapEnds > 0
 	e.mu.Unlock()
@@ -109,15 +109,15 @@
 	}
 	e.mu.Unlock()
 
-	answers := make([]polled, len(tables))
+	answers := make([]readResult, len(tables))
 	var wg sync.WaitGroup
 	for i, t := range tables {
-		wg.Go(func() { answers[i] = e.ask(ctx, t) })
+		wg.Go(func() { answers[i] = e.readTable(ctx, t) })
 	}
 	wg.Wait()
 
 	e.mu.Lock()
-	well := e.takePolled(answers)
+	well := e.applyReadResults(answers)
 	e.noteKnown(e.now())
 	e.mu.Unlock()
 	if !well && missed {
@@ -129,8 +129,8 @@
 	}
 }
 
-// polled is the store's answer about one table.
-type polled struct {
+// readResult is the store's answer about one table.
+type readResult struct {
 	table  evidence.Table
 	since  uint64
 	answer replica.Answer
@@ -138,11 +138,11 @@
 	err    error
 }
 
-// ask reads the changes of a table, or all of it if that isn't possible.
-func (e *Edge) ask(ctx context.Context, t evidence.Table) polled {
+// readTable reads the changes of a table, or all of it if that isn't possible.
+func (e *Edge) readTable(ctx context.Context, t evidence.Table) readResult {
 	e.mu.Lock()
-	at, known := e.copyOf(t).Point()
-	p := polled{table: t, since: at.Version, asked: e.now()}
+	at, known := e.replicaOf(t).Point()
+	p := readResult{table: t, since: at.Version, asked: e.now()}
 	e.mu.Unlock()
 	if known {
 		p.answer, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
@@ -156,9 +156,9 @@
 	return p
 }
 
-// takePolled takes in the answers to one poll and tells the others. It reports
+// applyReadResults takes in the answers to one poll and tells the others. It reports
 // whether all tables were answered.
-func (e *Edge) takePolled(answers []polled) (well bool) {
+func (e *Edge) applyReadResults(answers []readResult) (well bool) {
 	s := &e.state
 	now := e.now()
 	var notices []evidence.Notice
@@ -173,16 +173,16 @@
 			well = false
 			continue
 		}
-		e.noteReturn(p.table, p.answer.Stamp, now)
-		told, ok := e.takeAnswer(p.table, p.answer, p.since, now)
+		e.recordOutageEnd(p.table, p.answer.Stamp, now)
+		told, ok := e.applyAnswer(p.table, p.answer, p.since, now)
 		if !ok {
 			well = false
 			continue
 		}
-		notices = append(notices, e.notices(p, told)...)
-		e.prove(p.table, p.answer.Stamp, now)
+		notices = append(notices, e.noticesFor(p, told)...)
+		e.recordProof(p.table, p.answer.Stamp, now)
 		if p.table == evidence.Instances {
-			s.nextListed = now + listedEvery
+			s.nextListed = now + instancesReadInterval
 		}
 	}
 	if well {
@@ -192,18 +192,18 @@
 		s.poll.Failed(now)
 		notices = append(notices, evidence.Notice{})
 	}
-	e.countShare()
+	e.updateRateShare()
 	e.publishNotices(notices)
 	return well
 }
 
-// takeAnswer takes in what the store said of a table, to this instance or another
+// applyAnswer takes in what the store said of a table, to this instance or another
 // one, and returns the rows that others must hear of. It reports false if this
 // instance's copy lacks something from before the answer.
-func (e *Edge) takeAnswer(t evidence.Table, a replica.Answer, since uint64, now time.Duration) ([]replica.Row, bool) {
-	e.noteIgnored(t, a.Point(), now)
-	before, known := e.copyOf(t).Point()
-	changed, ok := e.copyOf(t).Apply(a, since)
+func (e *Edge) applyAnswer(t evidence.Table, a replica.Answer, since uint64, now time.Duration) ([]replica.Row, bool) {
+	e.logStaleAnswer(t, a.Point(), now)
+	before, known := e.replicaOf(t).Point()
+	changed, ok := e.replicaOf(t).Apply(a, since)
 	if !ok {
 		return nil, false
 	}
@@ -211,9 +211,9 @@
 	return e.applyRows(t, changed, restored, now), true
 }
 
-// noteIgnored logs an answer that is older than what is known.
-func (e *Edge) noteIgnored(t evidence.Table, at replica.Point, now time.Duration) {
-	known, ok := e.copyOf(t).Point()
+// logStaleAnswer logs an answer that is older than what is known.
+func (e *Edge) logStaleAnswer(t evidence.Table, at replica.Point, now time.Duration) {
+	known, ok := e.replicaOf(t).Point()
 	if ok && at.Before(known) && e.budget.Take(now, quietShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
@@ -221,9 +221,9 @@
 	}
 }
 
-// noteReturn notes that the store is back after an outage. It comes before the
+// recordOutageEnd notes that the store is back after an outage. It comes before the
 // rows of its first answer: entries that ran out meanwhile are missing there.
-func (e *Edge) noteReturn(t evidence.Table, stamp, now time.Duration) {
+func (e *Edge) recordOutageEnd(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
 	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.Outage {
@@ -231,9 +231,9 @@
 	}
 }
 
-// prove notes that the copy of a table was complete at a moment of the
+// recordProof notes that the copy of a table was complete at a moment of the
 // store's clock.
-func (e *Edge) prove(t evidence.Table, stamp, now time.Duration) {
+func (e *Edge) recordProof(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
 	switch t {
@@ -257,11 +257,11 @@
 	return e.state.clock.Age(e.state.configProof, now)
 }
 
-// noteStore logs when the store is lost and when it is back.
-func (e *Edge) noteStore(now time.Duration) {
+// logStoreAvailability logs when the store is lost and when it is back.
+func (e *Edge) logStoreAvailability(now time.Duration) {
 	s := &e.state
 	age := s.poll.Age(now)
-	if lost := age > lostAfter; lost != s.storeLost {
+	if lost := age > storeLostAfter; lost != s.storeLost {
 		s.storeLost = lost
 		if lost {
 			event.PlatformUnavailable.Log(e.log, ageOf(age))
@@ -271,7 +271,7 @@
 	}
 }
 
-func (e *Edge) logStoreError(p polled, now time.Duration) {
+func (e *Edge) logStoreError(p readResult, now time.Duration) {
 	if e.budget.Take(now, quietShare) {
 		event.StoreCallFailed.Log(e.log, slog.String("table", tableNames[p.table]),
 			slog.Duration("took", now-p.asked), slog.Any("error", p.err))
--- a/edge/members.go
+++ b/edge/members.go
@@ -11,17 +11,17 @@
 	"foxtailspoke/usage"
 )
 
-// manySilent is the share of instances whose silence at one moment means that
+// massSilenceShare is the share of instances whose silence at one moment means that
 // callers' requests go unserved unheard. One instance that is stopped or killed
 // is less at any size.
-const manySilent = 0.05
+const massSilenceShare = 0.05
 
-// slowBelow is the bandwidth in Mbit/s below which an instance leaves to others
+// slowLinkMbps is the bandwidth in Mbit/s below which an instance leaves to others
 // what goes out once for each of many: rounds, and what the store said.
-const slowBelow = 80
+const slowLinkMbps = 80
 
 func (e *Edge) hasSlowLink() bool {
-	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowBelow
+	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowLinkMbps
 }
 
 // selfMember is this instance as others see it.
@@ -38,9 +38,9 @@
 	return c
 }
 
-// countShare takes in which instances are known and heard by now. It waits for
+// updateRateShare takes in which instances are known and heard by now. It waits for
 // the configuration, which is read together with the list of instances.
-func (e *Edge) countShare() {
+func (e *Edge) updateRateShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
 		e.state.usage.Share, e.state.usage.Fresh = fleet.Heard(), fleet.Fresh()
@@ -61,18 +61,18 @@
 	return ids
 }
 
-// found takes in that instances are heard.
-func (e *Edge) found(returned []*fleet.Instance) {
+// handlePeersReturned takes in that instances are heard.
+func (e *Edge) handlePeersReturned(returned []*fleet.Instance) {
 	for _, m := range returned {
 		event.PeerHeard.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()))
 	}
 	if len(returned) > 0 {
-		e.countShare()
+		e.updateRateShare()
 	}
 }
 
-// lost takes in that instances have fallen silent, of so many.
-func (e *Edge) lost(fell []*fleet.Instance, all int, now time.Duration) {
+// handlePeersSilent takes in that instances have fallen silent, of so many.
+func (e *Edge) handlePeersSilent(fell []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
 	for _, m := range fell {
 		s.usage.Forget(m.ID)
@@ -80,8 +80,8 @@
 		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.Heard))
 	}
-	if float64(len(fell)) > manySilent*float64(all) {
+	if float64(len(fell)) > massSilenceShare*float64(all) {
 		s.placer.Disturbed(now)
 	}
-	e.countShare()
+	e.updateRateShare()
 }
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxNoticeRows is the bytes of changed rows that a message may carry; they
+	// maxNoticeRowBytes is the bytes of changed rows that a message may carry; they
 	// are packed to about a third. maxNoticeParts is how many messages one
 	// answer may take. Above that, some hundred servers changing at once, the
 	// readers of each data centre read the store and the others ask them.
-	maxNoticeRows  = 3000
+	maxNoticeRowBytes  = 3000
 	maxNoticeParts = 6
-	// gapWait is how long an instance that lacks changes waits for the notice
+	// gapNoticeWait is how long an instance that lacks changes waits for the notice
 	// that brings them, each of which spans several answers, and gapSpread
 	// spreads those that then read the store.
-	gapWait   = 550 * time.Millisecond
-	gapSpread = 400 * time.Millisecond
+	gapNoticeWait   = 550 * time.Millisecond
+	gapJitter = 400 * time.Millisecond
 )
 
 // publishNotices tells notices with rows in a message each, the others together.
@@ -40,16 +40,16 @@
 	}
 }
 
-// notices are what the others are told of an answer: the rows that changed
+// noticesFor are what the others are told of an answer: the rows that changed
 // anything, not those that only renewed themselves.
-func (e *Edge) notices(p polled, changed []replica.Row) []evidence.Notice {
+func (e *Edge) noticesFor(p readResult, changed []replica.Row) []evidence.Notice {
 	s := &e.state
 	n := evidence.Notice{
 		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StampUS: p.answer.Stamp.Microseconds(),
 	}
 	if p.table == evidence.Config {
 		n.Changed = e.configRowPoint().Version
-		return e.withEvacuations(n)
+		return e.noticesWithEvacuations(n)
 	}
 	recent := &s.recent[p.table]
 	if p.answer.Whole {
@@ -59,8 +59,8 @@
 		return []evidence.Notice{n}
 	}
 	recent.Add(p.since, p.answer.Version, changed)
-	parts := recent.Parts(p.answer.Version, maxNoticeRows)
-	all, err := packed(n, parts)
+	parts := recent.Parts(p.answer.Version, maxNoticeRowBytes)
+	all, err := packNotices(n, parts)
 	if err != nil || len(parts) > maxNoticeParts {
 		// The others notice that they lack something, and read it.
 		recent.Reset()
@@ -70,11 +70,11 @@
 	return all
 }
 
-// withEvacuations adds the rows that evacuate data centres to a notice of the
+// noticesWithEvacuations adds the rows that evacuate data centres to a notice of the
 // configuration's table.
-func (e *Edge) withEvacuations(n evidence.Notice) []evidence.Notice {
+func (e *Edge) noticesWithEvacuations(n evidence.Notice) []evidence.Notice {
 	parts := []replica.Part{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
-	all, err := packed(n, parts)
+	all, err := packNotices(n, parts)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
 		return nil
@@ -82,8 +82,8 @@
 	return all
 }
 
-// packed returns a notice for each part.
-func packed(n evidence.Notice, parts []replica.Part) ([]evidence.Notice, error) {
+// packNotices returns a notice for each part.
+func packNotices(n evidence.Notice, parts []replica.Part) ([]evidence.Notice, error) {
 	var all []evidence.Notice
 	for i, part := range parts {
 		n.Since, n.Version, n.More = part.Since, part.Version, i < len(parts)-1
@@ -110,12 +110,12 @@
 	if !e.observeStore(n.Era, n.Stamp(), now) {
 		return
 	}
-	version, _ := e.copyOf(n.Table).Version()
-	complete := e.isCurrentEra(e.copyOf(n.Table)) && version >= n.Since
+	version, _ := e.replicaOf(n.Table).Version()
+	complete := e.isCurrentEra(e.replicaOf(n.Table)) && version >= n.Since
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
 		changed := replica.Point{Era: n.Era, Version: n.Changed}
-		s.configTold = later(s.configTold, changed)
+		s.configTold = laterPoint(s.configTold, changed)
 		complete = e.isCurrentEra(s.config) && !e.configRowPoint().Before(changed)
 		n.Since = version
 		if err == nil {
@@ -123,41 +123,41 @@
 		}
 	}
 	if n.Table == evidence.Servers {
-		s.serversTold = later(s.serversTold, replica.Point{Era: n.Era, Version: n.Version})
+		s.serversTold = laterPoint(s.serversTold, replica.Point{Era: n.Era, Version: n.Version})
 	}
 	if !complete {
-		e.missed(n.Table, now)
+		e.scheduleCatchUp(n.Table, now)
 		return
 	}
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
-		e.missed(n.Table, now)
+		e.scheduleCatchUp(n.Table, now)
 		return
 	}
 	a := replica.Answer{Era: n.Era, Version: n.Version, Stamp: n.Stamp()}
 	for _, r := range rows {
 		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
 	}
-	e.noteReturn(n.Table, n.Stamp(), now)
-	told, _ := e.takeAnswer(n.Table, a, n.Since, now)
+	e.recordOutageEnd(n.Table, n.Stamp(), now)
+	told, _ := e.applyAnswer(n.Table, a, n.Since, now)
 	if n.Version > version && n.Table != evidence.Config {
 		s.recent[n.Table].Add(version, n.Version, told)
 	}
 	if n.More {
 		return
 	}
-	e.prove(n.Table, n.Stamp(), now)
+	e.recordProof(n.Table, n.Stamp(), now)
 	switch n.Table {
 	case evidence.Servers:
 		s.gapEnds = 0
 		s.poll.Yield()
 	case evidence.Instances:
-		s.nextListed = now + listedEvery
+		s.nextListed = now + instancesReadInterval
 	}
 }
 
-// missed has what a notice couldn't bring fetched from a reader or the store.
-func (e *Edge) missed(t evidence.Table, now time.Duration) {
+// scheduleCatchUp has what a notice couldn't bring fetched from a reader or the store.
+func (e *Edge) scheduleCatchUp(t evidence.Table, now time.Duration) {
 	switch t {
 	case evidence.Config:
 		wake(e.fetches)
@@ -165,21 +165,21 @@
 		if e.state.gapEnds > 0 {
 			return
 		}
-		e.state.gapEnds = now + e.gapPause()
+		e.state.gapEnds = now + e.gapDelay()
 		wake(e.kicked)
 	case evidence.Instances:
 		e.state.nextListed = 0
 	}
 }
 
-// gapPause is how long to wait before changes that were missed are fetched. Notices to
+// gapDelay is how long to wait before changes that were missed are fetched. Notices to
 // come may bring them, but not to an instance that knows no server of this era. Its
 // readers go first there, so that the others find what they lack.
-func (e *Edge) gapPause() time.Duration {
-	spread := time.Duration(rand.Float64() * float64(gapSpread))
+func (e *Edge) gapDelay() time.Duration {
+	spread := time.Duration(rand.Float64() * float64(gapJitter))
 	switch {
 	case e.isCurrentEra(e.state.servers):
-		return spread + gapWait
+		return spread + gapNoticeWait
 	case slices.Contains(e.readers(), e.self):
 		return 0
 	default:
@@ -187,7 +187,7 @@
 	}
 }
 
-func later(a, b replica.Point) replica.Point {
+func laterPoint(a, b replica.Point) replica.Point {
 	if a.Before(b) {
 		return b
 	}
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -36,12 +36,12 @@
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
-	p := polled{table: evidence.Servers, since: since, answer: a}
+	p := readResult{table: evidence.Servers, since: since, answer: a}
 	asker.observeStore(a.Era, a.Stamp, at)
-	asker.noteReturn(p.table, a.Stamp, at)
-	told, _ := asker.takeAnswer(p.table, a, since, at)
-	notices := asker.notices(p, told)
-	asker.prove(p.table, a.Stamp, at)
+	asker.recordOutageEnd(p.table, a.Stamp, at)
+	told, _ := asker.applyAnswer(p.table, a, since, at)
+	notices := asker.noticesFor(p, told)
+	asker.recordProof(p.table, a.Stamp, at)
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	for _, n := range notices {
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -125,13 +125,13 @@
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
 	fell, out, err := s.messenger.Pulse(now)
-	e.lost(fell, all, now)
+	e.handlePeersSilent(fell, all, now)
 	e.sendAll(out, err)
 	e.keepRounds(now)
 	e.updateLimiterInstances()
 	e.noteKnown(now)
 	e.expireServers(now)
-	e.noteStore(now)
+	e.logStoreAvailability(now)
 	e.noteLeftOut(now)
 }
 
@@ -162,7 +162,7 @@
 	if err != nil && e.budget.Take(now, quietShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
-	e.found(t.Returned)
+	e.handlePeersReturned(t.Returned)
 	for i := range t.Received {
 		e.applyMessage(&t.Received[i], now)
 	}
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -143,11 +143,11 @@
 		all.Clock = clock
 	}
 	for _, t := range []evidence.Table{evidence.Config, evidence.Servers, evidence.Instances} {
-		if !e.isCurrentEra(e.copyOf(t)) {
+		if !e.isCurrentEra(e.replicaOf(t)) {
 			continue
 		}
-		at, _ := e.copyOf(t).Point()
-		table := SnapshotTable{Table: t, Era: at.Era, Version: at.Version, Rows: e.copyOf(t).Rows()}
+		at, _ := e.replicaOf(t).Point()
+		table := SnapshotTable{Table: t, Era: at.Era, Version: at.Version, Rows: e.replicaOf(t).Rows()}
 		switch t {
 		case evidence.Config:
 			table.Stamp = s.configProof
@@ -229,11 +229,11 @@
 	}
 	for _, t := range snapshot.Tables {
 		a := replica.Answer{Rows: t.Rows, Era: t.Era, Version: t.Version, Stamp: t.Stamp, Whole: true}
-		if _, ok := e.takeAnswer(t.Table, a, 0, now); ok && t.Stamp > 0 {
-			e.prove(t.Table, t.Stamp, now)
+		if _, ok := e.applyAnswer(t.Table, a, 0, now); ok && t.Stamp > 0 {
+			e.recordProof(t.Table, t.Stamp, now)
 		}
 	}
-	e.countShare()
+	e.updateRateShare()
 	e.noteKnown(now)
 }
 
