--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -14,7 +14,7 @@
 // neither look fresh by that nor old for ever, and its first answers prove nothing
 // about keys that operators have to take away once more.
 func TestProofsKeepTheirAgeWhenTheStoreComesBack(t *testing.T) {
-	e := newQuiet(t)
+	e := newIdleInstance(t)
 	now := e.now()
 	must.True(t, e.observeStore(0, 100*time.Second, now))
 	e.recordProof(evidence.Config, 100*time.Second, now)
@@ -32,7 +32,7 @@
 // A message of before the store's return arrives after it. It must not bring back
 // what the store has forgotten, nor set the clock.
 func TestWordOfAPassedEraIsIgnored(t *testing.T) {
-	e := newQuiet(t)
+	e := newIdleInstance(t)
 	now := e.now()
 	must.True(t, e.observeStore(1, 100*time.Second, now))
 	_, ok := e.applyAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
@@ -48,7 +48,7 @@
 // The store comes back from a copy without the row of an instance that is cut off
 // from the others. Forgotten, its part of every rate would be used twice.
 func TestCopyDoesNotUnlistInstances(t *testing.T) {
-	e := newQuiet(t)
+	e := newIdleInstance(t)
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
 	must.True(t, e.observeStore(0, 100*time.Second, now))
@@ -76,7 +76,7 @@
 // still acts on the newer one; taking the older one, it would accept keys that were
 // taken away.
 func TestNewcomerLearnsTheConfigurationInForce(t *testing.T) {
-	e, newcomer := newQuiet(t), newQuiet(t)
+	e, newcomer := newIdleInstance(t), newIdleInstance(t)
 	now := e.now()
 	take := func(era uint64, row replica.Row) {
 		t.Helper()
@@ -88,7 +88,7 @@
 	take(0, configRow("0000001f", 30))
 	take(1, configRow("00000016", 20))
 	must.Eq(t, 31, e.state.table.Version)
-	newcomer.takeSnapshot(e.snapshot(now), now)
+	newcomer.applySnapshot(e.snapshot(now), now)
 	must.Eq(t, 31, newcomer.state.table.Version)
 	must.Eq(t, replica.Point{Era: 1, Version: 20}, newcomer.configRowPoint())
 }
@@ -97,7 +97,7 @@
 // that have one act on it, and must not look for another one all the time, nor lose
 // the proof of its age.
 func TestCopyWithoutAConfiguration(t *testing.T) {
-	e := newQuiet(t)
+	e := newIdleInstance(t)
 	now := e.now()
 	row := configRow("0000001f", 30)
 	must.True(t, e.observeStore(0, 100*time.Second, now))
@@ -111,7 +111,7 @@
 	must.True(t, e.hasAnnouncedConfig())
 	must.Eq(t, 0, e.configAge(now))
 	must.Eq(t, 31, e.state.table.Version)
-	newcomer := newQuiet(t)
-	newcomer.takeSnapshot(e.snapshot(now), now)
+	newcomer := newIdleInstance(t)
+	newcomer.applySnapshot(e.snapshot(now), now)
 	must.Eq(t, 31, newcomer.state.table.Version)
 }
--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -11,17 +11,17 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// fromACopy has the store lose what it was told since a copy, during a moment in
+// restoreStore has the store lose what it was told since a copy, during a moment in
 // which it answers nobody.
-func (f *fleet) fromACopy(c rowstore.Copy) {
+func (f *fleet) restoreStore(c rowstore.Copy) {
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
 	time.Sleep(300 * time.Millisecond)
 	f.store.Restore(c)
 	f.store.SetFault(nil)
 }
 
-// changeOften writes rows that concern nobody, as heartbeats do.
-func (f *fleet) changeOften(n int) {
+// writeUnrelatedRows writes rows that concern nobody, as heartbeats do.
+func (f *fleet) writeUnrelatedRows(n int) {
 	for range n {
 		f.store.Put("servers", "nobody", []byte("{}"))
 	}
@@ -37,7 +37,7 @@
 	}, 1000, key)
 }
 
-func (f *fleet) servesAdded(n int) bool {
+func (f *fleet) servesAddedRoute(n int) bool {
 	r, _ := f.call(n, http.MethodGet, "/added/1", "", nil)
 	return r.status == http.StatusOK
 }
@@ -52,14 +52,14 @@
 	f.backend("one", nil)
 	f.up(3)
 	c := f.store.Copy()
-	f.changeOften(200)
+	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	time.Sleep(500 * time.Millisecond)
 	f.addRoute()
 	time.Sleep(2 * time.Second)
 	for n := range f.instances {
-		must.True(t, f.servesAdded(n), must.Sprint("instance ", n))
+		must.True(t, f.servesAddedRoute(n), must.Sprint("instance ", n))
 	}
 }
 
@@ -72,16 +72,16 @@
 	f.backend("one", nil)
 	f.up(3)
 	c := f.store.Copy()
-	f.changeOften(20)
+	f.writeUnrelatedRows(20)
 	time.Sleep(time.Second)
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
 	f.store.Restore(c)
 	f.addRoute()
-	f.changeOften(60)
+	f.writeUnrelatedRows(60)
 	f.store.SetFault(nil)
 	time.Sleep(2 * time.Second)
 	for n := range f.instances {
-		must.True(t, f.servesAdded(n), must.Sprint("instance ", n))
+		must.True(t, f.servesAddedRoute(n), must.Sprint("instance ", n))
 	}
 }
 
@@ -95,9 +95,9 @@
 	f.backend("staying", nil)
 	f.up(3)
 	c := f.store.Copy()
-	f.changeOften(200)
+	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	time.Sleep(500 * time.Millisecond)
 	f.list(leaving, "draining")
 	time.Sleep(2 * time.Second)
@@ -125,7 +125,7 @@
 			c := f.store.Copy()
 			leave(f, leaving)
 			time.Sleep(time.Second)
-			f.fromACopy(c)
+			f.restoreStore(c)
 			time.Sleep(time.Second)
 			before := leaving.total()
 			f.lookupsFor(time.Second, 10*time.Millisecond)
@@ -151,7 +151,7 @@
 	c := f.store.Copy()
 	f.store.Remove("servers", cut.id)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	time.Sleep(time.Second)
 	f.list(cut, "ready")
 	time.Sleep(time.Second)
@@ -173,7 +173,7 @@
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	time.Sleep(time.Second)
 	before := away.total()
-	f.fromACopy(c)
+	f.restoreStore(c)
 	f.lookupsFor(1500*time.Millisecond, 10*time.Millisecond)
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	f.lookupsFor(1500*time.Millisecond, 10*time.Millisecond)
@@ -199,9 +199,9 @@
 	}
 	all := func() bool { return len(f.store.Rows("instances")) == n }
 	eventually(t, 15*time.Second, "all instances are listed", all)
-	f.changeOften(100)
+	f.writeUnrelatedRows(100)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	must.SliceEmpty(t, f.store.Rows("instances"))
 	eventually(t, 12*time.Second, "all instances are listed again", all)
 }
@@ -215,9 +215,9 @@
 	f.backend("one", nil)
 	f.up(12)
 	c := f.store.Copy()
-	f.changeOften(200)
+	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	before := f.store.Calls()
 	time.Sleep(2 * time.Second)
 	// Half of what they need if each reads for itself, two attempts at changes and
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -43,11 +43,11 @@
 		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchJitter))) {
 			return ctx.Err()
 		}
-		if e.hasAnnouncedConfig() || e.fetchFromReaders(ctx, methodConfig, configTimeout, e.hasAnnouncedConfig) {
+		if e.hasAnnouncedConfig() || e.fetchFromReaders(ctx, methodConfig, configSnapshotTimeout, e.hasAnnouncedConfig) {
 			continue
 		}
 		if !e.readConfig(ctx) {
-			e.askPeer(ctx)
+			e.fetchFromPeer(ctx)
 			sleepContext(ctx, fetchRetryDelay)
 		}
 	}
@@ -67,7 +67,7 @@
 		if has() {
 			return true
 		}
-		e.askSnapshot(ctx, reader, method, timeout)
+		e.fetchSnapshot(ctx, reader, method, timeout)
 	}
 	return has()
 }
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -28,8 +28,8 @@
 	alive, _ := others.Touch(3, time.Second)
 	alive.Listed = true
 	others.Meet(4, time.Second)
-	must.Len(t, 0, e.goneRows(time.Minute))
-	rows := e.goneRows(time.Second + goneAfter + 1)
+	must.Len(t, 0, e.goneInstanceRows(time.Minute))
+	rows := e.goneInstanceRows(time.Second + removeInstanceAfter + 1)
 	must.Len(t, 1, rows)
 	must.Eq(t, "0.0.0.2", rows[0].Key)
 	must.True(t, rows[0].Gone)
@@ -75,9 +75,9 @@
 func TestFailureAtTheDeadlineTellsNothingOfTheServer(t *testing.T) {
 	c := &call{deadline: 2 * time.Second}
 	a := &attempt{result: health.ServerError, start: time.Second, took: time.Second - deadlineMargin}
-	must.Eq(t, health.Cancelled, evidenceOf(c, a))
+	must.Eq(t, health.Cancelled, serverResult(c, a))
 	a.took = 500 * time.Millisecond
-	must.Eq(t, health.ServerError, evidenceOf(c, a))
+	must.Eq(t, health.ServerError, serverResult(c, a))
 }
 
 // An answer that left a server before it named its limit comes after one that names
@@ -110,12 +110,12 @@
 // Taken for fresh, a configuration that is three seconds old would let a key that
 // was taken away work for three seconds longer.
 func TestSnapshotIsAsOldAsItsSourceSays(t *testing.T) {
-	source, newcomer := newQuiet(t), newQuiet(t)
+	source, newcomer := newIdleInstance(t), newIdleInstance(t)
 	now := source.now()
 	source.state.clock.Observe(100*time.Second, now)
 	source.state.config.Apply(replica.Answer{Version: 5, Whole: true}, 0)
 	source.recordProof(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
-	newcomer.takeSnapshot(source.snapshot(now), now)
+	newcomer.applySnapshot(source.snapshot(now), now)
 	must.Eq(t, 3*time.Second, newcomer.configAge(now))
 }
--- a/edge/join.go
+++ b/edge/join.go
@@ -35,7 +35,7 @@
 			return
 		}
 		if e.hasReadyPeer() && !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasConfigAndServers) {
-			e.askPeer(ctx)
+			e.fetchFromPeer(ctx)
 		}
 	}
 }
--- a/edge/knowledge.go
+++ b/edge/knowledge.go
@@ -118,14 +118,14 @@
 
 	e.mu.Lock()
 	well := e.applyReadResults(answers)
-	e.noteKnown(e.now())
+	e.announceIfChanged(e.now())
 	e.mu.Unlock()
 	if !well && missed {
 		// The store turns this instance away; the others have what it lacks.
-		e.askPeer(ctx)
+		e.fetchFromPeer(ctx)
 	}
 	if len(tables) > 2 {
-		e.removeGone(ctx)
+		e.removeGoneInstances(ctx)
 	}
 }
 
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -16,8 +16,8 @@
 	"foxtailspoke/replica"
 )
 
-// newQuiet returns an instance that listens but isn't run: the test feeds it.
-func newQuiet(t *testing.T) *Edge {
+// newIdleInstance returns an instance that listens but isn't run: the test feeds it.
+func newIdleInstance(t *testing.T) *Edge {
 	t.Helper()
 	const any = "127.0.0.1:0"
 	e, err := New("", settings.Settings{
@@ -30,9 +30,9 @@
 	return e
 }
 
-// polls feeds a table's answer to the instance that asked, and the notices of
+// pollAndNotify feeds a table's answer to the instance that asked, and the notices of
 // it to the other.
-func polls(asker, other *Edge, a replica.Answer, at time.Duration) {
+func pollAndNotify(asker, other *Edge, a replica.Answer, at time.Duration) {
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
@@ -49,7 +49,7 @@
 	}
 }
 
-func entry(t *testing.T, id string, version uint64) replica.Row {
+func serverRow(t *testing.T, id string, version uint64) replica.Row {
 	t.Helper()
 	b, err := json.Marshal(map[string]any{
 		"service": "s", "address": "10.0.0.9:80", "zone": "dc", "slots": 2, "state": "ready", "born": 1,
@@ -66,7 +66,7 @@
 // the server leaves, had no entry to remove and told nobody either, so that the
 // rest sent it requests for as long as it answered.
 func TestEntryThatRanOutAndCameBackIsToldToAll(t *testing.T) {
-	one, two := newQuiet(t), newQuiet(t)
+	one, two := newIdleInstance(t), newIdleInstance(t)
 	usable := func(e *Edge) bool {
 		e.expireServers(e.now())
 		_, known := e.state.list.Get("i-1")
@@ -77,19 +77,19 @@
 	answer := func(version uint64, rows ...replica.Row) replica.Answer {
 		return replica.Answer{Version: version, Stamp: stamp, Rows: rows}
 	}
-	whole := answer(10, entry(t, "i-1", 10))
+	whole := answer(10, serverRow(t, "i-1", 10))
 	whole.Whole = true
-	polls(one, two, whole, at)
-	polls(two, one, whole, at)
+	pollAndNotify(one, two, whole, at)
+	pollAndNotify(two, one, whole, at)
 	must.True(t, usable(one) && usable(two))
 
 	// The store is back; the entry has run out meanwhile and returns.
 	at += 5 * time.Second
 	stamp += 5 * time.Second
-	polls(one, two, answer(11, replica.Row{Key: "i-1", Gone: true, Version: 11}), at)
+	pollAndNotify(one, two, answer(11, replica.Row{Key: "i-1", Gone: true, Version: 11}), at)
 	at += 500 * time.Millisecond
 	stamp += 500 * time.Millisecond
-	polls(one, two, answer(12, entry(t, "i-1", 12)), at)
+	pollAndNotify(one, two, answer(12, serverRow(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
 		for _, c := range e.state.list.Expire(at + discovery.Grace) {
 			t.Errorf("%s is dropped although its entry is back", c.Server.ID)
@@ -100,7 +100,7 @@
 	// Now it leaves, and the other instance reads it.
 	at += 10 * time.Second
 	stamp += time.Second
-	polls(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
+	pollAndNotify(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
 	for _, e := range []*Edge{one, two} {
 		_, known := e.state.list.Get("i-1")
 		must.False(t, known)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -17,50 +17,50 @@
 	"foxtailspoke/usage"
 )
 
-// maxDatagramIn is the largest datagram taken in, in bytes.
-const maxDatagramIn = 4 << 10
+// maxReceiveBytes is the largest datagram taken in, in bytes.
+const maxReceiveBytes = 4 << 10
 
 // publish sends a message to everybody; an urgent one waits for no round. The lock
 // must be held.
 func (e *Edge) publish(m evidence.Message, urgent bool) {
 	now := e.now()
 	before := e.state.messenger.Hub().Relay()
-	e.sendAll(e.state.messenger.Publish(m, urgent, now))
-	e.noteRelay(before, now)
-	e.keepRounds(now)
+	e.sendOrLog(e.state.messenger.Publish(m, urgent, now))
+	e.logRelayChange(before, now)
+	e.runDueRounds(now)
 }
 
 // announceReadiness tells everybody at once whether this instance is ready.
 func (e *Edge) announceReadiness() {
 	now := e.now()
-	e.sendAll(e.state.messenger.Announce(true, now))
-	e.keepRounds(now)
+	e.sendOrLog(e.state.messenger.Announce(true, now))
+	e.runDueRounds(now)
 }
 
-// noteKnown tells the others that this instance has become ready, and greets them
+// announceIfChanged tells the others that this instance has become ready, and greets them
 // if it hears nobody, as soon as it knows what it needs. If it waited for its
 // next heartbeat after a kill of all, callers would be sent to the few instances
 // that are known to be ready, and be late there.
-func (e *Edge) noteKnown(now time.Duration) {
+func (e *Edge) announceIfChanged(now time.Duration) {
 	s := &e.state
-	e.sendAll(s.messenger.Join(now))
+	e.sendOrLog(s.messenger.Join(now))
 	if ready := e.readyLocked(); ready != s.announcedReady {
 		s.announcedReady = ready
 		e.announceReadiness()
 	}
 }
 
-// noteRelay logs that another instance is told from now on.
-func (e *Edge) noteRelay(before uint32, now time.Duration) {
+// logRelayChange logs that another instance is told from now on.
+func (e *Edge) logRelayChange(before uint32, now time.Duration) {
 	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, quietShare) {
 		event.RelayChanged.Log(e.log, slog.String("before", address(before, 0).Addr().String()),
 			slog.String("relay", address(after, 0).Addr().String()))
 	}
 }
 
-// keepRounds does what is due for others, and sees to it that this happens again
+// runDueRounds does what is due for others, and sees to it that this happens again
 // when more is. The lock must be held.
-func (e *Edge) keepRounds(now time.Duration) {
+func (e *Edge) runDueRounds(now time.Duration) {
 	s := &e.state
 	due := s.messenger.Due()
 	for ; due <= now; due = s.messenger.Due() {
@@ -71,21 +71,21 @@
 	}
 	s.roundsAt = due
 	if s.rounds == nil {
-		s.rounds = time.AfterFunc(due-now, e.roundsDue)
+		s.rounds = time.AfterFunc(due-now, e.onRoundTimer)
 		return
 	}
 	s.rounds.Reset(due - now)
 }
 
-func (e *Edge) roundsDue() {
+func (e *Edge) onRoundTimer() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state.roundsAt = 0
-	e.keepRounds(e.now())
+	e.runDueRounds(e.now())
 }
 
-// sendAll is send of what could be made, with the reason for the rest.
-func (e *Edge) sendAll(datagrams []relay.Datagram, err error) {
+// sendOrLog is send of what could be made, with the reason for the rest.
+func (e *Edge) sendOrLog(datagrams []relay.Datagram, err error) {
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
 	}
@@ -111,7 +111,7 @@
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
-		e.pulse(e.now())
+		e.heartbeat(e.now())
 		e.mu.Unlock()
 		select {
 		case <-ticker.C:
@@ -121,15 +121,15 @@
 	}
 }
 
-func (e *Edge) pulse(now time.Duration) {
+func (e *Edge) heartbeat(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
 	fell, out, err := s.messenger.Pulse(now)
 	e.handlePeersSilent(fell, all, now)
-	e.sendAll(out, err)
-	e.keepRounds(now)
+	e.sendOrLog(out, err)
+	e.runDueRounds(now)
 	e.updateLimiterInstances()
-	e.noteKnown(now)
+	e.announceIfChanged(now)
 	e.expireServers(now)
 	e.logStoreAvailability(now)
 	e.noteLeftOut(now)
@@ -139,7 +139,7 @@
 func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.socket.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
-	b := make([]byte, maxDatagramIn)
+	b := make([]byte, maxReceiveBytes)
 	for {
 		n, from, err := e.socket.ReadFromUDPAddrPort(b)
 		if ctx.Err() != nil {
@@ -149,12 +149,12 @@
 			return errors.Wrap(err, "datagrams")
 		}
 		e.metrics.datagramsIn.Inc()
-		e.take(from, b[:n])
+		e.handleDatagram(from, b[:n])
 	}
 }
 
-// take takes in one datagram.
-func (e *Edge) take(from netip.AddrPort, b []byte) {
+// handleDatagram takes in one datagram.
+func (e *Edge) handleDatagram(from netip.AddrPort, b []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -167,7 +167,7 @@
 		e.applyMessage(&t.Received[i], now)
 	}
 	e.send(t.Send)
-	e.keepRounds(now)
+	e.runDueRounds(now)
 }
 
 // applyMessage takes in one message.
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -12,7 +12,7 @@
 func (e *Edge) publishAttemptStart(c *call, a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	told := e.outstanding(a, 1)
+	told := e.addOutstanding(a, 1)
 	told.Number = uint8(a.number)
 	e.state.repeatsOf(c.service).Count(a.number > 1, e.now())
 	m := evidence.Message{Attempts: []evidence.Attempt{told}}
@@ -23,8 +23,8 @@
 	e.publish(m, false)
 }
 
-// outstanding changes the own count of work at a server.
-func (e *Edge) outstanding(a *attempt, change int) evidence.Attempt {
+// addOutstanding changes the own count of work at a server.
+func (e *Edge) addOutstanding(a *attempt, change int) evidence.Attempt {
 	s := &e.state
 	h := placement.Hash(a.choice.Server.ID)
 	n := uint16(max(int(s.own[h])+change, 0))
@@ -46,9 +46,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	told := e.outstanding(a, -1)
+	told := e.addOutstanding(a, -1)
 	told.LimitMilli = e.learnLimit(a, now)
-	told.Ended, told.Result, told.Final = true, evidenceOf(c, a), final
+	told.Ended, told.Result, told.Final = true, serverResult(c, a), final
 	work := e.statsOf(c.route).work
 	took := a.took
 	if a.result == health.OK {
@@ -65,16 +65,16 @@
 	}
 	// The first failure of a spell must reach everybody at once: each request
 	// sent there for want of it may be lost.
-	e.publish(evidence.Message{Attempts: []evidence.Attempt{told}}, a.result.Failed() && a.choice.Risk < trusted)
+	e.publish(evidence.Message{Attempts: []evidence.Attempt{told}}, a.result.Failed() && a.choice.Risk < urgentRiskBound)
 	e.metrics.attempts.WithLabelValues(a.result.String()).Inc()
 	e.logAttempt(c, a, now)
 }
 
-// evidenceOf is what an attempt's end tells of its server. A failure that a
+// serverResult is what an attempt's end tells of its server. A failure that a
 // server reports when the time that it was given is up tells nothing: the request
 // may just have needed longer. Taken for a failure, each request of a route
 // whose time is too short for its work made a healthy server a suspect.
-func evidenceOf(c *call, a *attempt) health.Result {
+func serverResult(c *call, a *attempt) health.Result {
 	given := c.deadline - a.start
 	if a.result == health.ServerError && a.took >= given-deadlineMargin {
 		return health.Cancelled
@@ -82,8 +82,8 @@
 	return a.result
 }
 
-// trusted is the risk below which a server's failure is news.
-const trusted = 0.3
+// urgentRiskBound is the risk below which a server's failure is news.
+const urgentRiskBound = 0.3
 
 // deadlineMargin is how much before its deadline a server may report that its
 // time is up: the way there and back, and its rounding to milliseconds.
@@ -101,7 +101,7 @@
 func (e *Edge) publishLate(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	told := e.outstanding(a, 0)
+	told := e.addOutstanding(a, 0)
 	told.Result = health.Late
 	e.state.placer.Learn(told.Server, health.Late, true, 0, 0, e.now())
 	e.publish(evidence.Message{Attempts: []evidence.Attempt{told}}, false)
--- a/edge/register.go
+++ b/edge/register.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// registerEvery is how often a reader looks whether instances of its data
+	// registerInterval is how often a reader looks whether instances of its data
 	// centre lack their rows.
-	registerEvery = 2 * time.Second
-	// registerLater is how long each reader leaves that to the one before it,
+	registerInterval = 2 * time.Second
+	// readerWriteDelay is how long each reader leaves that to the one before it,
 	// and registerAlone how long all others do.
-	registerLater = 4 * time.Second
-	registerAlone = 20 * time.Second
-	// goneAfter is the silence after which an instance is taken off the list:
+	readerWriteDelay = 4 * time.Second
+	fallbackWriteDelay = 20 * time.Second
+	// removeInstanceAfter is the silence after which an instance is taken off the list:
 	// longer than any disturbance of the network that passes by itself.
-	goneAfter = 2 * time.Minute
-	// maxRows bounds the rows of one call; the store takes 100 entries.
-	maxRows = 100
+	removeInstanceAfter = 2 * time.Minute
+	// maxRowsPerWrite bounds the rows of one call; the store takes 100 entries.
+	maxRowsPerWrite = 100
 )
 
 // registerInstances has the instances of this data centre listed in the store, so that
@@ -40,20 +40,20 @@
 		return ctx.Err()
 	}
 	lacking := time.Duration(0)
-	for sleepContext(ctx, registerEvery) {
+	for sleepContext(ctx, registerInterval) {
 		e.mu.Lock()
-		rows := e.unlistedRows()
-		patience := e.registerPatience()
+		rows := e.missingInstanceRows()
+		patience := e.registerDelay()
 		ready := e.state.table != nil
 		e.mu.Unlock()
 		if !ready {
-			e.askPeer(ctx)
+			e.fetchFromPeer(ctx)
 		}
 		if len(rows) == 0 {
 			lacking = 0
 			continue
 		}
-		if lacking += registerEvery; lacking <= patience {
+		if lacking += registerInterval; lacking <= patience {
 			continue
 		}
 		lacking = 0
@@ -62,24 +62,24 @@
 			continue
 		}
 		e.mu.Lock()
-		e.noteListed(rows)
+		e.recordWrittenRows(rows)
 		e.mu.Unlock()
 	}
 	return ctx.Err()
 }
 
-// registerPatience is how long this instance leaves the writing to others.
-func (e *Edge) registerPatience() time.Duration {
+// registerDelay is how long this instance leaves the writing to others.
+func (e *Edge) registerDelay() time.Duration {
 	i := slices.Index(e.readers(), e.self)
 	if i < 0 {
-		return registerAlone
+		return fallbackWriteDelay
 	}
-	return time.Duration(i) * registerLater
+	return time.Duration(i) * readerWriteDelay
 }
 
-// unlistedRows are the rows that instances of this data centre lack. As long as
+// missingInstanceRows are the rows that instances of this data centre lack. As long as
 // the list isn't known, nobody does.
-func (e *Edge) unlistedRows() []replica.Row {
+func (e *Edge) missingInstanceRows() []replica.Row {
 	if _, known := e.state.instances.Version(); !known {
 		return nil
 	}
@@ -101,28 +101,28 @@
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
 			continue
 		}
-		if !bytes.Equal(listed[key], value) && len(rows) < maxRows {
+		if !bytes.Equal(listed[key], value) && len(rows) < maxRowsPerWrite {
 			rows = append(rows, replica.Row{Key: key, Value: value})
 		}
 	}
 	return rows
 }
 
-// noteListed takes in rows that were just written, before the store tells of
+// recordWrittenRows takes in rows that were just written, before the store tells of
 // them.
-func (e *Edge) noteListed(rows []replica.Row) {
+func (e *Edge) recordWrittenRows(rows []replica.Row) {
 	for _, r := range rows {
 		e.state.instances.Note(r)
 		e.applyInstanceRow(r, e.now())
 	}
 }
 
-// removeGone takes instances off the list that are gone for good. Their part of
+// removeGoneInstances takes instances off the list that are gone for good. Their part of
 // the workspaces' rates would lie idle for ever. One that was only cut off for
 // so long gets its row again once it is heard.
-func (e *Edge) removeGone(ctx context.Context) {
+func (e *Edge) removeGoneInstances(ctx context.Context) {
 	e.mu.Lock()
-	rows := e.goneRows(e.now())
+	rows := e.goneInstanceRows(e.now())
 	e.mu.Unlock()
 	if len(rows) == 0 {
 		return
@@ -132,10 +132,10 @@
 	}
 }
 
-func (e *Edge) goneRows(now time.Duration) []replica.Row {
+func (e *Edge) goneInstanceRows(now time.Duration) []replica.Row {
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
-		if m.Listed && !m.Alive && now-m.Heard > goneAfter && len(rows) < maxRows {
+		if m.Listed && !m.Alive && now-m.Heard > removeInstanceAfter && len(rows) < maxRowsPerWrite {
 			rows = append(rows, replica.Row{Key: address(id, 0).Addr().String(), Gone: true})
 		}
 	}
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -24,14 +24,14 @@
 const (
 	// snapshotTimeout bounds a question to another instance.
 	snapshotTimeout = 500 * time.Millisecond
-	// configTimeout bounds one for the configuration alone. Two of them and a
+	// configSnapshotTimeout bounds one for the configuration alone. Two of them and a
 	// call to the store must fit into what is left of the two seconds in which
 	// a change is in force, half a second after the change.
-	configTimeout = 200 * time.Millisecond
-	// packedFor is how long a packed snapshot is handed out.
-	packedFor = 100 * time.Millisecond
-	// maxSnapshotCalls bounds the connections of other instances.
-	maxSnapshotCalls = 32
+	configSnapshotTimeout = 200 * time.Millisecond
+	// snapshotCacheTime is how long a packed snapshot is handed out.
+	snapshotCacheTime = 100 * time.Millisecond
+	// maxSnapshotConns bounds the connections of other instances.
+	maxSnapshotConns = 32
 
 	methodGet    = "Snapshots.Get"
 	methodConfig = "Snapshots.Config"
@@ -84,13 +84,13 @@
 	s.edge.mu.Lock()
 	now := s.edge.now()
 	var snapshot Snapshot
-	fresh := len(s.all.Data) > 0 && now-s.allAt < packedFor
+	fresh := len(s.all.Data) > 0 && now-s.allAt < snapshotCacheTime
 	if !fresh {
 		snapshot = s.edge.snapshot(now)
 	}
 	s.edge.mu.Unlock()
 	if !fresh {
-		packed, err := pack(snapshot)
+		packed, err := packSnapshot(snapshot)
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 	s.edge.mu.Unlock()
 	if row != s.configRow || !slices.Equal(evacuations, s.evacuations) {
 		table := SnapshotTable{Table: evidence.Config, Era: at.Era, Version: at.Version, Rows: rows}
-		packed, err := pack(Snapshot{Era: era, Tables: []SnapshotTable{table}})
+		packed, err := packSnapshot(Snapshot{Era: era, Tables: []SnapshotTable{table}})
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func pack(snapshot Snapshot) (Packed, error) {
+func packSnapshot(snapshot Snapshot) (Packed, error) {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := json.NewEncoder(z).Encode(snapshot); err != nil {
@@ -168,7 +168,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = e.ports.snapshots.Close() })
 	defer stop()
-	slots := make(chan struct{}, maxSnapshotCalls)
+	slots := make(chan struct{}, maxSnapshotConns)
 	for {
 		c, err := e.ports.snapshots.Accept()
 		if ctx.Err() != nil {
@@ -186,9 +186,9 @@
 	}
 }
 
-// askPeer takes in what one of the other instances knows. Those that are ready
+// fetchFromPeer takes in what one of the other instances knows. Those that are ready
 // know all that there is to know.
-func (e *Edge) askPeer(ctx context.Context) {
+func (e *Edge) fetchFromPeer(ctx context.Context) {
 	e.mu.Lock()
 	var ready, alive []uint32
 	for id, m := range e.state.messenger.Fleet().All() {
@@ -204,26 +204,26 @@
 		ready = alive
 	}
 	if len(ready) > 0 {
-		e.askSnapshot(ctx, ready[rand.IntN(len(ready))], methodGet, snapshotTimeout)
+		e.fetchSnapshot(ctx, ready[rand.IntN(len(ready))], methodGet, snapshotTimeout)
 	}
 }
 
-// askSnapshot takes in what another instance answers to a method of Snapshots.
-func (e *Edge) askSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
+// fetchSnapshot takes in what another instance answers to a method of Snapshots.
+func (e *Edge) fetchSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	snapshot, err := getSnapshot(ctx, address(peer, e.peerPort).String(), method)
+	snapshot, err := callSnapshot(ctx, address(peer, e.peerPort).String(), method)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", address(peer, 0).Addr().String()), slog.Any("error", err))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.takeSnapshot(snapshot, e.now())
+	e.applySnapshot(snapshot, e.now())
 }
 
-// takeSnapshot takes in what another instance knows.
-func (e *Edge) takeSnapshot(snapshot Snapshot, now time.Duration) {
+// applySnapshot takes in what another instance knows.
+func (e *Edge) applySnapshot(snapshot Snapshot, now time.Duration) {
 	if !e.observeSnapshot(snapshot, now) {
 		return
 	}
@@ -234,7 +234,7 @@
 		}
 	}
 	e.updateRateShare()
-	e.noteKnown(now)
+	e.announceIfChanged(now)
 }
 
 // observeSnapshot is observe for a snapshot. One that doesn't tell the store's clock
@@ -249,7 +249,7 @@
 	return s.Era == e.state.era
 }
 
-func getSnapshot(ctx context.Context, address, method string) (Snapshot, error) {
+func callSnapshot(ctx context.Context, address, method string) (Snapshot, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -272,9 +272,9 @@
 		return Snapshot{}, errors.Wrap(err, "snapshot")
 	}
 	var s Snapshot
-	err = json.NewDecoder(io.LimitReader(z, maxSnapshot)).Decode(&s)
+	err = json.NewDecoder(io.LimitReader(z, maxSnapshotBytes)).Decode(&s)
 	return s, errors.Wrap(err, "snapshot")
 }
 
-// maxSnapshot bounds what is unpacked of a snapshot, in bytes.
-const maxSnapshot = 64 << 20
+// maxSnapshotBytes bounds what is unpacked of a snapshot, in bytes.
+const maxSnapshotBytes = 64 << 20
