--- a/edge/entries.go
+++ b/edge/entries.go
@@ -17,8 +17,9 @@
 	"foxtailspoke/usage"
 )
 
-// applyRows takes in changed rows and returns those that changed anything. Restored
-// says that they are those of a store that just came back from a copy.
+// applyRows applies rows received from the store and returns those that must be
+// forwarded to other instances. restored reports that they are the first rows
+// read after the store was restored from a backup.
 func (e *Edge) applyRows(t evidence.Table, rows []replica.Row, restored bool, now time.Duration) []replica.Row {
 	switch t {
 	case evidence.Config:
@@ -32,7 +33,8 @@
 	default:
 		for _, r := range rows {
 			if restored && r.Gone {
-				// It may have been written after the copy. Readers write it again.
+				// The row may have been written after the backup was taken. The
+				// readers write it again.
 				continue
 			}
 			e.applyInstanceRow(r, now)
@@ -41,7 +43,8 @@
 	}
 }
 
-// applyConfig puts a new configuration in force.
+// applyConfig decodes the configuration row and activates it, unless it is
+// older than the active one.
 func (e *Edge) applyConfig(r replica.Row, now time.Duration) {
 	s := &e.state
 	if r.Key != platform.KeyConfig {
@@ -76,15 +79,16 @@
 		slog.Int("routes", len(c.Routes)), slog.Int("workspaces", len(c.Workspaces)))
 }
 
-// retainConfigRow puts the configuration in force into the copy of the table, in place of
-// a row of that version that is older: instances that start learn it from there.
+// retainConfigRow stores the active configuration in the local copy of the
+// table, in place of an older row with the given version, so that instances
+// that start later receive the active one.
 func (e *Edge) retainConfigRow(version uint64) {
 	if e.state.configInForce != nil {
 		e.state.config.Note(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
 	}
 }
 
-// workspaceLimit is the limit that a workspace is held to.
+// workspaceLimit returns the rate limit that is enforced for a workspace.
 func (e *Edge) workspaceLimit(w routing.Workspace) usage.Limit {
 	if !e.off.On(mechanism.Tolerance) {
 		return usage.Strict(w.Rate, w.Burst)
@@ -94,12 +98,12 @@
 	return t.Loosen(usage.Strict(w.Rate, w.Burst))
 }
 
-// applyServerRows takes in changed entries of backend servers, and returns those
-// that others must hear of: all but entries that only renewed themselves. An
-// entry that came back unchanged after it had run out with the store is news
-// to them. If it weren't told, their copies would lack it from then on: they
-// would drop a living server, and whoever of them read later that it leaves
-// would have nothing to remove and nothing to tell.
+// applyServerRows applies changed entries of backend servers and returns those
+// that must be forwarded to other instances: all except mere renewals. An entry
+// that expired during a store outage and reappeared unchanged is forwarded too.
+// Otherwise the other instances would drop a live server, and one of them that
+// later read its removal would have no entry to remove and would not forward
+// it.
 func (e *Edge) applyServerRows(rows []replica.Row, restored bool, now time.Duration) []replica.Row {
 	s := &e.state
 	var keepUntil time.Duration
@@ -127,7 +131,7 @@
 	}
 	entry, err := platform.DecodeServer(r.Key, r.Value)
 	if err != nil {
-		// An entry that somebody else wrote, or half wrote, names no server.
+		// An entry that can't be decoded names no server.
 		if e.budget.Take(now, quietShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", r.Key), slog.Any("error", err))
 		}
@@ -149,14 +153,15 @@
 		slog.Int64("warm_up_ms", c.Server.WarmUp.Milliseconds()))
 }
 
-// expireServers drops servers that didn't come back after an outage.
+// expireServers removes servers whose entries did not reappear after a store
+// outage.
 func (e *Edge) expireServers(now time.Duration) {
 	for _, c := range e.state.list.Expire(now) {
 		e.applyServerChange(c, now)
 	}
 }
 
-// instanceDocument is an instance's row in the store.
+// instanceDocument is the value of an instance's row in the store.
 type instanceDocument struct {
 	DataCentre string `json:"dataCentre"`
 	SlowLink   bool   `json:"slowLink,omitempty"`
--- a/edge/era.go
+++ b/edge/era.go
@@ -9,14 +9,14 @@
 	"foxtailspoke/replica"
 )
 
-// configRewriteTime is how long after the store's return from a copy its answers prove
-// nothing of the configuration: operators' latest changes, such as a key that they
-// took away, may not be written again yet.
+// configRewriteTime is how long after a restore of the store its answers don't
+// prove that the configuration is current: the latest changes of operators,
+// such as a revoked key, may not have been written again yet.
 const configRewriteTime = time.Second
 
-// observeStore takes in the era and the clock of an answer of the store, to this instance
-// or another one. It reports false if the answer is of an era that has passed: the
-// store has forgotten what it says.
+// observeStore records the era and clock of an answer of the store, whether
+// this instance or another one received it. It returns false if the answer
+// belongs to an earlier era and so may contain data that the store has lost.
 func (e *Edge) observeStore(era uint64, stamp, now time.Duration) bool {
 	s := &e.state
 	switch {
@@ -31,8 +31,9 @@
 	return true
 }
 
-// beginEra takes in that the store came back from a copy. Its clock may have gone
-// back as well, so that proofs are carried over by their age.
+// beginEra handles a restore of the store from a backup. The store's clock may
+// have gone back too, so proofs of freshness keep their age rather than their
+// timestamp.
 func (e *Edge) beginEra(era uint64, stamp, now time.Duration) {
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
@@ -40,7 +41,7 @@
 	s.clock.Restart()
 	s.configProof = stamp - age
 	s.era, s.eraSince = era, stamp
-	// Entries that were first written after the copy are missing.
+	// Entries first written after the backup was taken are missing.
 	s.outageEnd = now
 	s.restoredUntil = now + discovery.Grace
 	s.nextListed = 0
@@ -49,13 +50,14 @@
 	}
 }
 
-// inConfigRewrite reports whether at this moment of the store's clock the configuration
-// may lack what operators have to write again.
+// inConfigRewrite reports whether, at this reading of the store's clock, the
+// configuration may lack changes that operators still have to write again after
+// a restore.
 func (e *Edge) inConfigRewrite(stamp time.Duration) bool {
 	return e.state.eraSince > 0 && stamp < e.state.eraSince+configRewriteTime
 }
 
-// isCurrentEra reports whether a copy is of the store's present era.
+// isCurrentEra reports whether a copy belongs to the store's current era.
 func (e *Edge) isCurrentEra(t *replica.Table) bool {
 	at, known := t.Point()
 	return known && at.Era == e.state.era
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/replica"
 )
 
-// evacuationRows are the rows of the configuration's table that evacuate data
-// centres. They are few and small enough to be told in every notice.
+// evacuationRows returns the rows of the configuration table that evacuate data
+// centres. They are few and small enough to be part of every notice.
 func (e *Edge) evacuationRows() []replica.Row {
 	var rows []replica.Row
 	for _, r := range e.state.config.Rows() {
@@ -23,7 +23,8 @@
 	return rows
 }
 
-// applyEvacuationRows acts on the evacuations that the copy of the table holds.
+// applyEvacuationRows applies the evacuations in the local copy of the
+// configuration table.
 func (e *Edge) applyEvacuationRows(now time.Duration) {
 	at, known := e.state.config.Point()
 	if known {
@@ -31,13 +32,13 @@
 	}
 }
 
-// applyNoticeEvacuations acts on the evacuations that a notice tells, whether or not
+// applyNoticeEvacuations applies the evacuations of a notice, whether or not
 // this instance has the configuration of that version. It returns the rows that
-// bring its copy to the same state.
-func (e *Edge) applyNoticeEvacuations(n evidence.Notice, told []evidence.Row, now time.Duration) []evidence.Row {
-	listed := make(map[string]bool, len(told))
+// bring the local copy to the same state.
+func (e *Edge) applyNoticeEvacuations(n evidence.Notice, rows []evidence.Row, now time.Duration) []evidence.Row {
+	listed := make(map[string]bool, len(rows))
 	var dataCentres []string
-	for _, r := range told {
+	for _, r := range rows {
 		if dc, ok := platform.EvacuatedDataCentre(r.Key); ok {
 			dataCentres = append(dataCentres, dc)
 			listed[r.Key] = true
@@ -46,10 +47,10 @@
 	e.setEvacuations(replica.Point{Era: n.Era, Version: n.Version}, dataCentres, now)
 	for _, r := range e.evacuationRows() {
 		if !listed[r.Key] {
-			told = append(told, evidence.Row{Key: r.Key, Gone: true})
+			rows = append(rows, evidence.Row{Key: r.Key, Gone: true})
 		}
 	}
-	return told
+	return rows
 }
 
 func (e *Edge) setEvacuations(at replica.Point, dataCentres []string, now time.Duration) {
@@ -80,9 +81,10 @@
 	return dataCentres
 }
 
-// updateLimiterInstances tells the limiters of cold and limited servers which instances
-// there are, heard or not. They know nothing until the store's list is known: an
-// instance that has just started would otherwise take the shares of all others.
+// updateLimiterInstances passes the instances of the fleet, reachable or not,
+// to the limiters of cold and rate-limited servers. It does nothing until the
+// list of instances has been read: an instance that has just started would
+// otherwise take the shares of all others.
 func (e *Edge) updateLimiterInstances() {
 	s := &e.state
 	if _, known := s.instances.Version(); !known {
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -16,18 +16,20 @@
 const (
 	// fetchJitter spreads the reads of a new configuration.
 	fetchJitter = 60 * time.Millisecond
-	// fetchRetryDelay is the least pause after a read that failed.
+	// fetchRetryDelay is the minimum pause after a failed read.
 	fetchRetryDelay = 500 * time.Millisecond
-	// readersPerDataCentre is how many instances of a data centre read from the store
-	// what is too large to be told; the others ask these. If all of them did,
-	// the calls would grow with the fleet, up to all that the store answers.
+	// readersPerDataCentre is how many instances of a data centre read content
+	// that is too large for a notice from the store; the others fetch it from
+	// them. If every instance read it, the calls would grow with the fleet up
+	// to the limit of the store.
 	readersPerDataCentre = 2
-	// readerHeadStart leaves the readers time for their call: 4 ms as a rule.
+	// readerHeadStart gives the readers time for their own call, which usually
+	// takes 4 ms.
 	readerHeadStart = 50 * time.Millisecond
 )
 
-// fetchConfig reads the configuration when another instance says that there is
-// a newer one.
+// fetchConfig reads the configuration when another instance has announced a
+// newer one.
 func (e *Edge) fetchConfig(ctx context.Context) error {
 	select {
 	case <-e.joined:
@@ -53,10 +55,10 @@
 	}
 }
 
-// fetchFromReaders asks the readers of this data centre until one of them has brought
-// what is missing. It reports false if this instance is one of them, or none of
-// them has it.
-func (e *Edge) fetchFromReaders(ctx context.Context, method string, timeout time.Duration, has func() bool) bool {
+// fetchFromReaders requests snapshots from the readers of this data centre
+// until complete returns true. It returns false if this instance is a reader
+// itself or if no reader has the missing data.
+func (e *Edge) fetchFromReaders(ctx context.Context, method string, timeout time.Duration, complete func() bool) bool {
 	e.mu.Lock()
 	readers := e.readers()
 	e.mu.Unlock()
@@ -64,16 +66,16 @@
 		return false
 	}
 	for _, reader := range readers {
-		if has() {
+		if complete() {
 			return true
 		}
 		e.fetchSnapshot(ctx, reader, method, timeout)
 	}
-	return has()
+	return complete()
 }
 
-// hasAnnouncedConfig reports whether the newest configuration that another instance
-// told of is here.
+// hasAnnouncedConfig reports whether this instance has the newest configuration
+// that another instance has announced.
 func (e *Edge) hasAnnouncedConfig() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,15 +83,17 @@
 	return known && !e.configRowPoint().Before(e.state.configTold)
 }
 
-// configRowPoint is the version of the configuration's row in this instance's copy.
+// configRowPoint returns the era and version of the configuration row in the
+// local copy.
 func (e *Edge) configRowPoint() replica.Point {
 	at, _ := e.state.config.Point()
-	// A copy of the store may be older than the first configuration.
+	// A backup of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
 	return replica.Point{Era: at.Era, Version: row.Version}
 }
 
-// hasAnnouncedServers is the same for the list of servers.
+// hasAnnouncedServers reports whether this instance has the newest list of
+// servers that another instance has announced.
 func (e *Edge) hasAnnouncedServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,8 +101,8 @@
 	return known && !at.Before(e.state.serversTold)
 }
 
-// readers are the instances of the own data centre that read the store for the
-// others, the same for all of them: those with fast links first.
+// readers returns the instances of this data centre that read the store for the
+// others. All instances select the same ones, those with fast links first.
 func (e *Edge) readers() []uint32 {
 	members := []relay.Member{e.selfMember()}
 	for _, m := range e.state.messenger.Fleet().All() {
@@ -122,14 +126,15 @@
 	return ids
 }
 
-// isReader reports whether this instance is one of them.
+// isReader reports whether this instance is one of its data centre's readers.
 func (e *Edge) isReader() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Contains(e.readers(), e.self)
 }
 
-// readConfig reads the configuration from the store.
+// readConfig reads the configuration from the store and reports whether it
+// could be applied.
 func (e *Edge) readConfig(ctx context.Context) bool {
 	p := e.readTable(ctx, evidence.Config)
 	if p.err != nil {
--- a/edge/join.go
+++ b/edge/join.go
@@ -7,25 +7,28 @@
 )
 
 const (
-	// joinPollInterval is how often an instance that has just started looks whether
-	// others know already what it would read from the store.
+	// joinPollInterval is how often an instance that has just started checks
+	// whether a peer already has the data that it would read from the store.
 	joinPollInterval = 20 * time.Millisecond
-	// firstStartJoinTimeout bounds that wait at the first start of the whole fleet, for
-	// instances that aren't readers: callers come later than that, and some
-	// hundred instances would read three tables within a second.
+	// firstStartJoinTimeout bounds that wait for instances other than readers
+	// when the whole fleet starts for the first time. Callers arrive later than
+	// that, and without the wait some hundred instances would read three tables
+	// within a second.
 	firstStartJoinTimeout = 4 * time.Second
-	// readerJoinTimeout leaves readers of a first start time to find each other.
+	// readerJoinTimeout gives readers time to discover each other at a first
+	// start.
 	readerJoinTimeout = 300 * time.Millisecond
-	// joinJitter spreads those whose wait has ended then.
+	// joinJitter spreads the reads of instances whose wait ends at a first
+	// start.
 	joinJitter = 250 * time.Millisecond
-	// restartJoinTimeout bounds the wait of an instance that starts later: a moment, in
-	// which others that serve answer its greeting. After a kill of all nobody
-	// else knows anything, and callers are waiting.
+	// restartJoinTimeout bounds the wait of an instance that starts later. It
+	// suffices for a serving peer to answer the join message. After a crash of
+	// all instances no peer has the data, and callers are waiting.
 	restartJoinTimeout = 40 * time.Millisecond
 )
 
-// waitForPeerState waits until another instance has told what it knows, or until it is time
-// to read the store.
+// waitForPeerState waits until a peer has supplied the configuration and
+// servers, or until this instance may read the store itself.
 func (e *Edge) waitForPeerState(ctx context.Context) {
 	defer close(e.joined)
 	start := e.now()
@@ -40,21 +43,22 @@
 	}
 }
 
-// joinTimeout is how long to wait for others, given a number from 0 to 1.
+// joinTimeout returns how long to wait for peers; spread is a random number in
+// [0,1).
 func (e *Edge) joinTimeout(spread float64) time.Duration {
-	late := time.Duration(spread * float64(joinJitter))
+	jitter := time.Duration(spread * float64(joinJitter))
 	switch {
 	case !e.settings.FirstStart:
 		return restartJoinTimeout
 	case e.isReader():
-		return readerJoinTimeout + late
+		return readerJoinTimeout + jitter
 	default:
-		return firstStartJoinTimeout + late
+		return firstStartJoinTimeout + jitter
 	}
 }
 
-// hasReadyPeer reports whether another instance knows all that there is to
-// know.
+// hasReadyPeer reports whether a peer is ready, and so has the configuration
+// and the servers.
 func (e *Edge) hasReadyPeer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/edge/members.go
+++ b/edge/members.go
@@ -11,35 +11,36 @@
 	"foxtailspoke/usage"
 )
 
-// massSilenceShare is the share of instances whose silence at one moment means that
-// callers' requests go unserved unheard. One instance that is stopped or killed
-// is less at any size.
+// massSilenceShare is the share of the other instances that must become silent
+// at once for requests to be assumed lost without a record of them. With 20 or
+// more other instances, a single one that stops or crashes doesn't reach it.
 const massSilenceShare = 0.05
 
-// slowLinkMbps is the bandwidth in Mbit/s below which an instance leaves to others
-// what goes out once for each of many: rounds, and what the store said.
+// slowLinkMbps is the bandwidth below which an instance leaves fan-out traffic,
+// such as rounds and the contents of the store, to others.
 const slowLinkMbps = 80
 
 func (e *Edge) hasSlowLink() bool {
 	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowLinkMbps
 }
 
-// selfMember is this instance as others see it.
+// selfMember describes this instance to the others.
 func (e *Edge) selfMember() relay.Member {
 	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.hasSlowLink()}
 }
 
-// newUsageCounters returns counters that admit nothing until countShare: as long as it
-// knows no other instance, each one of a fleet that starts would count on the
-// whole of every rate.
+// newUsageCounters returns counters that admit nothing until updateRateShare is
+// called: while a fleet starts, an instance that doesn't know the others yet
+// would claim the whole of every rate.
 func newUsageCounters() *usage.Counters {
 	c := usage.NewCounters()
 	c.Share, c.Fresh = 0, 0
 	return c
 }
 
-// updateRateShare takes in which instances are known and heard by now. It waits for
-// the configuration, which is read together with the list of instances.
+// updateRateShare sets this instance's share of the rates from the known and
+// reachable instances. It waits for the configuration, which is read together
+// with the list of instances.
 func (e *Edge) updateRateShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
@@ -47,7 +48,7 @@
 	}
 }
 
-// seedIDs are the instances that the settings name.
+// seedIDs returns the instances named in the settings as seeds.
 func (e *Edge) seedIDs() []uint32 {
 	var ids []uint32
 	for _, seed := range e.settings.Seeds {
@@ -61,7 +62,7 @@
 	return ids
 }
 
-// handlePeersReturned takes in that instances are heard.
+// handlePeersReturned handles instances that are heard again.
 func (e *Edge) handlePeersReturned(returned []*fleet.Instance) {
 	for _, m := range returned {
 		event.PeerHeard.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()))
@@ -71,16 +72,17 @@
 	}
 }
 
-// handlePeersSilent takes in that instances have fallen silent, of so many.
-func (e *Edge) handlePeersSilent(fell []*fleet.Instance, all int, now time.Duration) {
+// handlePeersSilent handles instances that have become silent, out of the given
+// number of other instances.
+func (e *Edge) handlePeersSilent(silent []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
-	for _, m := range fell {
+	for _, m := range silent {
 		s.usage.Forget(m.ID)
 		s.placer.Forget(m.ID)
 		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.Heard))
 	}
-	if float64(len(fell)) > massSilenceShare*float64(all) {
+	if float64(len(silent)) > massSilenceShare*float64(all) {
 		s.placer.Disturbed(now)
 	}
 	e.updateRateShare()
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// maxNoticeRowBytes is the bytes of changed rows that a message may carry; they
-	// are packed to about a third. maxNoticeParts is how many messages one
-	// answer may take. Above that, some hundred servers changing at once, the
-	// readers of each data centre read the store and the others ask them.
-	maxNoticeRowBytes  = 3000
-	maxNoticeParts = 6
-	// gapNoticeWait is how long an instance that lacks changes waits for the notice
-	// that brings them, each of which spans several answers, and gapSpread
-	// spreads those that then read the store.
-	gapNoticeWait   = 550 * time.Millisecond
-	gapJitter = 400 * time.Millisecond
+	// maxNoticeRowBytes is the uncompressed size of the changed rows that one
+	// message may carry; compression reduces it to about a third.
+	// maxNoticeParts is how many messages one answer may take. Beyond that,
+	// with some hundred servers changing at once, the readers of each data
+	// centre read the store and the others fetch from them.
+	maxNoticeRowBytes = 3000
+	maxNoticeParts    = 6
+	// gapNoticeWait is how long an instance that lacks changes waits for a
+	// notice that contains them; each notice spans several answers. gapJitter
+	// spreads the instances that then read the store.
+	gapNoticeWait = 550 * time.Millisecond
+	gapJitter     = 400 * time.Millisecond
 )
 
-// publishNotices tells notices with rows in a message each, the others together.
+// publishNotices sends each notice with rows in a message of its own and all
+// others in one message.
 func (e *Edge) publishNotices(notices []evidence.Notice) {
-	var together []evidence.Notice
+	var withoutRows []evidence.Notice
 	for _, n := range notices {
 		if len(n.Packed) > 0 {
 			e.publish(evidence.Message{Notices: []evidence.Notice{n}}, false)
 		} else {
-			together = append(together, n)
+			withoutRows = append(withoutRows, n)
 		}
 	}
-	if len(together) > 0 {
-		e.publish(evidence.Message{Notices: together}, false)
+	if len(withoutRows) > 0 {
+		e.publish(evidence.Message{Notices: withoutRows}, false)
 	}
 }
 
-// noticesFor are what the others are told of an answer: the rows that changed
-// anything, not those that only renewed themselves.
+// noticesFor returns the notices that forward an answer to the other instances.
+// They contain changed rows, not mere renewals.
 func (e *Edge) noticesFor(p readResult, changed []replica.Row) []evidence.Notice {
 	s := &e.state
 	n := evidence.Notice{
@@ -53,7 +55,7 @@
 	}
 	recent := &s.recent[p.table]
 	if p.answer.Whole {
-		// What was removed before isn't in it.
+		// A full read doesn't name rows that were removed before it.
 		recent.Reset()
 		n.Since = p.answer.Version
 		return []evidence.Notice{n}
@@ -62,7 +64,7 @@
 	parts := recent.Parts(p.answer.Version, maxNoticeRowBytes)
 	all, err := packNotices(n, parts)
 	if err != nil || len(parts) > maxNoticeParts {
-		// The others notice that they lack something, and read it.
+		// The other instances detect the gap and read the table.
 		recent.Reset()
 		n.Since = p.answer.Version
 		return []evidence.Notice{n}
@@ -70,8 +72,8 @@
 	return all
 }
 
-// noticesWithEvacuations adds the rows that evacuate data centres to a notice of the
-// configuration's table.
+// noticesWithEvacuations adds the rows that evacuate data centres to a notice
+// of the configuration table.
 func (e *Edge) noticesWithEvacuations(n evidence.Notice) []evidence.Notice {
 	parts := []replica.Part{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
 	all, err := packNotices(n, parts)
@@ -82,7 +84,7 @@
 	return all
 }
 
-// packNotices returns a notice for each part.
+// packNotices returns one notice with compressed rows for each part.
 func packNotices(n evidence.Notice, parts []replica.Part) ([]evidence.Notice, error) {
 	var all []evidence.Notice
 	for i, part := range parts {
@@ -100,7 +102,7 @@
 	return all, nil
 }
 
-// applyNotice takes in what another instance read from the store.
+// applyNotice applies what another instance has read from the store.
 func (e *Edge) applyNotice(n evidence.Notice, now time.Duration) {
 	s := &e.state
 	if n.StampUS == 0 {
@@ -139,9 +141,9 @@
 		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
 	}
 	e.recordOutageEnd(n.Table, n.Stamp(), now)
-	told, _ := e.applyAnswer(n.Table, a, n.Since, now)
+	changed, _ := e.applyAnswer(n.Table, a, n.Since, now)
 	if n.Version > version && n.Table != evidence.Config {
-		s.recent[n.Table].Add(version, n.Version, told)
+		s.recent[n.Table].Add(version, n.Version, changed)
 	}
 	if n.More {
 		return
@@ -156,7 +158,8 @@
 	}
 }
 
-// scheduleCatchUp has what a notice couldn't bring fetched from a reader or the store.
+// scheduleCatchUp schedules a read, from a reader or the store, of changes that
+// a notice could not supply.
 func (e *Edge) scheduleCatchUp(t evidence.Table, now time.Duration) {
 	switch t {
 	case evidence.Config:
@@ -172,9 +175,10 @@
 	}
 }
 
-// gapDelay is how long to wait before changes that were missed are fetched. Notices to
-// come may bring them, but not to an instance that knows no server of this era. Its
-// readers go first there, so that the others find what they lack.
+// gapDelay returns how long to wait before missed changes are fetched. Later
+// notices may contain them, unless this instance has no server of the current
+// era. In that case the readers fetch first, so that the other instances find
+// the changes there.
 func (e *Edge) gapDelay() time.Duration {
 	spread := time.Duration(rand.Float64() * float64(gapJitter))
 	switch {
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -17,11 +17,11 @@
 	"foxtailspoke/usage"
 )
 
-// maxReceiveBytes is the largest datagram taken in, in bytes.
+// maxReceiveBytes is the size of the receive buffer for datagrams.
 const maxReceiveBytes = 4 << 10
 
-// publish sends a message to everybody; an urgent one waits for no round. The lock
-// must be held.
+// publish sends a message to all instances; an urgent one isn't held back for
+// the next round. The lock must be held.
 func (e *Edge) publish(m evidence.Message, urgent bool) {
 	now := e.now()
 	before := e.state.messenger.Hub().Relay()
@@ -30,17 +30,17 @@
 	e.runDueRounds(now)
 }
 
-// announceReadiness tells everybody at once whether this instance is ready.
+// announceReadiness sends this instance's readiness to all instances at once.
 func (e *Edge) announceReadiness() {
 	now := e.now()
 	e.sendOrLog(e.state.messenger.Announce(true, now))
 	e.runDueRounds(now)
 }
 
-// announceIfChanged tells the others that this instance has become ready, and greets them
-// if it hears nobody, as soon as it knows what it needs. If it waited for its
-// next heartbeat after a kill of all, callers would be sent to the few instances
-// that are known to be ready, and be late there.
+// announceIfChanged joins the fleet if no peer is heard, and announces a change
+// of this instance's readiness without waiting for the next heartbeat. If it
+// waited after a crash of all instances, callers would be directed to the few
+// instances known to be ready and be delayed there.
 func (e *Edge) announceIfChanged(now time.Duration) {
 	s := &e.state
 	e.sendOrLog(s.messenger.Join(now))
@@ -50,7 +50,7 @@
 	}
 }
 
-// logRelayChange logs that another instance is told from now on.
+// logRelayChange logs a change of the relay that this instance sends to.
 func (e *Edge) logRelayChange(before uint32, now time.Duration) {
 	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, quietShare) {
 		event.RelayChanged.Log(e.log, slog.String("before", address(before, 0).Addr().String()),
@@ -58,8 +58,8 @@
 	}
 }
 
-// runDueRounds does what is due for others, and sees to it that this happens again
-// when more is. The lock must be held.
+// runDueRounds runs the due rounds of the messenger and sets the timer for the
+// next one. The lock must be held.
 func (e *Edge) runDueRounds(now time.Duration) {
 	s := &e.state
 	due := s.messenger.Due()
@@ -84,7 +84,7 @@
 	e.runDueRounds(e.now())
 }
 
-// sendOrLog is send of what could be made, with the reason for the rest.
+// sendOrLog logs err, if any, and sends the datagrams that could be encoded.
 func (e *Edge) sendOrLog(datagrams []relay.Datagram, err error) {
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
@@ -92,8 +92,8 @@
 	e.send(datagrams)
 }
 
-// send writes datagrams. One that can't be written is as good as lost on the
-// way, which every message allows for.
+// send writes datagrams. Write errors are ignored like losses in the network,
+// which the protocol tolerates.
 func (e *Edge) send(datagrams []relay.Datagram) {
 	for i := range datagrams {
 		d := &datagrams[i]
@@ -105,7 +105,7 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats, and looks at what time alone changes.
+// sendHeartbeats sends heartbeats and runs the time-driven checks.
 func (e *Edge) sendHeartbeats(ctx context.Context) error {
 	ticker := time.NewTicker(fleet.PulseEvery)
 	defer ticker.Stop()
@@ -124,9 +124,9 @@
 func (e *Edge) heartbeat(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
-	fell, out, err := s.messenger.Pulse(now)
-	e.handlePeersSilent(fell, all, now)
-	e.sendOrLog(out, err)
+	silent, datagrams, err := s.messenger.Pulse(now)
+	e.handlePeersSilent(silent, all, now)
+	e.sendOrLog(datagrams, err)
 	e.runDueRounds(now)
 	e.updateLimiterInstances()
 	e.announceIfChanged(now)
@@ -135,7 +135,7 @@
 	e.noteLeftOut(now)
 }
 
-// receiveDatagrams takes in datagrams.
+// receiveDatagrams receives datagrams from peers until ctx ends.
 func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.socket.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -146,14 +146,14 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			return errors.Wrap(err, "datagrams")
+			return errors.Wrap(err, "receiving datagrams")
 		}
 		e.metrics.datagramsIn.Inc()
 		e.handleDatagram(from, b[:n])
 	}
 }
 
-// handleDatagram takes in one datagram.
+// handleDatagram handles one datagram.
 func (e *Edge) handleDatagram(from netip.AddrPort, b []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -170,7 +170,7 @@
 	e.runDueRounds(now)
 }
 
-// applyMessage takes in one message.
+// applyMessage applies one message of another instance.
 func (e *Edge) applyMessage(m *fleet.Received, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
--- a/edge/knowledge.go
+++ b/edge/poll.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// instancesReadInterval is how often whoever asks the store also looks for changes
-	// of the list of instances. Instances introduce themselves to each other;
-	// the list only finds those that were out of reach then.
+	// instancesReadInterval is how often the polling instance also reads the
+	// list of instances. Instances discover each other by messages; the list
+	// only adds those that were unreachable at that time.
 	instancesReadInterval = 5 * time.Second
-	// storeLostAfter is the age of the newest proof from which the store counts as
-	// lost in logs.
+	// storeLostAfter is the age of the newest proof of freshness from which
+	// logs report the store as unavailable.
 	storeLostAfter = 2 * time.Second
 )
 
-// tableNames are the store's names of the tables in notices.
+// tableNames maps the tables of notices to their names in the store.
 var tableNames = map[evidence.Table]string{
 	evidence.Config:    platform.TableConfig,
 	evidence.Servers:   platform.TableServers,
@@ -45,7 +45,7 @@
 	}
 }
 
-// pollStore asks the store whenever this instance's turn comes.
+// pollStore reads the store whenever it is this instance's turn.
 func (e *Edge) pollStore(ctx context.Context) error {
 	e.joining.Do(func() { e.waitForPeerState(ctx) })
 	for {
@@ -76,13 +76,13 @@
 	return due - now
 }
 
-// fetchMissedServers asks the readers for the changes of the servers that this instance
-// lacks, if it lacks any. It reports whether it has them now.
+// fetchMissedServers fetches server changes that this instance has missed, if
+// any, from the readers. It reports whether it has them now.
 func (e *Edge) fetchMissedServers(ctx context.Context) bool {
 	e.mu.Lock()
-	lacks := e.state.gapEnds > 0
+	hasGap := e.state.gapEnds > 0
 	e.mu.Unlock()
-	if !lacks || !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasAnnouncedServers) {
+	if !hasGap || !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasAnnouncedServers) {
 		return false
 	}
 	e.mu.Lock()
@@ -91,12 +91,12 @@
 	return true
 }
 
-// pollOnce asks for the changes of all tables that are due, at the same time.
+// pollOnce reads the changes of all due tables concurrently.
 func (e *Edge) pollOnce(ctx context.Context) {
 	e.mu.Lock()
 	now := e.now()
 	s := &e.state
-	missed := s.gapEnds > 0
+	hadGap := s.gapEnds > 0
 	s.gapEnds = 0
 	s.poll.Attempted(now)
 	tables := []evidence.Table{evidence.Config, evidence.Servers}
@@ -104,7 +104,8 @@
 		tables = append(tables, evidence.Instances)
 	}
 	if s.poll.Troubled(now) {
-		// Others wait a moment before they ask, instead of all at once.
+		// Makes the other instances delay their polls instead of all polling at
+		// once.
 		e.publish(evidence.Message{Notices: []evidence.Notice{{}}}, false)
 	}
 	e.mu.Unlock()
@@ -117,11 +118,11 @@
 	wg.Wait()
 
 	e.mu.Lock()
-	well := e.applyReadResults(answers)
+	allRead := e.applyReadResults(answers)
 	e.announceIfChanged(e.now())
 	e.mu.Unlock()
-	if !well && missed {
-		// The store turns this instance away; the others have what it lacks.
+	if !allRead && hadGap {
+		// The store refuses this instance; the others have the missed changes.
 		e.fetchFromPeer(ctx)
 	}
 	if len(tables) > 2 {
@@ -129,7 +130,7 @@
 	}
 }
 
-// readResult is the store's answer about one table.
+// readResult is the outcome of reading one table from the store.
 type readResult struct {
 	table  evidence.Table
 	since  uint64
@@ -138,7 +139,8 @@
 	err    error
 }
 
-// readTable reads the changes of a table, or all of it if that isn't possible.
+// readTable reads the changes of a table, or the whole table if its changes
+// aren't available.
 func (e *Edge) readTable(ctx context.Context, t evidence.Table) readResult {
 	e.mu.Lock()
 	at, known := e.replicaOf(t).Point()
@@ -146,7 +148,7 @@
 	e.mu.Unlock()
 	if known {
 		p.answer, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
-		// Versions of another era say nothing of what has changed since this one.
+		// Versions of different eras can't be compared.
 		otherEra := p.err == nil && p.answer.Era != at.Era
 		if !otherEra && !errors.Is(p.err, replica.ErrHistoryGone) {
 			return p
@@ -156,36 +158,36 @@
 	return p
 }
 
-// applyReadResults takes in the answers to one poll and tells the others. It reports
-// whether all tables were answered.
-func (e *Edge) applyReadResults(answers []readResult) (well bool) {
+// applyReadResults applies the results of one poll and forwards them to the
+// other instances. It reports whether all tables were read.
+func (e *Edge) applyReadResults(answers []readResult) (allRead bool) {
 	s := &e.state
 	now := e.now()
 	var notices []evidence.Notice
-	well = true
+	allRead = true
 	for _, p := range answers {
 		if p.err != nil {
-			well = false
+			allRead = false
 			e.logStoreError(p, now)
 			continue
 		}
 		if !e.observeStore(p.answer.Era, p.answer.Stamp, now) {
-			well = false
+			allRead = false
 			continue
 		}
 		e.recordOutageEnd(p.table, p.answer.Stamp, now)
-		told, ok := e.applyAnswer(p.table, p.answer, p.since, now)
+		changed, ok := e.applyAnswer(p.table, p.answer, p.since, now)
 		if !ok {
-			well = false
+			allRead = false
 			continue
 		}
-		notices = append(notices, e.noticesFor(p, told)...)
+		notices = append(notices, e.noticesFor(p, changed)...)
 		e.recordProof(p.table, p.answer.Stamp, now)
 		if p.table == evidence.Instances {
 			s.nextListed = now + instancesReadInterval
 		}
 	}
-	if well {
+	if allRead {
 		s.reader = e.self
 		s.poll.Succeeded()
 	} else {
@@ -194,12 +196,13 @@
 	}
 	e.updateRateShare()
 	e.publishNotices(notices)
-	return well
+	return allRead
 }
 
-// applyAnswer takes in what the store said of a table, to this instance or another
-// one, and returns the rows that others must hear of. It reports false if this
-// instance's copy lacks something from before the answer.
+// applyAnswer applies an answer of the store about a table, whether this
+// instance or another one received it, and returns the rows to forward to
+// others. It returns false if the local copy lacks changes from before the
+// answer.
 func (e *Edge) applyAnswer(t evidence.Table, a replica.Answer, since uint64, now time.Duration) ([]replica.Row, bool) {
 	e.logStaleAnswer(t, a.Point(), now)
 	before, known := e.replicaOf(t).Point()
@@ -211,7 +214,7 @@
 	return e.applyRows(t, changed, restored, now), true
 }
 
-// logStaleAnswer logs an answer that is older than what is known.
+// logStaleAnswer logs an answer that is older than the local copy.
 func (e *Edge) logStaleAnswer(t evidence.Table, at replica.Point, now time.Duration) {
 	known, ok := e.replicaOf(t).Point()
 	if ok && at.Before(known) && e.budget.Take(now, quietShare) {
@@ -221,8 +224,9 @@
 	}
 }
 
-// recordOutageEnd notes that the store is back after an outage. It comes before the
-// rows of its first answer: entries that ran out meanwhile are missing there.
+// recordOutageEnd records the end of a store outage. It must be called before
+// the rows of the first answer are applied: entries that expired during the
+// outage are missing from it.
 func (e *Edge) recordOutageEnd(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
@@ -231,8 +235,8 @@
 	}
 }
 
-// recordProof notes that the copy of a table was complete at a moment of the
-// store's clock.
+// recordProof records that the copy of a table was complete at the given
+// reading of the store's clock.
 func (e *Edge) recordProof(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
@@ -249,7 +253,8 @@
 	}
 }
 
-// configAge is how old the proof of the configuration in force is.
+// configAge returns the age of the newest proof that the active configuration
+// is current.
 func (e *Edge) configAge(now time.Duration) time.Duration {
 	if !e.state.proved {
 		return freshness.Unknown
@@ -257,7 +262,8 @@
 	return e.state.clock.Age(e.state.configProof, now)
 }
 
-// logStoreAvailability logs when the store is lost and when it is back.
+// logStoreAvailability logs when the store becomes unavailable and when it is
+// available again.
 func (e *Edge) logStoreAvailability(now time.Duration) {
 	s := &e.state
 	age := s.poll.Age(now)
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -8,14 +8,14 @@
 	"foxtailspoke/placement"
 )
 
-// publishAttemptStart takes in and tells that an attempt has begun.
+// publishAttemptStart records that an attempt has begun and publishes it.
 func (e *Edge) publishAttemptStart(c *call, a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	told := e.addOutstanding(a, 1)
-	told.Number = uint8(a.number)
+	report := e.addOutstanding(a, 1)
+	report.Number = uint8(a.number)
 	e.state.repeatsOf(c.service).Count(a.number > 1, e.now())
-	m := evidence.Message{Attempts: []evidence.Attempt{told}}
+	m := evidence.Message{Attempts: []evidence.Attempt{report}}
 	if c.workspace != nil {
 		h := workspaceHash(c.workspace.Name)
 		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.Own(h)}}
@@ -23,7 +23,8 @@
 	e.publish(m, false)
 }
 
-// addOutstanding changes the own count of work at a server.
+// addOutstanding adds change to this instance's outstanding attempts at a
+// server and returns the new count as evidence.
 func (e *Edge) addOutstanding(a *attempt, change int) evidence.Attempt {
 	s := &e.state
 	h := placement.Hash(a.choice.Server.ID)
@@ -37,7 +38,7 @@
 	return evidence.Attempt{Server: h, Outstanding: n}
 }
 
-// publishAttemptEnd takes in and tells how an attempt ended.
+// publishAttemptEnd records how an attempt ended and publishes it.
 func (e *Edge) publishAttemptEnd(c *call, a *attempt, final evidence.Final) {
 	if a.ends {
 		return
@@ -46,34 +47,35 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	told := e.addOutstanding(a, -1)
-	told.LimitMilli = e.learnLimit(a, now)
-	told.Ended, told.Result, told.Final = true, serverResult(c, a), final
+	report := e.addOutstanding(a, -1)
+	report.LimitMilli = e.learnLimit(a, now)
+	report.Ended, report.Result, report.Final = true, serverResult(c, a), final
 	work := e.statsOf(c.route).work
 	took := a.took
 	if a.result == health.OK {
 		if a.choice.Waits() {
-			// It had to wait; its time says nothing of the server's speed.
+			// The attempt had to queue, so its duration doesn't show the
+			// server's speed.
 			took = 0
 		}
 		e.learnRoute(c, took, len(c.body)+len(a.answer.Body))
 	}
-	told.TookMS, told.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
-	e.state.placer.Learn(told.Server, told.Result, true, took, work, now)
+	report.TookMS, report.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
+	e.state.placer.Learn(report.Server, report.Result, true, took, work, now)
 	if final != evidence.NotFinal {
 		e.state.placer.Served(c.service, final == evidence.Served, now)
 	}
-	// The first failure of a spell must reach everybody at once: each request
-	// sent there for want of it may be lost.
-	e.publish(evidence.Message{Attempts: []evidence.Attempt{told}}, a.result.Failed() && a.choice.Risk < urgentRiskBound)
+	// The first of a series of failures must reach all instances at once: each
+	// request that they send to the server before that may be lost.
+	e.publish(evidence.Message{Attempts: []evidence.Attempt{report}}, a.result.Failed() && a.choice.Risk < urgentRiskBound)
 	e.metrics.attempts.WithLabelValues(a.result.String()).Inc()
 	e.logAttempt(c, a, now)
 }
 
-// serverResult is what an attempt's end tells of its server. A failure that a
-// server reports when the time that it was given is up tells nothing: the request
-// may just have needed longer. Taken for a failure, each request of a route
-// whose time is too short for its work made a healthy server a suspect.
+// serverResult returns the result to count for the attempt's server. An error
+// reported at the deadline isn't counted: the request may just have needed more
+// time. Counted as failures, such errors on a route whose timeout is shorter
+// than its work make healthy servers suspects.
 func serverResult(c *call, a *attempt) health.Result {
 	given := c.deadline - a.start
 	if a.result == health.ServerError && a.took >= given-deadlineMargin {
@@ -82,14 +84,17 @@
 	return a.result
 }
 
-// urgentRiskBound is the risk below which a server's failure is news.
+// urgentRiskBound is the risk below which a failure of a server is published at
+// once.
 const urgentRiskBound = 0.3
 
-// deadlineMargin is how much before its deadline a server may report that its
-// time is up: the way there and back, and its rounding to milliseconds.
+// deadlineMargin is how long before its deadline a server may report a timeout.
+// It covers the network round trip and the rounding of the deadline to
+// milliseconds.
 const deadlineMargin = 15 * time.Millisecond
 
-// publishRefusal takes in and tells that a request got no attempt.
+// publishRefusal records and publishes that a request was refused without an
+// attempt.
 func (e *Edge) publishRefusal(c *call) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,12 +102,12 @@
 	e.publish(evidence.Message{Refused: []uint32{placement.Hash(c.service)}}, false)
 }
 
-// publishLate takes in and tells that an attempt takes longer than it should.
+// publishLate records and publishes that an attempt takes longer than expected.
 func (e *Edge) publishLate(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	told := e.addOutstanding(a, 0)
-	told.Result = health.Late
-	e.state.placer.Learn(told.Server, health.Late, true, 0, 0, e.now())
-	e.publish(evidence.Message{Attempts: []evidence.Attempt{told}}, false)
+	report := e.addOutstanding(a, 0)
+	report.Result = health.Late
+	e.state.placer.Learn(report.Server, health.Late, true, 0, 0, e.now())
+	e.publish(evidence.Message{Attempts: []evidence.Attempt{report}}, false)
 }
--- a/edge/register.go
+++ b/edge/register.go
@@ -15,48 +15,51 @@
 )
 
 const (
-	// registerInterval is how often a reader looks whether instances of its data
-	// centre lack their rows.
+	// registerInterval is how often an instance checks whether instances of its
+	// data centre lack a row in the store.
 	registerInterval = 2 * time.Second
-	// readerWriteDelay is how long each reader leaves that to the one before it,
-	// and registerAlone how long all others do.
-	readerWriteDelay = 4 * time.Second
+	// readerWriteDelay is how much longer each reader waits before it writes
+	// missing rows than the reader before it. fallbackWriteDelay is how long
+	// instances other than readers wait.
+	readerWriteDelay   = 4 * time.Second
 	fallbackWriteDelay = 20 * time.Second
-	// removeInstanceAfter is the silence after which an instance is taken off the list:
-	// longer than any disturbance of the network that passes by itself.
+	// removeInstanceAfter is the silence after which an instance is removed
+	// from the list. It is longer than network disturbances that clear up
+	// without intervention.
 	removeInstanceAfter = 2 * time.Minute
-	// maxRowsPerWrite bounds the rows of one call; the store takes 100 entries.
+	// maxRowsPerWrite bounds the rows of one write; the store accepts 100
+	// entries.
 	maxRowsPerWrite = 100
 )
 
-// registerInstances has the instances of this data centre listed in the store, so that
-// those of a later start find them, and a cut doesn't double any rate: what
-// belongs to a listed instance that isn't heard isn't counted on. One call
-// writes the rows of all that lack them.
+// registerInstances writes missing rows of this data centre's instances to the
+// store, all in one call. Instances that start later discover the others by
+// these rows. They also keep a network partition from doubling rates: the share
+// of a listed but unreachable instance isn't used by the others.
 func (e *Edge) registerInstances(ctx context.Context) error {
 	select {
 	case <-e.joined:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	lacking := time.Duration(0)
+	missingFor := time.Duration(0)
 	for sleepContext(ctx, registerInterval) {
 		e.mu.Lock()
 		rows := e.missingInstanceRows()
-		patience := e.registerDelay()
+		delay := e.registerDelay()
 		ready := e.state.table != nil
 		e.mu.Unlock()
 		if !ready {
 			e.fetchFromPeer(ctx)
 		}
 		if len(rows) == 0 {
-			lacking = 0
+			missingFor = 0
 			continue
 		}
-		if lacking += registerInterval; lacking <= patience {
+		if missingFor += registerInterval; missingFor <= delay {
 			continue
 		}
-		lacking = 0
+		missingFor = 0
 		if err := e.store.Write(ctx, platform.TableInstances, rows...); err != nil {
 			event.StoreCallFailed.Log(e.log, slog.String("table", platform.TableInstances), slog.Any("error", err))
 			continue
@@ -68,7 +71,7 @@
 	return ctx.Err()
 }
 
-// registerDelay is how long this instance leaves the writing to others.
+// registerDelay returns how long this instance leaves the write to others.
 func (e *Edge) registerDelay() time.Duration {
 	i := slices.Index(e.readers(), e.self)
 	if i < 0 {
@@ -77,8 +80,9 @@
 	return time.Duration(i) * readerWriteDelay
 }
 
-// missingInstanceRows are the rows that instances of this data centre lack. As long as
-// the list isn't known, nobody does.
+// missingInstanceRows returns rows of this data centre's instances that are
+// missing from the store or differ there. Until the list has been read it
+// returns none.
 func (e *Edge) missingInstanceRows() []replica.Row {
 	if _, known := e.state.instances.Version(); !known {
 		return nil
@@ -108,8 +112,8 @@
 	return rows
 }
 
-// recordWrittenRows takes in rows that were just written, before the store tells of
-// them.
+// recordWrittenRows applies rows that were just written, before the store
+// returns them.
 func (e *Edge) recordWrittenRows(rows []replica.Row) {
 	for _, r := range rows {
 		e.state.instances.Note(r)
@@ -117,9 +121,9 @@
 	}
 }
 
-// removeGoneInstances takes instances off the list that are gone for good. Their part of
-// the workspaces' rates would lie idle for ever. One that was only cut off for
-// so long gets its row again once it is heard.
+// removeGoneInstances removes instances that are gone for good from the list;
+// otherwise their share of the workspaces' rates would stay unused. An instance
+// that was only cut off gets its row again once it is heard.
 func (e *Edge) removeGoneInstances(ctx context.Context) {
 	e.mu.Lock()
 	rows := e.goneInstanceRows(e.now())
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -22,24 +22,26 @@
 )
 
 const (
-	// snapshotTimeout bounds a question to another instance.
+	// snapshotTimeout bounds a request for a snapshot.
 	snapshotTimeout = 500 * time.Millisecond
-	// configSnapshotTimeout bounds one for the configuration alone. Two of them and a
-	// call to the store must fit into what is left of the two seconds in which
-	// a change is in force, half a second after the change.
+	// configSnapshotTimeout bounds a request for the configuration alone. A
+	// change must be active within two seconds, of which half a second has
+	// passed by then; two such requests and a call to the store must fit into
+	// the rest.
 	configSnapshotTimeout = 200 * time.Millisecond
-	// snapshotCacheTime is how long a packed snapshot is handed out.
+	// snapshotCacheTime is how long an encoded snapshot is reused.
 	snapshotCacheTime = 100 * time.Millisecond
-	// maxSnapshotConns bounds the connections of other instances.
+	// maxSnapshotConns bounds the concurrent connections of other instances.
 	maxSnapshotConns = 32
 
 	methodGet    = "Snapshots.Get"
 	methodConfig = "Snapshots.Config"
 )
 
-// Snapshot is everything an instance has read from the store.
+// Snapshot holds the data that an instance has read from the store.
 type Snapshot struct {
-	// Era of the store, and what its clock shows; 0 if unknown or not told.
+	// Era is the era of the store, and Clock its clock reading; 0 if unknown or
+	// not included.
 	Era    uint64
 	Clock  time.Duration
 	Tables []SnapshotTable
@@ -50,34 +52,36 @@
 	Table   evidence.Table
 	Era     uint64
 	Version uint64
-	// Stamp is the store's clock up to which it is complete; 0 if unproved.
+	// Stamp is the reading of the store's clock up to which the table is known
+	// to be complete; 0 if unknown.
 	Stamp time.Duration
 	Rows  []replica.Row
 }
 
-// Nothing is the argument of calls that need none.
+// Nothing is the argument of RPC methods that need none.
 type Nothing struct{}
 
-// Packed is a compressed Snapshot.
+// Packed is a Snapshot as gzip-compressed JSON.
 type Packed struct{ Data []byte }
 
-// Snapshots is what instances may ask each other for, by net/rpc.
+// Snapshots is the net/rpc service by which instances fetch data from each
+// other.
 type Snapshots struct {
 	edge *Edge
 
 	mu sync.Mutex
-	// config is the packed configuration of row version configRow with these
+	// config is the encoded configuration for the row at configRow and these
 	// evacuations.
 	config      Packed
 	configRow   replica.Point
 	evacuations []string
-	// all is everything, packed at allAt.
+	// all is the encoded full snapshot, made at allAt.
 	all   Packed
 	allAt time.Duration
 }
 
-// Get returns what this instance knows. It is packed once for all that ask
-// within moments; its stamps say how old it is.
+// Get returns the full snapshot. It is encoded once for all requests within
+// snapshotCacheTime; its timestamps show its age.
 func (s *Snapshots) Get(_ Nothing, reply *Packed) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +104,9 @@
 	return nil
 }
 
-// Config returns the configuration alone, without a proof of its age. It is
-// packed once, because all that lack it ask within moments.
+// Config returns the configuration alone, without a proof of its age. The
+// encoded form is cached, because all instances that lack it request it at
+// about the same time.
 func (s *Snapshots) Config(_ Nothing, reply *Packed) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,10 +133,10 @@
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := json.NewEncoder(z).Encode(snapshot); err != nil {
-		return Packed{}, errors.Wrap(err, "snapshot")
+		return Packed{}, errors.Wrap(err, "encoding snapshot")
 	}
 	if err := z.Close(); err != nil {
-		return Packed{}, errors.Wrap(err, "snapshot")
+		return Packed{}, errors.Wrap(err, "compressing snapshot")
 	}
 	return Packed{Data: b.Bytes()}, nil
 }
@@ -160,11 +165,11 @@
 	return all
 }
 
-// serveSnapshots answers other instances.
+// serveSnapshots serves the Snapshots RPC methods to other instances.
 func (e *Edge) serveSnapshots(ctx context.Context) error {
 	server := rpc.NewServer()
 	if err := server.Register(&Snapshots{edge: e}); err != nil {
-		return errors.Wrap(err, "snapshots")
+		return errors.Wrap(err, "registering the snapshot service")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = e.ports.snapshots.Close() })
 	defer stop()
@@ -175,7 +180,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			return errors.Wrap(err, "snapshots")
+			return errors.Wrap(err, "accepting a snapshot connection")
 		}
 		slots <- struct{}{}
 		go func() {
@@ -186,8 +191,8 @@
 	}
 }
 
-// fetchFromPeer takes in what one of the other instances knows. Those that are ready
-// know all that there is to know.
+// fetchFromPeer fetches a full snapshot from a random peer, preferably one that
+// is ready and so has the configuration and the servers.
 func (e *Edge) fetchFromPeer(ctx context.Context) {
 	e.mu.Lock()
 	var ready, alive []uint32
@@ -208,7 +213,8 @@
 	}
 }
 
-// fetchSnapshot takes in what another instance answers to a method of Snapshots.
+// fetchSnapshot calls a method of Snapshots on another instance and applies the
+// result.
 func (e *Edge) fetchSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -222,7 +228,7 @@
 	e.applySnapshot(snapshot, e.now())
 }
 
-// applySnapshot takes in what another instance knows.
+// applySnapshot applies the snapshot of another instance.
 func (e *Edge) applySnapshot(snapshot Snapshot, now time.Duration) {
 	if !e.observeSnapshot(snapshot, now) {
 		return
@@ -237,8 +243,8 @@
 	e.announceIfChanged(now)
 }
 
-// observeSnapshot is observe for a snapshot. One that doesn't tell the store's clock
-// can't begin an era.
+// observeSnapshot is observeStore for a snapshot. A snapshot without the
+// store's clock can't begin an era.
 func (e *Edge) observeSnapshot(s Snapshot, now time.Duration) bool {
 	if s.Clock > 0 {
 		return e.observeStore(s.Era, s.Clock, now)
@@ -253,28 +259,28 @@
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		return Snapshot{}, errors.Wrap(err, "snapshot")
+		return Snapshot{}, errors.Wrap(err, "connecting for a snapshot")
 	}
 	defer func() { _ = c.Close() }()
 	if end, ok := ctx.Deadline(); ok {
 		if err := c.SetDeadline(end); err != nil {
-			return Snapshot{}, errors.Wrap(err, "snapshot")
+			return Snapshot{}, errors.Wrap(err, "setting the deadline of a snapshot call")
 		}
 	}
 	client := rpc.NewClient(c)
 	defer func() { _ = client.Close() }()
 	var packed Packed
 	if err := client.Call(method, Nothing{}, &packed); err != nil {
-		return Snapshot{}, errors.Wrap(err, "snapshot")
+		return Snapshot{}, errors.Wrap(err, "requesting snapshot")
 	}
 	z, err := gzip.NewReader(bytes.NewReader(packed.Data))
 	if err != nil {
-		return Snapshot{}, errors.Wrap(err, "snapshot")
+		return Snapshot{}, errors.Wrap(err, "decompressing snapshot")
 	}
 	var s Snapshot
 	err = json.NewDecoder(io.LimitReader(z, maxSnapshotBytes)).Decode(&s)
-	return s, errors.Wrap(err, "snapshot")
+	return s, errors.Wrap(err, "decoding snapshot")
 }
 
-// maxSnapshotBytes bounds what is unpacked of a snapshot, in bytes.
+// maxSnapshotBytes bounds the decompressed size of a snapshot.
 const maxSnapshotBytes = 64 << 20
