--- a/edge/entries.go
+++ b/edge/entries.go
@@ -124,6 +124,9 @@
 	return changed
 }
 
+// updateServerList applies one row of the server table to the list of servers. It
+// reports false if the list didn't change. Servers that disappeared during an
+// outage are kept until keepUntil.
 func (e *Edge) updateServerList(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
 	s := &e.state
 	if r.Gone {
@@ -143,6 +146,8 @@
 	return s.list.Put(entry, now)
 }
 
+// applyServerChange passes a change of the server list to the placer and the
+// connection pool.
 func (e *Edge) applyServerChange(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
 	if c.Gone {
@@ -167,6 +172,8 @@
 	SlowLink   bool   `json:"slowLink,omitempty"`
 }
 
+// applyInstanceRow applies one row of the instance table; this instance's own row
+// is ignored.
 func (e *Edge) applyInstanceRow(r replica.Row, now time.Duration) {
 	id, err := addressNumber(r.Key)
 	if err != nil || id == e.self {
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -10,10 +10,11 @@
 	"foxtailspoke/replica"
 )
 
-// The store comes back from a copy with its clock set back. Proofs of before must
-// neither look fresh by that nor old for ever, and its first answers prove nothing
-// about keys that operators have to take away once more.
-func TestProofsKeepTheirAgeWhenTheStoreComesBack(t *testing.T) {
+// The store is restored from a backup and its clock goes back. Earlier proofs
+// must neither look fresh because of that nor stay old for ever, and the first
+// answers after the restore prove nothing about keys that operators have to
+// revoke again.
+func TestProofsKeepTheirAgeAfterStoreRestore(t *testing.T) {
 	e := newIdleInstance(t)
 	now := e.now()
 	must.True(t, e.observeStore(0, 100*time.Second, now))
@@ -29,9 +30,9 @@
 	must.Eq(t, 0, e.configAge(now))
 }
 
-// A message of before the store's return arrives after it. It must not bring back
-// what the store has forgotten, nor set the clock.
-func TestWordOfAPassedEraIsIgnored(t *testing.T) {
+// A notice sent before the store was restored arrives afterwards. It must
+// neither bring back data that the store has lost nor set the clock.
+func TestNoticeOfEarlierEraIsIgnored(t *testing.T) {
 	e := newIdleInstance(t)
 	now := e.now()
 	must.True(t, e.observeStore(1, 100*time.Second, now))
@@ -45,9 +46,10 @@
 	must.Eq(t, 100*time.Second, clock)
 }
 
-// The store comes back from a copy without the row of an instance that is cut off
-// from the others. Forgotten, its part of every rate would be used twice.
-func TestCopyDoesNotUnlistInstances(t *testing.T) {
+// The store is restored without the row of an instance that is cut off from the
+// others. If that unlisted the instance, its share of every rate would be used
+// twice.
+func TestStoreRestoreDoesNotUnlistInstances(t *testing.T) {
 	e := newIdleInstance(t)
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
@@ -71,12 +73,11 @@
 	return replica.Row{Key: "config", Value: []byte(`{"version":"` + version + `","routes":[]}`), Version: at}
 }
 
-// The store comes back from a copy with an older configuration, and an instance
-// starts before operators have written theirs again. It learns from another that
-// still acts on the newer one; taking the older one, it would accept keys that were
-// taken away.
-func TestNewcomerLearnsTheConfigurationInForce(t *testing.T) {
-	e, newcomer := newIdleInstance(t), newIdleInstance(t)
+// The store is restored with an older configuration, and an instance starts
+// before operators have written theirs again. It must receive the newer active
+// configuration from a peer; with the older one it would accept revoked keys.
+func TestNewInstanceReceivesActiveConfiguration(t *testing.T) {
+	e, newInstance := newIdleInstance(t), newIdleInstance(t)
 	now := e.now()
 	take := func(era uint64, row replica.Row) {
 		t.Helper()
@@ -88,15 +89,15 @@
 	take(0, configRow("0000001f", 30))
 	take(1, configRow("00000016", 20))
 	must.Eq(t, 31, e.state.table.Version)
-	newcomer.applySnapshot(e.snapshot(now), now)
-	must.Eq(t, 31, newcomer.state.table.Version)
-	must.Eq(t, replica.Point{Era: 1, Version: 20}, newcomer.configRowPoint())
+	newInstance.applySnapshot(e.snapshot(now), now)
+	must.Eq(t, 31, newInstance.state.table.Version)
+	must.Eq(t, replica.Point{Era: 1, Version: 20}, newInstance.configRowPoint())
 }
 
-// The store comes back from a copy of before the first configuration. Instances
-// that have one act on it, and must not look for another one all the time, nor lose
-// the proof of its age.
-func TestCopyWithoutAConfiguration(t *testing.T) {
+// The store is restored from a backup older than the first configuration.
+// Instances keep the configuration that they have. They must neither search for
+// another one all the time nor lose the proof of its age.
+func TestRestoreToBeforeFirstConfiguration(t *testing.T) {
 	e := newIdleInstance(t)
 	now := e.now()
 	row := configRow("0000001f", 30)
@@ -111,7 +112,7 @@
 	must.True(t, e.hasAnnouncedConfig())
 	must.Eq(t, 0, e.configAge(now))
 	must.Eq(t, 31, e.state.table.Version)
-	newcomer := newIdleInstance(t)
-	newcomer.applySnapshot(e.snapshot(now), now)
-	must.Eq(t, 31, newcomer.state.table.Version)
+	newInstance := newIdleInstance(t)
+	newInstance.applySnapshot(e.snapshot(now), now)
+	must.Eq(t, 31, newInstance.state.table.Version)
 }
--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// restoreStore has the store lose what it was told since a copy, during a moment in
-// which it answers nobody.
+// restoreStore restores the store from a backup, during a moment in which it
+// answers no call.
 func (f *fleet) restoreStore(c rowstore.Copy) {
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
 	time.Sleep(300 * time.Millisecond)
@@ -20,14 +20,15 @@
 	f.store.SetFault(nil)
 }
 
-// writeUnrelatedRows writes rows that concern nobody, as heartbeats do.
+// writeUnrelatedRows advances the store's versions, as heartbeats of servers
+// do.
 func (f *fleet) writeUnrelatedRows(n int) {
 	for range n {
 		f.store.Put("servers", "nobody", []byte("{}"))
 	}
 }
 
-// addRoute puts a configuration in force that has one more route.
+// addRoute writes a configuration that has one more route.
 func (f *fleet) addRoute() {
 	f.configureWith(func(config map[string]any) {
 		config["routes"] = append(config["routes"].([]any), map[string]any{
@@ -42,10 +43,10 @@
 	return r.status == http.StatusOK
 }
 
-// The store comes back from a copy and gives its versions out again. Instances take
-// every answer for older than what they know: a change that is confirmed from then
-// on isn't in force for minutes.
-func TestChangesAreInForceAfterTheStoreCameBackFromACopy(t *testing.T) {
+// The store is restored and reuses its version numbers. If instances took all
+// answers for older than their copies, a configuration change confirmed after
+// the restore would take minutes to become active.
+func TestConfigurationChangesApplyAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -63,9 +64,10 @@
 	}
 }
 
-// The same, with versions that have grown past those of before the copy by the time
-// of the first answer: what changed between the copy and that version is missed.
-func TestChangesAreInForceAfterVersionsGrewAgain(t *testing.T) {
+// By the first answer after a restore, the versions exceed those from before
+// it. Changes between the backup's version and that of the instances' copies
+// must not be missed.
+func TestConfigurationChangesApplyWhenVersionsExceedThoseBeforeRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -85,9 +87,9 @@
 	}
 }
 
-// A server that says that it leaves, after the store came back from a copy, goes on
-// getting requests.
-func TestServerThatLeavesAfterACopyGetsNothing(t *testing.T) {
+// A server that starts draining after a restore of the store must get no more
+// requests.
+func TestServerDrainingAfterRestoreGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -106,10 +108,10 @@
 	must.Eq(t, before, leaving.total())
 }
 
-// A server says that it leaves, or is gone. The store then comes back from a copy
-// that lists it as ready, until the server's word is written again: it must get
-// nothing meanwhile.
-func TestCopyDoesNotBringBackServersThatHaveLeft(t *testing.T) {
+// A server drains or is removed, and the store is then restored from a backup
+// that lists it as ready. It must get no requests until its state is written
+// again, nor afterwards.
+func TestRestoreDoesNotReactivateServersThatLeft(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*fleet, *backend){
 		"leaving": func(f *fleet, b *backend) { f.list(b, "draining") },
@@ -138,10 +140,10 @@
 	}
 }
 
-// A server is taken off the list by mistake of the network: its entry ran out while
-// it was cut off, and the store comes back from a copy that lists it. Once it writes
-// again it must be used.
-func TestServerThatWritesAgainAfterACopyIsUsed(t *testing.T) {
+// A server that was cut off loses its entry, and the store is then restored
+// from a backup that lists it. Once the server writes its entry again, it must
+// be used.
+func TestServerThatRenewsItsEntryAfterRestoreIsUsed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -160,9 +162,10 @@
 	must.Greater(t, before, cut.total())
 }
 
-// Operators evacuate a data centre, and the store comes back from a copy without the
-// evacuation until that is written again. Its servers must get nothing meanwhile.
-func TestCopyDoesNotEndAnEvacuation(t *testing.T) {
+// Operators evacuate a data centre, and the store is then restored from a
+// backup without the evacuation. The servers there must get no requests until
+// the evacuation is written again.
+func TestRestoreDoesNotEndAnEvacuation(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -185,9 +188,9 @@
 	})
 }
 
-// The store loses the rows of instances. They must be written again in each data
-// centre: an instance of a later start finds the others by them.
-func TestRowsOfInstancesAreWrittenAgainAfterACopy(t *testing.T) {
+// A restore loses the rows of instances. They must be written again in each
+// data centre: instances that start later discover the others by them.
+func TestInstanceRowsAreRewrittenAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -206,9 +209,9 @@
 	eventually(t, 12*time.Second, "all instances are listed again", all)
 }
 
-// The store comes back from a copy. What instances learnt from their readers looked
-// as old as the proof of the configuration, and each of them read the store itself.
-func TestFewInstancesReadAStoreThatCameBack(t *testing.T) {
+// After a restore, data from the readers looked as old as the proof of the
+// configuration, and each instance read the store itself.
+func TestFewInstancesReadARestoredStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -220,7 +223,7 @@
 	f.restoreStore(c)
 	before := f.store.Calls()
 	time.Sleep(2 * time.Second)
-	// Half of what they need if each reads for itself, two attempts at changes and
-	// three tables, and what polling takes as usual.
+	// Half of the calls if each instance read for itself, which takes two
+	// attempts to read changes and three tables, plus the usual polling.
 	must.LessEq(t, 12*5/2+10, f.store.Calls()-before)
 }
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -53,6 +53,8 @@
 	return rows
 }
 
+// setEvacuations replaces the set of evacuated data centres. After a restore of the
+// store the earlier ones are kept for a while: the store may have lost them.
 func (e *Edge) setEvacuations(at replica.Point, dataCentres []string, now time.Duration) {
 	s := &e.state
 	if now < s.restoredUntil {
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -154,6 +154,7 @@
 	return true
 }
 
+// sleepContext waits for d and reports false if ctx ends first.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -10,13 +10,13 @@
 	"foxtailspoke/edge/settings"
 )
 
-// fleetSize is large enough that a read by every instance shows among the
-// standing calls.
+// fleetSize is large enough for a read by every instance to stand out from the
+// regular calls.
 const fleetSize = 14
 
-// A configuration changes. Whoever asks the store tells all instances that
-// there is a newer one, and two of the data centre read it; the others have it
-// from these. The new key must work everywhere within a second all the same.
+// A configuration changes. The polling instance announces it to all, and two
+// instances of the data centre read it; the others fetch it from these. The new
+// key must still work on all instances within a second.
 func TestFewInstancesReadANewConfiguration(t *testing.T) {
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -34,14 +34,15 @@
 		})
 	}
 	time.Sleep(time.Second)
-	// The standing calls are five a second, and two and a half seconds may
-	// have passed.
+	// The regular calls are five a second, and two and a half seconds may have
+	// passed.
 	t.Logf("%d calls", f.store.Calls()-before)
 	must.LessEq(t, 18, f.store.Calls()-before)
 }
 
-// The whole fleet starts for the first time, and callers come some seconds
-// later. Two or three instances read the store; the others have it from them.
+// The whole fleet starts for the first time, and callers arrive some seconds
+// later. Two or three instances read the store; the others fetch the data from
+// them.
 func TestFirstStartReadsTheStoreFewTimes(t *testing.T) {
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -52,7 +53,7 @@
 	for n := range fleetSize {
 		eventually(t, 5*time.Second, "ready", func() bool { return f.ready(n) })
 	}
-	// The rows of all instances are in them by then.
+	// The calls include those that write the rows of all instances.
 	eventually(t, 8*time.Second, "listed", func() bool { return len(f.store.Rows("instances")) == fleetSize })
 	t.Logf("%d calls", f.store.Calls())
 	must.LessEq(t, 3*fleetSize/2, f.store.Calls())
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -18,9 +18,9 @@
 	"foxtailspoke/throttle"
 )
 
-// A machine is gone for good and another has taken its place. As long as the
-// row of the first stands, every workspace lacks its part of the rate.
-func TestInstancesThatAreGoneForGoodLeaveTheList(t *testing.T) {
+// A machine is gone for good and another has replaced it. While the row of the
+// first remains, every workspace lacks that share of its rate.
+func TestGoneInstancesAreRemovedFromTheList(t *testing.T) {
 	e := &Edge{self: 1}
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{Self: e.selfMember()})
 	others := e.state.messenger.Fleet()
@@ -35,9 +35,10 @@
 	must.True(t, rows[0].Gone)
 }
 
-// The store is back and has answered the call for the configuration, but not
-// yet that for the servers. Callers sent here now would all be refused.
-func TestInstanceWithoutServersIsntReady(t *testing.T) {
+// After an outage the store has answered the read of the configuration, but not
+// yet that of the servers. An instance that reported ready then would refuse
+// all requests.
+func TestInstanceWithoutServersIsNotReady(t *testing.T) {
 	e := &Edge{self: 1, clock: clock.New()}
 	s := &e.state
 	s.bounds = freshness.NewBounds(5 * time.Second)
@@ -50,10 +51,11 @@
 	must.True(t, e.readyLocked())
 }
 
-// An instance is killed and back half a second later. The others had heard a
-// hundred messages of its former life, and ignored as many of its new one:
-// what it did at servers and admitted for workspaces, and whether it was ready.
-func TestRestartWithinASecondIsHeardAtOnce(t *testing.T) {
+// An instance is killed and restarts half a second later. Its peers had
+// received a hundred messages of the earlier process; without a new epoch they
+// would ignore as many of the new one, with its outstanding attempts, usage and
+// readiness.
+func TestRestartWithinASecondIsDetected(t *testing.T) {
 	var m fleet.Instance
 	for _, sequence := range []uint32{100, 1} {
 		fresh, restarted := m.Fresh(newEpoch(), sequence)
@@ -62,17 +64,17 @@
 	}
 }
 
-// An instance that has just started knows nothing yet. Its lines leave the age
-// out; a number in its place reads like an age of a hundred years.
-func TestUnknownAgesAreLeftOutOfLines(t *testing.T) {
+// An instance that has just started has no proof of freshness. Log lines must
+// omit the age; a placeholder number would read as an age of a hundred years.
+func TestUnknownAgesAreOmittedFromLogs(t *testing.T) {
 	must.True(t, ageOf((&freshness.Poll{}).Age(time.Minute)).Equal(slog.Attr{}))
 	must.True(t, ageOf(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
 }
 
-// A route's time is shorter than its work. Servers work until the deadline that
-// they were sent and then report a failure. If that counted against them, a few
-// such requests would leave all healthy servers of the service out of use.
-func TestFailureAtTheDeadlineTellsNothingOfTheServer(t *testing.T) {
+// A route's timeout is shorter than its work, so servers report a failure at
+// the deadline that they were sent. If that counted against them, a few such
+// requests would make all healthy servers of the service unusable.
+func TestFailureAtDeadlineIsNotCounted(t *testing.T) {
 	c := &call{deadline: 2 * time.Second}
 	a := &attempt{result: health.ServerError, start: time.Second, took: time.Second - deadlineMargin}
 	must.Eq(t, health.Cancelled, serverResult(c, a))
@@ -80,10 +82,10 @@
 	must.Eq(t, health.ServerError, serverResult(c, a))
 }
 
-// An answer that left a server before it named its limit comes after one that names
-// it, by way of another instance. It must not end the limit; one to a request that
-// was sent well after must, also if the first news of the end was lost.
-func TestLateAnswersOfOthersDontEndALimit(t *testing.T) {
+// Another instance reports an answer without a limit that the server sent
+// before it set one. It must not end the limit. An answer to a request sent
+// well after must end it, even if the first such report was lost.
+func TestLateAnswersOfOtherInstancesDoNotEndALimit(t *testing.T) {
 	e := &Edge{self: 1}
 	e.state.placer, e.state.throttle = placement.New(), throttle.NewLimiter(1)
 	milli := uint32(2500)
@@ -106,16 +108,16 @@
 	must.False(t, limited)
 }
 
-// An instance starts while the store is away and learns everything from another.
-// Taken for fresh, a configuration that is three seconds old would let a key that
-// was taken away work for three seconds longer.
-func TestSnapshotIsAsOldAsItsSourceSays(t *testing.T) {
-	source, newcomer := newIdleInstance(t), newIdleInstance(t)
+// An instance starts during a store outage and fetches its data from a peer. If
+// it took a configuration that is three seconds old for fresh, a revoked key
+// would work three seconds longer.
+func TestSnapshotKeepsTheAgeOfItsSource(t *testing.T) {
+	source, newInstance := newIdleInstance(t), newIdleInstance(t)
 	now := source.now()
 	source.state.clock.Observe(100*time.Second, now)
 	source.state.config.Apply(replica.Answer{Version: 5, Whole: true}, 0)
 	source.recordProof(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
-	newcomer.applySnapshot(source.snapshot(now), now)
-	must.Eq(t, 3*time.Second, newcomer.configAge(now))
+	newInstance.applySnapshot(source.snapshot(now), now)
+	must.Eq(t, 3*time.Second, newInstance.configAge(now))
 }
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -16,7 +16,8 @@
 	"foxtailspoke/replica"
 )
 
-// newIdleInstance returns an instance that listens but isn't run: the test feeds it.
+// newIdleInstance returns an instance that listens but isn't run; the test
+// calls its methods.
 func newIdleInstance(t *testing.T) *Edge {
 	t.Helper()
 	const any = "127.0.0.1:0"
@@ -30,8 +31,8 @@
 	return e
 }
 
-// pollAndNotify feeds a table's answer to the instance that asked, and the notices of
-// it to the other.
+// pollAndNotify applies a table's answer to the polling instance and its
+// notices to the other one.
 func pollAndNotify(asker, other *Edge, a replica.Answer, at time.Duration) {
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
@@ -58,16 +59,14 @@
 	return replica.Row{Key: id, Value: b, Version: version}
 }
 
-// The store is away for so long that a server's entry runs out, and comes back
-// unchanged within the time that it is waited for. Instances that hear of it
-// from another go on sending requests there; once the server leaves, none does.
-// The entry that came back was taken for old news by whoever read it and told
-// to nobody: all others dropped a living server. One of these later read that
-// the server leaves, had no entry to remove and told nobody either, so that the
-// rest sent it requests for as long as it answered.
-func TestEntryThatRanOutAndCameBackIsToldToAll(t *testing.T) {
+// A server's entry expires during a store outage and reappears unchanged within
+// the grace period. The polling instance took it for known and did not forward
+// it, so that all others dropped a live server. One of these later read that
+// the server leaves, had no entry to remove and did not forward that either, so
+// that the rest kept sending requests to the server.
+func TestExpiredEntryThatReappearsIsForwarded(t *testing.T) {
 	one, two := newIdleInstance(t), newIdleInstance(t)
-	usable := func(e *Edge) bool {
+	hasServer := func(e *Edge) bool {
 		e.expireServers(e.now())
 		_, known := e.state.list.Get("i-1")
 		return known
@@ -81,9 +80,9 @@
 	whole.Whole = true
 	pollAndNotify(one, two, whole, at)
 	pollAndNotify(two, one, whole, at)
-	must.True(t, usable(one) && usable(two))
+	must.True(t, hasServer(one) && hasServer(two))
 
-	// The store is back; the entry has run out meanwhile and returns.
+	// After the outage the entry is missing and then reappears.
 	at += 5 * time.Second
 	stamp += 5 * time.Second
 	pollAndNotify(one, two, answer(11, replica.Row{Key: "i-1", Gone: true, Version: 11}), at)
@@ -92,12 +91,12 @@
 	pollAndNotify(one, two, answer(12, serverRow(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
 		for _, c := range e.state.list.Expire(at + discovery.Grace) {
-			t.Errorf("%s is dropped although its entry is back", c.Server.ID)
+			t.Errorf("%s was dropped although its entry has reappeared", c.Server.ID)
 		}
 		must.Len(t, 1, e.state.servers.Rows())
 	}
 
-	// Now it leaves, and the other instance reads it.
+	// The server leaves, and the other instance reads that.
 	at += 10 * time.Second
 	stamp += time.Second
 	pollAndNotify(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
--- a/edge/poll.go
+++ b/edge/poll.go
@@ -67,6 +67,8 @@
 	}
 }
 
+// pollDelay returns the time until the next poll of the store, or until missed
+// changes must be fetched.
 func (e *Edge) pollDelay(now time.Duration) time.Duration {
 	s := &e.state
 	due := s.poll.Next(e.state.messenger.Rank(), rand.Float64(), now)
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -255,6 +255,8 @@
 	return s.Era == e.state.era
 }
 
+// callSnapshot calls a Snapshots method of the instance at address and decodes the
+// reply.
 func callSnapshot(ctx context.Context, address, method string) (Snapshot, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp4", address)
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -11,9 +11,9 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// A key is taken away. Each instance must refuse it within two seconds, also
-// those that never ask the store themselves.
-func TestWithdrawnKeyStopsEverywhere(t *testing.T) {
+// A key is revoked. Each instance must refuse it within two seconds, including
+// those that never poll the store.
+func TestRevokedKeyIsRefusedByAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -32,9 +32,9 @@
 	}
 }
 
-// The instances share what one of them reads. If each asked for itself, eight
-// of them would make 35 calls a second.
-func TestFewCallsOfTheStore(t *testing.T) {
+// Instances share what one of them reads. If each polled the store itself,
+// eight instances would make 35 calls a second.
+func TestInstancesShareStoreReads(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -46,9 +46,9 @@
 	must.Less(t, 3*8, f.store.Calls()-before)
 }
 
-// The store refuses one instance and serves the others. The one must go on
-// serving, and know of changes, by what the others tell it.
-func TestInstanceThatTheStoreRefusesServesOn(t *testing.T) {
+// The store refuses one instance and serves the others. That instance must keep
+// serving and receive changes from the others.
+func TestInstanceRefusedByTheStoreKeepsServing(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -61,12 +61,12 @@
 		return rowstore.None
 	})
 	f.configure(1000, "another")
-	eventually(t, 2*time.Second, "the new configuration is in force", func() bool {
+	eventually(t, 2*time.Second, "the new configuration is active", func() bool {
 		r, _ := f.lookup(1)
 		return r.status == http.StatusUnauthorized
 	})
 	f.configure(1000, key)
-	eventually(t, 2*time.Second, "the next configuration is in force", func() bool {
+	eventually(t, 2*time.Second, "the next configuration is active", func() bool {
 		r, _ := f.lookup(1)
 		return r.status == http.StatusOK
 	})
@@ -75,10 +75,10 @@
 	must.Eq(t, http.StatusOK, r.status)
 }
 
-// The whole store is away. A short absence refuses nobody; once a key could
-// have been taken away without this instance knowing, nothing with a key is
-// admitted. Its return brings everything back.
-func TestStoreAway(t *testing.T) {
+// The store is unavailable to all. A short outage refuses no request. Once a
+// key could have been revoked without the instance knowing, no request with a
+// key is admitted. After the outage everything is served again.
+func TestStoreOutage(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
@@ -107,9 +107,9 @@
 	}
 }
 
-// An instance starts while the store refuses it. What the others know is
+// An instance starts while the store refuses it. The data of its peers is
 // enough to serve.
-func TestStartWhileTheStoreRefusesTheNewcomer(t *testing.T) {
+func TestStartWhileTheStoreRefusesTheInstance(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -122,16 +122,16 @@
 		return rowstore.None
 	})
 	n := f.start(nil)
-	eventually(t, 5*time.Second, "the newcomer serves", func() bool {
+	eventually(t, 5*time.Second, "the new instance serves", func() bool {
 		r, _ := f.lookup(n)
 		return r.status == http.StatusOK && f.ready(n)
 	})
 }
 
-// The newest configuration can't be read. The former one may be withdrawn by
-// it, so that requests with keys stop once its age can't be proved; the next
-// good one brings them back.
-func TestConfigurationThatMakesNoSense(t *testing.T) {
+// The newest configuration can't be decoded. It may revoke keys of the former
+// one, so requests with keys are refused once the age of the former can't be
+// proved; the next valid configuration restores service.
+func TestUndecodableConfiguration(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -151,9 +151,9 @@
 	})
 }
 
-// A server drains, or its entry is gone: it gets nothing more within two
-// seconds, at any instance.
-func TestLeavingServerGetsNothing(t *testing.T) {
+// A server drains or its entry is removed. It must get no more requests from
+// any instance within two seconds.
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	a, b := f.backend("i-1", nil), f.backend("i-2", nil)
@@ -171,9 +171,9 @@
 	must.Eq(t, before, a.total()+b.total())
 }
 
-// Entries run out while the store is away, and are back two seconds after its
-// return. Requests in between must be served by the servers known before.
-func TestEntriesThatRanOutWithTheStore(t *testing.T) {
+// Entries expire during a store outage and reappear two seconds after its end.
+// Requests in between must be served by the servers known before.
+func TestEntriesExpiredDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	b := f.backend("i-1", nil)
@@ -194,9 +194,9 @@
 	must.Eq(t, http.StatusOK, r.status)
 }
 
-// The store forgets its history. Changes that nobody has heard of must not be
-// missed.
-func TestHistoryIsForgotten(t *testing.T) {
+// The store truncates its history. Changes that no instance has read must not
+// be missed.
+func TestStoreHistoryTruncated(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.backend("i-1", nil)
@@ -205,7 +205,7 @@
 	f.configure(1000, "another")
 	f.store.Forget()
 	for i := range 2 {
-		eventually(t, 2*time.Second, "the new configuration is in force", func() bool {
+		eventually(t, 2*time.Second, "the new configuration is active", func() bool {
 			r, _ := f.lookup(i)
 			return r.status == http.StatusUnauthorized
 		})
