--- a/edge/call.go
+++ b/edge/call.go
@@ -18,25 +18,25 @@
 
 // The rules.
 const (
-	RuleServed       Rule = "served"
-	RuleNoConfig     Rule = "no-configuration"
-	RuleNoRoute      Rule = "no-route"
-	RuleNoKey        Rule = "unknown-key"
-	RuleStale        Rule = "configuration-too-old"
-	RuleTooLarge     Rule = "body-too-large"
-	RuleBody         Rule = "body-unreadable"
-	RuleOverRate     Rule = "over-rate"
-	RuleNoServer     Rule = "no-server"
-	RuleOutside      Rule = "no-server-in-allowed-regions"
-	RuleEvacuated    Rule = "servers-evacuated"
-	RuleCold         Rule = "servers-cold"
-	RuleLimited      Rule = "servers-at-their-limit"
-	RuleNoRoom       Rule = "no-room"
-	RuleServerFailed Rule = "server-failed"
-	RuleNotRun       Rule = "not-run"
-	RuleTimeout      Rule = "timeout"
-	RuleLeft         Rule = "caller-left"
-	RuleStopping     Rule = "stopping"
+	RuleServed            Rule = "served"
+	RuleNoConfig          Rule = "no-configuration"
+	RuleNoRoute           Rule = "no-route"
+	RuleUnknownKey        Rule = "unknown-key"
+	RuleConfigTooOld      Rule = "configuration-too-old"
+	RuleBodyTooLarge      Rule = "body-too-large"
+	RuleBodyUnreadable    Rule = "body-unreadable"
+	RuleOverRate          Rule = "over-rate"
+	RuleNoServer          Rule = "no-server"
+	RuleNoServerInRegions Rule = "no-server-in-allowed-regions"
+	RuleServersEvacuated  Rule = "servers-evacuated"
+	RuleServersCold       Rule = "servers-cold"
+	RuleServersAtLimit    Rule = "servers-at-their-limit"
+	RuleNoRoom            Rule = "no-room"
+	RuleServerFailed      Rule = "server-failed"
+	RuleNotRun            Rule = "not-run"
+	RuleTimeout           Rule = "timeout"
+	RuleCallerLeft        Rule = "caller-left"
+	RuleStopping          Rule = "stopping"
 )
 
 const (
@@ -106,8 +106,8 @@
 	if v := e.checkKey(c, r.Header); v != nil {
 		return c, v
 	}
-	if limit := s.table.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
-		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleTooLarge}
+	if limit := s.table.Limits.MaxBodyBytes; limit > 0 && r.ContentLength > limit {
+		return c, &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	c.service = s.split.Pick(c.route)
 	return c, nil
@@ -145,15 +145,15 @@
 // configuration whose age isn't proved; nothing of it has run then.
 func (e *Edge) checkKey(c *call, h http.Header) *verdict {
 	s := &e.state
-	if !s.table.Keyed || c.route.Public {
+	if !s.table.RequireKey || c.route.Public {
 		return nil
 	}
-	if c.keyAge > s.bounds.Keys {
-		return &verdict{http.StatusServiceUnavailable, RuleStale, comeBackSoon}
+	if c.keyAge > s.bounds.MaxKeyAge {
+		return &verdict{http.StatusServiceUnavailable, RuleConfigTooOld, comeBackSoon}
 	}
-	c.workspace = s.table.Workspace(platform.Key(h.Get(platform.HeaderKey)))
+	c.workspace = s.table.WorkspaceByKey(platform.Key(h.Get(platform.HeaderKey)))
 	if c.workspace == nil {
-		return &verdict{status: http.StatusUnauthorized, rule: RuleNoKey}
+		return &verdict{status: http.StatusUnauthorized, rule: RuleUnknownKey}
 	}
 	return nil
 }
@@ -166,16 +166,16 @@
 	}
 	body := r.Body
 	e.mu.Lock()
-	if limit := e.state.table.Limits.BodyBytes; limit > 0 {
+	if limit := e.state.table.Limits.MaxBodyBytes; limit > 0 {
 		body = http.MaxBytesReader(w, body, limit)
 	}
 	e.mu.Unlock()
 	b, err := io.ReadAll(body)
 	if _, tooLarge := err.(*http.MaxBytesError); tooLarge { //nolint:errorlint // the reader returns it bare
-		return &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleTooLarge}
+		return &verdict{status: http.StatusRequestEntityTooLarge, rule: RuleBodyTooLarge}
 	}
 	if err != nil {
-		return &verdict{status: http.StatusBadRequest, rule: RuleBody}
+		return &verdict{status: http.StatusBadRequest, rule: RuleBodyUnreadable}
 	}
 	c.body = b
 	return nil
@@ -196,8 +196,8 @@
 	if !ok {
 		return choice, e.unplaceable(r, now)
 	}
-	rank := routing.Rank(c.route, c.workspace)
-	if !e.off.On(mechanism.Rank) {
+	rank := routing.Priority(c.route, c.workspace)
+	if !e.mechanisms.On(mechanism.Rank) {
 		rank = 0
 	}
 	if ok, wait := placement.Admit(choice, r, rank, rand.Float64()); !ok {
@@ -206,24 +206,24 @@
 	if v := e.charge(c, now); v != nil {
 		return choice, v
 	}
-	s.placer.Sent(choice.Server.ID, r, now)
+	s.placer.RecordSent(choice.Server.ID, r, now)
 	return choice, nil
 }
 
 // unplaceable is the refusal of a request that no server may get.
 func (e *Edge) unplaceable(r placement.Request, now time.Duration) *verdict {
 	v := &verdict{http.StatusServiceUnavailable, RuleNoServer, comeBackSoon}
-	obstacle, wait := e.state.placer.Obstacle(r, now)
+	obstacle, wait := e.state.placer.ExclusionReason(r, now)
 	switch obstacle {
-	case placement.Outside:
-		v.rule = RuleOutside
+	case placement.RegionNotAllowed:
+		v.rule = RuleNoServerInRegions
 	case placement.Evacuated:
-		v.rule = RuleEvacuated
-	case placement.Limited:
-		v.rule, v.retryAfter = RuleLimited, untilShare(wait)
+		v.rule = RuleServersEvacuated
+	case placement.RateLimited:
+		v.rule, v.retryAfter = RuleServersAtLimit, untilShare(wait)
 	case placement.Cold:
-		v.rule, v.retryAfter = RuleCold, untilShare(wait)
-	case placement.NoObstacle, placement.Draining:
+		v.rule, v.retryAfter = RuleServersCold, untilShare(wait)
+	case placement.NotExcluded, placement.DrainingOrTried:
 	}
 	return v
 }
@@ -235,20 +235,20 @@
 }
 
 func (e *Edge) wanted(c *call, tried []string, now time.Duration) placement.Request {
-	stats := e.statsOf(c.route)
+	stats := e.routeStatsFor(c.route)
 	repeatable := c.route.Kind.Repeatable()
-	allowed, _ := e.topology.Allowed(c.route, c.workspace)
+	allowed, _ := e.topology.AllowedDataCentres(c.route, c.workspace)
 	return placement.Request{
-		Service:      c.service,
-		Repeatable:   repeatable,
-		RoomToRepeat: repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
-		Aim:          c.route.Aim - (now - c.start),
-		Left:         c.deadline - now,
-		Work:         stats.work,
-		KB:           stats.kb,
-		DataCentre:   e.settings.DataCentre,
-		Tried:        tried,
-		Allowed:      allowed,
+		Service:            c.service,
+		Retryable:          repeatable,
+		RetryBudgetAmple:   repeatable && c.route.MaxAttempts > 1 && e.roomToRepeat(c.service),
+		LatencyTarget:      c.route.LatencyTarget - (now - c.start),
+		Remaining:          c.deadline - now,
+		ServiceTime:        stats.work,
+		SizeKB:             stats.kb,
+		DataCentre:         e.settings.DataCentre,
+		TriedServers:       tried,
+		AllowedDataCentres: allowed,
 	}
 }
 
@@ -266,19 +266,19 @@
 	return nil
 }
 
-func (e *Edge) statsOf(r *routing.Route) *routeStats {
+func (e *Edge) routeStatsFor(r *routing.Route) *routeStats {
 	st, ok := e.state.routes[r.Name]
 	if !ok {
-		st = &routeStats{work: time.Duration(firstWork * float64(r.Aim)), kb: firstKB}
+		st = &routeStats{work: time.Duration(firstWork * float64(r.LatencyTarget)), kb: firstKB}
 		e.state.routes[r.Name] = st
 	}
 	return st
 }
 
-// learnRoute takes in the time and size of an answered request. A request that
+// updateRouteStats takes in the time and size of an answered request. A request that
 // had to wait for a slot tells nothing of its work.
-func (e *Edge) learnRoute(c *call, took time.Duration, bytes int) {
-	st := e.statsOf(c.route)
+func (e *Edge) updateRouteStats(c *call, took time.Duration, bytes int) {
+	st := e.routeStatsFor(c.route)
 	if took > 0 {
 		st.work += time.Duration(routeSmoothing * float64(took-st.work))
 	}
--- a/edge/era.go
+++ b/edge/era.go
@@ -38,13 +38,13 @@
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
 	age := e.configAge(now)
-	s.clock.Restart()
+	s.clock.Reset()
 	s.configProof = stamp - age
-	s.era, s.eraSince = era, stamp
+	s.era, s.eraStart = era, stamp
 	// Entries first written after the backup was taken are missing.
 	s.outageEnd = now
-	s.restoredUntil = now + discovery.Grace
-	s.nextListed = 0
+	s.restoredUntil = now + discovery.RemovalGracePeriod
+	s.nextInstancesRead = 0
 	for i := range s.recent {
 		s.recent[i].Reset()
 	}
@@ -54,11 +54,11 @@
 // configuration may lack changes that operators still have to write again after
 // a restore.
 func (e *Edge) inConfigRewrite(stamp time.Duration) bool {
-	return e.state.eraSince > 0 && stamp < e.state.eraSince+configRewriteTime
+	return e.state.eraStart > 0 && stamp < e.state.eraStart+configRewriteTime
 }
 
 // isCurrentEra reports whether a copy belongs to the store's current era.
 func (e *Edge) isCurrentEra(t *replica.Table) bool {
-	at, known := t.Point()
+	at, known := t.Position()
 	return known && at.Era == e.state.era
 }
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -36,13 +36,13 @@
 	e := newIdleInstance(t)
 	now := e.now()
 	must.True(t, e.observeStore(1, 100*time.Second, now))
-	_, ok := e.applyAnswer(evidence.Servers, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
+	_, ok := e.applyAnswer(evidence.Servers, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
 	must.True(t, ok)
-	e.applyNotice(evidence.Notice{Table: evidence.Servers, Since: 5, Version: 80, StampUS: 180_000_000}, now)
-	at, _ := e.state.servers.Point()
-	must.Eq(t, replica.Point{Era: 1, Version: 5}, at)
-	must.Eq(t, replica.Point{}, e.state.serversTold)
-	clock, _ := e.state.clock.Store(now)
+	e.applyNotice(evidence.TableUpdate{Table: evidence.Servers, Since: 5, Version: 80, StoreClockUS: 180_000_000}, now)
+	at, _ := e.state.servers.Position()
+	must.Eq(t, replica.Position{Era: 1, Version: 5}, at)
+	must.Eq(t, replica.Position{}, e.state.announcedServers)
+	clock, _ := e.state.clock.Now(now)
 	must.Eq(t, 100*time.Second, clock)
 }
 
@@ -54,16 +54,16 @@
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	_, ok := e.applyAnswer(evidence.Instances, replica.Answer{Version: 3, Whole: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.applyAnswer(evidence.Instances, replica.ReadResult{Version: 3, Full: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	listed := func() bool { return e.state.messenger.Fleet().All()[0x0a000007].Listed }
 	must.True(t, listed())
 	must.True(t, e.observeStore(1, 103*time.Second, now))
-	_, ok = e.applyAnswer(evidence.Instances, replica.Answer{Era: 1, Version: 1, Whole: true}, 0, now)
+	_, ok = e.applyAnswer(evidence.Instances, replica.ReadResult{Era: 1, Version: 1, Full: true}, 0, now)
 	must.True(t, ok)
 	must.True(t, listed())
-	removed := replica.Answer{Era: 1, Version: 2, Rows: []replica.Row{{Key: "10.0.0.7", Gone: true, Version: 2}}}
-	e.state.instances.Note(row)
+	removed := replica.ReadResult{Era: 1, Version: 2, Rows: []replica.Row{{Key: "10.0.0.7", Gone: true, Version: 2}}}
+	e.state.instances.ApplyOwnWrite(row)
 	_, ok = e.applyAnswer(evidence.Instances, removed, 1, now)
 	must.True(t, ok)
 	must.False(t, listed())
@@ -82,7 +82,7 @@
 	take := func(era uint64, row replica.Row) {
 		t.Helper()
 		must.True(t, e.observeStore(era, 100*time.Second, now))
-		a := replica.Answer{Era: era, Version: row.Version, Whole: true, Rows: []replica.Row{row}}
+		a := replica.ReadResult{Era: era, Version: row.Version, Full: true, Rows: []replica.Row{row}}
 		_, ok := e.applyAnswer(evidence.Config, a, 0, now)
 		must.True(t, ok)
 	}
@@ -91,7 +91,7 @@
 	must.Eq(t, 31, e.state.table.Version)
 	newInstance.applySnapshot(e.snapshot(now), now)
 	must.Eq(t, 31, newInstance.state.table.Version)
-	must.Eq(t, replica.Point{Era: 1, Version: 20}, newInstance.configRowPoint())
+	must.Eq(t, replica.Position{Era: 1, Version: 20}, newInstance.configRowPoint())
 }
 
 // The store is restored from a backup older than the first configuration.
@@ -102,13 +102,13 @@
 	now := e.now()
 	row := configRow("0000001f", 30)
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	_, ok := e.applyAnswer(evidence.Config, replica.Answer{Version: 30, Whole: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.applyAnswer(evidence.Config, replica.ReadResult{Version: 30, Full: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	must.True(t, e.observeStore(1, 100*time.Second, now))
-	_, ok = e.applyAnswer(evidence.Config, replica.Answer{Era: 1, Version: 5, Whole: true}, 0, now)
+	_, ok = e.applyAnswer(evidence.Config, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
 	must.True(t, ok)
 	now += 2 * configRewriteTime
-	e.applyNotice(evidence.Notice{Table: evidence.Config, Era: 1, Version: 5, StampUS: 102_000_000}, now)
+	e.applyNotice(evidence.TableUpdate{Table: evidence.Config, Era: 1, Version: 5, StoreClockUS: 102_000_000}, now)
 	must.True(t, e.hasAnnouncedConfig())
 	must.Eq(t, 0, e.configAge(now))
 	must.Eq(t, 31, e.state.table.Version)
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -26,7 +26,7 @@
 // applyEvacuationRows applies the evacuations in the local copy of the
 // configuration table.
 func (e *Edge) applyEvacuationRows(now time.Duration) {
-	at, known := e.state.config.Point()
+	at, known := e.state.config.Position()
 	if known {
 		e.setEvacuations(at, evacuatedDataCentres(e.evacuationRows()), now)
 	}
@@ -35,7 +35,7 @@
 // applyNoticeEvacuations applies the evacuations of a notice, whether or not
 // this instance has the configuration of that version. It returns the rows that
 // bring the local copy to the same state.
-func (e *Edge) applyNoticeEvacuations(n evidence.Notice, rows []evidence.Row, now time.Duration) []evidence.Row {
+func (e *Edge) applyNoticeEvacuations(n evidence.TableUpdate, rows []evidence.Row, now time.Duration) []evidence.Row {
 	listed := make(map[string]bool, len(rows))
 	var dataCentres []string
 	for _, r := range rows {
@@ -44,10 +44,10 @@
 			listed[r.Key] = true
 		}
 	}
-	e.setEvacuations(replica.Point{Era: n.Era, Version: n.Version}, dataCentres, now)
+	e.setEvacuations(replica.Position{Era: n.Era, Version: n.Version}, dataCentres, now)
 	for _, r := range e.evacuationRows() {
 		if !listed[r.Key] {
-			rows = append(rows, evidence.Row{Key: r.Key, Gone: true})
+			rows = append(rows, evidence.Row{Key: r.Key, Deleted: true})
 		}
 	}
 	return rows
@@ -55,7 +55,7 @@
 
 // setEvacuations replaces the set of evacuated data centres. After a restore of the
 // store the earlier ones are kept for a while: the store may have lost them.
-func (e *Edge) setEvacuations(at replica.Point, dataCentres []string, now time.Duration) {
+func (e *Edge) setEvacuations(at replica.Position, dataCentres []string, now time.Duration) {
 	s := &e.state
 	if now < s.restoredUntil {
 		dataCentres = append(dataCentres, s.evacuations.List()...)
@@ -64,7 +64,7 @@
 	if len(begun) == 0 && len(ended) == 0 {
 		return
 	}
-	s.placer.Evacuate(begun, ended, now)
+	s.placer.UpdateEvacuations(begun, ended, now)
 	for _, dc := range begun {
 		event.EvacuationBegan.Log(e.log, slog.String("evacuated", dc), slog.Uint64("table_version", at.Version))
 	}
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -32,13 +32,13 @@
 // newer one.
 func (e *Edge) fetchConfig(ctx context.Context) error {
 	select {
-	case <-e.joined:
+	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for {
 		select {
-		case <-e.fetches:
+		case <-e.fetchNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -79,17 +79,17 @@
 func (e *Edge) hasAnnouncedConfig() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, known := e.state.config.Point()
-	return known && !e.configRowPoint().Before(e.state.configTold)
+	_, known := e.state.config.Position()
+	return known && !e.configRowPoint().Before(e.state.announcedConfig)
 }
 
 // configRowPoint returns the era and version of the configuration row in the
 // local copy.
-func (e *Edge) configRowPoint() replica.Point {
-	at, _ := e.state.config.Point()
+func (e *Edge) configRowPoint() replica.Position {
+	at, _ := e.state.config.Position()
 	// A backup of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
-	return replica.Point{Era: at.Era, Version: row.Version}
+	return replica.Position{Era: at.Era, Version: row.Version}
 }
 
 // hasAnnouncedServers reports whether this instance has the newest list of
@@ -97,8 +97,8 @@
 func (e *Edge) hasAnnouncedServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, known := e.state.servers.Point()
-	return known && !at.Before(e.state.serversTold)
+	at, known := e.state.servers.Position()
+	return known && !at.Before(e.state.announcedServers)
 }
 
 // readers returns the instances of this data centre that read the store for the
@@ -111,13 +111,13 @@
 		}
 	}
 	slices.SortFunc(members, func(a, b relay.Member) int {
-		if a.Slow != b.Slow {
-			if b.Slow {
+		if a.SlowLink != b.SlowLink {
+			if b.SlowLink {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(relay.Mix(a.ID), relay.Mix(b.ID))
+		return cmp.Compare(relay.Hash(a.ID), relay.Hash(b.ID))
 	})
 	var ids []uint32
 	for _, m := range members[:min(len(members), readersPerDataCentre)] {
@@ -144,13 +144,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.observeStore(p.answer.Era, p.answer.Stamp, now) {
+	if !e.observeStore(p.answer.Era, p.answer.StoreTime, now) {
 		return false
 	}
 	if _, ok := e.applyAnswer(p.table, p.answer, p.since, now); !ok {
 		return false
 	}
-	e.recordProof(p.table, p.answer.Stamp, now)
+	e.recordProof(p.table, p.answer.StoreTime, now)
 	return true
 }
 
--- a/edge/internal_test.go
+++ b/edge/internal_test.go
@@ -24,10 +24,10 @@
 	e := &Edge{self: 1}
 	e.state.messenger = fleet.NewMessenger(fleet.Settings{Self: e.selfMember()})
 	others := e.state.messenger.Fleet()
-	others.Meet(2, time.Second).Listed = true
-	alive, _ := others.Touch(3, time.Second)
+	others.GetOrAdd(2, time.Second).Listed = true
+	alive, _ := others.MarkAlive(3, time.Second)
 	alive.Listed = true
-	others.Meet(4, time.Second)
+	others.GetOrAdd(4, time.Second)
 	must.Len(t, 0, e.goneInstanceRows(time.Minute))
 	rows := e.goneInstanceRows(time.Second + removeInstanceAfter + 1)
 	must.Len(t, 1, rows)
@@ -45,9 +45,9 @@
 	s.servers = replica.NewTable()
 	s.table = routing.NewTable(routing.Config{})
 	s.clock.Observe(time.Second, e.now())
-	s.configProof, s.proved = time.Second, true
+	s.configProof, s.configProved = time.Second, true
 	must.False(t, e.readyLocked())
-	s.servers.Apply(replica.Answer{Whole: true, Version: 1}, 0)
+	s.servers.Apply(replica.ReadResult{Full: true, Version: 1}, 0)
 	must.True(t, e.readyLocked())
 }
 
@@ -58,7 +58,7 @@
 func TestRestartWithinASecondIsDetected(t *testing.T) {
 	var m fleet.Instance
 	for _, sequence := range []uint32{100, 1} {
-		fresh, restarted := m.Fresh(newEpoch(), sequence)
+		fresh, restarted := m.MarkSeen(newEpoch(), sequence)
 		must.True(t, fresh)
 		must.True(t, restarted)
 	}
@@ -67,8 +67,8 @@
 // An instance that has just started has no proof of freshness. Log lines must
 // omit the age; a placeholder number would read as an age of a hundred years.
 func TestUnknownAgesAreOmittedFromLogs(t *testing.T) {
-	must.True(t, ageOf((&freshness.Poll{}).Age(time.Minute)).Equal(slog.Attr{}))
-	must.True(t, ageOf(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
+	must.True(t, ageAttr((&freshness.PollSchedule{}).Age(time.Minute)).Equal(slog.Attr{}))
+	must.True(t, ageAttr(2*time.Second).Equal(slog.Int64("age_ms", 2000)))
 }
 
 // A route's timeout is shorter than its work, so servers report a failure at
@@ -89,21 +89,21 @@
 	e := &Edge{self: 1}
 	e.state.placer, e.state.throttle = placement.New(), throttle.NewLimiter(1)
 	milli := uint32(2500)
-	e.applyLimit(evidence.Attempt{Server: 9, Ended: true, LimitMilli: &milli}, 10*time.Second)
+	e.applyPeerLimit(evidence.Attempt{Server: 9, Ended: true, LimitMilli: &milli}, 10*time.Second)
 	limit, limited := e.state.throttle.Limit(9)
 	must.True(t, limited)
 	must.Eq(t, 2.5, limit)
 	for _, a := range []evidence.Attempt{
-		{Server: 9, Ended: true, TookMS: 300},
-		{Server: 9, Ended: true, TookMS: 3000},
-		{Server: 9, Ended: true, Result: health.Incomplete, TookMS: 10},
+		{Server: 9, Ended: true, LatencyMS: 300},
+		{Server: 9, Ended: true, LatencyMS: 3000},
+		{Server: 9, Ended: true, Result: health.Incomplete, LatencyMS: 10},
 		{Server: 9, Ended: true},
 	} {
-		e.applyLimit(a, 11*time.Second)
+		e.applyPeerLimit(a, 11*time.Second)
 		_, limited = e.state.throttle.Limit(9)
 		must.True(t, limited)
 	}
-	e.applyLimit(evidence.Attempt{Server: 9, Ended: true, TookMS: 300}, 12*time.Second)
+	e.applyPeerLimit(evidence.Attempt{Server: 9, Ended: true, LatencyMS: 300}, 12*time.Second)
 	_, limited = e.state.throttle.Limit(9)
 	must.False(t, limited)
 }
@@ -115,7 +115,7 @@
 	source, newInstance := newIdleInstance(t), newIdleInstance(t)
 	now := source.now()
 	source.state.clock.Observe(100*time.Second, now)
-	source.state.config.Apply(replica.Answer{Version: 5, Whole: true}, 0)
+	source.state.config.Apply(replica.ReadResult{Version: 5, Full: true}, 0)
 	source.recordProof(evidence.Config, 100*time.Second, now)
 	now += 3 * time.Second
 	newInstance.applySnapshot(source.snapshot(now), now)
--- a/edge/join.go
+++ b/edge/join.go
@@ -30,7 +30,7 @@
 // waitForPeerState waits until a peer has supplied the configuration and
 // servers, or until this instance may read the store itself.
 func (e *Edge) waitForPeerState(ctx context.Context) {
-	defer close(e.joined)
+	defer close(e.storeReadable)
 	start := e.now()
 	spread := rand.Float64()
 	for !e.hasConfigAndServers() && e.now()-start < e.joinTimeout(spread) {
--- a/edge/members.go
+++ b/edge/members.go
@@ -26,7 +26,7 @@
 
 // selfMember describes this instance to the others.
 func (e *Edge) selfMember() relay.Member {
-	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, Slow: e.hasSlowLink()}
+	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, SlowLink: e.hasSlowLink()}
 }
 
 // newUsageCounters returns counters that admit nothing until updateRateShare is
@@ -34,7 +34,7 @@
 // would claim the whole of every rate.
 func newUsageCounters() *usage.Counters {
 	c := usage.NewCounters()
-	c.Share, c.Fresh = 0, 0
+	c.RateShare, c.StartupShare = 0, 0
 	return c
 }
 
@@ -44,7 +44,7 @@
 func (e *Edge) updateRateShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
-		e.state.usage.Share, e.state.usage.Fresh = fleet.Heard(), fleet.Fresh()
+		e.state.usage.RateShare, e.state.usage.StartupShare = fleet.AliveShare(), fleet.AliveSinceStartShare()
 	}
 }
 
@@ -57,7 +57,7 @@
 			event.EntryIgnored.Log(e.log, slog.String("seed", seed))
 			continue
 		}
-		ids = append(ids, number(a.Addr()))
+		ids = append(ids, ipv4Number(a.Addr()))
 	}
 	return ids
 }
@@ -65,7 +65,7 @@
 // handlePeersReturned handles instances that are heard again.
 func (e *Edge) handlePeersReturned(returned []*fleet.Instance) {
 	for _, m := range returned {
-		event.PeerHeard.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()))
+		event.PeerHeard.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()))
 	}
 	if len(returned) > 0 {
 		e.updateRateShare()
@@ -77,13 +77,13 @@
 func (e *Edge) handlePeersSilent(silent []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
 	for _, m := range silent {
-		s.usage.Forget(m.ID)
-		s.placer.Forget(m.ID)
-		event.PeerSilent.Log(e.log, slog.String("peer", address(m.ID, 0).Addr().String()),
-			slog.Duration("silence", now-m.Heard))
+		s.usage.ForgetInstance(m.ID)
+		s.placer.RemoveInstance(m.ID)
+		event.PeerSilent.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
+			slog.Duration("silence", now-m.LastHeard))
 	}
 	if float64(len(silent)) > massSilenceShare*float64(all) {
-		s.placer.Disturbed(now)
+		s.placer.RecordInstanceLoss(now)
 	}
 	e.updateRateShare()
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -21,12 +21,12 @@
 // metrics of one instance. No label is a workspace or a server: thousands of
 // them would be as many series. How single ones fare is in the logs.
 type metrics struct {
-	registry    *prometheus.Registry
-	requests    *prometheus.CounterVec
-	took        *prometheus.HistogramVec
-	attempts    *prometheus.CounterVec
-	datagrams   prometheus.Counter
-	datagramsIn prometheus.Counter
+	registry          *prometheus.Registry
+	requests          *prometheus.CounterVec
+	took              *prometheus.HistogramVec
+	attempts          *prometheus.CounterVec
+	datagrams         prometheus.Counter
+	datagramsReceived prometheus.Counter
 }
 
 func newMetrics(e *Edge) *metrics {
@@ -45,11 +45,11 @@
 		datagrams: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "datagrams_total", Help: "Datagrams written to other instances.",
 		}),
-		datagramsIn: prometheus.NewCounter(prometheus.CounterOpts{
+		datagramsReceived: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "datagrams_received_total", Help: "Datagrams read from other instances.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsIn)
+	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsReceived)
 	m.gauge("rounds_total", "Rounds sent to listeners and other relays.", e.locked(func() float64 {
 		return float64(e.state.messenger.Hub().Rounds())
 	}))
@@ -57,7 +57,7 @@
 		return float64(e.state.messenger.Hub().Subscribers())
 	}))
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
-	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.Opened()) })
+	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.ConnectionsOpened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
 		return float64(e.budget.LeftOut() + e.lines.Dropped())
 	})
@@ -71,12 +71,12 @@
 		return float64(e.state.table.Version)
 	}))
 	m.gauge("rate_share", "Part of the workspaces' rates that this instance may count on.", e.locked(func() float64 {
-		return e.state.usage.Share
+		return e.state.usage.RateShare
 	}))
-	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.list.Len()) }))
+	m.gauge("servers", "Backend servers in the list.", e.locked(func() float64 { return float64(e.state.serverList.Len()) }))
 	m.gauge("suspect_servers", "Backend servers that more likely fail than not.", e.locked(func() float64 {
 		n := 0
-		for _, v := range e.state.placer.Views(e.now()) {
+		for _, v := range e.state.placer.ServerStatuses(e.now()) {
 			if v.Risk > suspectRisk {
 				n++
 			}
@@ -84,7 +84,7 @@
 		return float64(n)
 	}))
 	m.gauge("limited_servers", "Backend servers that name a limit in their answers.", e.locked(func() float64 {
-		return float64(e.state.throttle.Limited())
+		return float64(e.state.throttle.LimitedServers())
 	}))
 	m.gauge("instances_alive", "Other instances that are heard.", e.locked(func() float64 {
 		n := 0
--- a/edge/notices.go
+++ b/edge/notices.go
@@ -28,54 +28,54 @@
 
 // publishNotices sends each notice with rows in a message of its own and all
 // others in one message.
-func (e *Edge) publishNotices(notices []evidence.Notice) {
-	var withoutRows []evidence.Notice
+func (e *Edge) publishNotices(notices []evidence.TableUpdate) {
+	var withoutRows []evidence.TableUpdate
 	for _, n := range notices {
 		if len(n.Packed) > 0 {
-			e.publish(evidence.Message{Notices: []evidence.Notice{n}}, false)
+			e.publish(evidence.Message{TableUpdates: []evidence.TableUpdate{n}}, false)
 		} else {
 			withoutRows = append(withoutRows, n)
 		}
 	}
 	if len(withoutRows) > 0 {
-		e.publish(evidence.Message{Notices: withoutRows}, false)
+		e.publish(evidence.Message{TableUpdates: withoutRows}, false)
 	}
 }
 
 // noticesFor returns the notices that forward an answer to the other instances.
 // They contain changed rows, not mere renewals.
-func (e *Edge) noticesFor(p readResult, changed []replica.Row) []evidence.Notice {
+func (e *Edge) noticesFor(p readResult, changed []replica.Row) []evidence.TableUpdate {
 	s := &e.state
-	n := evidence.Notice{
-		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StampUS: p.answer.Stamp.Microseconds(),
+	n := evidence.TableUpdate{
+		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StoreClockUS: p.answer.StoreTime.Microseconds(),
 	}
 	if p.table == evidence.Config {
-		n.Changed = e.configRowPoint().Version
+		n.LatestRowVersion = e.configRowPoint().Version
 		return e.noticesWithEvacuations(n)
 	}
 	recent := &s.recent[p.table]
-	if p.answer.Whole {
+	if p.answer.Full {
 		// A full read doesn't name rows that were removed before it.
 		recent.Reset()
 		n.Since = p.answer.Version
-		return []evidence.Notice{n}
+		return []evidence.TableUpdate{n}
 	}
 	recent.Add(p.since, p.answer.Version, changed)
-	parts := recent.Parts(p.answer.Version, maxNoticeRowBytes)
+	parts := recent.Batches(p.answer.Version, maxNoticeRowBytes)
 	all, err := packNotices(n, parts)
 	if err != nil || len(parts) > maxNoticeParts {
 		// The other instances detect the gap and read the table.
 		recent.Reset()
 		n.Since = p.answer.Version
-		return []evidence.Notice{n}
+		return []evidence.TableUpdate{n}
 	}
 	return all
 }
 
 // noticesWithEvacuations adds the rows that evacuate data centres to a notice
 // of the configuration table.
-func (e *Edge) noticesWithEvacuations(n evidence.Notice) []evidence.Notice {
-	parts := []replica.Part{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
+func (e *Edge) noticesWithEvacuations(n evidence.TableUpdate) []evidence.TableUpdate {
+	parts := []replica.ChangeBatch{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
 	all, err := packNotices(n, parts)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
@@ -85,13 +85,13 @@
 }
 
 // packNotices returns one notice with compressed rows for each part.
-func packNotices(n evidence.Notice, parts []replica.Part) ([]evidence.Notice, error) {
-	var all []evidence.Notice
+func packNotices(n evidence.TableUpdate, parts []replica.ChangeBatch) ([]evidence.TableUpdate, error) {
+	var all []evidence.TableUpdate
 	for i, part := range parts {
 		n.Since, n.Version, n.More = part.Since, part.Version, i < len(parts)-1
 		rows := make([]evidence.Row, 0, len(part.Rows))
 		for _, r := range part.Rows {
-			rows = append(rows, evidence.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
+			rows = append(rows, evidence.Row{Key: r.Key, Value: r.Value, Deleted: r.Gone, Version: r.Version})
 		}
 		var err error
 		if n.Packed, err = evidence.Pack(rows); err != nil {
@@ -103,21 +103,21 @@
 }
 
 // applyNotice applies what another instance has read from the store.
-func (e *Edge) applyNotice(n evidence.Notice, now time.Duration) {
+func (e *Edge) applyNotice(n evidence.TableUpdate, now time.Duration) {
 	s := &e.state
-	if n.StampUS == 0 {
-		s.poll.Attempted(now)
+	if n.StoreClockUS == 0 {
+		s.poll.ObserveAttempt(now)
 		return
 	}
-	if !e.observeStore(n.Era, n.Stamp(), now) {
+	if !e.observeStore(n.Era, n.StoreClock(), now) {
 		return
 	}
 	version, _ := e.replicaOf(n.Table).Version()
 	complete := e.isCurrentEra(e.replicaOf(n.Table)) && version >= n.Since
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
-		changed := replica.Point{Era: n.Era, Version: n.Changed}
-		s.configTold = laterPoint(s.configTold, changed)
+		changed := replica.Position{Era: n.Era, Version: n.LatestRowVersion}
+		s.announcedConfig = laterPoint(s.announcedConfig, changed)
 		complete = e.isCurrentEra(s.config) && !e.configRowPoint().Before(changed)
 		n.Since = version
 		if err == nil {
@@ -125,7 +125,7 @@
 		}
 	}
 	if n.Table == evidence.Servers {
-		s.serversTold = laterPoint(s.serversTold, replica.Point{Era: n.Era, Version: n.Version})
+		s.announcedServers = laterPoint(s.announcedServers, replica.Position{Era: n.Era, Version: n.Version})
 	}
 	if !complete {
 		e.scheduleCatchUp(n.Table, now)
@@ -136,11 +136,11 @@
 		e.scheduleCatchUp(n.Table, now)
 		return
 	}
-	a := replica.Answer{Era: n.Era, Version: n.Version, Stamp: n.Stamp()}
+	a := replica.ReadResult{Era: n.Era, Version: n.Version, StoreTime: n.StoreClock()}
 	for _, r := range rows {
-		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Gone, Version: r.Version})
+		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Deleted, Version: r.Version})
 	}
-	e.recordOutageEnd(n.Table, n.Stamp(), now)
+	e.recordOutageEnd(n.Table, n.StoreClock(), now)
 	changed, _ := e.applyAnswer(n.Table, a, n.Since, now)
 	if n.Version > version && n.Table != evidence.Config {
 		s.recent[n.Table].Add(version, n.Version, changed)
@@ -148,13 +148,13 @@
 	if n.More {
 		return
 	}
-	e.recordProof(n.Table, n.Stamp(), now)
+	e.recordProof(n.Table, n.StoreClock(), now)
 	switch n.Table {
 	case evidence.Servers:
-		s.gapEnds = 0
+		s.missedServersDue = 0
 		s.poll.Yield()
 	case evidence.Instances:
-		s.nextListed = now + instancesReadInterval
+		s.nextInstancesRead = now + instancesReadInterval
 	}
 }
 
@@ -163,15 +163,15 @@
 func (e *Edge) scheduleCatchUp(t evidence.Table, now time.Duration) {
 	switch t {
 	case evidence.Config:
-		wake(e.fetches)
+		wake(e.fetchNow)
 	case evidence.Servers:
-		if e.state.gapEnds > 0 {
+		if e.state.missedServersDue > 0 {
 			return
 		}
-		e.state.gapEnds = now + e.gapDelay()
-		wake(e.kicked)
+		e.state.missedServersDue = now + e.gapDelay()
+		wake(e.pollNow)
 	case evidence.Instances:
-		e.state.nextListed = 0
+		e.state.nextInstancesRead = 0
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 }
 
-func laterPoint(a, b replica.Point) replica.Point {
+func laterPoint(a, b replica.Position) replica.Position {
 	if a.Before(b) {
 		return b
 	}
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -33,16 +33,16 @@
 
 // pollAndNotify applies a table's answer to the polling instance and its
 // notices to the other one.
-func pollAndNotify(asker, other *Edge, a replica.Answer, at time.Duration) {
+func pollAndNotify(asker, other *Edge, a replica.ReadResult, at time.Duration) {
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
 	p := readResult{table: evidence.Servers, since: since, answer: a}
-	asker.observeStore(a.Era, a.Stamp, at)
-	asker.recordOutageEnd(p.table, a.Stamp, at)
+	asker.observeStore(a.Era, a.StoreTime, at)
+	asker.recordOutageEnd(p.table, a.StoreTime, at)
 	told, _ := asker.applyAnswer(p.table, a, since, at)
 	notices := asker.noticesFor(p, told)
-	asker.recordProof(p.table, a.Stamp, at)
+	asker.recordProof(p.table, a.StoreTime, at)
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	for _, n := range notices {
@@ -68,16 +68,16 @@
 	one, two := newIdleInstance(t), newIdleInstance(t)
 	hasServer := func(e *Edge) bool {
 		e.expireServers(e.now())
-		_, known := e.state.list.Get("i-1")
+		_, known := e.state.serverList.Get("i-1")
 		return known
 	}
 	at := one.now()
 	stamp := 100 * time.Second
-	answer := func(version uint64, rows ...replica.Row) replica.Answer {
-		return replica.Answer{Version: version, Stamp: stamp, Rows: rows}
+	answer := func(version uint64, rows ...replica.Row) replica.ReadResult {
+		return replica.ReadResult{Version: version, StoreTime: stamp, Rows: rows}
 	}
 	whole := answer(10, serverRow(t, "i-1", 10))
-	whole.Whole = true
+	whole.Full = true
 	pollAndNotify(one, two, whole, at)
 	pollAndNotify(two, one, whole, at)
 	must.True(t, hasServer(one) && hasServer(two))
@@ -90,7 +90,7 @@
 	stamp += 500 * time.Millisecond
 	pollAndNotify(one, two, answer(12, serverRow(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
-		for _, c := range e.state.list.Expire(at + discovery.Grace) {
+		for _, c := range e.state.serverList.Expire(at + discovery.RemovalGracePeriod) {
 			t.Errorf("%s was dropped although its entry has reappeared", c.Server.ID)
 		}
 		must.Len(t, 1, e.state.servers.Rows())
@@ -101,7 +101,7 @@
 	stamp += time.Second
 	pollAndNotify(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
 	for _, e := range []*Edge{one, two} {
-		_, known := e.state.list.Get("i-1")
+		_, known := e.state.serverList.Get("i-1")
 		must.False(t, known)
 		_, known = e.state.placer.Choose(placement.Request{Service: "s"}, at, func() float64 { return 0 })
 		must.False(t, known)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -52,9 +52,9 @@
 
 // logRelayChange logs a change of the relay that this instance sends to.
 func (e *Edge) logRelayChange(before uint32, now time.Duration) {
-	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, quietShare) {
-		event.RelayChanged.Log(e.log, slog.String("before", address(before, 0).Addr().String()),
-			slog.String("relay", address(after, 0).Addr().String()))
+	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, routineLogShare) {
+		event.RelayChanged.Log(e.log, slog.String("before", addrPort(before, 0).Addr().String()),
+			slog.String("relay", addrPort(after, 0).Addr().String()))
 	}
 }
 
@@ -66,21 +66,21 @@
 	for ; due <= now; due = s.messenger.Due() {
 		e.send(s.messenger.Step(now))
 	}
-	if s.roundsAt != 0 && s.roundsAt <= due {
+	if s.roundDue != 0 && s.roundDue <= due {
 		return
 	}
-	s.roundsAt = due
-	if s.rounds == nil {
-		s.rounds = time.AfterFunc(due-now, e.onRoundTimer)
+	s.roundDue = due
+	if s.roundTimer == nil {
+		s.roundTimer = time.AfterFunc(due-now, e.onRoundTimer)
 		return
 	}
-	s.rounds.Reset(due - now)
+	s.roundTimer.Reset(due - now)
 }
 
 func (e *Edge) onRoundTimer() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.roundsAt = 0
+	e.state.roundDue = 0
 	e.runDueRounds(e.now())
 }
 
@@ -99,7 +99,7 @@
 		d := &datagrams[i]
 		b := d.Encode()
 		for _, id := range d.To {
-			_, _ = e.socket.WriteToUDPAddrPort(b, address(id, e.peerPort))
+			_, _ = e.socket.WriteToUDPAddrPort(b, addrPort(id, e.peerPort))
 			e.metrics.datagrams.Inc()
 		}
 	}
@@ -107,7 +107,7 @@
 
 // sendHeartbeats sends heartbeats and runs the time-driven checks.
 func (e *Edge) sendHeartbeats(ctx context.Context) error {
-	ticker := time.NewTicker(fleet.PulseEvery)
+	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
@@ -124,7 +124,7 @@
 func (e *Edge) heartbeat(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
-	silent, datagrams, err := s.messenger.Pulse(now)
+	silent, datagrams, err := s.messenger.Tick(now)
 	e.handlePeersSilent(silent, all, now)
 	e.sendOrLog(datagrams, err)
 	e.runDueRounds(now)
@@ -132,7 +132,7 @@
 	e.announceIfChanged(now)
 	e.expireServers(now)
 	e.logStoreAvailability(now)
-	e.noteLeftOut(now)
+	e.logDroppedLines(now)
 }
 
 // receiveDatagrams receives datagrams from peers until ctx ends.
@@ -148,7 +148,7 @@
 		if err != nil {
 			return errors.Wrap(err, "receiving datagrams")
 		}
-		e.metrics.datagramsIn.Inc()
+		e.metrics.datagramsReceived.Inc()
 		e.handleDatagram(from, b[:n])
 	}
 }
@@ -158,38 +158,38 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	t, err := e.state.messenger.Take(number(from.Addr()), b, now)
-	if err != nil && e.budget.Take(now, quietShare) {
+	t, err := e.state.messenger.Receive(ipv4Number(from.Addr()), b, now)
+	if err != nil && e.budget.Take(now, routineLogShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
-	e.handlePeersReturned(t.Returned)
-	for i := range t.Received {
-		e.applyMessage(&t.Received[i], now)
+	e.handlePeersReturned(t.NewlyAlive)
+	for i := range t.Messages {
+		e.applyMessage(&t.Messages[i], now)
 	}
-	e.send(t.Send)
+	e.send(t.Outgoing)
 	e.runDueRounds(now)
 }
 
 // applyMessage applies one message of another instance.
-func (e *Edge) applyMessage(m *fleet.Received, now time.Duration) {
+func (e *Edge) applyMessage(m *fleet.ReceivedMessage, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
-		s.placer.Forget(m.Source)
+		s.placer.RemoveInstance(m.Source)
 	}
 	for _, u := range m.Usage {
-		s.usage.Heard(usage.Word{
-			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, FromStart: m.From.FromStart,
+		s.usage.ApplyReport(usage.Report{
+			Instance: m.Source, Epoch: m.Epoch, Workspace: u.Workspace, Count: u.Count, ReceivedSinceStart: m.From.AliveSinceStart,
 		}, now)
 	}
 	for _, a := range m.Attempts {
 		e.applyAttempt(m.Source, a, m.Latest, now)
 	}
 	for _, service := range m.Refused {
-		s.placer.RefusedAt(service, now)
+		s.placer.RecordRefusal(service, now)
 	}
-	for _, n := range m.Notices {
-		if n.StampUS != 0 {
-			s.reader = m.Source
+	for _, n := range m.TableUpdates {
+		if n.StoreClockUS != 0 {
+			s.lastReader = m.Source
 		}
 		e.applyNotice(n, now)
 	}
@@ -198,19 +198,19 @@
 func (e *Edge) applyAttempt(from uint32, a evidence.Attempt, latest bool, now time.Duration) {
 	s := &e.state
 	if latest {
-		s.placer.Outstanding(a.Server, from, int(a.Outstanding), now)
+		s.placer.SetOutstanding(a.Server, from, int(a.Outstanding), now)
 	}
 	if a.Number > 0 {
-		s.repeatsAt(a.Server, a.Number, now)
+		s.countAttempt(a.Server, a.Number, now)
 	}
 	if a.Ended || a.Result == health.Late {
-		s.placer.Learn(a.Server, a.Result, false, milliseconds(a.TookMS), milliseconds(a.WorkMS), now)
+		s.placer.RecordResult(a.Server, a.Result, false, milliseconds(a.LatencyMS), milliseconds(a.TypicalLatencyMS), now)
 	}
 	if a.Ended {
-		e.applyLimit(a, now)
+		e.applyPeerLimit(a, now)
 	}
-	if a.Final != evidence.NotFinal {
-		s.placer.ServedAt(a.Server, a.Final == evidence.Served, now)
+	if a.RequestOutcome != evidence.RequestPending {
+		s.placer.RecordServerOutcome(a.Server, a.RequestOutcome == evidence.RequestServed, now)
 	}
 }
 
--- a/edge/poll.go
+++ b/edge/poll.go
@@ -47,7 +47,7 @@
 
 // pollStore reads the store whenever it is this instance's turn.
 func (e *Edge) pollStore(ctx context.Context) error {
-	e.joining.Do(func() { e.waitForPeerState(ctx) })
+	e.joinOnce.Do(func() { e.waitForPeerState(ctx) })
 	for {
 		e.mu.Lock()
 		wait := e.pollDelay(e.now())
@@ -60,7 +60,7 @@
 		}
 		select {
 		case <-time.After(wait):
-		case <-e.kicked:
+		case <-e.pollNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -72,8 +72,8 @@
 func (e *Edge) pollDelay(now time.Duration) time.Duration {
 	s := &e.state
 	due := s.poll.Next(e.state.messenger.Rank(), rand.Float64(), now)
-	if s.gapEnds > 0 {
-		due = min(due, s.gapEnds)
+	if s.missedServersDue > 0 {
+		due = min(due, s.missedServersDue)
 	}
 	return due - now
 }
@@ -82,13 +82,13 @@
 // any, from the readers. It reports whether it has them now.
 func (e *Edge) fetchMissedServers(ctx context.Context) bool {
 	e.mu.Lock()
-	hasGap := e.state.gapEnds > 0
+	hasGap := e.state.missedServersDue > 0
 	e.mu.Unlock()
 	if !hasGap || !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasAnnouncedServers) {
 		return false
 	}
 	e.mu.Lock()
-	e.state.gapEnds = 0
+	e.state.missedServersDue = 0
 	e.mu.Unlock()
 	return true
 }
@@ -98,17 +98,17 @@
 	e.mu.Lock()
 	now := e.now()
 	s := &e.state
-	hadGap := s.gapEnds > 0
-	s.gapEnds = 0
-	s.poll.Attempted(now)
+	hadGap := s.missedServersDue > 0
+	s.missedServersDue = 0
+	s.poll.ObserveAttempt(now)
 	tables := []evidence.Table{evidence.Config, evidence.Servers}
-	if now >= s.nextListed {
+	if now >= s.nextInstancesRead {
 		tables = append(tables, evidence.Instances)
 	}
-	if s.poll.Troubled(now) {
+	if s.poll.Overdue(now) {
 		// Makes the other instances delay their polls instead of all polling at
 		// once.
-		e.publish(evidence.Message{Notices: []evidence.Notice{{}}}, false)
+		e.publish(evidence.Message{TableUpdates: []evidence.TableUpdate{{}}}, false)
 	}
 	e.mu.Unlock()
 
@@ -136,7 +136,7 @@
 type readResult struct {
 	table  evidence.Table
 	since  uint64
-	answer replica.Answer
+	answer replica.ReadResult
 	asked  time.Duration
 	err    error
 }
@@ -145,14 +145,14 @@
 // aren't available.
 func (e *Edge) readTable(ctx context.Context, t evidence.Table) readResult {
 	e.mu.Lock()
-	at, known := e.replicaOf(t).Point()
+	at, known := e.replicaOf(t).Position()
 	p := readResult{table: t, since: at.Version, asked: e.now()}
 	e.mu.Unlock()
 	if known {
 		p.answer, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
 		// Versions of different eras can't be compared.
 		otherEra := p.err == nil && p.answer.Era != at.Era
-		if !otherEra && !errors.Is(p.err, replica.ErrHistoryGone) {
+		if !otherEra && !errors.Is(p.err, replica.ErrHistoryCompacted) {
 			return p
 		}
 	}
@@ -165,7 +165,7 @@
 func (e *Edge) applyReadResults(answers []readResult) (allRead bool) {
 	s := &e.state
 	now := e.now()
-	var notices []evidence.Notice
+	var notices []evidence.TableUpdate
 	allRead = true
 	for _, p := range answers {
 		if p.err != nil {
@@ -173,28 +173,28 @@
 			e.logStoreError(p, now)
 			continue
 		}
-		if !e.observeStore(p.answer.Era, p.answer.Stamp, now) {
+		if !e.observeStore(p.answer.Era, p.answer.StoreTime, now) {
 			allRead = false
 			continue
 		}
-		e.recordOutageEnd(p.table, p.answer.Stamp, now)
+		e.recordOutageEnd(p.table, p.answer.StoreTime, now)
 		changed, ok := e.applyAnswer(p.table, p.answer, p.since, now)
 		if !ok {
 			allRead = false
 			continue
 		}
 		notices = append(notices, e.noticesFor(p, changed)...)
-		e.recordProof(p.table, p.answer.Stamp, now)
+		e.recordProof(p.table, p.answer.StoreTime, now)
 		if p.table == evidence.Instances {
-			s.nextListed = now + instancesReadInterval
+			s.nextInstancesRead = now + instancesReadInterval
 		}
 	}
 	if allRead {
-		s.reader = e.self
-		s.poll.Succeeded()
+		s.lastReader = e.self
+		s.poll.OwnCallSucceeded()
 	} else {
-		s.poll.Failed(now)
-		notices = append(notices, evidence.Notice{})
+		s.poll.OwnCallFailed(now)
+		notices = append(notices, evidence.TableUpdate{})
 	}
 	e.updateRateShare()
 	e.publishNotices(notices)
@@ -205,9 +205,9 @@
 // instance or another one received it, and returns the rows to forward to
 // others. It returns false if the local copy lacks changes from before the
 // answer.
-func (e *Edge) applyAnswer(t evidence.Table, a replica.Answer, since uint64, now time.Duration) ([]replica.Row, bool) {
-	e.logStaleAnswer(t, a.Point(), now)
-	before, known := e.replicaOf(t).Point()
+func (e *Edge) applyAnswer(t evidence.Table, a replica.ReadResult, since uint64, now time.Duration) ([]replica.Row, bool) {
+	e.logStaleAnswer(t, a.Position(), now)
+	before, known := e.replicaOf(t).Position()
 	changed, ok := e.replicaOf(t).Apply(a, since)
 	if !ok {
 		return nil, false
@@ -217,9 +217,9 @@
 }
 
 // logStaleAnswer logs an answer that is older than the local copy.
-func (e *Edge) logStaleAnswer(t evidence.Table, at replica.Point, now time.Duration) {
-	known, ok := e.replicaOf(t).Point()
-	if ok && at.Before(known) && e.budget.Take(now, quietShare) {
+func (e *Edge) logStaleAnswer(t evidence.Table, at replica.Position, now time.Duration) {
+	known, ok := e.replicaOf(t).Position()
+	if ok && at.Before(known) && e.budget.Take(now, routineLogShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
 			slog.Uint64("era", at.Era), slog.Uint64("known_era", known.Era))
@@ -232,7 +232,7 @@
 func (e *Edge) recordOutageEnd(t evidence.Table, stamp, now time.Duration) {
 	s := &e.state
 	at := now - s.clock.Age(stamp, now)
-	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.Outage {
+	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.OutageThreshold {
 		s.outageEnd = now
 	}
 }
@@ -244,13 +244,13 @@
 	at := now - s.clock.Age(stamp, now)
 	switch t {
 	case evidence.Config:
-		if !s.misread && (stamp > s.configProof || !s.proved) && !e.inConfigRewrite(stamp) {
+		if !s.configUnreadable && (stamp > s.configProof || !s.configProved) && !e.inConfigRewrite(stamp) {
 			s.configProof = stamp
-			s.proved = true
+			s.configProved = true
 		}
 	case evidence.Servers:
 		s.serversProof = max(s.serversProof, at)
-		s.poll.Proved(now-at, now)
+		s.poll.ObserveResponse(now-at, now)
 	case evidence.Instances:
 	}
 }
@@ -258,8 +258,8 @@
 // configAge returns the age of the newest proof that the active configuration
 // is current.
 func (e *Edge) configAge(now time.Duration) time.Duration {
-	if !e.state.proved {
-		return freshness.Unknown
+	if !e.state.configProved {
+		return freshness.UnknownAge
 	}
 	return e.state.clock.Age(e.state.configProof, now)
 }
@@ -269,18 +269,18 @@
 func (e *Edge) logStoreAvailability(now time.Duration) {
 	s := &e.state
 	age := s.poll.Age(now)
-	if lost := age > storeLostAfter; lost != s.storeLost {
-		s.storeLost = lost
+	if lost := age > storeLostAfter; lost != s.storeUnavailable {
+		s.storeUnavailable = lost
 		if lost {
-			event.PlatformUnavailable.Log(e.log, ageOf(age))
+			event.PlatformUnavailable.Log(e.log, ageAttr(age))
 		} else {
-			event.PlatformReturned.Log(e.log, ageOf(age))
+			event.PlatformReturned.Log(e.log, ageAttr(age))
 		}
 	}
 }
 
 func (e *Edge) logStoreError(p readResult, now time.Duration) {
-	if e.budget.Take(now, quietShare) {
+	if e.budget.Take(now, routineLogShare) {
 		event.StoreCallFailed.Log(e.log, slog.String("table", tableNames[p.table]),
 			slog.Duration("took", now-p.asked), slog.Any("error", p.err))
 	}
--- a/edge/publish.go
+++ b/edge/publish.go
@@ -14,11 +14,11 @@
 	defer e.mu.Unlock()
 	report := e.addOutstanding(a, 1)
 	report.Number = uint8(a.number)
-	e.state.repeatsOf(c.service).Count(a.number > 1, e.now())
+	e.state.sharedRetryBudget(c.service).Count(a.number > 1, e.now())
 	m := evidence.Message{Attempts: []evidence.Attempt{report}}
 	if c.workspace != nil {
 		h := workspaceHash(c.workspace.Name)
-		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.Own(h)}}
+		m.Usage = []evidence.Usage{{Workspace: h, Count: e.state.usage.AdmittedTotal(h)}}
 	}
 	e.publish(m, false)
 }
@@ -28,42 +28,42 @@
 func (e *Edge) addOutstanding(a *attempt, change int) evidence.Attempt {
 	s := &e.state
 	h := placement.Hash(a.choice.Server.ID)
-	n := uint16(max(int(s.own[h])+change, 0))
+	n := uint16(max(int(s.ownOutstanding[h])+change, 0))
 	if n == 0 {
-		delete(s.own, h)
+		delete(s.ownOutstanding, h)
 	} else {
-		s.own[h] = n
+		s.ownOutstanding[h] = n
 	}
-	s.placer.Outstanding(h, 0, int(n), e.now())
+	s.placer.SetOutstanding(h, 0, int(n), e.now())
 	return evidence.Attempt{Server: h, Outstanding: n}
 }
 
 // publishAttemptEnd records how an attempt ended and publishes it.
-func (e *Edge) publishAttemptEnd(c *call, a *attempt, final evidence.Final) {
-	if a.ends {
+func (e *Edge) publishAttemptEnd(c *call, a *attempt, final evidence.RequestOutcome) {
+	if a.endPublished {
 		return
 	}
-	a.ends = true
+	a.endPublished = true
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	report := e.addOutstanding(a, -1)
-	report.LimitMilli = e.learnLimit(a, now)
-	report.Ended, report.Result, report.Final = true, serverResult(c, a), final
-	work := e.statsOf(c.route).work
+	report.LimitMilli = e.updateLimit(a, now)
+	report.Ended, report.Result, report.RequestOutcome = true, serverResult(c, a), final
+	work := e.routeStatsFor(c.route).work
 	took := a.took
 	if a.result == health.OK {
-		if a.choice.Waits() {
+		if a.choice.MustQueue() {
 			// The attempt had to queue, so its duration doesn't show the
 			// server's speed.
 			took = 0
 		}
-		e.learnRoute(c, took, len(c.body)+len(a.answer.Body))
+		e.updateRouteStats(c, took, len(c.body)+len(a.answer.Body))
 	}
-	report.TookMS, report.WorkMS = wireMilliseconds(took), wireMilliseconds(work)
-	e.state.placer.Learn(report.Server, report.Result, true, took, work, now)
-	if final != evidence.NotFinal {
-		e.state.placer.Served(c.service, final == evidence.Served, now)
+	report.LatencyMS, report.TypicalLatencyMS = wireMilliseconds(took), wireMilliseconds(work)
+	e.state.placer.RecordResult(report.Server, report.Result, true, took, work, now)
+	if final != evidence.RequestPending {
+		e.state.placer.RecordOutcome(c.service, final == evidence.RequestServed, now)
 	}
 	// The first of a series of failures must reach all instances at once: each
 	// request that they send to the server before that may be lost.
@@ -98,7 +98,7 @@
 func (e *Edge) publishRefusal(c *call) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.placer.Served(c.service, false, e.now())
+	e.state.placer.RecordOutcome(c.service, false, e.now())
 	e.publish(evidence.Message{Refused: []uint32{placement.Hash(c.service)}}, false)
 }
 
@@ -108,6 +108,6 @@
 	defer e.mu.Unlock()
 	report := e.addOutstanding(a, 0)
 	report.Result = health.Late
-	e.state.placer.Learn(report.Server, health.Late, true, 0, 0, e.now())
+	e.state.placer.RecordResult(report.Server, health.Late, true, 0, 0, e.now())
 	e.publish(evidence.Message{Attempts: []evidence.Attempt{report}}, false)
 }
--- a/edge/register.go
+++ b/edge/register.go
@@ -38,7 +38,7 @@
 // of a listed but unreachable instance isn't used by the others.
 func (e *Edge) registerInstances(ctx context.Context) error {
 	select {
-	case <-e.joined:
+	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -99,8 +99,8 @@
 	}
 	var rows []replica.Row
 	for _, m := range members {
-		key := address(m.ID, 0).Addr().String()
-		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.Slow})
+		key := addrPort(m.ID, 0).Addr().String()
+		value, err := json.Marshal(instanceDocument{DataCentre: m.DataCentre, SlowLink: m.SlowLink})
 		if err != nil {
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
 			continue
@@ -116,7 +116,7 @@
 // returns them.
 func (e *Edge) recordWrittenRows(rows []replica.Row) {
 	for _, r := range rows {
-		e.state.instances.Note(r)
+		e.state.instances.ApplyOwnWrite(r)
 		e.applyInstanceRow(r, e.now())
 	}
 }
@@ -139,8 +139,8 @@
 func (e *Edge) goneInstanceRows(now time.Duration) []replica.Row {
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
-		if m.Listed && !m.Alive && now-m.Heard > removeInstanceAfter && len(rows) < maxRowsPerWrite {
-			rows = append(rows, replica.Row{Key: address(id, 0).Addr().String(), Gone: true})
+		if m.Listed && !m.Alive && now-m.LastHeard > removeInstanceAfter && len(rows) < maxRowsPerWrite {
+			rows = append(rows, replica.Row{Key: addrPort(id, 0).Addr().String(), Gone: true})
 		}
 	}
 	return rows
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -73,7 +73,7 @@
 	// config is the encoded configuration for the row at configRow and these
 	// evacuations.
 	config      Packed
-	configRow   replica.Point
+	configRow   replica.Position
 	evacuations []string
 	// all is the encoded full snapshot, made at allAt.
 	all   Packed
@@ -112,7 +112,7 @@
 	defer s.mu.Unlock()
 	s.edge.mu.Lock()
 	row := s.edge.configRowPoint()
-	at, _ := s.edge.state.config.Point()
+	at, _ := s.edge.state.config.Position()
 	era := s.edge.state.era
 	rows := s.edge.state.config.Rows()
 	evacuations := s.edge.state.evacuations.List()
@@ -144,14 +144,14 @@
 func (e *Edge) snapshot(now time.Duration) Snapshot {
 	s := &e.state
 	all := Snapshot{Era: s.era}
-	if clock, known := s.clock.Store(now); known {
+	if clock, known := s.clock.Now(now); known {
 		all.Clock = clock
 	}
 	for _, t := range []evidence.Table{evidence.Config, evidence.Servers, evidence.Instances} {
 		if !e.isCurrentEra(e.replicaOf(t)) {
 			continue
 		}
-		at, _ := e.replicaOf(t).Point()
+		at, _ := e.replicaOf(t).Position()
 		table := SnapshotTable{Table: t, Era: at.Era, Version: at.Version, Rows: e.replicaOf(t).Rows()}
 		switch t {
 		case evidence.Config:
@@ -218,9 +218,9 @@
 func (e *Edge) fetchSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	snapshot, err := callSnapshot(ctx, address(peer, e.peerPort).String(), method)
+	snapshot, err := callSnapshot(ctx, addrPort(peer, e.peerPort).String(), method)
 	if err != nil {
-		event.PeerMessageFailed.Log(e.log, slog.String("peer", address(peer, 0).Addr().String()), slog.Any("error", err))
+		event.PeerMessageFailed.Log(e.log, slog.String("peer", addrPort(peer, 0).Addr().String()), slog.Any("error", err))
 		return
 	}
 	e.mu.Lock()
@@ -234,7 +234,7 @@
 		return
 	}
 	for _, t := range snapshot.Tables {
-		a := replica.Answer{Rows: t.Rows, Era: t.Era, Version: t.Version, Stamp: t.Stamp, Whole: true}
+		a := replica.ReadResult{Rows: t.Rows, Era: t.Era, Version: t.Version, StoreTime: t.Stamp, Full: true}
 		if _, ok := e.applyAnswer(t.Table, a, 0, now); ok && t.Stamp > 0 {
 			e.recordProof(t.Table, t.Stamp, now)
 		}
--- a/edge/status.go
+++ b/edge/status.go
@@ -106,7 +106,7 @@
 	s, now := &e.state, e.now()
 	st := Status{
 		Instance: e.settings.Name, DataCentre: e.settings.DataCentre, Ready: e.readyLocked(),
-		ConfigAgeMS: milli(e.configAge(now)), ServersAgeMS: -1, RateShare: round(s.usage.Share),
+		ConfigAgeMS: milli(e.configAge(now)), ServersAgeMS: -1, RateShare: round(s.usage.RateShare),
 		Evacuated: s.evacuations.List(),
 	}
 	if s.table != nil {
@@ -115,25 +115,25 @@
 	if s.serversProof > 0 {
 		st.ServersAgeMS = milli(now - s.serversProof)
 	}
-	if s.reader != 0 {
-		st.Reader = address(s.reader, 0).Addr().String()
+	if s.lastReader != 0 {
+		st.Reader = addrPort(s.lastReader, 0).Addr().String()
 	}
-	st.Relay = address(s.messenger.Hub().Relay(), 0).Addr().String()
+	st.Relay = addrPort(s.messenger.Hub().Relay(), 0).Addr().String()
 	st.Listeners = s.messenger.Hub().Subscribers()
 	for id, m := range s.messenger.Fleet().All() {
 		st.Instances = append(st.Instances, InstanceStatus{
-			IP: address(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
-			HeardMS: milli(now - m.Heard), SlowLink: m.Slow,
+			IP: addrPort(id, 0).Addr().String(), DataCentre: m.DataCentre, Alive: m.Alive, Leaving: m.Leaving,
+			HeardMS: milli(now - m.LastHeard), SlowLink: m.SlowLink,
 		})
 	}
 	slices.SortFunc(st.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.IP, b.IP) })
-	st.Services, st.Suspects = servers(s.placer.Views(now))
+	st.Services, st.Suspects = servers(s.placer.ServerStatuses(now))
 	st.Workspaces = e.nearRate(now)
 	return st
 }
 
 // servers sums up the servers of each service and names the suspects.
-func servers(views []placement.View) (services []ServiceStatus, suspects []SuspectStatus) {
+func servers(views []placement.ServerStatus) (services []ServiceStatus, suspects []SuspectStatus) {
 	sums := make(map[string]*ServiceStatus)
 	for _, v := range views {
 		sum, ok := sums[v.Server.Service]
@@ -149,7 +149,7 @@
 		if v.Cold {
 			sum.Cold++
 		}
-		if v.Limited {
+		if v.RateLimited {
 			sum.Limited++
 		}
 		if v.Evacuated {
@@ -168,7 +168,7 @@
 	return services, suspects
 }
 
-func suspect(v placement.View) SuspectStatus {
+func suspect(v placement.ServerStatus) SuspectStatus {
 	s := SuspectStatus{Server: v.Server.ID, Service: v.Server.Service, Risk: round(v.Risk), LastFailureMS: -1}
 	if v.LastFailure != health.OK {
 		s.LastFailure, s.LastFailureMS = v.LastFailure.String(), milli(v.SinceFailure)
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -132,7 +132,7 @@
 	n.stepAt = 0
 	started := w.now
 	n.m = fleet.NewMessenger(fleet.Settings{
-		Self: relay.Member{ID: n.id, DataCentre: n.dataCentre, Slow: n.slow}, Epoch: n.epoch, Seeds: n.seeds,
+		Self: relay.Member{ID: n.id, DataCentre: n.dataCentre, SlowLink: n.slow}, Epoch: n.epoch, Seeds: n.seeds,
 		// It isn't ready before it has read the store.
 		Leaving:  func() bool { return w.now < started+notReadyFor },
 		Stopping: func() bool { return false },
@@ -147,7 +147,7 @@
 func (w *world) list(n *node) {
 	for id, other := range w.nodes {
 		if id != n.id {
-			n.m.Listed(id, other.dataCentre, other.slow, w.now)
+			n.m.MarkListed(id, other.dataCentre, other.slow, w.now)
 		}
 	}
 	out, err := n.m.Join(w.now)
@@ -212,12 +212,12 @@
 
 func (w *world) pulse(n *node, life int) {
 	w.does(n, life, func() {
-		_, out, err := n.m.Pulse(w.now)
+		_, out, err := n.m.Tick(w.now)
 		must.NoError(w.t, err)
 		w.send(n, out)
 	})
 	if n.life == life {
-		w.at(w.now+fleet.PulseEvery, func() { w.pulse(n, life) })
+		w.at(w.now+fleet.TickInterval, func() { w.pulse(n, life) })
 	}
 }
 
@@ -235,7 +235,7 @@
 
 func (w *world) publish(n *node, urgent bool) word {
 	out, err := n.m.Publish(evidence.Message{
-		Attempts: []evidence.Attempt{{Server: w.rng.Uint32(), Outstanding: 1, Number: 1, TookMS: 300, WorkMS: 300}},
+		Attempts: []evidence.Attempt{{Server: w.rng.Uint32(), Outstanding: 1, Number: 1, LatencyMS: 300, TypicalLatencyMS: 300}},
 		Usage:    []evidence.Usage{{Workspace: w.rng.Uint32(), Count: 70000}},
 	}, urgent, w.now)
 	must.NoError(w.t, err)
@@ -269,15 +269,15 @@
 
 func (w *world) take(n *node, from uint32, b []byte) {
 	n.in++
-	t, err := n.m.Take(from, b, w.now)
+	t, err := n.m.Receive(from, b, w.now)
 	must.NoError(w.t, err)
-	for _, h := range t.Received {
+	for _, h := range t.Messages {
 		id := word{h.Source, h.Epoch, h.Sequence}
 		if at, ok := w.said[id]; ok {
 			w.heard[id][n.id] = w.now - at
 		}
 	}
-	w.send(n, t.Send)
+	w.send(n, t.Outgoing)
 }
 
 // knowsAll reports whether every running instance hears every other.
