--- a/edge/entries.go
+++ b/edge/entries.go
@@ -112,21 +112,21 @@
 	}
 	var changed []replica.Row
 	for _, r := range rows {
-		unsettled := s.serverList.DiffersFromStore(r.Key)
+		differed := s.serverList.DiffersFromStore(r.Key)
 		c, ok := e.updateServerList(r, restored, now, keepUntil)
 		if ok {
 			e.applyServerChange(c, now)
 		}
-		if ok || r.Gone || unsettled {
+		if ok || r.Gone || differed {
 			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
-// updateServerList applies one row of the server table to the list of servers. It
-// reports false if the list didn't change. Servers that disappeared during an
-// outage are kept until keepUntil.
+// updateServerList applies one row of the server table to the list of servers.
+// It reports false if the list didn't change. Servers that disappeared during
+// an outage are kept until keepUntil.
 func (e *Edge) updateServerList(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
 	s := &e.state
 	if r.Gone {
@@ -172,8 +172,8 @@
 	SlowLink   bool   `json:"slowLink,omitempty"`
 }
 
-// applyInstanceRow applies one row of the instance table; this instance's own row
-// is ignored.
+// applyInstanceRow applies one row of the instance table; this instance's own
+// row is ignored.
 func (e *Edge) applyInstanceRow(r replica.Row, now time.Duration) {
 	id, err := parseIPv4(r.Key)
 	if err != nil || id == e.self {
--- a/edge/era.go
+++ b/edge/era.go
@@ -17,7 +17,7 @@
 // observeStore records the era and clock of an answer of the store, whether
 // this instance or another one received it. It returns false if the answer
 // belongs to an earlier era and so may contain data that the store has lost.
-func (e *Edge) observeStore(era uint64, stamp, now time.Duration) bool {
+func (e *Edge) observeStore(era uint64, storeTime, now time.Duration) bool {
 	s := &e.state
 	switch {
 	case !s.eraKnown:
@@ -25,22 +25,22 @@
 	case era < s.era:
 		return false
 	case era > s.era:
-		e.beginEra(era, stamp, now)
+		e.beginEra(era, storeTime, now)
 	}
-	s.clock.Observe(stamp, now)
+	s.clock.Observe(storeTime, now)
 	return true
 }
 
 // beginEra handles a restore of the store from a backup. The store's clock may
 // have gone back too, so proofs of freshness keep their age rather than their
 // timestamp.
-func (e *Edge) beginEra(era uint64, stamp, now time.Duration) {
+func (e *Edge) beginEra(era uint64, storeTime, now time.Duration) {
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
 	age := e.configAge(now)
 	s.clock.Reset()
-	s.configProof = stamp - age
-	s.era, s.eraStart = era, stamp
+	s.configProof = storeTime - age
+	s.era, s.eraStart = era, storeTime
 	// Entries first written after the backup was taken are missing.
 	s.outageEnd = now
 	s.restoredUntil = now + discovery.RemovalGracePeriod
@@ -53,8 +53,8 @@
 // inConfigRewrite reports whether, at this reading of the store's clock, the
 // configuration may lack changes that operators still have to write again after
 // a restore.
-func (e *Edge) inConfigRewrite(stamp time.Duration) bool {
-	return e.state.eraStart > 0 && stamp < e.state.eraStart+configRewriteTime
+func (e *Edge) inConfigRewrite(storeTime time.Duration) bool {
+	return e.state.eraStart > 0 && storeTime < e.state.eraStart+configRewriteTime
 }
 
 // isCurrentEra reports whether a copy belongs to the store's current era.
--- a/edge/era_internal_test.go
+++ b/edge/era_internal_test.go
@@ -30,15 +30,15 @@
 	must.Eq(t, 0, e.configAge(now))
 }
 
-// A notice sent before the store was restored arrives afterwards. It must
+// A table update sent before the store was restored arrives afterwards. It must
 // neither bring back data that the store has lost nor set the clock.
-func TestNoticeOfEarlierEraIsIgnored(t *testing.T) {
+func TestUpdateOfEarlierEraIsIgnored(t *testing.T) {
 	e := newIdleInstance(t)
 	now := e.now()
 	must.True(t, e.observeStore(1, 100*time.Second, now))
-	_, ok := e.applyAnswer(evidence.Servers, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
+	_, ok := e.applyReadResult(evidence.Servers, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
 	must.True(t, ok)
-	e.applyNotice(evidence.TableUpdate{Table: evidence.Servers, Since: 5, Version: 80, StoreClockUS: 180_000_000}, now)
+	e.applyTableUpdate(evidence.TableUpdate{Table: evidence.Servers, Since: 5, Version: 80, StoreClockUS: 180_000_000}, now)
 	at, _ := e.state.servers.Position()
 	must.Eq(t, replica.Position{Era: 1, Version: 5}, at)
 	must.Eq(t, replica.Position{}, e.state.announcedServers)
@@ -54,17 +54,17 @@
 	now := e.now()
 	row := replica.Row{Key: "10.0.0.7", Value: []byte(`{"dataCentre":"dc"}`), Version: 3}
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	_, ok := e.applyAnswer(evidence.Instances, replica.ReadResult{Version: 3, Full: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.applyReadResult(evidence.Instances, replica.ReadResult{Version: 3, Full: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	listed := func() bool { return e.state.messenger.Fleet().All()[0x0a000007].Listed }
 	must.True(t, listed())
 	must.True(t, e.observeStore(1, 103*time.Second, now))
-	_, ok = e.applyAnswer(evidence.Instances, replica.ReadResult{Era: 1, Version: 1, Full: true}, 0, now)
+	_, ok = e.applyReadResult(evidence.Instances, replica.ReadResult{Era: 1, Version: 1, Full: true}, 0, now)
 	must.True(t, ok)
 	must.True(t, listed())
 	removed := replica.ReadResult{Era: 1, Version: 2, Rows: []replica.Row{{Key: "10.0.0.7", Gone: true, Version: 2}}}
 	e.state.instances.ApplyOwnWrite(row)
-	_, ok = e.applyAnswer(evidence.Instances, removed, 1, now)
+	_, ok = e.applyReadResult(evidence.Instances, removed, 1, now)
 	must.True(t, ok)
 	must.False(t, listed())
 }
@@ -79,19 +79,19 @@
 func TestNewInstanceReceivesActiveConfiguration(t *testing.T) {
 	e, newInstance := newIdleInstance(t), newIdleInstance(t)
 	now := e.now()
-	take := func(era uint64, row replica.Row) {
+	apply := func(era uint64, row replica.Row) {
 		t.Helper()
 		must.True(t, e.observeStore(era, 100*time.Second, now))
 		a := replica.ReadResult{Era: era, Version: row.Version, Full: true, Rows: []replica.Row{row}}
-		_, ok := e.applyAnswer(evidence.Config, a, 0, now)
+		_, ok := e.applyReadResult(evidence.Config, a, 0, now)
 		must.True(t, ok)
 	}
-	take(0, configRow("0000001f", 30))
-	take(1, configRow("00000016", 20))
+	apply(0, configRow("0000001f", 30))
+	apply(1, configRow("00000016", 20))
 	must.Eq(t, 31, e.state.table.Version)
 	newInstance.applySnapshot(e.snapshot(now), now)
 	must.Eq(t, 31, newInstance.state.table.Version)
-	must.Eq(t, replica.Position{Era: 1, Version: 20}, newInstance.configRowPoint())
+	must.Eq(t, replica.Position{Era: 1, Version: 20}, newInstance.configRowPosition())
 }
 
 // The store is restored from a backup older than the first configuration.
@@ -102,13 +102,13 @@
 	now := e.now()
 	row := configRow("0000001f", 30)
 	must.True(t, e.observeStore(0, 100*time.Second, now))
-	_, ok := e.applyAnswer(evidence.Config, replica.ReadResult{Version: 30, Full: true, Rows: []replica.Row{row}}, 0, now)
+	_, ok := e.applyReadResult(evidence.Config, replica.ReadResult{Version: 30, Full: true, Rows: []replica.Row{row}}, 0, now)
 	must.True(t, ok)
 	must.True(t, e.observeStore(1, 100*time.Second, now))
-	_, ok = e.applyAnswer(evidence.Config, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
+	_, ok = e.applyReadResult(evidence.Config, replica.ReadResult{Era: 1, Version: 5, Full: true}, 0, now)
 	must.True(t, ok)
 	now += 2 * configRewriteTime
-	e.applyNotice(evidence.TableUpdate{Table: evidence.Config, Era: 1, Version: 5, StoreClockUS: 102_000_000}, now)
+	e.applyTableUpdate(evidence.TableUpdate{Table: evidence.Config, Era: 1, Version: 5, StoreClockUS: 102_000_000}, now)
 	must.True(t, e.hasAnnouncedConfig())
 	must.Eq(t, 0, e.configAge(now))
 	must.Eq(t, 31, e.state.table.Version)
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -12,7 +12,7 @@
 )
 
 // evacuationRows returns the rows of the configuration table that evacuate data
-// centres. They are few and small enough to be part of every notice.
+// centres. They are few and small enough to be part of every update.
 func (e *Edge) evacuationRows() []replica.Row {
 	var rows []replica.Row
 	for _, r := range e.state.config.Rows() {
@@ -32,10 +32,10 @@
 	}
 }
 
-// applyNoticeEvacuations applies the evacuations of a notice, whether or not
-// this instance has the configuration of that version. It returns the rows that
-// bring the local copy to the same state.
-func (e *Edge) applyNoticeEvacuations(n evidence.TableUpdate, rows []evidence.Row, now time.Duration) []evidence.Row {
+// applyUpdateEvacuations applies the evacuations of a table update, whether or
+// not this instance has the configuration of that version. It returns the rows
+// that bring the local copy to the same state.
+func (e *Edge) applyUpdateEvacuations(n evidence.TableUpdate, rows []evidence.Row, now time.Duration) []evidence.Row {
 	listed := make(map[string]bool, len(rows))
 	var dataCentres []string
 	for _, r := range rows {
@@ -53,8 +53,9 @@
 	return rows
 }
 
-// setEvacuations replaces the set of evacuated data centres. After a restore of the
-// store the earlier ones are kept for a while: the store may have lost them.
+// setEvacuations replaces the set of evacuated data centres. After a restore of
+// the store the earlier ones are kept for a while: the store may have lost
+// them.
 func (e *Edge) setEvacuations(at replica.Position, dataCentres []string, now time.Duration) {
 	s := &e.state
 	if now < s.restoredUntil {
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -19,9 +19,9 @@
 	// fetchRetryDelay is the minimum pause after a failed read.
 	fetchRetryDelay = 500 * time.Millisecond
 	// readersPerDataCentre is how many instances of a data centre read content
-	// that is too large for a notice from the store; the others fetch it from
-	// them. If every instance read it, the calls would grow with the fleet up
-	// to the limit of the store.
+	// that is too large for a table update from the store; the others fetch it
+	// from them. If every instance read it, the calls would grow with the fleet
+	// up to the limit of the store.
 	readersPerDataCentre = 2
 	// readerHeadStart gives the readers time for their own call, which usually
 	// takes 4 ms.
@@ -80,12 +80,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, known := e.state.config.Position()
-	return known && !e.configRowPoint().Before(e.state.announcedConfig)
+	return known && !e.configRowPosition().Before(e.state.announcedConfig)
 }
 
-// configRowPoint returns the era and version of the configuration row in the
+// configRowPosition returns the era and version of the configuration row in the
 // local copy.
-func (e *Edge) configRowPoint() replica.Position {
+func (e *Edge) configRowPosition() replica.Position {
 	at, _ := e.state.config.Position()
 	// A backup of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
@@ -144,13 +144,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.observeStore(p.answer.Era, p.answer.StoreTime, now) {
+	if !e.observeStore(p.result.Era, p.result.StoreTime, now) {
 		return false
 	}
-	if _, ok := e.applyAnswer(p.table, p.answer, p.since, now); !ok {
+	if _, ok := e.applyReadResult(p.table, p.result, p.since, now); !ok {
 		return false
 	}
-	e.recordProof(p.table, p.answer.StoreTime, now)
+	e.recordProof(p.table, p.result.StoreTime, now)
 	return true
 }
 
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -31,22 +31,22 @@
 	return e
 }
 
-// pollAndNotify applies a table's answer to the polling instance and its
-// notices to the other one.
+// pollAndNotify applies the read of a table to the polling instance and its
+// updates to the other one.
 func pollAndNotify(asker, other *Edge, a replica.ReadResult, at time.Duration) {
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
-	p := readResult{table: evidence.Servers, since: since, answer: a}
+	p := tableRead{table: evidence.Servers, since: since, result: a}
 	asker.observeStore(a.Era, a.StoreTime, at)
 	asker.recordOutageEnd(p.table, a.StoreTime, at)
-	told, _ := asker.applyAnswer(p.table, a, since, at)
-	notices := asker.noticesFor(p, told)
+	changed, _ := asker.applyReadResult(p.table, a, since, at)
+	updates := asker.tableUpdatesFor(p, changed)
 	asker.recordProof(p.table, a.StoreTime, at)
 	other.mu.Lock()
 	defer other.mu.Unlock()
-	for _, n := range notices {
-		other.applyNotice(n, at)
+	for _, n := range updates {
+		other.applyTableUpdate(n, at)
 	}
 }
 
@@ -72,9 +72,9 @@
 		return known
 	}
 	at := one.now()
-	stamp := 100 * time.Second
+	storeTime := 100 * time.Second
 	answer := func(version uint64, rows ...replica.Row) replica.ReadResult {
-		return replica.ReadResult{Version: version, StoreTime: stamp, Rows: rows}
+		return replica.ReadResult{Version: version, StoreTime: storeTime, Rows: rows}
 	}
 	whole := answer(10, serverRow(t, "i-1", 10))
 	whole.Full = true
@@ -84,10 +84,10 @@
 
 	// After the outage the entry is missing and then reappears.
 	at += 5 * time.Second
-	stamp += 5 * time.Second
+	storeTime += 5 * time.Second
 	pollAndNotify(one, two, answer(11, replica.Row{Key: "i-1", Gone: true, Version: 11}), at)
 	at += 500 * time.Millisecond
-	stamp += 500 * time.Millisecond
+	storeTime += 500 * time.Millisecond
 	pollAndNotify(one, two, answer(12, serverRow(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
 		for _, c := range e.state.serverList.Expire(at + discovery.RemovalGracePeriod) {
@@ -98,7 +98,7 @@
 
 	// The server leaves, and the other instance reads that.
 	at += 10 * time.Second
-	stamp += time.Second
+	storeTime += time.Second
 	pollAndNotify(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
 	for _, e := range []*Edge{one, two} {
 		_, known := e.state.serverList.Get("i-1")
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -111,7 +111,7 @@
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
-		e.heartbeat(e.now())
+		e.tick(e.now())
 		e.mu.Unlock()
 		select {
 		case <-ticker.C:
@@ -121,7 +121,7 @@
 	}
 }
 
-func (e *Edge) heartbeat(now time.Duration) {
+func (e *Edge) tick(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
 	silent, datagrams, err := s.messenger.Tick(now)
@@ -153,7 +153,8 @@
 	}
 }
 
-// handleDatagram handles one datagram.
+// handleDatagram applies the messages of one datagram and sends the replies to
+// it.
 func (e *Edge) handleDatagram(from netip.AddrPort, b []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -191,7 +192,7 @@
 		if n.StoreClockUS != 0 {
 			s.lastReader = m.Source
 		}
-		e.applyNotice(n, now)
+		e.applyTableUpdate(n, now)
 	}
 }
 
--- a/edge/poll.go
+++ b/edge/poll.go
@@ -27,7 +27,7 @@
 	storeLostAfter = 2 * time.Second
 )
 
-// tableNames maps the tables of notices to their names in the store.
+// tableNames maps the tables of updates to their names in the store.
 var tableNames = map[evidence.Table]string{
 	evidence.Config:    platform.TableConfig,
 	evidence.Servers:   platform.TableServers,
@@ -112,15 +112,15 @@
 	}
 	e.mu.Unlock()
 
-	answers := make([]readResult, len(tables))
+	reads := make([]tableRead, len(tables))
 	var wg sync.WaitGroup
 	for i, t := range tables {
-		wg.Go(func() { answers[i] = e.readTable(ctx, t) })
+		wg.Go(func() { reads[i] = e.readTable(ctx, t) })
 	}
 	wg.Wait()
 
 	e.mu.Lock()
-	allRead := e.applyReadResults(answers)
+	allRead := e.applyTableReads(reads)
 	e.announceIfChanged(e.now())
 	e.mu.Unlock()
 	if !allRead && hadGap {
@@ -132,59 +132,59 @@
 	}
 }
 
-// readResult is the outcome of reading one table from the store.
-type readResult struct {
+// tableRead is the outcome of reading one table from the store.
+type tableRead struct {
 	table  evidence.Table
 	since  uint64
-	answer replica.ReadResult
+	result replica.ReadResult
 	asked  time.Duration
 	err    error
 }
 
 // readTable reads the changes of a table, or the whole table if its changes
 // aren't available.
-func (e *Edge) readTable(ctx context.Context, t evidence.Table) readResult {
+func (e *Edge) readTable(ctx context.Context, t evidence.Table) tableRead {
 	e.mu.Lock()
 	at, known := e.replicaOf(t).Position()
-	p := readResult{table: t, since: at.Version, asked: e.now()}
+	p := tableRead{table: t, since: at.Version, asked: e.now()}
 	e.mu.Unlock()
 	if known {
-		p.answer, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
+		p.result, p.err = e.store.Changes(ctx, tableNames[t], at.Version)
 		// Versions of different eras can't be compared.
-		otherEra := p.err == nil && p.answer.Era != at.Era
+		otherEra := p.err == nil && p.result.Era != at.Era
 		if !otherEra && !errors.Is(p.err, replica.ErrHistoryCompacted) {
 			return p
 		}
 	}
-	p.answer, p.err = e.store.Read(ctx, tableNames[t])
+	p.result, p.err = e.store.Read(ctx, tableNames[t])
 	return p
 }
 
-// applyReadResults applies the results of one poll and forwards them to the
-// other instances. It reports whether all tables were read.
-func (e *Edge) applyReadResults(answers []readResult) (allRead bool) {
+// applyTableReads applies the reads of one poll and forwards them to the other
+// instances. It reports whether all tables were read.
+func (e *Edge) applyTableReads(reads []tableRead) (allRead bool) {
 	s := &e.state
 	now := e.now()
-	var notices []evidence.TableUpdate
+	var updates []evidence.TableUpdate
 	allRead = true
-	for _, p := range answers {
+	for _, p := range reads {
 		if p.err != nil {
 			allRead = false
 			e.logStoreError(p, now)
 			continue
 		}
-		if !e.observeStore(p.answer.Era, p.answer.StoreTime, now) {
+		if !e.observeStore(p.result.Era, p.result.StoreTime, now) {
 			allRead = false
 			continue
 		}
-		e.recordOutageEnd(p.table, p.answer.StoreTime, now)
-		changed, ok := e.applyAnswer(p.table, p.answer, p.since, now)
+		e.recordOutageEnd(p.table, p.result.StoreTime, now)
+		changed, ok := e.applyReadResult(p.table, p.result, p.since, now)
 		if !ok {
 			allRead = false
 			continue
 		}
-		notices = append(notices, e.noticesFor(p, changed)...)
-		e.recordProof(p.table, p.answer.StoreTime, now)
+		updates = append(updates, e.tableUpdatesFor(p, changed)...)
+		e.recordProof(p.table, p.result.StoreTime, now)
 		if p.table == evidence.Instances {
 			s.nextInstancesRead = now + instancesReadInterval
 		}
@@ -194,19 +194,18 @@
 		s.poll.OwnCallSucceeded()
 	} else {
 		s.poll.OwnCallFailed(now)
-		notices = append(notices, evidence.TableUpdate{})
+		updates = append(updates, evidence.TableUpdate{})
 	}
 	e.updateRateShare()
-	e.publishNotices(notices)
+	e.publishTableUpdates(updates)
 	return allRead
 }
 
-// applyAnswer applies an answer of the store about a table, whether this
-// instance or another one received it, and returns the rows to forward to
-// others. It returns false if the local copy lacks changes from before the
-// answer.
-func (e *Edge) applyAnswer(t evidence.Table, a replica.ReadResult, since uint64, now time.Duration) ([]replica.Row, bool) {
-	e.logStaleAnswer(t, a.Position(), now)
+// applyReadResult applies the result of reading a table, whether this instance
+// or another one read it, and returns the rows to forward to others. It returns
+// false if the local copy lacks changes from before the result.
+func (e *Edge) applyReadResult(t evidence.Table, a replica.ReadResult, since uint64, now time.Duration) ([]replica.Row, bool) {
+	e.logStaleRead(t, a.Position(), now)
 	before, known := e.replicaOf(t).Position()
 	changed, ok := e.replicaOf(t).Apply(a, since)
 	if !ok {
@@ -216,8 +215,8 @@
 	return e.applyRows(t, changed, restored, now), true
 }
 
-// logStaleAnswer logs an answer that is older than the local copy.
-func (e *Edge) logStaleAnswer(t evidence.Table, at replica.Position, now time.Duration) {
+// logStaleRead logs a read that is older than the local copy.
+func (e *Edge) logStaleRead(t evidence.Table, at replica.Position, now time.Duration) {
 	known, ok := e.replicaOf(t).Position()
 	if ok && at.Before(known) && e.budget.Take(now, routineLogShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
@@ -227,11 +226,11 @@
 }
 
 // recordOutageEnd records the end of a store outage. It must be called before
-// the rows of the first answer are applied: entries that expired during the
+// the rows of the first read are applied: entries that expired during the
 // outage are missing from it.
-func (e *Edge) recordOutageEnd(t evidence.Table, stamp, now time.Duration) {
+func (e *Edge) recordOutageEnd(t evidence.Table, storeTime, now time.Duration) {
 	s := &e.state
-	at := now - s.clock.Age(stamp, now)
+	at := now - s.clock.Age(storeTime, now)
 	if t == evidence.Servers && s.serversProof > 0 && at-s.serversProof > discovery.OutageThreshold {
 		s.outageEnd = now
 	}
@@ -239,13 +238,13 @@
 
 // recordProof records that the copy of a table was complete at the given
 // reading of the store's clock.
-func (e *Edge) recordProof(t evidence.Table, stamp, now time.Duration) {
+func (e *Edge) recordProof(t evidence.Table, storeTime, now time.Duration) {
 	s := &e.state
-	at := now - s.clock.Age(stamp, now)
+	at := now - s.clock.Age(storeTime, now)
 	switch t {
 	case evidence.Config:
-		if !s.configUnreadable && (stamp > s.configProof || !s.configProved) && !e.inConfigRewrite(stamp) {
-			s.configProof = stamp
+		if !s.configUnreadable && (storeTime > s.configProof || !s.configProved) && !e.inConfigRewrite(storeTime) {
+			s.configProof = storeTime
 			s.configProved = true
 		}
 	case evidence.Servers:
@@ -279,7 +278,7 @@
 	}
 }
 
-func (e *Edge) logStoreError(p readResult, now time.Duration) {
+func (e *Edge) logStoreError(p tableRead, now time.Duration) {
 	if e.budget.Take(now, routineLogShare) {
 		event.StoreCallFailed.Log(e.log, slog.String("table", tableNames[p.table]),
 			slog.Duration("took", now-p.asked), slog.Any("error", p.err))
--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -111,7 +111,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.edge.mu.Lock()
-	row := s.edge.configRowPoint()
+	row := s.edge.configRowPosition()
 	at, _ := s.edge.state.config.Position()
 	era := s.edge.state.era
 	rows := s.edge.state.config.Rows()
@@ -235,7 +235,7 @@
 	}
 	for _, t := range snapshot.Tables {
 		a := replica.ReadResult{Rows: t.Rows, Era: t.Era, Version: t.Version, StoreTime: t.Stamp, Full: true}
-		if _, ok := e.applyAnswer(t.Table, a, 0, now); ok && t.Stamp > 0 {
+		if _, ok := e.applyReadResult(t.Table, a, 0, now); ok && t.Stamp > 0 {
 			e.recordProof(t.Table, t.Stamp, now)
 		}
 	}
@@ -255,8 +255,8 @@
 	return s.Era == e.state.era
 }
 
-// callSnapshot calls a Snapshots method of the instance at address and decodes the
-// reply.
+// callSnapshot calls a Snapshots method of the instance at address and decodes
+// the reply.
 func callSnapshot(ctx context.Context, address, method string) (Snapshot, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp4", address)
--- a/edge/notices.go
+++ b/edge/table_updates.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxNoticeRowBytes is the uncompressed size of the changed rows that one
+	// maxUpdateRowBytes is the uncompressed size of the changed rows that one
 	// message may carry; compression reduces it to about a third.
-	// maxNoticeParts is how many messages one answer may take. Beyond that,
+	// maxUpdateBatches is how many messages one read may take. Beyond that,
 	// with some hundred servers changing at once, the readers of each data
 	// centre read the store and the others fetch from them.
-	maxNoticeRowBytes = 3000
-	maxNoticeParts    = 6
-	// gapNoticeWait is how long an instance that lacks changes waits for a
-	// notice that contains them; each notice spans several answers. gapJitter
+	maxUpdateRowBytes = 3000
+	maxUpdateBatches    = 6
+	// gapUpdateWait is how long an instance that lacks changes waits for an
+	// update that contains them; each update spans several reads. gapJitter
 	// spreads the instances that then read the store.
-	gapNoticeWait = 550 * time.Millisecond
+	gapUpdateWait = 550 * time.Millisecond
 	gapJitter     = 400 * time.Millisecond
 )
 
-// publishNotices sends each notice with rows in a message of its own and all
-// others in one message.
-func (e *Edge) publishNotices(notices []evidence.TableUpdate) {
+// publishTableUpdates sends each update with rows in a message of its own and
+// all others in one message.
+func (e *Edge) publishTableUpdates(updates []evidence.TableUpdate) {
 	var withoutRows []evidence.TableUpdate
-	for _, n := range notices {
+	for _, n := range updates {
 		if len(n.Packed) > 0 {
 			e.publish(evidence.Message{TableUpdates: []evidence.TableUpdate{n}}, false)
 		} else {
@@ -42,41 +42,41 @@
 	}
 }
 
-// noticesFor returns the notices that forward an answer to the other instances.
-// They contain changed rows, not mere renewals.
-func (e *Edge) noticesFor(p readResult, changed []replica.Row) []evidence.TableUpdate {
+// tableUpdatesFor returns the updates that forward a read of a table to the
+// other instances. They contain changed rows, not mere renewals.
+func (e *Edge) tableUpdatesFor(p tableRead, changed []replica.Row) []evidence.TableUpdate {
 	s := &e.state
 	n := evidence.TableUpdate{
-		Table: p.table, Era: p.answer.Era, Version: p.answer.Version, StoreClockUS: p.answer.StoreTime.Microseconds(),
+		Table: p.table, Era: p.result.Era, Version: p.result.Version, StoreClockUS: p.result.StoreTime.Microseconds(),
 	}
 	if p.table == evidence.Config {
-		n.LatestRowVersion = e.configRowPoint().Version
-		return e.noticesWithEvacuations(n)
+		n.LatestRowVersion = e.configRowPosition().Version
+		return e.tableUpdatesWithEvacuations(n)
 	}
 	recent := &s.recent[p.table]
-	if p.answer.Full {
+	if p.result.Full {
 		// A full read doesn't name rows that were removed before it.
 		recent.Reset()
-		n.Since = p.answer.Version
+		n.Since = p.result.Version
 		return []evidence.TableUpdate{n}
 	}
-	recent.Add(p.since, p.answer.Version, changed)
-	parts := recent.Batches(p.answer.Version, maxNoticeRowBytes)
-	all, err := packNotices(n, parts)
-	if err != nil || len(parts) > maxNoticeParts {
+	recent.Add(p.since, p.result.Version, changed)
+	batches := recent.Batches(p.result.Version, maxUpdateRowBytes)
+	all, err := packTableUpdates(n, batches)
+	if err != nil || len(batches) > maxUpdateBatches {
 		// The other instances detect the gap and read the table.
 		recent.Reset()
-		n.Since = p.answer.Version
+		n.Since = p.result.Version
 		return []evidence.TableUpdate{n}
 	}
 	return all
 }
 
-// noticesWithEvacuations adds the rows that evacuate data centres to a notice
-// of the configuration table.
-func (e *Edge) noticesWithEvacuations(n evidence.TableUpdate) []evidence.TableUpdate {
-	parts := []replica.ChangeBatch{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
-	all, err := packNotices(n, parts)
+// tableUpdatesWithEvacuations adds the rows that evacuate data centres to an
+// update of the configuration table.
+func (e *Edge) tableUpdatesWithEvacuations(n evidence.TableUpdate) []evidence.TableUpdate {
+	batches := []replica.ChangeBatch{{Since: n.Since, Version: n.Version, Rows: e.evacuationRows()}}
+	all, err := packTableUpdates(n, batches)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
 		return nil
@@ -84,13 +84,13 @@
 	return all
 }
 
-// packNotices returns one notice with compressed rows for each part.
-func packNotices(n evidence.TableUpdate, parts []replica.ChangeBatch) ([]evidence.TableUpdate, error) {
+// packTableUpdates returns one update with compressed rows for each batch.
+func packTableUpdates(n evidence.TableUpdate, batches []replica.ChangeBatch) ([]evidence.TableUpdate, error) {
 	var all []evidence.TableUpdate
-	for i, part := range parts {
-		n.Since, n.Version, n.More = part.Since, part.Version, i < len(parts)-1
-		rows := make([]evidence.Row, 0, len(part.Rows))
-		for _, r := range part.Rows {
+	for i, batch := range batches {
+		n.Since, n.Version, n.More = batch.Since, batch.Version, i < len(batches)-1
+		rows := make([]evidence.Row, 0, len(batch.Rows))
+		for _, r := range batch.Rows {
 			rows = append(rows, evidence.Row{Key: r.Key, Value: r.Value, Deleted: r.Gone, Version: r.Version})
 		}
 		var err error
@@ -102,8 +102,8 @@
 	return all, nil
 }
 
-// applyNotice applies what another instance has read from the store.
-func (e *Edge) applyNotice(n evidence.TableUpdate, now time.Duration) {
+// applyTableUpdate applies what another instance has read from the store.
+func (e *Edge) applyTableUpdate(n evidence.TableUpdate, now time.Duration) {
 	s := &e.state
 	if n.StoreClockUS == 0 {
 		s.poll.ObserveAttempt(now)
@@ -117,15 +117,15 @@
 	rows, err := evidence.Unpack(n.Packed)
 	if n.Table == evidence.Config {
 		changed := replica.Position{Era: n.Era, Version: n.LatestRowVersion}
-		s.announcedConfig = laterPoint(s.announcedConfig, changed)
-		complete = e.isCurrentEra(s.config) && !e.configRowPoint().Before(changed)
+		s.announcedConfig = laterPosition(s.announcedConfig, changed)
+		complete = e.isCurrentEra(s.config) && !e.configRowPosition().Before(changed)
 		n.Since = version
 		if err == nil {
-			rows = e.applyNoticeEvacuations(n, rows, now)
+			rows = e.applyUpdateEvacuations(n, rows, now)
 		}
 	}
 	if n.Table == evidence.Servers {
-		s.announcedServers = laterPoint(s.announcedServers, replica.Position{Era: n.Era, Version: n.Version})
+		s.announcedServers = laterPosition(s.announcedServers, replica.Position{Era: n.Era, Version: n.Version})
 	}
 	if !complete {
 		e.scheduleCatchUp(n.Table, now)
@@ -141,7 +141,7 @@
 		a.Rows = append(a.Rows, replica.Row{Key: r.Key, Value: r.Value, Gone: r.Deleted, Version: r.Version})
 	}
 	e.recordOutageEnd(n.Table, n.StoreClock(), now)
-	changed, _ := e.applyAnswer(n.Table, a, n.Since, now)
+	changed, _ := e.applyReadResult(n.Table, a, n.Since, now)
 	if n.Version > version && n.Table != evidence.Config {
 		s.recent[n.Table].Add(version, n.Version, changed)
 	}
@@ -159,7 +159,7 @@
 }
 
 // scheduleCatchUp schedules a read, from a reader or the store, of changes that
-// a notice could not supply.
+// an update could not supply.
 func (e *Edge) scheduleCatchUp(t evidence.Table, now time.Duration) {
 	switch t {
 	case evidence.Config:
@@ -176,14 +176,14 @@
 }
 
 // gapDelay returns how long to wait before missed changes are fetched. Later
-// notices may contain them, unless this instance has no server of the current
+// updates may contain them, unless this instance has no server of the current
 // era. In that case the readers fetch first, so that the other instances find
 // the changes there.
 func (e *Edge) gapDelay() time.Duration {
 	spread := time.Duration(rand.Float64() * float64(gapJitter))
 	switch {
 	case e.isCurrentEra(e.state.servers):
-		return spread + gapNoticeWait
+		return spread + gapUpdateWait
 	case slices.Contains(e.readers(), e.self):
 		return 0
 	default:
@@ -191,7 +191,7 @@
 	}
 }
 
-func laterPoint(a, b replica.Position) replica.Position {
+func laterPosition(a, b replica.Position) replica.Position {
 	if a.Before(b) {
 		return b
 	}
