--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -18,10 +18,10 @@
 	fetchJitter = 60 * time.Millisecond
 	// fetchRetryDelay is the minimum pause after a failed read.
 	fetchRetryDelay = 500 * time.Millisecond
-	// readersPerDataCentre is how many instances of a data centre read content
-	// that is too large for a table update from the store; the others fetch it
-	// from them. If every instance read it, the calls would grow with the fleet
-	// up to the limit of the store.
+	// readersPerDataCentre is how many instances of a data centre read from the
+	// store what is too large for a table update; the others fetch it from
+	// them. If every instance read it, the calls would grow with the fleet up
+	// to the limit of the store.
 	readersPerDataCentre = 2
 	// readerHeadStart gives the readers time for their own call, which usually
 	// takes 4 ms.
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// handleDatagram applies the messages of one datagram and sends the replies to
+// handleDatagram handles one datagram from a peer and sends what results from
 // it.
 func (e *Edge) handleDatagram(from netip.AddrPort, b []byte) {
 	e.mu.Lock()
--- a/edge/table_updates.go
+++ b/edge/table_updates.go
@@ -18,7 +18,7 @@
 	// with some hundred servers changing at once, the readers of each data
 	// centre read the store and the others fetch from them.
 	maxUpdateRowBytes = 3000
-	maxUpdateBatches    = 6
+	maxUpdateBatches  = 6
 	// gapUpdateWait is how long an instance that lacks changes waits for an
 	// update that contains them; each update spans several reads. gapJitter
 	// spreads the instances that then read the store.
