--- a/edge/members.go
+++ b/edge/members.go
@@ -11,43 +11,44 @@
 	"foxtailspoke/usage"
 )
 
-// manySilent is the share of instances whose silence at one moment means that
-// callers' requests go unserved unheard. One instance that is stopped or killed
-// is less at any size.
-const manySilent = 0.05
+// massSilenceShare is the share of the other instances that must become silent
+// at once for requests to be assumed lost without a record of them. With 20 or
+// more other instances, a single one that stops or crashes doesn't reach it.
+const massSilenceShare = 0.05
 
-// slowBelow is the bandwidth in Mbit/s below which an instance leaves to others
-// what goes out once for each of many: rounds, and what the store said.
-const slowBelow = 80
+// slowLinkMbps is the bandwidth below which an instance leaves fan-out traffic,
+// such as rounds and the contents of the store, to others.
+const slowLinkMbps = 80
 
 func (e *Edge) hasSlowLink() bool {
-	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowBelow
+	return e.settings.LinkMbps > 0 && e.settings.LinkMbps < slowLinkMbps
 }
 
-// selfMember is this instance as others see it.
+// selfMember describes this instance to the others.
 func (e *Edge) selfMember() relay.Member {
 	return relay.Member{ID: e.self, DataCentre: e.settings.DataCentre, Alive: true, SlowLink: e.hasSlowLink()}
 }
 
-// newUsageCounters returns counters that admit nothing until countShare: as long as it
-// knows no other instance, each one of a fleet that starts would count on the
-// whole of every rate.
+// newUsageCounters returns counters that admit nothing until updateRateShare is
+// called: while a fleet starts, an instance that doesn't know the others yet
+// would claim the whole of every rate.
 func newUsageCounters() *usage.Counters {
 	c := usage.NewCounters()
 	c.RateShare, c.StartupShare = 0, 0
 	return c
 }
 
-// countShare takes in which instances are known and heard by now. It waits for
-// the configuration, which is read together with the list of instances.
-func (e *Edge) countShare() {
+// updateRateShare sets this instance's share of the rates from the known and
+// reachable instances. It waits for the configuration, which is read together
+// with the list of instances.
+func (e *Edge) updateRateShare() {
 	if e.state.table != nil {
 		fleet := e.state.messenger.Fleet()
 		e.state.usage.RateShare, e.state.usage.StartupShare = fleet.AliveShare(), fleet.AliveSinceStartShare()
 	}
 }
 
-// seedIDs are the instances that the settings name.
+// seedIDs returns the instances named in the settings as seeds.
 func (e *Edge) seedIDs() []uint32 {
 	var ids []uint32
 	for _, seed := range e.settings.Seeds {
@@ -61,27 +62,28 @@
 	return ids
 }
 
-// found takes in that instances are heard.
-func (e *Edge) found(returned []*fleet.Instance) {
+// handlePeersReturned handles instances that are heard again.
+func (e *Edge) handlePeersReturned(returned []*fleet.Instance) {
 	for _, m := range returned {
 		event.PeerHeard.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()))
 	}
 	if len(returned) > 0 {
-		e.countShare()
+		e.updateRateShare()
 	}
 }
 
-// lost takes in that instances have fallen silent, of so many.
-func (e *Edge) lost(fell []*fleet.Instance, all int, now time.Duration) {
+// handlePeersSilent handles instances that have become silent, out of the given
+// number of other instances.
+func (e *Edge) handlePeersSilent(silent []*fleet.Instance, all int, now time.Duration) {
 	s := &e.state
-	for _, m := range fell {
+	for _, m := range silent {
 		s.usage.ForgetInstance(m.ID)
 		s.placer.RemoveInstance(m.ID)
 		event.PeerSilent.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.LastHeard))
 	}
-	if float64(len(fell)) > manySilent*float64(all) {
+	if float64(len(silent)) > massSilenceShare*float64(all) {
 		s.placer.RecordInstanceLoss(now)
 	}
-	e.countShare()
+	e.updateRateShare()
 }
