--- a/internal/ratesim/ratesim.go
+++ b/internal/ratesim/ratesim.go
@@ -1,5 +1,6 @@
-// Package ratesim plays fleets whose every request would go to a few servers with a
-// limited rate if it may. Tests compare policies that share such a rate out.
+// Package ratesim simulates fleets in which every request goes to a few servers with
+// a limited rate if allowed. Tests compare policies that divide such a rate among
+// the instances.
 package ratesim
 
 import (
@@ -9,39 +10,44 @@
 
 const (
 	step = time.Millisecond
-	// usualHearing is how long the news of a request takes to the other instances.
-	usualHearing = 30 * time.Millisecond
+	// minPropagationDelay is the time until other instances learn of a request, unless
+	// the scenario has a longer one.
+	minPropagationDelay = 30 * time.Millisecond
 )
 
-// Policy is what an instance asks before it sends to a server.
+// Policy decides for one instance whether it may send to a server.
 type Policy interface {
 	Allow(server uint32, now time.Duration) bool
 	RecordSent(server uint32, now time.Duration)
-	// RecordPeerSent takes in a request of another instance.
+	// RecordPeerSent records a request that another instance sent.
 	RecordPeerSent(server uint32, now time.Duration)
 }
 
-// Scenario is a fleet under load.
+// Scenario describes a fleet under load.
 type Scenario struct {
 	Instances, Servers int
-	// ServerRate that each server bears, in requests a second.
+	// ServerRate is what each server can handle, in requests per second.
 	ServerRate float64
-	// RequestRate is how many requests the fleet gets.
+	// RequestRate is what the fleet receives, in requests per second.
 	RequestRate float64
-	// Partitioned says that each instance hears only every second other one.
+	// Partitioned means that each instance receives messages from only half of the
+	// others.
 	Partitioned bool
-	// Isolated says that nobody hears anybody and only the list of instances is known.
+	// Isolated means that instances receive no messages and know only the list of
+	// instances.
 	Isolated bool
-	// PropagationDelay is how long news takes; 0 is as usual.
+	// PropagationDelay is the time until other instances learn of a request; smaller
+	// values than minPropagationDelay have no effect.
 	PropagationDelay time.Duration
-	// Duration of the play, and the Window over which requests are counted.
+	// Duration of the simulation, and the Window over which requests are counted.
 	Duration, Window time.Duration
 }
 
-// ServerID is the short form of the id of a server.
+// ServerID returns the hashed ID of a server.
 func ServerID(k int) uint32 { return uint32(1000 + k*7919) }
 
-// NewFleet returns a policy for each instance, made from its own id and the others'.
+// NewFleet returns a policy for each instance, created from its own ID and those of
+// the others.
 func (s Scenario) NewFleet(policy func(self uint32, others []uint32) Policy) []Policy {
 	ids := make([]uint32, s.Instances)
 	for i := range ids {
@@ -55,24 +61,24 @@
 	return fleet
 }
 
-// news is a request that others have yet to hear of.
-type news struct {
+// notice is a request that the other instances haven't learned of yet.
+type notice struct {
 	at     time.Duration
 	from   int
 	server uint32
 }
 
-// Run returns the most requests that a server got within a window, and the share
-// of what all servers bear that was used.
-func (s Scenario) Run(fleet []Policy, seed uint64) (most int, used float64) {
-	hearing := max(s.PropagationDelay, usualHearing)
+// Run returns the highest number of requests that a server received within a window,
+// and the utilization of the capacity of all servers.
+func (s Scenario) Run(fleet []Policy, seed uint64) (peak int, utilization float64) {
+	delay := max(s.PropagationDelay, minPropagationDelay)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	arrivals := make(map[uint32][]time.Duration)
-	var pending []news
+	var pending []notice
 	total := 0
 	for now := time.Duration(0); now < s.Duration; now += step {
 		for len(pending) > 0 && pending[0].at <= now {
-			s.tell(fleet, pending[0], now)
+			s.deliver(fleet, pending[0], now)
 			pending = pending[1:]
 		}
 		if rng.Float64() >= s.RequestRate*step.Seconds() {
@@ -86,15 +92,15 @@
 			}
 			fleet[i].RecordSent(server, now)
 			arrivals[server] = append(arrivals[server], now)
-			pending = append(pending, news{now + hearing, i, server})
+			pending = append(pending, notice{now + delay, i, server})
 			total++
 			break
 		}
 	}
-	return s.busiest(arrivals), float64(total) / (s.ServerRate * float64(s.Servers) * s.Duration.Seconds())
+	return s.peakRequests(arrivals), float64(total) / (s.ServerRate * float64(s.Servers) * s.Duration.Seconds())
 }
 
-func (s Scenario) tell(fleet []Policy, n news, now time.Duration) {
+func (s Scenario) deliver(fleet []Policy, n notice, now time.Duration) {
 	for i, p := range fleet {
 		if i != n.from && !s.Isolated && (!s.Partitioned || i%2 == n.from%2) {
 			p.RecordPeerSent(n.server, now)
@@ -102,15 +108,15 @@
 	}
 }
 
-func (s Scenario) busiest(arrivals map[uint32][]time.Duration) (most int) {
+func (s Scenario) peakRequests(arrivals map[uint32][]time.Duration) (peak int) {
 	for _, list := range arrivals {
 		first := 0
 		for last, at := range list {
 			for at-list[first] >= s.Window {
 				first++
 			}
-			most = max(most, last-first+1)
+			peak = max(peak, last-first+1)
 		}
 	}
-	return most
+	return peak
 }
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,38 +1,39 @@
 // Package rendezvous ranks the instances of a fleet for a key by highest random
-// weight, so that all of them agree who comes first without a message.
+// weight, so that all instances agree on the order without exchanging messages.
 package rendezvous
 
 import "foxtailspoke/relay"
 
-// Ranker are the ranks of one instance. They aren't safe for concurrent use.
+// Ranker computes the rank of one instance among the fleet. It isn't safe for
+// concurrent use.
 type Ranker struct {
 	self uint32
-	// others are all instances that are known, heard or not, without this one.
-	others []uint32
-	known  bool
-	cache  map[uint32]int
+	// others are all other known instances, reachable or not.
+	others      []uint32
+	initialized bool
+	cache       map[uint32]int
 }
 
-// NewRanker returns the ranks of an instance that doesn't know the fleet yet.
+// NewRanker returns a ranker that doesn't know the fleet yet.
 func NewRanker(self uint32) *Ranker { return &Ranker{self: self, cache: make(map[uint32]int)} }
 
-// SetInstances replaces the other instances of the fleet, heard or not.
+// SetInstances replaces the other instances of the fleet, reachable or not.
 func (r *Ranker) SetInstances(ids []uint32) {
 	r.others = ids
-	r.known = true
+	r.initialized = true
 	clear(r.cache)
 }
 
-// Initialized reports whether SetInstances was ever called. An instance that took
-// itself for the only one would rank first for every key.
-func (r *Ranker) Initialized() bool { return r.known }
+// Initialized reports whether SetInstances has been called. Before that, an
+// instance would consider itself alone and rank first for every key.
+func (r *Ranker) Initialized() bool { return r.initialized }
 
-// InstanceCount is how many instances the fleet has, with this one.
+// InstanceCount returns the number of instances in the fleet, including this one.
 func (r *Ranker) InstanceCount() int { return len(r.others) + 1 }
 
-// Rank returns the rank of this instance for a key, 0 the first.
+// Rank returns the rank of this instance for a key; 0 is the highest.
 func (r *Ranker) Rank(key uint32) int {
-	if rank, known := r.cache[key]; known {
+	if rank, cached := r.cache[key]; cached {
 		return rank
 	}
 	own, rank := weight(key, r.self), 0
@@ -45,7 +46,7 @@
 	return rank
 }
 
-// Forget drops what is kept of a key.
+// Forget drops the cached rank for a key.
 func (r *Ranker) Forget(key uint32) { delete(r.cache, key) }
 
 func weight(key, instance uint32) uint32 { return relay.Hash(relay.Hash(key) ^ instance) }
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -8,7 +8,8 @@
 	"foxtailspoke/rendezvous"
 )
 
-// Two instances that both take themselves for the first use a share twice.
+// All instances must compute distinct ranks for a key. If two instances both ranked
+// first, both would use the same share.
 func TestInstancesAgreeOnTheirRanks(t *testing.T) {
 	ids := []uint32{11, 12, 13, 14, 15, 16}
 	for key := range uint32(50) {
@@ -23,7 +24,7 @@
 	}
 }
 
-func TestRanksAreUnknownAtFirst(t *testing.T) {
+func TestRankerIsNotInitializedAtFirst(t *testing.T) {
 	r := rendezvous.NewRanker(1)
 	must.False(t, r.Initialized())
 	r.SetInstances(nil)
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -11,20 +11,19 @@
 	"foxtailspoke/warmup"
 )
 
-// window is the span over which a server counts.
+// window is the interval over which a server counts requests.
 const window = 4 * time.Second
 
-// leases is the policy of package throttle.
-type leases struct{ *throttle.Limiter }
+// holderPolicy is the policy of package throttle.
+type holderPolicy struct{ *throttle.Limiter }
 
-func (l leases) Allow(server uint32, now time.Duration) bool {
+func (l holderPolicy) Allow(server uint32, now time.Duration) bool {
 	ok, _ := l.Limiter.Allow(server, now)
 	return ok
 }
-func (l leases) RecordPeerSent(uint32, time.Duration) {}
+func (l holderPolicy) RecordPeerSent(uint32, time.Duration) {}
 
-// fewHolders is the policy of package warmup, with one holder for each request a
-// second.
+// fewHolders is the policy of package warmup, with one holder per request per second.
 type fewHolders struct {
 	*warmup.Limiter
 	limit float64
@@ -36,8 +35,8 @@
 }
 func (f fewHolders) RecordPeerSent(uint32, time.Duration) {}
 
-// bucket is a token bucket whose tokens all instances take, as far as they hear
-// each other; it counts on the share of the limit that belongs to those heard.
+// bucket is a token bucket for the instances that receive each other's messages. It
+// refills at their share of the limit.
 type bucket struct {
 	limit, share float64
 	tokens       map[uint32]float64
@@ -66,21 +65,21 @@
 }
 func (b *bucket) RecordPeerSent(server uint32, now time.Duration) { b.RecordSent(server, now) }
 
-// scene is a fleet whose every request would go to a limited server if it may.
-type scene struct{ ratesim.Scenario }
+// scenario is a fleet in which every request goes to a limited server if allowed.
+type scenario struct{ ratesim.Scenario }
 
-func (s scene) leases() []ratesim.Policy {
+func (s scenario) holderPolicies() []ratesim.Policy {
 	return s.NewFleet(func(self uint32, others []uint32) ratesim.Policy {
 		l := throttle.NewLimiter(self)
 		l.SetInstances(others)
 		for k := range s.Servers {
 			l.SetLimit(ratesim.ServerID(k), s.ServerRate, 0)
 		}
-		return leases{l}
+		return holderPolicy{l}
 	})
 }
 
-func (s scene) fewHolders() []ratesim.Policy {
+func (s scenario) fewHolders() []ratesim.Policy {
 	return s.NewFleet(func(self uint32, others []uint32) ratesim.Policy {
 		l := warmup.NewLimiter(self)
 		l.SetInstances(others)
@@ -88,7 +87,7 @@
 	})
 }
 
-func (s scene) buckets() []ratesim.Policy {
+func (s scenario) buckets() []ratesim.Policy {
 	share := 1.0
 	if s.Partitioned {
 		share = 0.5
@@ -98,59 +97,59 @@
 	})
 }
 
-func (s scene) play(fleet []ratesim.Policy, seed uint64) (most int, used float64) {
+func (s scenario) run(fleet []ratesim.Policy, seed uint64) (peak int, used float64) {
 	s.Duration, s.Window = 20*time.Second, window
 	return s.Run(fleet, seed)
 }
 
-// allowed is how many requests a server bears within a window.
-func (s scene) allowed() float64 { return 1.5*s.ServerRate*window.Seconds() + 5 }
+// allowed returns the number of requests that a server accepts within a window.
+func (s scenario) allowed() float64 { return 1.5*s.ServerRate*window.Seconds() + 5 }
 
-var scenes = map[string]ratesim.Scenario{
+var scenarios = map[string]ratesim.Scenario{
 	"two of fifteen servers":          {Instances: 36, Servers: 2, ServerRate: 1, RequestRate: 60},
-	"two servers, three a second":     {Instances: 36, Servers: 2, ServerRate: 3.1, RequestRate: 60},
+	"two servers, three per second":   {Instances: 36, Servers: 2, ServerRate: 3.1, RequestRate: 60},
 	"all servers of a small service":  {Instances: 36, Servers: 8, ServerRate: 2.5, RequestRate: 25},
-	"half don't hear each other":      {Instances: 36, Servers: 2, ServerRate: 2.5, RequestRate: 60, Partitioned: true},
-	"news takes long":                 {Instances: 36, Servers: 2, ServerRate: 2.5, RequestRate: 60, PropagationDelay: 300 * time.Millisecond},
+	"fleet partitioned in halves":     {Instances: 36, Servers: 2, ServerRate: 2.5, RequestRate: 60, Partitioned: true},
+	"slow propagation":                {Instances: 36, Servers: 2, ServerRate: 2.5, RequestRate: 60, PropagationDelay: 300 * time.Millisecond},
 	"one server under a large load":   {Instances: 133, Servers: 1, ServerRate: 2.5, RequestRate: 680},
 	"many servers under a large load": {Instances: 133, Servers: 33, ServerRate: 2.5, RequestRate: 680},
 	"large limits":                    {Instances: 133, Servers: 4, ServerRate: 20, RequestRate: 680},
 	"hundreds of instances":           {Instances: 293, Servers: 30, ServerRate: 1, RequestRate: 400},
 	"few instances":                   {Instances: 3, Servers: 4, ServerRate: 2.5, RequestRate: 30},
-	"less than one a second":          {Instances: 12, Servers: 4, ServerRate: 0.5, RequestRate: 60},
+	"less than one per second":        {Instances: 12, Servers: 4, ServerRate: 0.5, RequestRate: 60},
 }
 
-// A server in need gets more than it takes, because every instance finds it idle
-// at the same moment.
-func TestLimitedServersGetWhatTheyTake(t *testing.T) {
-	for name, drawn := range scenes {
-		s := scene{drawn}
+// Every instance finds a limited server idle at the same moment. The fleet must not
+// send it more than it accepts.
+func TestLimitedServersStayWithinTheirLimit(t *testing.T) {
+	for name, params := range scenarios {
+		s := scenario{params}
 		for seed := range uint64(5) {
-			most, _ := s.play(s.leases(), seed)
-			must.LessEq(t, s.allowed(), float64(most), must.Sprint(name, " seed ", seed))
+			peak, _ := s.run(s.holderPolicies(), seed)
+			must.LessEq(t, s.allowed(), float64(peak), must.Sprint(name, " seed ", seed))
 		}
 	}
 }
 
-// What the policies cost and use.
+// Logs the peak rate and utilization of each policy.
 func TestComparePolicies(t *testing.T) {
-	for name, drawn := range scenes {
-		s := scene{drawn}
-		most, used := s.play(s.leases(), 1)
-		fewMost, fewUsed := s.play(s.fewHolders(), 1)
-		bucketMost, bucketUsed := s.play(s.buckets(), 1)
-		t.Logf("%-31s allowed %5.1f: leases %d, used %.2f; few holders %d, used %.2f; bucket %d, used %.2f",
-			name, s.allowed(), most, used, fewMost, fewUsed, bucketMost, bucketUsed)
+	for name, params := range scenarios {
+		s := scenario{params}
+		peak, used := s.run(s.holderPolicies(), 1)
+		fewPeak, fewUsed := s.run(s.fewHolders(), 1)
+		bucketPeak, bucketUsed := s.run(s.buckets(), 1)
+		t.Logf("%-31s allowed %5.1f: holders peak %d, utilization %.2f; few holders peak %d, utilization %.2f; token bucket peak %d, utilization %.2f",
+			name, s.allowed(), peak, used, fewPeak, fewUsed, bucketPeak, bucketUsed)
 	}
 }
 
-// A limit is named to all instances at once; their first requests must not come at
-// once as well.
-func TestFirstTurnsOfHoldersAreStaggered(t *testing.T) {
-	s := scene{ratesim.Scenario{Instances: 36, Servers: 1, ServerRate: 2}}
+// All instances learn of a limit at the same moment. Their first requests must not
+// arrive at the same moment as well.
+func TestFirstRequestsOfHoldersAreStaggered(t *testing.T) {
+	s := scenario{ratesim.Scenario{Instances: 36, Servers: 1, ServerRate: 2}}
 	first := make(map[time.Duration]int)
-	for _, p := range s.leases() {
-		if ok, wait := p.(leases).Limiter.Allow(ratesim.ServerID(0), 0); ok || wait > 0 {
+	for _, p := range s.holderPolicies() {
+		if ok, wait := p.(holderPolicy).Limiter.Allow(ratesim.ServerID(0), 0); ok || wait > 0 {
 			first[wait]++
 		}
 	}
@@ -161,8 +160,8 @@
 	}
 }
 
-// An instance that has just started and doesn't know the others yet must not take
-// itself for the only holder.
+// An instance that has just started and doesn't know the other instances yet must
+// not act as the only holder.
 func TestNothingIsAllowedUntilTheFleetIsKnown(t *testing.T) {
 	l := throttle.NewLimiter(1)
 	l.SetLimit(9, 5, 0)
@@ -174,7 +173,7 @@
 	must.True(t, ok)
 }
 
-func TestHolderKeepsToItsPart(t *testing.T) {
+func TestHolderStaysWithinItsShare(t *testing.T) {
 	l := throttle.NewLimiter(1)
 	l.SetInstances(nil)
 	l.SetLimit(9, 2, 0)
@@ -186,9 +185,9 @@
 	must.True(t, ok)
 }
 
-// A server that takes nothing is asked now and then: nobody else would learn that
-// it takes requests again.
-func TestServerWithoutAnyRoomIsAskedNowAndThen(t *testing.T) {
+// A server with a limit of zero still receives a request now and then, as no instance
+// would otherwise learn that it accepts requests again.
+func TestServerWithZeroLimitStillReceivesRequests(t *testing.T) {
 	l := throttle.NewLimiter(1)
 	l.SetInstances(nil)
 	l.SetLimit(9, 0, 0)
@@ -212,9 +211,10 @@
 	must.False(t, limited)
 }
 
-// An answer that left the server before it named a limit arrives after one that
-// names it. Taken for the end of the limit it would let everybody send at will.
-func TestOnlyAnAnswerToALaterRequestEndsALimit(t *testing.T) {
+// A response that left the server before it announced a limit arrives after the one
+// that announced it. It must not end the limit, which would let all instances send
+// without restriction.
+func TestOnlyAResponseToALaterRequestEndsALimit(t *testing.T) {
 	l := throttle.NewLimiter(1)
 	must.False(t, l.LimitOlderThan(9, time.Second))
 	l.SetLimit(9, 2, time.Second)
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -1,20 +1,21 @@
-// Package warmup shares out the few requests a second that a backend server
-// bears while it is cold.
+// Package warmup limits the request rate that a fleet sends to a backend server
+// while the server is cold.
 //
-// Load pattern: after a start, or when a data centre returns, servers bear a
-// fraction of their usual load for some seconds. They are idle by then, so that
-// every instance of the fleet finds them the most attractive at the same moment.
+// Load pattern: after a start, or when a data centre returns, servers can handle
+// only a fraction of their usual load for some seconds. They are idle at that
+// point, so every instance of the fleet prefers them at the same moment.
 //
-// Idea: rendezvous hashing gives each cold server as many holders among the
-// instances as it bears requests a second. Only these send to it, each at most
-// one request a second. Nobody has to hear anybody in time: the sum holds while
-// messages between instances are lost, and silent instances keep their share.
+// Approach: rendezvous hashing assigns to each cold server as many holders among
+// the instances as the server can handle requests per second. Only holders send to
+// it, each at most one request per second. The total needs no communication: it
+// stays within the rate while messages between instances are lost, and instances
+// that don't respond keep their share.
 //
-// Trade-off: a share lies idle while its holder has no request for the service.
+// Trade-off: a share is unused while its holder has no request for the service.
 //
-// Usage: give SetInstances the fleet as it becomes known, ask Allow before a
-// request is sent to a cold server, and tell RecordSent of those that are. Decisions
-// are pure: time is passed in.
+// Usage: call SetInstances whenever the list of instances changes, Allow before a
+// request is sent to a cold server, and RecordSent for each request that is sent.
+// Decisions are deterministic: the caller passes in the time.
 package warmup
 
 import (
@@ -24,35 +25,36 @@
 	"foxtailspoke/rendezvous"
 )
 
-// spacingMargin stretches the pause between two requests of a holder, so that
-// no second contains one more of them.
+// spacingMargin lengthens the interval between two requests of a holder, so that
+// no window of one second contains an additional request.
 const spacingMargin = 1.05
 
-// Limiter is the part of one instance. It isn't safe for concurrent use.
+// Limiter decides for one instance when it may send to cold servers. It isn't safe
+// for concurrent use.
 type Limiter struct {
-	ranks *rendezvous.Ranker
-	// last is when this instance last sent to a server.
-	last map[uint32]time.Duration
+	ranker *rendezvous.Ranker
+	// lastSent is the time of this instance's last request to each server.
+	lastSent map[uint32]time.Duration
 }
 
-// NewLimiter returns a limiter that allows nothing until the fleet is known: an
-// instance that took itself for the only one would use all shares.
+// NewLimiter returns a limiter that allows nothing until SetInstances is called: an
+// instance that considers itself the only one would use all shares.
 func NewLimiter(self uint32) *Limiter {
-	return &Limiter{ranks: rendezvous.NewRanker(self), last: make(map[uint32]time.Duration)}
+	return &Limiter{ranker: rendezvous.NewRanker(self), lastSent: make(map[uint32]time.Duration)}
 }
 
-// SetInstances replaces the other instances of the fleet, heard or not.
-func (l *Limiter) SetInstances(ids []uint32) { l.ranks.SetInstances(ids) }
+// SetInstances replaces the other instances of the fleet, reachable or not.
+func (l *Limiter) SetInstances(ids []uint32) { l.ranker.SetInstances(ids) }
 
-// Allow reports whether this instance may send a request to a cold server that
-// bears so many requests a second, or how long it has to wait; false and 0 say
-// that it holds no share.
+// Allow reports whether this instance may send a request to a cold server that can
+// handle perSecond requests per second. If not, wait is the time until it may, or 0
+// if the instance holds no share of the server.
 func (l *Limiter) Allow(server uint32, perSecond float64, now time.Duration) (ok bool, wait time.Duration) {
 	holders := l.holders(perSecond)
-	if !l.ranks.Initialized() || l.ranks.Rank(server) >= holders {
+	if !l.ranker.Initialized() || l.ranker.Rank(server) >= holders {
 		return false, 0
 	}
-	last, sent := l.last[server]
+	last, sent := l.lastSent[server]
 	if !sent {
 		return true, 0
 	}
@@ -62,9 +64,9 @@
 	return true, 0
 }
 
-// spacing is the pause between the requests of a holder that may send so many a
-// second. Only whole requests count from one a second on: otherwise a second
-// could hold one more.
+// spacing returns the interval between the requests of a holder that may send
+// perSecond requests per second. Rates above 1 are rounded down to whole requests,
+// as a window of one second could otherwise contain one more.
 func spacing(perSecond float64) time.Duration {
 	if perSecond > 1 {
 		perSecond = math.Floor(perSecond)
@@ -72,17 +74,18 @@
 	return time.Duration(spacingMargin / perSecond * float64(time.Second))
 }
 
-// RecordSent records that this instance sends a request to a server, cold or not.
-func (l *Limiter) RecordSent(server uint32, now time.Duration) { l.last[server] = now }
+// RecordSent records that this instance sends a request to a server, which need not
+// be cold.
+func (l *Limiter) RecordSent(server uint32, now time.Duration) { l.lastSent[server] = now }
 
-// Forget drops what is kept of a server.
+// Forget drops the state of a server.
 func (l *Limiter) Forget(server uint32) {
-	delete(l.last, server)
-	l.ranks.Forget(server)
+	delete(l.lastSent, server)
+	l.ranker.Forget(server)
 }
 
-// holders is how many instances share a server that bears so many requests a
-// second.
+// holders returns the number of instances that share a server which can handle
+// perSecond requests per second.
 func (l *Limiter) holders(perSecond float64) int {
-	return min(l.ranks.InstanceCount(), max(int(math.Floor(perSecond)), 1))
+	return min(l.ranker.InstanceCount(), max(int(math.Floor(perSecond)), 1))
 }
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -10,21 +10,21 @@
 	"foxtailspoke/warmup"
 )
 
-// leases is the policy of package warmup.
-type leases struct {
+// holderPolicy is the policy of package warmup.
+type holderPolicy struct {
 	*warmup.Limiter
 	rate float64
 }
 
-func (l leases) Allow(server uint32, now time.Duration) bool {
+func (l holderPolicy) Allow(server uint32, now time.Duration) bool {
 	ok, _ := l.Limiter.Allow(server, l.rate, now)
 	return ok
 }
-func (l leases) RecordPeerSent(uint32, time.Duration) {}
+func (l holderPolicy) RecordPeerSent(uint32, time.Duration) {}
 
-// sharedCount is the policy to compare with: an instance sends while it has
-// heard of fewer requests in the last second than the server bears, times the
-// share of the fleet that it hears.
+// sharedCount is the policy to compare with: an instance sends while the requests
+// of the last second that it knows of are fewer than the rate of the server times
+// the share of the fleet that it receives messages from.
 type sharedCount struct {
 	rate float64
 	log  map[uint32][]time.Duration
@@ -45,18 +45,18 @@
 }
 func (s sharedCount) RecordPeerSent(server uint32, now time.Duration) { s.RecordSent(server, now) }
 
-// scene is a fleet whose every request would go to a cold server if it may.
-type scene struct{ ratesim.Scenario }
+// scenario is a fleet in which every request goes to a cold server if allowed.
+type scenario struct{ ratesim.Scenario }
 
-func (s scene) leases() []ratesim.Policy {
+func (s scenario) holderPolicies() []ratesim.Policy {
 	return s.NewFleet(func(self uint32, others []uint32) ratesim.Policy {
 		l := warmup.NewLimiter(self)
 		l.SetInstances(others)
-		return leases{l, s.ServerRate}
+		return holderPolicy{l, s.ServerRate}
 	})
 }
 
-func (s scene) sharedCounts() []ratesim.Policy {
+func (s scenario) sharedCounts() []ratesim.Policy {
 	rate := s.ServerRate
 	switch {
 	case s.Partitioned:
@@ -69,48 +69,48 @@
 	})
 }
 
-// play plays a scene for three seconds and counts what comes within one.
-func (s scene) play(fleet []ratesim.Policy, seed uint64) (most int, used float64) {
+// run simulates three seconds and counts requests in windows of one second.
+func (s scenario) run(fleet []ratesim.Policy, seed uint64) (peak int, used float64) {
 	s.Duration, s.Window = 3*time.Second, time.Second
 	return s.Run(fleet, seed)
 }
 
-var scenes = map[string]ratesim.Scenario{
+var scenarios = map[string]ratesim.Scenario{
 	"a data centre returns":       {Instances: 99, Servers: 24, ServerRate: 7.5, RequestRate: 350},
 	"one server joins under load": {Instances: 99, Servers: 1, ServerRate: 7.5, RequestRate: 350},
-	"half don't hear each other":  {Instances: 99, Servers: 24, ServerRate: 7.5, RequestRate: 350, Partitioned: true},
-	"all were just killed":        {Instances: 99, Servers: 47, ServerRate: 7.5, RequestRate: 900, Isolated: true},
-	"servers bear two a second":   {Instances: 36, Servers: 8, ServerRate: 2, RequestRate: 60},
-	"two a second, half unheard":  {Instances: 36, Servers: 8, ServerRate: 2, RequestRate: 60, Partitioned: true},
+	"fleet partitioned in halves": {Instances: 99, Servers: 24, ServerRate: 7.5, RequestRate: 350, Partitioned: true},
+	"all instances restarted":     {Instances: 99, Servers: 47, ServerRate: 7.5, RequestRate: 900, Isolated: true},
+	"two requests per second":     {Instances: 36, Servers: 8, ServerRate: 2, RequestRate: 60},
+	"two per second, partitioned": {Instances: 36, Servers: 8, ServerRate: 2, RequestRate: 60, Partitioned: true},
 	"few instances":               {Instances: 3, Servers: 4, ServerRate: 7.5, RequestRate: 100},
-	"less than one a second":      {Instances: 12, Servers: 4, ServerRate: 0.5, RequestRate: 60},
+	"less than one per second":    {Instances: 12, Servers: 4, ServerRate: 0.5, RequestRate: 60},
 }
 
-// A cold server gets more requests within a second than it bears and breaks
-// down, because every instance finds it idle at the same moment.
-func TestColdServersGetWhatTheyBear(t *testing.T) {
-	for name, drawn := range scenes {
-		s := scene{drawn}
+// Every instance finds a cold server idle at the same moment. The fleet must not
+// send it more requests within a second than it can handle.
+func TestColdServersStayWithinTheirRate(t *testing.T) {
+	for name, params := range scenarios {
+		s := scenario{params}
 		for seed := range uint64(5) {
-			most, _ := s.play(s.leases(), seed)
-			must.LessEq(t, max(s.ServerRate, 1), float64(most), must.Sprint(name, " seed ", seed))
+			peak, _ := s.run(s.holderPolicies(), seed)
+			must.LessEq(t, max(s.ServerRate, 1), float64(peak), must.Sprint(name, " seed ", seed))
 		}
 	}
 }
 
-// What the two policies cost and use; see docs/design/shifted.md.
+// Logs the peak rate and utilization of both policies; see docs/design/shifted.md.
 func TestComparePolicies(t *testing.T) {
-	for name, drawn := range scenes {
-		s := scene{drawn}
-		most, used := s.play(s.leases(), 1)
-		countMost, countUsed := s.play(s.sharedCounts(), 1)
-		t.Logf("%-28s bears %.1f: leases most %d, used %.2f; shared count most %d, used %.2f",
-			name, s.ServerRate, most, used, countMost, countUsed)
+	for name, params := range scenarios {
+		s := scenario{params}
+		peak, used := s.run(s.holderPolicies(), 1)
+		countPeak, countUsed := s.run(s.sharedCounts(), 1)
+		t.Logf("%-28s rate %.1f: holders peak %d, utilization %.2f; shared count peak %d, utilization %.2f",
+			name, s.ServerRate, peak, used, countPeak, countUsed)
 	}
 }
 
-// An instance that has just started and doesn't know the others yet must not
-// take all shares.
+// An instance that has just started and doesn't know the other instances yet must
+// not use all shares.
 func TestNothingIsAllowedUntilTheFleetIsKnown(t *testing.T) {
 	l := warmup.NewLimiter(1)
 	ok, _ := l.Allow(9, 5, 0)
@@ -120,7 +120,7 @@
 	must.True(t, ok)
 }
 
-func TestHolderWaitsForItsNextShare(t *testing.T) {
+func TestHolderWaitsBetweenRequests(t *testing.T) {
 	l := warmup.NewLimiter(1)
 	l.SetInstances(nil)
 	ok, _ := l.Allow(9, 1, 0)
