--- a/placement/belief.go
+++ b/placement/belief.go
@@ -5,97 +5,102 @@
 	"time"
 )
 
-// condition is what a server is believed to be in: well, partly failing, or in a
-// spell in which most requests fail. It changes by itself, at rates that are known
-// roughly, and every result says which of the three is likelier.
+// healthBelief holds the probabilities that a server is degraded (a part of its
+// requests fails) or failing (most requests fail); otherwise it is healthy. Servers
+// change between these states by themselves, at roughly known rates, and every result
+// makes some states more likely.
 //
-// A server that loses a third of its answers gives two good ones between two
-// failures. Without the state between, these would restore full trust each time.
-type condition struct {
-	partly, spell float64
-	at            time.Duration
+// The degraded state is needed because a server that loses a third of its responses
+// gives two good ones between two failures. With two states only, these would restore
+// full trust each time.
+type healthBelief struct {
+	degraded, failing float64
+	at                time.Duration
 }
 
 const (
-	// usuallyPartly and usuallySpell are the shares of servers when nothing is
-	// known.
-	usuallyPartly = 0.03
-	usuallySpell  = 0.28
-	// failsPartly, failsInSpell and failsOtherwise are the shares of requests that
-	// fail at servers that fail partly, in spells, and otherwise.
-	failsPartly    = 0.35
-	failsInSpell   = 0.8
-	failsOtherwise = 0.012
+	// priorDegraded and priorFailing are the shares of servers in these states,
+	// assumed when nothing is known about a server.
+	priorDegraded = 0.03
+	priorFailing  = 0.28
+	// degradedFailureRate, failingFailureRate and baseFailureRate are the shares of
+	// requests that fail at degraded, failing and healthy servers.
+	degradedFailureRate = 0.35
+	failingFailureRate  = 0.8
+	baseFailureRate     = 0.012
 )
 
-// unknown is the condition of a server that nothing is known of.
-func unknown(t time.Duration) condition { return condition{usuallyPartly, usuallySpell, t} }
+// priorHealthBelief returns the belief about a server that nothing is known about.
+func priorHealthBelief(t time.Duration) healthBelief {
+	return healthBelief{priorDegraded, priorFailing, t}
+}
 
-// ill is the probability that the server isn't well.
-func (c condition) ill() float64 { return c.partly + c.spell }
+// unhealthy returns the probability that the server is degraded or failing.
+func (c healthBelief) unhealthy() float64 { return c.degraded + c.failing }
 
-// now returns the condition faded to the given time.
-func (c condition) now(t time.Duration) condition {
-	passed := t - c.at
-	if passed <= 0 {
+// decayedTo returns the belief at the given time, decayed towards the prior.
+func (c healthBelief) decayedTo(t time.Duration) healthBelief {
+	elapsed := t - c.at
+	if elapsed <= 0 {
 		return c
 	}
-	part := kept(c.ill() > usuallyPartly+usuallySpell, passed)
-	return condition{
-		partly: usuallyPartly + (c.partly-usuallyPartly)*part,
-		spell:  usuallySpell + (c.spell-usuallySpell)*part,
-		at:     t,
+	factor := decayFactor(c.unhealthy() > priorDegraded+priorFailing, elapsed)
+	return healthBelief{
+		degraded: priorDegraded + (c.degraded-priorDegraded)*factor,
+		failing:  priorFailing + (c.failing-priorFailing)*factor,
+		at:       t,
 	}
 }
 
 const (
-	// trust and suspicion are the times after which good and bad experience has
-	// faded to a third. Trust in a server that isn't used must outlast the pauses
-	// between requests, or all load stays on few servers; suspicion has to
-	// outlast most of a spell, since each early try is probably lost.
-	trust     = 9 * time.Second
-	suspicion = 6 * time.Second
-	// leastBelief and mostBelief keep a belief from becoming a certainty that no
-	// result moves.
-	leastBelief = 0.002
-	mostBelief  = 0.995
+	// healthyDecayTime and unhealthyDecayTime are the time constants of the decay
+	// after good and bad results. Trust in an unused server must outlast the intervals
+	// between requests, or all load stays on few servers. Distrust must outlast most
+	// of a failing period, since each early attempt is probably lost.
+	healthyDecayTime   = 9 * time.Second
+	unhealthyDecayTime = 6 * time.Second
+	// minProbability and maxProbability keep a belief from becoming a certainty that
+	// no result can change.
+	minProbability = 0.002
+	maxProbability = 0.995
 )
 
-// kept is the part of an experience that is left after some time.
-func kept(suspected bool, passed time.Duration) float64 {
-	fades := trust
+// decayFactor returns the share of a deviation from the prior that remains after the
+// elapsed time.
+func decayFactor(suspected bool, elapsed time.Duration) float64 {
+	decayTime := healthyDecayTime
 	if suspected {
-		fades = suspicion
+		decayTime = unhealthyDecayTime
 	}
-	return math.Exp(-max(float64(passed), 0) / float64(fades))
+	return math.Exp(-max(float64(elapsed), 0) / float64(decayTime))
 }
 
-// likelihoods of a result in the three conditions, up to a common factor.
-type likelihoods struct{ well, partly, spell float64 }
+// likelihoods of a result in the three states, up to a common factor.
+type likelihoods struct{ healthy, degraded, failing float64 }
 
-// learn takes in a result.
-func (c *condition) learn(t time.Duration, l likelihoods) {
-	n := c.now(t)
-	well, partly, spell := (1-n.ill())*l.well, n.partly*l.partly, n.spell*l.spell
-	sum := well + partly + spell
-	c.partly = math.Max(partly/sum, leastBelief/2)
-	c.spell = math.Max(spell/sum, leastBelief/2)
-	if ill := c.ill(); ill > mostBelief {
-		c.partly *= mostBelief / ill
-		c.spell *= mostBelief / ill
+// update applies Bayes' rule for a result with the given likelihoods.
+func (c *healthBelief) update(t time.Duration, l likelihoods) {
+	n := c.decayedTo(t)
+	healthy, degraded, failing := (1-n.unhealthy())*l.healthy, n.degraded*l.degraded, n.failing*l.failing
+	sum := healthy + degraded + failing
+	c.degraded = math.Max(degraded/sum, minProbability/2)
+	c.failing = math.Max(failing/sum, minProbability/2)
+	if unhealthy := c.unhealthy(); unhealthy > maxProbability {
+		c.degraded *= maxProbability / unhealthy
+		c.failing *= maxProbability / unhealthy
 	}
 	c.at = t
 }
 
-// fails is the probability that a request sent now fails.
-func (c condition) fails() float64 {
-	return (1-c.ill())*failsOtherwise + c.partly*failsPartly + c.spell*failsInSpell
+// failureProbability returns the probability that a request sent now fails.
+func (c healthBelief) failureProbability() float64 {
+	return (1-c.unhealthy())*baseFailureRate + c.degraded*degradedFailureRate + c.failing*failingFailureRate
 }
 
 var (
-	// answered are the likelihoods of a good answer.
-	answered = likelihoods{1 - failsOtherwise, 1 - failsPartly, 1 - failsInSpell}
-	// unreachable are those of no connection, which tells more of the path than of
-	// the server.
-	unreachable = likelihoods{well: 0.06, partly: 0.1, spell: 0.3}
+	// successLikelihoods apply to a successful response.
+	successLikelihoods = likelihoods{1 - baseFailureRate, 1 - degradedFailureRate, 1 - failingFailureRate}
+	// connectFailedLikelihoods apply to a failed connection attempt, which says more
+	// about the network path than about the server.
+	connectFailedLikelihoods = likelihoods{healthy: 0.06, degraded: 0.1, failing: 0.3}
 )
--- a/placement/costs.go
+++ b/placement/costs.go
@@ -2,104 +2,111 @@
 
 import "time"
 
-// Costs weigh the parts of a choice against each other, in units of a lost
-// request that can't be repeated.
+// Weights of the cost function, in units of one lost non-retryable request.
 const (
-	// riskRepeatable is the cost of failing for a request that can be sent
-	// again. It then has to wait all the same, has lost time, and has taken from
-	// a scarce budget; so it is hardly less than for one that can't.
-	riskRepeatable = 0.8
-	// timeCost is the cost of an expected time as long as the aim.
-	timeCost = 0.3
-	// mostLate is the expected time, in aims, above which waiting longer costs
-	// no more: with short aims it would outweigh any risk.
-	mostLate = 1.5
-	// lateCost is added in full at one and a half times the aim: a late
-	// answer earns its caller little.
-	lateCost = 0.35
-	// waiting is the cost of each round of requests that a slot works off first.
-	// The time alone costs so little against the risk of an unknown server that
-	// load would pile up at few known ones, and answers would be late.
-	waiting = 0.2
-	// crossing is the cost of leaving the data centre for a few bytes, and
-	// crossingPerKB for each kilobyte of request and answer, at most
-	// crossingMost: a caller's answer is worth more than any link.
-	crossing      = 0.02
-	crossingPerKB = 0.008
-	crossingMost  = 0.2
-	// jitter spreads instances that decide at the same moment over servers
-	// that are as good as each other.
-	jitter = 0.03
-	// newcomer draws an early request to a server that never got one.
-	newcomer = 0.3
-	// spread draws requests to servers out of use while many go unserved.
-	spread = 0.8
-	// keep draws requests to servers that are probably well, so that all of
-	// them stay in use.
-	keep = 0.3
-	// probe draws requests that can be repeated to servers that failed the last
-	// ones, though not by silence.
-	probe = 0.8
+	// retryableFailureCost is the cost of a failure of a retryable request. It is
+	// hardly lower than that of a non-retryable one: the retry also has to wait, time
+	// has been lost, and the retry budget is scarce.
+	retryableFailureCost = 0.8
+	// latencyWeight is the cost of an expected latency equal to the latency target.
+	latencyWeight = 0.3
+	// maxLatencyRatio is the ratio of expected latency to latency target above which
+	// the latency cost no longer grows: with short targets it would outweigh any risk.
+	maxLatencyRatio = 1.5
+	// lateAnswerCost is added in full at 1.5 times the latency target, as a late answer
+	// is of little use to its caller.
+	lateAnswerCost = 0.35
+	// queueRoundCost is the cost of each round of requests that a slot serves before
+	// this one. The latency alone costs so little compared with the risk of an unknown
+	// server that load would pile up at a few known ones and answers would be late.
+	queueRoundCost = 0.2
+	// crossDCCost is the cost of leaving the data centre for a few bytes, and
+	// crossDCCostPerKB that of each kilobyte of request and answer. maxCrossDCCost
+	// bounds the sum, as an answer is worth more than the bandwidth it takes.
+	crossDCCost      = 0.02
+	crossDCCostPerKB = 0.008
+	maxCrossDCCost   = 0.2
+	// costJitter distributes instances that decide at the same moment over servers of
+	// equal cost.
+	costJitter = 0.03
+	// unusedServerBonus attracts an early request to a server that never received one.
+	unusedServerBonus = 0.3
+	// spreadBonus attracts requests to idle servers while many requests go unserved.
+	spreadBonus = 0.8
+	// keepInUseBonus attracts requests to servers that are probably healthy, so that
+	// all of them stay in use.
+	keepInUseBonus = 0.3
+	// probeBonus attracts retryable requests to servers whose last requests failed, but
+	// not to servers that didn't answer at all.
+	probeBonus = 0.8
 )
 
 const (
-	// newcomerAfter leaves a server's entry time to reach all instances.
-	newcomerAfter = 500 * time.Millisecond
-	// widenAbove is the share of unserved requests from which a service's
-	// requests are spread over more of its servers, and coverage the share of
-	// servers that is then in use. It lies below the share at which idle healthy
-	// servers are held against the fleet, so that there is time to act. A much
-	// lower one keeps itself alive: what is lost at servers in spells for trying
-	// them counts as unserved. Servers that are likelier to be well come first.
-	widenAbove = 0.07
-	coverage   = 0.72
-	// coverageRepeatable is the same for requests that can be repeated, which
-	// cost less. The servers out of use may all be among the few that are well
-	// and undisturbed, so that a share of all servers says little of these.
-	coverageRepeatable = 0.95
-	// coverageAtStart is higher: right after a fleet-wide start most servers may
-	// not count as healthy yet, and of the few that do as many must be in use.
-	coverageAtStart = 0.95
-	// justStarted is the time after the start of an instance during which it
-	// takes as given that many went unserved: the whole fleet may have been
-	// down, and nobody remembers. The first servers to answer would get all.
-	justStarted = 5 * time.Second
-	// outOfUse is the time without a request after which spread applies, and
-	// justFailed the time after a failure during which it doesn't. Both leave
-	// some of the two seconds that count to find a request.
-	outOfUse   = 1700 * time.Millisecond
-	justFailed = 1700 * time.Millisecond
-	// keepAfter is the time without a request after which keep applies, and
-	// keepRisk the risk up to which it does: what a server has five seconds
-	// after its last failure. A fleet may lose all its instances at any moment,
-	// and most healthy servers must be in use then.
-	keepAfter = 800 * time.Millisecond
-	keepRisk  = 0.5
-	// keepRiskPause is how many times keepAfter is added for a certain failure.
-	keepRiskPause = 10
-	// keepRiskOrders replaces keepRisk for requests that can't be repeated where
-	// at least enoughRepeatable of the service's requests can be.
-	keepRiskOrders   = 0.06
-	enoughRepeatable = 0.05
-	// repeatableSmoothing is the weight of a request in that share.
-	repeatableSmoothing = 0.03
-	// probeAfter is the time without a request after which probe applies. A
-	// reset comes within milliseconds and the request is then served elsewhere,
-	// so that it costs its caller little and finds out what would cost others
-	// an order.
+	// unusedServerDelay leaves the registration of a server time to reach all
+	// instances.
+	unusedServerDelay = 500 * time.Millisecond
+	// spreadUnservedShare is the share of unserved requests above which the requests to
+	// a service are spread over more of its servers, and spreadCoverage the share of
+	// servers to be in use then. The former is below the share at which idle healthy
+	// servers count as a violation of the fleet's objectives, which leaves time to
+	// react. With a much lower value spreading would sustain itself: the requests lost
+	// by trying failing servers count as unserved. Servers that are more likely to be
+	// healthy are tried first.
+	spreadUnservedShare = 0.07
+	spreadCoverage      = 0.72
+	// spreadCoverageRetryable applies to retryable requests, whose failures cost less.
+	// The idle servers may all be among the few that are healthy and undisturbed, so a
+	// share of all servers says little about these.
+	spreadCoverageRetryable = 0.95
+	// spreadCoverageAtStart is higher than spreadCoverage: right after a fleet-wide
+	// start, few servers may count as healthy yet, and most of these must be in use.
+	spreadCoverageAtStart = 0.95
+	// startupSpreadPeriod is the time after the start of an instance during which it
+	// assumes that many requests went unserved. The whole fleet may have been down, and
+	// no record of that remains; the first servers to answer would otherwise receive
+	// all requests.
+	startupSpreadPeriod = 5 * time.Second
+	// idleAfter is the time without a request after which spreadBonus applies, and
+	// spreadFailureHoldoff the time after a failure during which it doesn't. Both leave
+	// some time to send a request before a healthy server counts as idle after 2 s.
+	idleAfter            = 1700 * time.Millisecond
+	spreadFailureHoldoff = 1700 * time.Millisecond
+	// keepInUseAfter is the time without a request after which keepInUseBonus applies,
+	// and keepInUseRiskLimit the risk up to which it does: the risk of a server five
+	// seconds after its last failure. The fleet may lose all its instances at any
+	// moment, and most healthy servers must be in use then.
+	keepInUseAfter     = 800 * time.Millisecond
+	keepInUseRiskLimit = 0.5
+	// keepInUseRiskFactor is the multiple of keepInUseAfter that is added to it at a
+	// risk of 1.
+	keepInUseRiskFactor = 10
+	// keepInUseRiskLimitNonRetryable replaces keepInUseRiskLimit for non-retryable
+	// requests if at least minRetryableShare of the requests to the service are
+	// retryable.
+	keepInUseRiskLimitNonRetryable = 0.06
+	minRetryableShare              = 0.05
+	// retryableShareSmoothing is the weight of a request in the moving average of the
+	// retryable share.
+	retryableShareSmoothing = 0.03
+	// probeAfter is the time without a request after which probeBonus applies. A
+	// connection reset arrives within milliseconds and the request is then served by
+	// another server, so the probe costs its caller little and may save a non-retryable
+	// request.
 	probeAfter = time.Second
-	// dueWithin is the time after which a request that is due is sent at the
-	// next chance: a second one rarely comes before the first is heard of.
-	dueWithin = 700 * time.Millisecond
-	// stale is the age at which another instance's count of outstanding work
-	// is no longer believed: its end may have been told in a lost message.
-	stale = 6 * time.Second
-	// coldSlowness is how much slower than usual a server is while warming.
+	// dueRampTime is the time over which the probability that a due request is sent
+	// rises to 1. A second instance then rarely sends one before it learns of the first.
+	dueRampTime = 700 * time.Millisecond
+	// outstandingExpiry is the age at which another instance's count of outstanding
+	// requests is dropped: the message that reported their end may have been lost.
+	outstandingExpiry = 6 * time.Second
+	// coldSlowness is the minimum slowness assumed for a server that is warming up.
 	coldSlowness = 2.0
-	// smoothing is the weight of a new measurement of a server's speed.
-	smoothing = 0.25
-	// workSmoothing is the weight of a request in its service's usual time.
-	workSmoothing = 0.05
-	// slowest bounds a server's slowness against the mean of its service.
-	slowest = 12.0
+	// slownessSmoothing is the weight of a new measurement in a server's slowness.
+	slownessSmoothing = 0.25
+	// serviceTimeSmoothing is the weight of a request in the service's mean service
+	// time.
+	serviceTimeSmoothing = 0.05
+	// maxSlowness bounds the measured slowness of a request relative to the mean of
+	// its service.
+	maxSlowness = 12.0
 )
--- a/placement/exclusions.go
+++ b/placement/exclusions.go
@@ -16,9 +16,9 @@
 	Rate float64
 }
 
-// limits reports whether a server gets no more than the rate now.
-func (w WarmUp) limits(s *server, now time.Duration) bool {
-	return w.Rate > 0 && (now < s.coldTill || s.absent)
+// limitsServer reports whether a server gets no more than the rate now.
+func (w WarmUp) limitsServer(s *server, now time.Duration) bool {
+	return w.Rate > 0 && (now < s.coldUntil || s.unreachable)
 }
 
 // Exclusion is why a request can't be sent to a server at all.
@@ -40,16 +40,16 @@
 	Cold
 )
 
-// absentAfter is the time without a sign of a server after which a connection
+// unreachableAfter is the time without a sign of a server after which a connection
 // that fails means that it may be down. With less, one instance that lost its
 // path would make others take a busy server for absent.
-const absentAfter = time.Second
+const unreachableAfter = time.Second
 
 // SetWarmUpLimiter has a limiter bound what cold servers get.
-func (p *Placer) SetWarmUpLimiter(l *warmup.Limiter) { p.limiter = l }
+func (p *Placer) SetWarmUpLimiter(l *warmup.Limiter) { p.warmUpLimiter = l }
 
 // SetRateLimiter has a limiter bound what servers get that name a limit.
-func (p *Placer) SetRateLimiter(l *throttle.Limiter) { p.throttle = l }
+func (p *Placer) SetRateLimiter(l *throttle.Limiter) { p.rateLimiter = l }
 
 // SetWarmUp takes in what the servers of a service bear after a start.
 func (p *Placer) SetWarmUp(serviceName string, w WarmUp) { p.service(serviceName).warmUp = w }
@@ -65,7 +65,7 @@
 		delete(p.evacuated, dc)
 		for _, s := range p.byID {
 			if s.entry.DataCentre == dc {
-				s.coolUntil(now + p.service(s.entry.Service).warmUp.Duration)
+				s.extendWarmUp(now + p.service(s.entry.Service).warmUp.Duration)
 			}
 		}
 	}
@@ -75,17 +75,17 @@
 // called under the same lock as Choose: two requests that are placed at the
 // same moment would otherwise both take the same share of a cold server.
 func (p *Placer) RecordSent(id string, r Request, now time.Duration) {
-	if p.limiter != nil {
-		p.limiter.RecordSent(Hash(id), now)
+	if p.warmUpLimiter != nil {
+		p.warmUpLimiter.RecordSent(Hash(id), now)
 	}
-	if p.throttle != nil {
-		p.throttle.RecordSent(Hash(id), now)
+	if p.rateLimiter != nil {
+		p.rateLimiter.RecordSent(Hash(id), now)
 	}
 	g, share := p.service(r.Service), 0.0
 	if r.Retryable {
 		share = 1
 	}
-	g.repeatable += repeatableSmoothing * (share - g.repeatable)
+	g.retryableShare += retryableShareSmoothing * (share - g.retryableShare)
 }
 
 // ExclusionReason returns what keeps a request from all servers of its service: the
@@ -95,16 +95,16 @@
 	g := p.service(r.Service)
 	last, wait := NotExcluded, time.Duration(0)
 	for _, s := range g.servers {
-		o := p.obstacle(g, s, r, now)
+		o := p.exclusion(g, s, r, now)
 		last = max(last, o)
-		if w := p.untilAllowed(g, s, o, now); w > 0 && (wait == 0 || w < wait) {
+		if w := p.waitUntilAllowed(g, s, o, now); w > 0 && (wait == 0 || w < wait) {
 			wait = w
 		}
 	}
 	return last, wait
 }
 
-func (p *Placer) obstacle(g *service, s *server, r Request, now time.Duration) Exclusion {
+func (p *Placer) exclusion(g *service, s *server, r Request, now time.Duration) Exclusion {
 	switch {
 	case s.entry.Draining || contains(r.TriedServers, s.entry.ID):
 		return DrainingOrTried
@@ -113,72 +113,72 @@
 	case p.evacuated[s.entry.DataCentre]:
 		return Evacuated
 	}
-	if ok, _ := p.withinLimit(s, now); !ok {
+	if ok, _ := p.allowedByRateLimit(s, now); !ok {
 		return RateLimited
 	}
-	if ok, _ := p.allowed(g, s, now); !ok {
+	if ok, _ := p.allowedByWarmUp(g, s, now); !ok {
 		return Cold
 	}
 	return NotExcluded
 }
 
-// untilAllowed is how long this instance waits at least until an obstacle no
+// waitUntilAllowed is how long this instance waits at least until an obstacle no
 // longer keeps it from a server, 0 if unknown.
-func (p *Placer) untilAllowed(g *service, s *server, o Exclusion, now time.Duration) (wait time.Duration) {
+func (p *Placer) waitUntilAllowed(g *service, s *server, o Exclusion, now time.Duration) (wait time.Duration) {
 	switch o {
 	case RateLimited:
-		_, wait = p.withinLimit(s, now)
+		_, wait = p.allowedByRateLimit(s, now)
 	case Cold:
-		_, wait = p.allowed(g, s, now)
+		_, wait = p.allowedByWarmUp(g, s, now)
 	case NotExcluded, DrainingOrTried, RegionNotAllowed, Evacuated:
 	}
 	return wait
 }
 
-// withinLimit reports whether a server may get one more request from this instance
+// allowedByRateLimit reports whether a server may get one more request from this instance
 // as far as its own limit goes, or how long to wait for that.
-func (p *Placer) withinLimit(s *server, now time.Duration) (bool, time.Duration) {
-	if p.throttle == nil {
+func (p *Placer) allowedByRateLimit(s *server, now time.Duration) (bool, time.Duration) {
+	if p.rateLimiter == nil {
 		return true, 0
 	}
-	return p.throttle.Allow(s.hash, now)
+	return p.rateLimiter.Allow(s.hash, now)
 }
 
-// limited reports whether a server names a limit.
-func (p *Placer) limited(s *server) bool {
-	if p.throttle == nil {
+// rateLimited reports whether a server names a limit.
+func (p *Placer) rateLimited(s *server) bool {
+	if p.rateLimiter == nil {
 		return false
 	}
-	_, limited := p.throttle.Limit(s.hash)
+	_, limited := p.rateLimiter.Limit(s.hash)
 	return limited
 }
 
-// allowed reports whether a server may get one more request from this instance
+// allowedByWarmUp reports whether a server may get one more request from this instance
 // as far as its warm-up goes, or how long to wait for that.
-func (p *Placer) allowed(g *service, s *server, now time.Duration) (bool, time.Duration) {
-	if p.limiter == nil || !g.warmUp.limits(s, now) {
+func (p *Placer) allowedByWarmUp(g *service, s *server, now time.Duration) (bool, time.Duration) {
+	if p.warmUpLimiter == nil || !g.warmUp.limitsServer(s, now) {
 		return true, 0
 	}
-	return p.limiter.Allow(s.hash, g.warmUp.Rate, now)
+	return p.warmUpLimiter.Allow(s.hash, g.warmUp.Rate, now)
 }
 
-// coolUntil takes in that the server is cold until then. What is known never
+// extendWarmUp takes in that the server is cold until then. What is known never
 // becomes shorter: an entry may have been written before the server turned cold.
-func (s *server) coolUntil(end time.Duration) { s.coldTill = max(s.coldTill, end) }
+func (s *server) extendWarmUp(end time.Duration) { s.coldUntil = max(s.coldUntil, end) }
 
-// noteAbsence takes in the result of an attempt of any instance. A server that
+// updateReachability takes in the result of an attempt of any instance. A server that
 // answers again after nobody could connect to it may have started anew, under
 // the entry that it had before.
-func (s *server) noteAbsence(r health.Result, warmUp, now time.Duration) {
+func (s *server) updateReachability(r health.Result, warmUp, now time.Duration) {
 	switch r {
 	case health.ConnectFailed:
-		s.absent = s.absent || now-s.answered > absentAfter
+		s.unreachable = s.unreachable || now-s.lastAnswer > unreachableAfter
 	case health.OK, health.ServerError, health.Incomplete, health.Mismatch, health.Shed, health.NotRun:
-		if s.absent {
-			s.coolUntil(now + warmUp)
+		if s.unreachable {
+			s.extendWarmUp(now + warmUp)
 		}
-		s.absent = false
-		s.answered = now
+		s.unreachable = false
+		s.lastAnswer = now
 	case health.Timeout, health.Late, health.Cancelled:
 	}
 }
--- a/placement/outcomes.go
+++ b/placement/outcomes.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// outcomes counts how the requests to a service ended in the last moments.
+// outcomes counts the recent outcomes of requests to a service in a sliding window.
 type outcomes struct {
-	slots [outcomeSlots]outcomeSlot
+	buckets [outcomeBuckets]outcomeBucket
 }
 
-type outcomeSlot struct {
+type outcomeBucket struct {
 	number           int64
 	served, unserved int
 }
 
 const (
-	// outcomeSlots of outcomeSlotTime each make up two to two and a half
-	// seconds, the span over which idle servers are held against the fleet.
-	outcomeSlots    = 5
-	outcomeSlotTime = 500 * time.Millisecond
-	// outcomesLeast is how many must be unserved before the share counts.
-	outcomesLeast = 2
+	// outcomeBuckets of outcomeBucketDuration each cover 2 s to 2.5 s, the time after
+	// which a healthy server without requests counts as idle.
+	outcomeBuckets        = 5
+	outcomeBucketDuration = 500 * time.Millisecond
+	// minUnserved is the number of unserved requests below which the share is taken
+	// as zero.
+	minUnserved = 2
 )
 
 func (o *outcomes) count(ok bool, now time.Duration) {
-	number := int64(now / outcomeSlotTime)
-	s := &o.slots[number%outcomeSlots]
-	if s.number != number {
-		*s = outcomeSlot{number: number}
+	number := int64(now / outcomeBucketDuration)
+	b := &o.buckets[number%outcomeBuckets]
+	if b.number != number {
+		*b = outcomeBucket{number: number}
 	}
 	if ok {
-		s.served++
+		b.served++
 	} else {
-		s.unserved++
+		b.unserved++
 	}
 }
 
-// unserved is the share of requests that weren't served.
-func (o *outcomes) unserved(now time.Duration) float64 {
-	oldest := int64(now/outcomeSlotTime) - outcomeSlots
+// unservedShare returns the share of recent requests that weren't served.
+func (o *outcomes) unservedShare(now time.Duration) float64 {
+	oldest := int64(now/outcomeBucketDuration) - outcomeBuckets
 	served, unserved := 0, 0
-	for _, s := range o.slots {
-		if s.number > oldest {
-			served += s.served
-			unserved += s.unserved
+	for _, b := range o.buckets {
+		if b.number > oldest {
+			served += b.served
+			unserved += b.unserved
 		}
 	}
-	if unserved < outcomesLeast {
+	if unserved < minUnserved {
 		return 0
 	}
 	return float64(unserved) / float64(served+unserved)
--- a/placement/path.go
+++ b/placement/path.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// path is the belief that the network between this instance and a server is cut.
-// A cut path loses everything that this instance sends, while others reach the
-// server as before; it mends by itself.
+// path holds the probability that the network path between this instance and a server
+// is down. Everything that this instance sends is then lost, while other instances
+// still reach the server; the path recovers by itself.
 type path struct {
-	cut float64
-	at  time.Duration
+	down float64
+	at   time.Duration
 }
 
-// usuallyCut is the share of paths that are cut when nothing is known.
-const usuallyCut = 0.01
+// priorPathDown is the share of paths that are down, assumed when nothing is known.
+const priorPathDown = 0.01
 
-// pathLikelihood of a result over a path that is cut and over one that isn't.
-type pathLikelihood struct{ cut, well float64 }
+// pathLikelihood of a result over a path that is down and over one that is up.
+type pathLikelihood struct{ down, up float64 }
 
 var (
-	silentPathIs = pathLikelihood{0.9, 0.03}
-	goodPathIs   = pathLikelihood{0.1, 0.97}
+	noAnswerPathLikelihood = pathLikelihood{0.9, 0.03}
+	successPathLikelihood  = pathLikelihood{0.1, 0.97}
 )
 
-// now returns the probability faded to the given time.
-func (p path) now(t time.Duration) float64 {
-	return usuallyCut + (p.cut-usuallyCut)*kept(p.cut > usuallyCut, t-p.at)
+// downProbability returns the probability at the given time, decayed towards the
+// prior.
+func (p path) downProbability(t time.Duration) float64 {
+	return priorPathDown + (p.down-priorPathDown)*decayFactor(p.down > priorPathDown, t-p.at)
 }
 
-// learn takes in a result.
-func (p *path) learn(t time.Duration, l pathLikelihood) {
-	cut := p.now(t)
-	cut = cut * l.cut / (cut*l.cut + (1-cut)*l.well)
-	p.cut = math.Min(math.Max(cut, leastBelief), mostBelief)
+// update applies Bayes' rule for a result with the given likelihoods.
+func (p *path) update(t time.Duration, l pathLikelihood) {
+	down := p.downProbability(t)
+	down = down * l.down / (down*l.down + (1-down)*l.up)
+	p.down = math.Min(math.Max(down, minProbability), maxProbability)
 	p.at = t
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -83,27 +83,27 @@
 	byID     map[string]*server
 	byHash   map[uint32]*server
 	off      mechanism.Off
-	// disturbedUntil is how long requests are taken to go unserved unheard.
-	disturbedUntil time.Duration
+	// instanceLossUntil is how long requests are taken to go unserved unheard.
+	instanceLossUntil time.Duration
 	// evacuated data centres get nothing.
 	evacuated map[string]bool
-	// limiter bounds what cold servers get; nil if nothing does.
-	limiter *warmup.Limiter
-	// throttle bounds what servers get that name a limit; nil if nothing does.
-	throttle *throttle.Limiter
+	// warmUpLimiter bounds what cold servers get; nil if nothing does.
+	warmUpLimiter *warmup.Limiter
+	// rateLimiter bounds what servers get that name a limit; nil if nothing does.
+	rateLimiter *throttle.Limiter
 }
 
 type service struct {
 	servers []*server
-	// since is when the first of them became known.
-	since time.Duration
-	// work is the usual time of the service's requests, all kinds together.
-	work     time.Duration
+	// firstServerAt is when the first of them became known.
+	firstServerAt time.Duration
+	// serviceTime is the usual time of the service's requests, all kinds together.
+	serviceTime     time.Duration
 	outcomes outcomes
-	signs    signs
-	// repeatable is the share of this instance's requests to the service that can
+	signals    signalStats
+	// retryableShare is the share of this instance's requests to the service that can
 	// be repeated.
-	repeatable float64
+	retryableShare float64
 	warmUp     WarmUp
 }
 
@@ -139,32 +139,32 @@
 	if old == nil {
 		old = &server{
 			hash:        Hash(c.Server.ID),
-			condition:   unknown(now),
-			path:        path{usuallyCut, now},
+			belief:   priorHealthBelief(now),
+			path:        path{priorPathDown, now},
 			slowness:    1,
 			lastUse:     never,
-			lastFail:    never,
-			since:       now,
-			answered:    now,
-			outstanding: make(map[uint32]count),
+			lastFailure:    never,
+			addedAt:       now,
+			lastAnswer:    now,
+			outstanding: make(map[uint32]outstandingCount),
 		}
 		p.byID[c.Server.ID] = old
 		p.byHash[old.hash] = old
 		s := p.service(c.Server.Service)
 		if len(s.servers) == 0 {
-			s.since = now
+			s.firstServerAt = now
 		}
 		s.servers = append(s.servers, old)
 	}
 	old.entry = c.Server
-	old.coolUntil(now + c.Server.WarmUp)
+	old.extendWarmUp(now + c.Server.WarmUp)
 }
 
 func (p *Placer) remove(s *server) {
 	delete(p.byID, s.entry.ID)
 	delete(p.byHash, s.hash)
-	if p.limiter != nil {
-		p.limiter.Forget(s.hash)
+	if p.warmUpLimiter != nil {
+		p.warmUpLimiter.Forget(s.hash)
 	}
 	g := p.service(s.entry.Service)
 	for i, o := range g.servers {
@@ -188,14 +188,14 @@
 // is none that it may be sent to.
 func (p *Placer) Choose(r Request, now time.Duration, random func() float64) (Choice, bool) {
 	g := p.service(r.Service)
-	wide := p.wide(g, r.Retryable, now)
+	wide := p.shouldSpread(g, r.Retryable, now)
 	best, found := Choice{Cost: math.Inf(1)}, false
 	for _, s := range g.servers {
-		if p.obstacle(g, s, r, now) != NotExcluded {
+		if p.exclusion(g, s, r, now) != NotExcluded {
 			continue
 		}
-		c := s.weigh(p.off, g, r, now, wide, random)
-		c.Cost += jitter * random()
+		c := s.evaluate(p.off, g, r, now, wide, random)
+		c.Cost += costJitter * random()
 		if c.Cost < best.Cost {
 			best, found = c, true
 		}
@@ -203,32 +203,32 @@
 	return best, found
 }
 
-// wide reports whether a request should help to bring more of the servers into
+// shouldSpread reports whether a request should help to bring more of the servers into
 // use.
-func (p *Placer) wide(g *service, repeatable bool, now time.Duration) bool {
+func (p *Placer) shouldSpread(g *service, repeatable bool, now time.Duration) bool {
 	if !p.off.On(mechanism.Spread) {
 		return false
 	}
-	if now-g.since < justStarted || now < p.disturbedUntil {
-		return p.inUse(g, now) < coverageAtStart
+	if now-g.firstServerAt < startupSpreadPeriod || now < p.instanceLossUntil {
+		return p.shareInUse(g, now) < spreadCoverageAtStart
 	}
-	enough := coverage
+	enough := spreadCoverage
 	if repeatable {
-		enough = coverageRepeatable
+		enough = spreadCoverageRetryable
 	}
-	return g.outcomes.unserved(now) > widenAbove && p.inUse(g, now) < enough
+	return g.outcomes.unservedShare(now) > spreadUnservedShare && p.shareInUse(g, now) < enough
 }
 
-// inUse is the share of the servers that had a request in the last moments, of
+// shareInUse is the share of the servers that had a request in the last moments, of
 // those that may get any.
-func (p *Placer) inUse(g *service, now time.Duration) float64 {
+func (p *Placer) shareInUse(g *service, now time.Duration) float64 {
 	used, all := 0, 0
 	for _, s := range g.servers {
-		if s.entry.Draining || p.evacuated[s.entry.DataCentre] || g.warmUp.limits(s, now) || p.limited(s) {
+		if s.entry.Draining || p.evacuated[s.entry.DataCentre] || g.warmUp.limitsServer(s, now) || p.rateLimited(s) {
 			continue
 		}
 		all++
-		if s.used && now-s.lastUse <= outOfUse {
+		if s.used && now-s.lastUse <= idleAfter {
 			used++
 		}
 	}
@@ -240,10 +240,10 @@
 
 // RecordInstanceLoss takes in that many instances have fallen silent. What goes unserved
 // there is told by nobody; for a while it is taken to be too much.
-func (p *Placer) RecordInstanceLoss(now time.Duration) { p.disturbedUntil = now + disturbance }
+func (p *Placer) RecordInstanceLoss(now time.Duration) { p.instanceLossUntil = now + instanceLossPeriod }
 
-// disturbance is how long that is: callers have left a silent instance by then.
-const disturbance = 5 * time.Second
+// instanceLossPeriod is how long that is: callers have left a silent instance by then.
+const instanceLossPeriod = 5 * time.Second
 
 // SetOutstanding takes in how many requests an instance has at a server; 0 is
 // this instance.
@@ -252,8 +252,8 @@
 	if !ok {
 		return
 	}
-	s.sum += n - s.outstanding[instance].n
-	s.outstanding[instance] = count{n, now}
+	s.totalOutstanding += n - s.outstanding[instance].n
+	s.outstanding[instance] = outstandingCount{n, now}
 	if n > 0 {
 		s.lastUse = now
 		s.used = true
@@ -263,7 +263,7 @@
 // RemoveInstance drops the work of an instance that has fallen silent.
 func (p *Placer) RemoveInstance(instance uint32) {
 	for _, s := range p.byID {
-		s.sum -= s.outstanding[instance].n
+		s.totalOutstanding -= s.outstanding[instance].n
 		delete(s.outstanding, instance)
 	}
 }
@@ -277,14 +277,14 @@
 		return
 	}
 	g := p.service(s.entry.Service)
-	s.noteAbsence(r, g.warmUp.Duration, now)
-	s.learn(&g.signs, r, own && p.off.On(mechanism.Paths), took, work, now)
+	s.updateReachability(r, g.warmUp.Duration, now)
+	s.recordResult(&g.signals, r, own && p.off.On(mechanism.Paths), took, work, now)
 	if r == health.OK {
 		// A cold server's time says nothing of its usual speed.
-		if p.off.On(mechanism.Slowness) && now >= s.coldTill {
-			s.measure(took, work)
+		if p.off.On(mechanism.Slowness) && now >= s.coldUntil {
+			s.updateSlowness(took, work)
 		}
-		g.work += time.Duration(workSmoothing * float64(work-g.work))
+		g.serviceTime += time.Duration(serviceTimeSmoothing * float64(work-g.serviceTime))
 	}
 }
 
@@ -341,9 +341,9 @@
 	views := make([]ServerStatus, 0, len(p.byID))
 	for _, s := range p.byID {
 		views = append(views, ServerStatus{
-			Server: s.entry, Outstanding: s.count(now), Risk: s.risk(p.off, now), Slowness: s.slowness,
-			Cold: now < s.coldTill, RateLimited: p.limited(s), Evacuated: p.evacuated[s.entry.DataCentre],
-			LastFailure: s.failure, SinceFailure: now - s.failedAt,
+			Server: s.entry, Outstanding: s.currentOutstanding(now), Risk: s.risk(p.off, now), Slowness: s.slowness,
+			Cold: now < s.coldUntil, RateLimited: p.rateLimited(s), Evacuated: p.evacuated[s.entry.DataCentre],
+			LastFailure: s.failureResult, SinceFailure: now - s.failedAt,
 		})
 	}
 	return views
@@ -358,7 +358,7 @@
 	return h
 }
 
-func clamp(x float64) float64 { return math.Min(math.Max(x, 0), 1) }
+func clamp01(x float64) float64 { return math.Min(math.Max(x, 0), 1) }
 
 func contains(list []string, s string) bool {
 	for _, x := range list {
--- a/placement/results.go
+++ b/placement/results.go
@@ -10,64 +10,64 @@
 // risk is the probability that a request sent now fails.
 func (s *server) risk(off mechanism.Off, t time.Duration) float64 {
 	if !off.On(mechanism.Spells) {
-		return failsOtherwise
+		return baseFailureRate
 	}
-	return 1 - (1-s.condition.now(t).fails())*(1-s.path.now(t))
+	return 1 - (1-s.belief.decayedTo(t).failureProbability())*(1-s.path.downProbability(t))
 }
 
-// learn takes in the result of an attempt, of this instance or another. Took is
+// recordResult takes in the result of an attempt, of this instance or another. Took is
 // the time until it and work the usual one of such requests.
-func (s *server) learn(l *signs, r health.Result, own bool, took, work, t time.Duration) {
+func (s *server) recordResult(l *signalStats, r health.Result, own bool, took, work, t time.Duration) {
 	if r.Failed() {
-		s.failure, s.failedAt = r, t
+		s.failureResult, s.failedAt = r, t
 	}
-	s.noteSilence(r, own)
-	s.follow(l, r, t, took)
-	sign := signOf(r, took, work)
-	if before := s.condition.now(t).ill(); sign != noSign && before < followTrust {
-		s.following = following{sign, t, before}
+	s.updateUnresponsive(r, own)
+	s.recordFollowUp(l, r, t, took)
+	sign := signalOf(r, took, work)
+	if before := s.belief.decayedTo(t).unhealthy(); sign != noSignal && before < maxFollowUpBelief {
+		s.pending = pendingSignal{sign, t, before}
 	}
 	switch r {
 	case health.OK:
-		s.condition.learn(t, answered)
+		s.belief.update(t, successLikelihoods)
 		if own {
-			s.path.learn(t, goodPathIs)
+			s.path.update(t, successPathLikelihood)
 		}
 	case health.Incomplete, health.Mismatch, health.ServerError:
-		s.condition.learn(t, l.means(sign))
+		s.belief.update(t, l.likelihoods(sign))
 		if sign != slowError {
-			s.lastFail = t
+			s.lastFailure = t
 		}
 	case health.ConnectFailed:
-		s.condition.learn(t, unreachable)
-		s.losePath(own, t)
+		s.belief.update(t, connectFailedLikelihoods)
+		s.recordNoAnswer(own, t)
 	case health.Late, health.Timeout:
-		s.condition.learn(t, l.means(sign))
-		s.losePath(own, t)
+		s.belief.update(t, l.likelihoods(sign))
+		s.recordNoAnswer(own, t)
 	case health.Shed, health.NotRun, health.Cancelled:
 		// A refusal tells of load, which the outstanding work shows already.
 	}
 }
 
-// losePath takes in an attempt without any sign of the server.
-func (s *server) losePath(own bool, t time.Duration) {
+// recordNoAnswer takes in an attempt without any sign of the server.
+func (s *server) recordNoAnswer(own bool, t time.Duration) {
 	if own {
-		s.path.learn(t, silentPathIs)
-		s.lastFail = t
+		s.path.update(t, noAnswerPathLikelihood)
+		s.lastFailure = t
 	}
 }
 
-// noteSilence notes whether the server answers at all. That another instance gets no
+// updateUnresponsive notes whether the server answers at all. That another instance gets no
 // connection says nothing of this one's path: with a path in five cut, all
 // servers had such a failure last, and were left out of use for seconds.
-func (s *server) noteSilence(r health.Result, own bool) {
+func (s *server) updateUnresponsive(r health.Result, own bool) {
 	switch r {
 	case health.Timeout, health.Late:
-		s.silent = true
+		s.unresponsive = true
 	case health.ConnectFailed:
-		s.silent = s.silent || own
+		s.unresponsive = s.unresponsive || own
 	case health.OK, health.ServerError, health.Incomplete, health.Mismatch, health.Shed, health.NotRun:
-		s.silent = false
+		s.unresponsive = false
 	case health.Cancelled:
 	}
 }
