--- a/placement/failure_signals.go
+++ b/placement/failure_signals.go
@@ -6,61 +6,62 @@
 	"foxtailspoke/health"
 )
 
-// failureSignal is a way in which attempts fail. Which ways betray a spell differs: some
-// servers reset connections or report failures at once, others hang; and some
-// requests fail by themselves on any server, after the usual time of their work.
+// failureSignal classifies how an attempt failed. Which classes indicate a failing
+// server differs between services: some servers reset connections or report failures
+// immediately, others hang. Some requests fail on any server, after their usual
+// service time.
 type failureSignal int
 
 const (
-	// noSignal: the result doesn't tell of the server.
+	// noSignal: the result says nothing about the server.
 	noSignal failureSignal = iota
-	// quickError is a whole answer that reports a failure, too soon for the work
-	// to have been done.
+	// quickError is a complete answer that reports a failure, too early for the request
+	// to have been processed.
 	quickError
-	// slowError is one after about the time of the work.
+	// slowError is one after about the usual service time.
 	slowError
-	// quickDisconnect and slowBreak are connections or answers that broke off.
+	// quickDisconnect and slowDisconnect are connections or answers that broke off.
 	quickDisconnect
 	slowDisconnect
-	// noAnswer is the lack of an answer.
+	// noAnswer means that no answer arrived in time.
 	noAnswer
 
 	signalCount
 )
 
 const (
-	// quickFailureShare is the part of the usual time of the work below which a failure
-	// is too quick for it.
+	// quickFailureShare is the share of the usual service time below which a failure
+	// counts as quick.
 	quickFailureShare = 0.2
-	// followUpWindow is the time within which the next attempt at a server shows
-	// whether a sign meant a spell. Of later ones some find that it has ended.
+	// followUpWindow is the time within which the next attempt at a server counts as a
+	// follow-up of a signal. A failing period may have ended before later attempts.
 	followUpWindow = 1500 * time.Millisecond
-	// maxFollowUpBelief is the belief in a spell up to which a sign is followed: what
-	// comes after the first failure tells what that meant.
+	// maxFollowUpBelief is the probability of an unhealthy server below which a signal
+	// is followed up: only what follows the first failure shows what it indicates.
 	maxFollowUpBelief = 0.15
-	// priorWeight is the number of observations that the initial figures weigh.
+	// priorWeight is the weight of the prior values, in observations.
 	priorWeight = 6.0
-	// maxFollowUpWeight is the weight of observations above which all are halved, so
-	// that signs may change their meaning.
+	// maxFollowUpWeight is the number of observations at which all counts are halved, so
+	// that the statistics adapt when the meaning of a signal changes.
 	maxFollowUpWeight = 60.0
-	// maxSignalCertainty bounds how sure a spell is after a sign.
+	// maxSignalCertainty bounds the probability of an unhealthy server after a signal.
 	maxSignalCertainty = 0.97
 )
 
-// priorFollowUpFailures is the share of attempts that fail after each sign as long as little
-// is observed.
+// priorFollowUpFailures is the share of attempts assumed to fail after each signal
+// while there are few observations.
 var priorFollowUpFailures = [signalCount]float64{
-	quickError: 0.75,
-	slowError:  0.1,
+	quickError:      0.75,
+	slowError:       0.1,
 	quickDisconnect: 0.75,
 	slowDisconnect:  0.3,
-	noAnswer:    0.12,
+	noAnswer:        0.12,
 }
 
-// signalOf returns what a result may betray. Took is the time until it, 0 if it
-// isn't known, and work the usual time of such a request.
-func signalOf(r health.Result, took, work time.Duration) failureSignal {
-	quick := float64(took) < quickFailureShare*float64(work) || took <= 0
+// signalOf classifies a result. latency is the time until the result, 0 if unknown,
+// and serviceTime the usual one of such a request.
+func signalOf(r health.Result, latency, serviceTime time.Duration) failureSignal {
+	quick := float64(latency) < quickFailureShare*float64(serviceTime) || latency <= 0
 	switch r {
 	case health.ServerError:
 		if quick {
@@ -79,21 +80,21 @@
 	return noSignal
 }
 
-// signalStats learns for one service how often attempts at a server go on failing
-// after each sign.
+// signalStats estimates for one service how often the next attempt at a server failureShare
+// after each signal.
 type signalStats struct {
 	followUps [signalCount]followUpStats
 }
 
 type followUpStats struct {
-	// failed of all attempts that came next at a server, fading.
+	// failed of all follow-up attempts, decaying.
 	failed, all float64
-	// before is the sum of the beliefs before the sign.
+	// before is the sum of the probabilities of an unhealthy server before the signal.
 	before float64
 }
 
-// observe takes in whether the next attempt after a sign failed, and what was
-// believed before the sign.
+// observe records whether the follow-up of a signal failed, and the probability of an
+// unhealthy server before the signal.
 func (l *signalStats) observe(s failureSignal, failed bool, before float64) {
 	f := &l.followUps[s]
 	if f.all >= maxFollowUpWeight {
@@ -106,39 +107,40 @@
 	}
 }
 
-// likelihoods is how much likelier a sign is in each condition than at a server that is
-// well. The share that fails after it lies between those of two conditions, which
-// then share what is believed.
+// likelihoods returns how much more likely a signal is in each state than at a healthy
+// server. The share of failed follow-ups lies between the failure rates of two states;
+// the probability is interpolated between these.
 func (l *signalStats) likelihoods(s failureSignal) likelihoods {
 	f := l.followUps[s]
-	fails := (f.failed + priorWeight*priorFollowUpFailures[s]) / (f.all + priorWeight)
+	failureShare := (f.failed + priorWeight*priorFollowUpFailures[s]) / (f.all + priorWeight)
 	before := (f.before + priorWeight*priorBeforeSignal) / (f.all + priorWeight)
-	var partly, spell float64
-	if fails <= degradedFailureRate {
-		partly = max((fails-baseFailureRate)/(degradedFailureRate-baseFailureRate), before)
+	var degraded, failing float64
+	if failureShare <= degradedFailureRate {
+		degraded = max((failureShare-baseFailureRate)/(degradedFailureRate-baseFailureRate), before)
 	} else {
-		spell = min((fails-degradedFailureRate)/(failingFailureRate-degradedFailureRate), 1)
-		partly = 1 - spell
+		failing = min((failureShare-degradedFailureRate)/(failingFailureRate-degradedFailureRate), 1)
+		degraded = 1 - failing
 	}
-	partly, spell = max(partly*maxSignalCertainty, before/2), max(spell*maxSignalCertainty, before/2)
-	well := max(1-partly-spell, 1-maxSignalCertainty)
-	usual := before / 2 / (1 - before)
-	return likelihoods{healthy: 1, degraded: partly / well / usual, failing: spell / well / usual}
+	degraded, failing = max(degraded*maxSignalCertainty, before/2), max(failing*maxSignalCertainty, before/2)
+	healthy := max(1-degraded-failing, 1-maxSignalCertainty)
+	priorOdds := before / 2 / (1 - before)
+	return likelihoods{healthy: 1, degraded: degraded / healthy / priorOdds, failing: failing / healthy / priorOdds}
 }
 
-// priorBeforeSignal is the belief that a server is ill which is used all the time.
+// priorBeforeSignal is the typical probability of an unhealthy server for a server in
+// constant use.
 const priorBeforeSignal = 0.01
 
-// pendingSignal is a sign whose meaning the next attempt at its server will show.
+// pendingSignal is a signal that awaits its follow-up attempt.
 type pendingSignal struct {
-	signal   failureSignal
+	signal failureSignal
 	at     time.Duration
 	before float64
 }
 
-// recordFollowUp takes in the result of an attempt that took so long. Attempts that began
-// before the sign say nothing of it.
-func (s *server) recordFollowUp(l *signalStats, r health.Result, now, took time.Duration) {
+// recordFollowUp records the result of an attempt as the follow-up of the pending
+// signal. Attempts that started before the signal say nothing about it.
+func (s *server) recordFollowUp(l *signalStats, r health.Result, now, latency time.Duration) {
 	f := s.pending
 	if f.signal == noSignal {
 		return
@@ -147,10 +149,10 @@
 		s.pending = pendingSignal{}
 		return
 	}
-	if began := now - took; took <= 0 || began < f.at {
+	if started := now - latency; latency <= 0 || started < f.at {
 		return
 	}
-	if r == health.OK || signalOf(r, took, took) != noSignal {
+	if r == health.OK || signalOf(r, latency, latency) != noSignal {
 		l.observe(f.signal, r != health.OK, f.before)
 		s.pending = pendingSignal{}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -98,13 +98,13 @@
 	// firstServerAt is when the first of them became known.
 	firstServerAt time.Duration
 	// serviceTime is the usual time of the service's requests, all kinds together.
-	serviceTime     time.Duration
-	outcomes outcomes
-	signals    signalStats
+	serviceTime time.Duration
+	outcomes    outcomes
+	signals     signalStats
 	// retryableShare is the share of this instance's requests to the service that can
 	// be repeated.
 	retryableShare float64
-	warmUp     WarmUp
+	warmUp         WarmUp
 }
 
 // never is the time of what hasn't happened. With 0, an instance that has just
@@ -139,13 +139,13 @@
 	if old == nil {
 		old = &server{
 			hash:        Hash(c.Server.ID),
-			belief:   priorHealthBelief(now),
+			belief:      priorHealthBelief(now),
 			path:        path{priorPathDown, now},
 			slowness:    1,
 			lastUse:     never,
-			lastFailure:    never,
-			addedAt:       now,
-			lastAnswer:    now,
+			lastFailure: never,
+			addedAt:     now,
+			lastAnswer:  now,
 			outstanding: make(map[uint32]outstandingCount),
 		}
 		p.byID[c.Server.ID] = old
@@ -240,7 +240,9 @@
 
 // RecordInstanceLoss takes in that many instances have fallen silent. What goes unserved
 // there is told by nobody; for a while it is taken to be too much.
-func (p *Placer) RecordInstanceLoss(now time.Duration) { p.instanceLossUntil = now + instanceLossPeriod }
+func (p *Placer) RecordInstanceLoss(now time.Duration) {
+	p.instanceLossUntil = now + instanceLossPeriod
+}
 
 // instanceLossPeriod is how long that is: callers have left a silent instance by then.
 const instanceLossPeriod = 5 * time.Second
--- a/placement/results.go
+++ b/placement/results.go
@@ -7,7 +7,7 @@
 	"foxtailspoke/mechanism"
 )
 
-// risk is the probability that a request sent now fails.
+// risk returns the probability that a request sent now fails.
 func (s *server) risk(off mechanism.Off, t time.Duration) float64 {
 	if !off.On(mechanism.Spells) {
 		return baseFailureRate
@@ -15,17 +15,17 @@
 	return 1 - (1-s.belief.decayedTo(t).failureProbability())*(1-s.path.downProbability(t))
 }
 
-// recordResult takes in the result of an attempt, of this instance or another. Took is
-// the time until it and work the usual one of such requests.
-func (s *server) recordResult(l *signalStats, r health.Result, own bool, took, work, t time.Duration) {
+// recordResult records the result of an attempt of this instance (own) or another.
+// latency is the time until the result and serviceTime the usual one of such a request.
+func (s *server) recordResult(l *signalStats, r health.Result, own bool, latency, serviceTime, t time.Duration) {
 	if r.Failed() {
 		s.failureResult, s.failedAt = r, t
 	}
 	s.updateUnresponsive(r, own)
-	s.recordFollowUp(l, r, t, took)
-	sign := signalOf(r, took, work)
-	if before := s.belief.decayedTo(t).unhealthy(); sign != noSignal && before < maxFollowUpBelief {
-		s.pending = pendingSignal{sign, t, before}
+	s.recordFollowUp(l, r, t, latency)
+	signal := signalOf(r, latency, serviceTime)
+	if before := s.belief.decayedTo(t).unhealthy(); signal != noSignal && before < maxFollowUpBelief {
+		s.pending = pendingSignal{signal, t, before}
 	}
 	switch r {
 	case health.OK:
@@ -34,22 +34,22 @@
 			s.path.update(t, successPathLikelihood)
 		}
 	case health.Incomplete, health.Mismatch, health.ServerError:
-		s.belief.update(t, l.likelihoods(sign))
-		if sign != slowError {
+		s.belief.update(t, l.likelihoods(signal))
+		if signal != slowError {
 			s.lastFailure = t
 		}
 	case health.ConnectFailed:
 		s.belief.update(t, connectFailedLikelihoods)
 		s.recordNoAnswer(own, t)
 	case health.Late, health.Timeout:
-		s.belief.update(t, l.likelihoods(sign))
+		s.belief.update(t, l.likelihoods(signal))
 		s.recordNoAnswer(own, t)
 	case health.Shed, health.NotRun, health.Cancelled:
-		// A refusal tells of load, which the outstanding work shows already.
+		// A rejection is a sign of load, which the outstanding requests already show.
 	}
 }
 
-// recordNoAnswer takes in an attempt without any sign of the server.
+// recordNoAnswer records an attempt to which the server didn't react at all.
 func (s *server) recordNoAnswer(own bool, t time.Duration) {
 	if own {
 		s.path.update(t, noAnswerPathLikelihood)
@@ -57,9 +57,10 @@
 	}
 }
 
-// updateUnresponsive notes whether the server answers at all. That another instance gets no
-// connection says nothing of this one's path: with a path in five cut, all
-// servers had such a failure last, and were left out of use for seconds.
+// updateUnresponsive records whether the server answers at all. A failed connection
+// attempt of another instance is ignored, as it says nothing about this instance's
+// path: with one path in five down, it would mark all servers as unresponsive and
+// leave them unused for seconds.
 func (s *server) updateUnresponsive(r health.Result, own bool) {
 	switch r {
 	case health.Timeout, health.Late:
--- a/placement/server.go
+++ b/placement/server.go
@@ -9,37 +9,38 @@
 	"foxtailspoke/mechanism"
 )
 
-// server is what is known of a backend server beside its entry.
+// server is the state of a backend server and its registration.
 type server struct {
 	entry discovery.Server
-	// hash is the short form of its id.
+	// hash is the hash of its ID.
 	hash uint32
-	// belief is known to all instances, path only to this one.
+	// belief is derived from the results of all instances, path from those of this one.
 	belief healthBelief
-	path      path
-	// slowness is its time for a request against the mean of the service.
+	path   path
+	// slowness is its service time relative to the mean of the service.
 	slowness float64
-	addedAt    time.Duration
-	// coldUntil is when the server bears its full load.
+	addedAt  time.Duration
+	// coldUntil is the time at which the server can handle its full load.
 	coldUntil time.Duration
-	// lastAnswer is when any instance last had a sign of the server, and absent
-	// says that one couldn't connect long after.
-	lastAnswer time.Duration
-	unreachable   bool
-	// pending is the sign that the next attempt will explain.
-	pending pendingSignal
-	lastUse   time.Duration
-	lastFailure  time.Duration
-	used      bool
-	// failureResult is how the last failed attempt went, at failedAt; OK if none did.
-	failureResult  health.Result
-	failedAt time.Duration
-	// unresponsive says that the server, or this instance's path to it, gave no sign
-	// at the last attempt that tells of that.
+	// lastAnswer is when any instance last received an answer from the server, and
+	// unreachable means that one failed to connect well after that.
+	lastAnswer  time.Duration
+	unreachable bool
+	// pending is the signal whose follow-up attempt is awaited.
+	pending     pendingSignal
+	lastUse     time.Duration
+	lastFailure time.Duration
+	used        bool
+	// failureResult is the result of the last failed attempt, at failedAt; OK if there
+	// was none.
+	failureResult health.Result
+	failedAt      time.Duration
+	// unresponsive means that the server, or this instance's path to it, didn't react to
+	// the last attempt that shows whether it does.
 	unresponsive bool
-	// outstanding per instance; 0 is this instance.
-	outstanding map[uint32]outstandingCount
-	totalOutstanding         int
+	// outstanding requests per instance; 0 is this instance.
+	outstanding      map[uint32]outstandingCount
+	totalOutstanding int
 }
 
 type outstandingCount struct {
@@ -47,8 +48,8 @@
 	at time.Duration
 }
 
-// evaluate returns what it would cost to send the request to this server of g.
-func (s *server) evaluate(off mechanism.Off, g *service, r Request, now time.Duration, wide bool, random func() float64) Choice {
+// evaluate returns the choice of this server of g for a request, with its cost.
+func (s *server) evaluate(off mechanism.Off, g *service, r Request, now time.Duration, spread bool, random func() float64) Choice {
 	out := s.currentOutstanding(now)
 	risk := s.risk(off, now)
 	expected := s.expectedLatency(r.ServiceTime, g.serviceTime, out, now)
@@ -62,30 +63,30 @@
 		cost += math.Min(crossDCCost+crossDCCostPerKB*r.SizeKB, maxCrossDCCost)
 	}
 	if len(r.TriedServers) == 0 {
-		cost -= s.explorationBonus(off, g, r, now, out, risk, wide, random)
+		cost -= s.explorationBonus(off, g, r, now, out, risk, spread, random)
 	}
 	return Choice{Server: s.entry, ExpectedLatency: expected, Outstanding: out, Risk: risk, Cost: cost}
 }
 
-// latencyCost is what the expected time costs a request that doesn't fail.
+// latencyCost returns the cost of the expected latency for a request that doesn't fail.
 func (s *server) latencyCost(off mechanism.Off, r Request, expected time.Duration, out int) float64 {
-	late := float64(expected) / float64(max(r.LatencyTarget, time.Millisecond))
-	cost := latencyWeight*math.Min(late, maxLatencyRatio) + lateAnswerCost*clamp01((late-0.8)/0.7)
+	ratio := float64(expected) / float64(max(r.LatencyTarget, time.Millisecond))
+	cost := latencyWeight*math.Min(ratio, maxLatencyRatio) + lateAnswerCost*clamp01((ratio-0.8)/0.7)
 	if off.On(mechanism.Waiting) {
 		cost += queueRoundCost * s.queueRounds(out)
 	}
 	return cost
 }
 
-// explorationBonus is what speaks for sending a request to a server that got none for a
-// while, whatever it costs. A request that has failed once isn't used to find
-// out anything.
-func (s *server) explorationBonus(off mechanism.Off, g *service, r Request, now time.Duration, out int, risk float64, wide bool, random func() float64) float64 {
+// explorationBonus returns the reduction of the cost for a server that received no
+// requests for a while, whatever else it costs. Requests that have already failed once
+// aren't used for exploration.
+func (s *server) explorationBonus(off mechanism.Off, g *service, r Request, now time.Duration, out int, risk float64, spread bool, random func() float64) float64 {
 	if !off.On(mechanism.Chance) {
 		random = func() float64 { return 0 }
 	}
 	switch {
-	case wide && now-s.lastFailure > spreadFailureHoldoff && isDue(now-s.lastUse-idleAfter, random):
+	case spread && now-s.lastFailure > spreadFailureHoldoff && isDue(now-s.lastUse-idleAfter, random):
 		return spreadBonus
 	case off.On(mechanism.Newcomer) && !s.used && out == 0 && isDue(now-s.addedAt-unusedServerDelay, random):
 		return unusedServerBonus
@@ -98,8 +99,9 @@
 	}
 }
 
-// maxKeepInUseRisk is the risk up to which a request keeps servers in use. Where enough
-// requests can be repeated, orders leave the doubtful servers to these.
+// maxKeepInUseRisk returns the risk up to which a request is used to keep a server in
+// use. If enough requests are retryable, non-retryable ones leave suspect servers to
+// these.
 func (g *service) maxKeepInUseRisk(r Request) float64 {
 	if !r.Retryable && g.retryableShare >= minRetryableShare {
 		return keepInUseRiskLimitNonRetryable
@@ -107,39 +109,40 @@
 	return keepInUseRiskLimit
 }
 
-// keepInUsePause is the time without a request after which a server is kept in use. It
-// grows with the risk: each order that finds a server failing partly is one lost.
+// keepInUsePause returns the time without a request after which a server is sent one to
+// keep it in use. It grows with the risk, as each non-retryable request that meets a
+// degraded server may be lost.
 func keepInUsePause(risk float64) time.Duration {
 	return time.Duration(float64(keepInUseAfter) * (1 + keepInUseRiskFactor*risk))
 }
 
-// isDue reports whether a request acts on something that has been isDue for so
-// long. All instances see it become isDue at the same moment, and hear of each
-// other's requests some ten milliseconds later: without chance, every request
-// of the fleet until then went to the same server, and if that was in a spell,
-// all of them were lost.
-func isDue(passed time.Duration, random func() float64) bool {
-	return passed > 0 && random()*float64(dueRampTime) < float64(passed)
+// isDue reports whether a request is used for something that became due the given time
+// ago. All instances see it become due at the same moment and learn of each other's
+// requests some 10 ms later. Without randomization, every request of the fleet until
+// then would go to the same server, and all would be lost if it is failing.
+func isDue(overdue time.Duration, random func() float64) bool {
+	return overdue > 0 && random()*float64(dueRampTime) < float64(overdue)
 }
 
-// expectedLatency is the time until an answer: the wait for a slot, during which the
-// requests before it are worked off, then its own work.
-func (s *server) expectedLatency(work, queued time.Duration, out int, now time.Duration) time.Duration {
-	slow := s.slowness
+// expectedLatency returns the expected time until an answer: the wait for a slot while
+// the requests ahead are served, each taking meanServiceTime, and the request's own
+// service time.
+func (s *server) expectedLatency(serviceTime, meanServiceTime time.Duration, out int, now time.Duration) time.Duration {
+	slowness := s.slowness
 	if now < s.coldUntil {
-		slow = math.Max(slow, coldSlowness)
+		slowness = math.Max(slowness, coldSlowness)
 	}
-	return time.Duration(slow * (float64(work) + s.queueRounds(out)*float64(queued)))
+	return time.Duration(slowness * (float64(serviceTime) + s.queueRounds(out)*float64(meanServiceTime)))
 }
 
-// queueRounds is how many rounds of requests a slot works off before it takes one
-// more, with so many outstanding.
+// queueRounds returns how many rounds of requests a slot serves before it takes another
+// one, given the number of outstanding requests.
 func (s *server) queueRounds(out int) float64 {
 	return float64(max(0, out+1-s.entry.Slots)) / float64(s.entry.Slots)
 }
 
-// currentOutstanding is the work outstanding at the server. Counts that weren't renewed
-// for long are dropped.
+// currentOutstanding returns the number of requests outstanding at the server. Counts of
+// other instances that weren't updated within outstandingExpiry are dropped.
 func (s *server) currentOutstanding(now time.Duration) int {
 	if s.totalOutstanding == 0 {
 		return 0
@@ -156,11 +159,12 @@
 	return sum
 }
 
-// updateSlowness takes in how long a request took against the usual time.
-func (s *server) updateSlowness(took, work time.Duration) {
-	if took <= 0 || work <= 0 {
+// updateSlowness updates the moving average with the latency of a request relative to
+// its usual service time.
+func (s *server) updateSlowness(latency, serviceTime time.Duration) {
+	if latency <= 0 || serviceTime <= 0 {
 		return
 	}
-	x := math.Min(float64(took)/float64(work), maxSlowness)
+	x := math.Min(float64(latency)/float64(serviceTime), maxSlowness)
 	s.slowness += slownessSmoothing * (x - s.slowness)
 }
