--- a/placement/exclusions.go
+++ b/placement/exclusions.go
@@ -8,55 +8,55 @@
 	"foxtailspoke/warmup"
 )
 
-// WarmUp is what the servers of a service bear after a start.
+// WarmUp describes the capacity of the servers of a service after a start.
 type WarmUp struct {
-	// Duration from a start until a server bears its full load.
+	// Duration from a start until a server can handle its full load.
 	Duration time.Duration
-	// Rate is how many requests a second it bears until then; 0 is no limit.
+	// Rate is the limit until then in requests per second; 0 means no limit.
 	Rate float64
 }
 
-// limitsServer reports whether a server gets no more than the rate now.
+// limitsServer reports whether requests to a server are limited to the rate now.
 func (w WarmUp) limitsServer(s *server, now time.Duration) bool {
 	return w.Rate > 0 && (now < s.coldUntil || s.unreachable)
 }
 
-// Exclusion is why a request can't be sent to a server at all.
+// Exclusion is the reason why a request can't be sent to a server at all.
 type Exclusion int
 
-// The obstacles, from the one that is farthest from passing.
+// The exclusions, ordered from the least to the most likely to end soon.
 const (
-	// NotExcluded: the request may be sent there.
+	// NotExcluded: the request may be sent to the server.
 	NotExcluded Exclusion = iota
-	// DrainingOrTried servers, and those that the request was sent to already.
+	// DrainingOrTried: the server is draining, or the request was already sent to it.
 	DrainingOrTried
-	// RegionNotAllowed of the regions that may handle the request.
+	// RegionNotAllowed: the server is outside of the regions that may handle the request.
 	RegionNotAllowed
-	// Evacuated data centre.
+	// Evacuated: the server's data centre is evacuated.
 	Evacuated
-	// RateLimited server that gets as much as it names in its answers.
+	// RateLimited: the limit that the server announced is used up.
 	RateLimited
-	// Cold server that gets as much as it bears.
+	// Cold: the rate of a cold server is used up.
 	Cold
 )
 
-// unreachableAfter is the time without a sign of a server after which a connection
-// that fails means that it may be down. With less, one instance that lost its
-// path would make others take a busy server for absent.
+// unreachableAfter is the time without an answer from a server after which a failed
+// connection attempt means that it may be down. With a shorter time, an instance that
+// lost its path to a busy server would make the others treat it as down.
 const unreachableAfter = time.Second
 
-// SetWarmUpLimiter has a limiter bound what cold servers get.
+// SetWarmUpLimiter sets the limiter of requests to cold servers.
 func (p *Placer) SetWarmUpLimiter(l *warmup.Limiter) { p.warmUpLimiter = l }
 
-// SetRateLimiter has a limiter bound what servers get that name a limit.
+// SetRateLimiter sets the limiter of requests to servers that announce a limit.
 func (p *Placer) SetRateLimiter(l *throttle.Limiter) { p.rateLimiter = l }
 
-// SetWarmUp takes in what the servers of a service bear after a start.
+// SetWarmUp sets the capacity of the servers of a service after a start.
 func (p *Placer) SetWarmUp(serviceName string, w WarmUp) { p.service(serviceName).warmUp = w }
 
-// UpdateEvacuations takes in that data centres are evacuated or taken back. Servers of
-// one that is taken back have been idle and may be cold, which their entries
-// tell only with their next heartbeat.
+// UpdateEvacuations records the begin and end of evacuations of data centres. After an
+// evacuation, servers have been idle and may be cold, which their registrations show
+// only after the next heartbeat.
 func (p *Placer) UpdateEvacuations(begun, ended []string, now time.Duration) {
 	for _, dc := range begun {
 		p.evacuated[dc] = true
@@ -71,9 +71,9 @@
 	}
 }
 
-// RecordSent takes in that this instance sends a request to a server. It has to be
-// called under the same lock as Choose: two requests that are placed at the
-// same moment would otherwise both take the same share of a cold server.
+// RecordSent records that this instance sends a request to a server. It must be called
+// under the same lock as Choose: two concurrent requests could otherwise both use the
+// same share of a cold server.
 func (p *Placer) RecordSent(id string, r Request, now time.Duration) {
 	if p.warmUpLimiter != nil {
 		p.warmUpLimiter.RecordSent(Hash(id), now)
@@ -81,27 +81,28 @@
 	if p.rateLimiter != nil {
 		p.rateLimiter.RecordSent(Hash(id), now)
 	}
-	g, share := p.service(r.Service), 0.0
+	g, retryable := p.service(r.Service), 0.0
 	if r.Retryable {
-		share = 1
+		retryable = 1
 	}
-	g.retryableShare += retryableShareSmoothing * (share - g.retryableShare)
+	g.retryableShare += retryableShareSmoothing * (retryable - g.retryableShare)
 }
 
-// ExclusionReason returns what keeps a request from all servers of its service: the
-// obstacle that is likeliest to pass, and for cold and limited servers how long
-// this instance waits at least until it may send to one of them, 0 if unknown.
+// ExclusionReason returns why a request can't be sent to any server of its service: of
+// the servers' exclusions, the one most likely to end soon. For cold and limited servers
+// it also returns the minimum time until this instance may send to one of them, 0 if
+// unknown.
 func (p *Placer) ExclusionReason(r Request, now time.Duration) (Exclusion, time.Duration) {
 	g := p.service(r.Service)
-	last, wait := NotExcluded, time.Duration(0)
+	reason, wait := NotExcluded, time.Duration(0)
 	for _, s := range g.servers {
-		o := p.exclusion(g, s, r, now)
-		last = max(last, o)
-		if w := p.waitUntilAllowed(g, s, o, now); w > 0 && (wait == 0 || w < wait) {
+		e := p.exclusion(g, s, r, now)
+		reason = max(reason, e)
+		if w := p.waitUntilAllowed(g, s, e, now); w > 0 && (wait == 0 || w < wait) {
 			wait = w
 		}
 	}
-	return last, wait
+	return reason, wait
 }
 
 func (p *Placer) exclusion(g *service, s *server, r Request, now time.Duration) Exclusion {
@@ -122,10 +123,10 @@
 	return NotExcluded
 }
 
-// waitUntilAllowed is how long this instance waits at least until an obstacle no
-// longer keeps it from a server, 0 if unknown.
-func (p *Placer) waitUntilAllowed(g *service, s *server, o Exclusion, now time.Duration) (wait time.Duration) {
-	switch o {
+// waitUntilAllowed returns the minimum time until an exclusion no longer keeps this
+// instance from sending to a server, 0 if unknown.
+func (p *Placer) waitUntilAllowed(g *service, s *server, e Exclusion, now time.Duration) (wait time.Duration) {
+	switch e {
 	case RateLimited:
 		_, wait = p.allowedByRateLimit(s, now)
 	case Cold:
@@ -135,8 +136,8 @@
 	return wait
 }
 
-// allowedByRateLimit reports whether a server may get one more request from this instance
-// as far as its own limit goes, or how long to wait for that.
+// allowedByRateLimit reports whether the limit that a server announced allows another
+// request from this instance, or how long to wait for that.
 func (p *Placer) allowedByRateLimit(s *server, now time.Duration) (bool, time.Duration) {
 	if p.rateLimiter == nil {
 		return true, 0
@@ -144,7 +145,7 @@
 	return p.rateLimiter.Allow(s.hash, now)
 }
 
-// rateLimited reports whether a server names a limit.
+// rateLimited reports whether a server announces a limit.
 func (p *Placer) rateLimited(s *server) bool {
 	if p.rateLimiter == nil {
 		return false
@@ -153,8 +154,8 @@
 	return limited
 }
 
-// allowedByWarmUp reports whether a server may get one more request from this instance
-// as far as its warm-up goes, or how long to wait for that.
+// allowedByWarmUp reports whether the warm-up of a server allows another request from
+// this instance, or how long to wait for that.
 func (p *Placer) allowedByWarmUp(g *service, s *server, now time.Duration) (bool, time.Duration) {
 	if p.warmUpLimiter == nil || !g.warmUp.limitsServer(s, now) {
 		return true, 0
@@ -162,13 +163,13 @@
 	return p.warmUpLimiter.Allow(s.hash, g.warmUp.Rate, now)
 }
 
-// extendWarmUp takes in that the server is cold until then. What is known never
-// becomes shorter: an entry may have been written before the server turned cold.
+// extendWarmUp records that the server is cold until the given time. A warm-up is never
+// shortened: a registration may have been written before the server became cold.
 func (s *server) extendWarmUp(end time.Duration) { s.coldUntil = max(s.coldUntil, end) }
 
-// updateReachability takes in the result of an attempt of any instance. A server that
-// answers again after nobody could connect to it may have started anew, under
-// the entry that it had before.
+// updateReachability records the result of an attempt of any instance. A server that
+// answers again after connection attempts failed may have restarted under its previous
+// registration.
 func (s *server) updateReachability(r health.Result, warmUp, now time.Duration) {
 	switch r {
 	case health.ConnectFailed:
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,31 +1,31 @@
 // Package placement chooses the backend server for a request.
 //
-// Load pattern: many small instances share few servers with two to six slots
-// each, so that an instance alone sends a server less than one request a
-// second and can know neither its load nor its health. About a third of the
-// servers fail most requests for some seconds at a time while their health
-// reports are good, and a non-idempotent request that failed is lost.
+// Load pattern: many small instances share few servers with two to six slots each. A
+// single instance sends a server less than one request per second and can't determine
+// its load or health alone. About a third of the servers fail most requests for some
+// seconds at a time while their health reports are good, and a non-idempotent request
+// that failed is lost.
 //
-// Idea: all instances tell each other each start and end of an attempt. From
-// that everyone keeps, per server, the work outstanding, how slow it is, and
-// the probability that it fails (belief). A request goes to the server that
-// costs it least: the risk of failing, weighted by whether it may be repeated,
-// the time until its answer against its aim, and the bytes that would cross
-// data centres. Servers that answered a moment ago carry the least risk. Those
-// that are probably well get a request now and then even if others would be
-// cheaper, which keeps them known: they take over without a try when a spell
-// of failures begins elsewhere, and each spell then costs few requests.
+// Approach: all instances notify each other of the start and end of each attempt. From
+// that, each instance maintains per server the number of outstanding requests, the
+// slowness, and the probability of failure (healthBelief). A request goes to the server
+// with the lowest cost: the risk of failure, weighted by whether the request is
+// retryable, the expected latency relative to its target, and the bytes transferred
+// between data centres. Servers that answered recently carry the least risk. Servers
+// that are probably healthy receive a request now and then even if others are cheaper,
+// which keeps the information about them current: they take over without a trial when
+// another server starts to fail, and each failing period costs few requests.
 //
-// Servers in evacuated data centres get nothing, cold ones no more than they bear,
-// and those that name a limit no more than that, whatever it costs; see obstacle.
+// Servers in evacuated data centres receive no requests, cold servers and those that
+// announce a rate limit no more than their limit, whatever the cost; see Exclusion.
 //
-// Trade-off: servers that failed are known least. Requests that may be repeated
-// find out, as long as there is ample room to repeat them; where there are
-// only orders, one in fifty is spent on it. Newcomers get an early request; and
-// once too many of a service's requests go unserved, they are spread over all
-// servers that didn't just fail, so that healthy capacity isn't left idle.
+// Trade-off: the least is known about servers that failed. Retryable requests probe
+// them as long as the retry budget is ample; if there are only non-retryable requests,
+// one in fifty is spent on that. New servers receive an early request. Once too many
+// requests to a service go unserved, they are spread over all servers that didn't fail
+// very recently, so that healthy capacity isn't left idle.
 //
-// Decisions are pure: time and randomness are passed in.
+// Decisions are deterministic: the caller passes in the time and the random numbers.
 package placement
 
 import (
@@ -39,82 +39,85 @@
 	"foxtailspoke/warmup"
 )
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that a choice depends on.
 type Request struct {
 	Service   string
 	Retryable bool
-	// RetryBudgetAmple says that there is ample room to repeat requests.
+	// RetryBudgetAmple means that the retry budget is far from exhausted.
 	RetryBudgetAmple bool
-	// LatencyTarget is the time within which the answer is in time, from now.
+	// LatencyTarget is the time from now within which the answer is wanted.
 	LatencyTarget time.Duration
-	// Remaining is the time until the caller gives up or the route's timeout.
+	// Remaining is the time until the caller gives up or the route times out.
 	Remaining time.Duration
-	// ServiceTime is the usual time of such a request at a server of mean speed.
+	// ServiceTime is the usual time of such a request at a server of average speed.
 	ServiceTime time.Duration
 	// SizeKB is the expected size of request and answer in kilobytes.
 	SizeKB float64
-	// DataCentre of the instance that asks.
+	// DataCentre of the instance that sends the request.
 	DataCentre string
-	// TriedServers holds the servers that this request was sent to already.
+	// TriedServers holds the servers that the request was already sent to.
 	TriedServers []string
-	// AllowedDataCentres holds the data centres that it may be sent to; nil means any.
+	// AllowedDataCentres holds the data centres that the request may be sent to; nil
+	// means any.
 	AllowedDataCentres map[string]bool
 }
 
-// MustQueue reports whether the request has to wait for a slot, as far as is known.
+// MustQueue reports whether the request is expected to wait for a slot.
 func (c Choice) MustQueue() bool { return c.Outstanding >= c.Server.Slots }
 
-// Choice is a server and what was expected of it.
+// Choice is a server and the estimates that it was chosen by.
 type Choice struct {
 	Server discovery.Server
 	// ExpectedLatency is the time until the answer.
 	ExpectedLatency time.Duration
-	// Outstanding is the server's work before this request, over all instances.
+	// Outstanding is the number of requests of all instances at the server before this
+	// one.
 	Outstanding int
 	// Risk is the probability that the request fails.
 	Risk float64
-	// Cost is the figure that made this server the choice.
+	// Cost is the value of the cost function; the lowest is chosen.
 	Cost float64
 }
 
-// Placer knows the servers of all services. It isn't safe for concurrent use.
+// Placer chooses among the servers of all services. It isn't safe for concurrent use.
 type Placer struct {
 	services map[string]*service
 	byID     map[string]*server
 	byHash   map[uint32]*server
 	off      mechanism.Off
-	// instanceLossUntil is how long requests are taken to go unserved unheard.
+	// instanceLossUntil is the time until which requests are assumed to go unserved
+	// without being reported.
 	instanceLossUntil time.Duration
-	// evacuated data centres get nothing.
+	// evacuated data centres receive no requests.
 	evacuated map[string]bool
-	// warmUpLimiter bounds what cold servers get; nil if nothing does.
+	// warmUpLimiter limits requests to cold servers; nil means no limit.
 	warmUpLimiter *warmup.Limiter
-	// rateLimiter bounds what servers get that name a limit; nil if nothing does.
+	// rateLimiter limits requests to servers that announce a limit; nil means no limit.
 	rateLimiter *throttle.Limiter
 }
 
 type service struct {
 	servers []*server
-	// firstServerAt is when the first of them became known.
+	// firstServerAt is when the first server was added.
 	firstServerAt time.Duration
-	// serviceTime is the usual time of the service's requests, all kinds together.
+	// serviceTime is the moving average over all requests to the service.
 	serviceTime time.Duration
 	outcomes    outcomes
 	signals     signalStats
-	// retryableShare is the share of this instance's requests to the service that can
-	// be repeated.
+	// retryableShare is the share of retryable requests among this instance's requests
+	// to the service.
 	retryableShare float64
 	warmUp         WarmUp
 }
 
-// never is the time of what hasn't happened. With 0, an instance that has just
-// started would take all servers for used and failed a moment ago.
+// never is the time of events that haven't happened. With 0, an instance that has just
+// started would treat all servers as used and failed a moment ago.
 const never = -time.Hour
 
 // New returns a placer without servers.
 func New() *Placer { return NewWithout(mechanism.Off{}) }
 
-// NewWithout returns a placer without servers and without some mechanisms.
+// NewWithout returns a placer without servers and with some mechanisms disabled.
 func NewWithout(off mechanism.Off) *Placer {
 	return &Placer{
 		off:      off,
@@ -126,7 +129,7 @@
 	}
 }
 
-// Apply takes in a change of the list of servers.
+// Apply applies a change of the list of servers.
 func (p *Placer) Apply(c discovery.Change, now time.Duration) {
 	old := p.byID[c.Server.ID]
 	if old != nil && (c.Removed || c.New || old.entry.Service != c.Server.Service) {
@@ -184,17 +187,17 @@
 	return s
 }
 
-// Choose returns the server that costs the request least, or false if there
-// is none that it may be sent to.
+// Choose returns the server with the lowest cost for the request, or false if there is
+// none that it may be sent to.
 func (p *Placer) Choose(r Request, now time.Duration, random func() float64) (Choice, bool) {
 	g := p.service(r.Service)
-	wide := p.shouldSpread(g, r.Retryable, now)
+	spread := p.shouldSpread(g, r.Retryable, now)
 	best, found := Choice{Cost: math.Inf(1)}, false
 	for _, s := range g.servers {
 		if p.exclusion(g, s, r, now) != NotExcluded {
 			continue
 		}
-		c := s.evaluate(p.off, g, r, now, wide, random)
+		c := s.evaluate(p.off, g, r, now, spread, random)
 		c.Cost += costJitter * random()
 		if c.Cost < best.Cost {
 			best, found = c, true
@@ -203,24 +206,23 @@
 	return best, found
 }
 
-// shouldSpread reports whether a request should help to bring more of the servers into
-// use.
-func (p *Placer) shouldSpread(g *service, repeatable bool, now time.Duration) bool {
+// shouldSpread reports whether a request should be used to bring idle servers into use.
+func (p *Placer) shouldSpread(g *service, retryable bool, now time.Duration) bool {
 	if !p.off.On(mechanism.Spread) {
 		return false
 	}
 	if now-g.firstServerAt < startupSpreadPeriod || now < p.instanceLossUntil {
 		return p.shareInUse(g, now) < spreadCoverageAtStart
 	}
-	enough := spreadCoverage
-	if repeatable {
-		enough = spreadCoverageRetryable
+	coverage := spreadCoverage
+	if retryable {
+		coverage = spreadCoverageRetryable
 	}
-	return g.outcomes.unservedShare(now) > spreadUnservedShare && p.shareInUse(g, now) < enough
+	return g.outcomes.unservedShare(now) > spreadUnservedShare && p.shareInUse(g, now) < coverage
 }
 
-// shareInUse is the share of the servers that had a request in the last moments, of
-// those that may get any.
+// shareInUse returns the share of servers that received a request within idleAfter, among
+// those that may receive requests without limit.
 func (p *Placer) shareInUse(g *service, now time.Duration) float64 {
 	used, all := 0, 0
 	for _, s := range g.servers {
@@ -238,17 +240,18 @@
 	return float64(used) / float64(all)
 }
 
-// RecordInstanceLoss takes in that many instances have fallen silent. What goes unserved
-// there is told by nobody; for a while it is taken to be too much.
+// RecordInstanceLoss records that many instances stopped responding. The requests that
+// go unserved there aren't reported; for a while they are assumed to be too many.
 func (p *Placer) RecordInstanceLoss(now time.Duration) {
 	p.instanceLossUntil = now + instanceLossPeriod
 }
 
-// instanceLossPeriod is how long that is: callers have left a silent instance by then.
+// instanceLossPeriod is the time after which callers have moved away from an instance
+// that stopped responding.
 const instanceLossPeriod = 5 * time.Second
 
-// SetOutstanding takes in how many requests an instance has at a server; 0 is
-// this instance.
+// SetOutstanding sets the number of requests that an instance has outstanding at a
+// server; instance 0 is this one.
 func (p *Placer) SetOutstanding(hash, instance uint32, n int, now time.Duration) {
 	s, ok := p.byHash[hash]
 	if !ok {
@@ -262,7 +265,7 @@
 	}
 }
 
-// RemoveInstance drops the work of an instance that has fallen silent.
+// RemoveInstance drops the outstanding requests of an instance that stopped responding.
 func (p *Placer) RemoveInstance(instance uint32) {
 	for _, s := range p.byID {
 		s.totalOutstanding -= s.outstanding[instance].n
@@ -270,41 +273,41 @@
 	}
 }
 
-// RecordResult takes in the result of an attempt. Took is the time until it, 0 if it is
-// unknown or an answer had to wait for a slot; work is what a server of mean
-// speed takes for such a request. Own says that the attempt was this instance's.
-func (p *Placer) RecordResult(hash uint32, r health.Result, own bool, took, work, now time.Duration) {
+// RecordResult records the result of an attempt. latency is the time until the result, 0
+// if it is unknown or the request had to wait for a slot; serviceTime is the time that a
+// server of average speed needs for such a request. own means that the attempt was this
+// instance's.
+func (p *Placer) RecordResult(hash uint32, r health.Result, own bool, latency, serviceTime, now time.Duration) {
 	s, ok := p.byHash[hash]
 	if !ok {
 		return
 	}
 	g := p.service(s.entry.Service)
 	s.updateReachability(r, g.warmUp.Duration, now)
-	s.recordResult(&g.signals, r, own && p.off.On(mechanism.Paths), took, work, now)
+	s.recordResult(&g.signals, r, own && p.off.On(mechanism.Paths), latency, serviceTime, now)
 	if r == health.OK {
-		// A cold server's time says nothing of its usual speed.
+		// The latency of a cold server says nothing about its usual speed.
 		if p.off.On(mechanism.Slowness) && now >= s.coldUntil {
-			s.updateSlowness(took, work)
+			s.updateSlowness(latency, serviceTime)
 		}
-		g.serviceTime += time.Duration(serviceTimeSmoothing * float64(work-g.serviceTime))
+		g.serviceTime += time.Duration(serviceTimeSmoothing * float64(serviceTime-g.serviceTime))
 	}
 }
 
-// RecordOutcome takes in the final outcome of a request to a service, whatever the
-// reason of a refusal.
+// RecordOutcome records the final outcome of a request to a service; ok is false for any
+// refusal, whatever its reason.
 func (p *Placer) RecordOutcome(serviceName string, ok bool, now time.Duration) {
 	p.service(serviceName).outcomes.count(ok, now)
 }
 
-// RecordServerOutcome is Served for the service of a server.
+// RecordServerOutcome is RecordOutcome for the service of a server.
 func (p *Placer) RecordServerOutcome(hash uint32, ok bool, now time.Duration) {
 	if s, known := p.byHash[hash]; known {
 		p.RecordOutcome(s.entry.Service, ok, now)
 	}
 }
 
-// RecordRefusal is Served for a request that was refused, by the hash of its
-// service's name.
+// RecordRefusal records a refused request to a service, given by the hash of its name.
 func (p *Placer) RecordRefusal(hash uint32, now time.Duration) {
 	for name, g := range p.services {
 		if Hash(name) == hash {
@@ -313,7 +316,7 @@
 	}
 }
 
-// Server returns the entry of a server.
+// Server returns the registration of a server.
 func (p *Placer) Server(hash uint32) (discovery.Server, bool) {
 	s, ok := p.byHash[hash]
 	if !ok {
@@ -322,36 +325,36 @@
 	return s.entry, true
 }
 
-// ServerStatus is what a status page shows of a server.
+// ServerStatus is the state of a server for status reports.
 type ServerStatus struct {
 	Server      discovery.Server
 	Outstanding int
 	// Risk is the probability that a request sent there now fails.
 	Risk     float64
 	Slowness float64
-	// Cold servers get no more than they bear, RateLimited ones no more than their
-	// limit, and Evacuated ones nothing.
+	// Cold and RateLimited servers receive requests up to their limit, and Evacuated
+	// ones none.
 	Cold, RateLimited, Evacuated bool
-	// LastFailure is how the last failed attempt went, SinceFailure ago; OK if
-	// none is known.
+	// LastFailure is the result of the last failed attempt, SinceFailure ago; OK if none
+	// is known.
 	LastFailure  health.Result
 	SinceFailure time.Duration
 }
 
-// ServerStatuses returns all servers.
+// ServerStatuses returns the state of all servers.
 func (p *Placer) ServerStatuses(now time.Duration) []ServerStatus {
-	views := make([]ServerStatus, 0, len(p.byID))
+	statuses := make([]ServerStatus, 0, len(p.byID))
 	for _, s := range p.byID {
-		views = append(views, ServerStatus{
+		statuses = append(statuses, ServerStatus{
 			Server: s.entry, Outstanding: s.currentOutstanding(now), Risk: s.risk(p.off, now), Slowness: s.slowness,
 			Cold: now < s.coldUntil, RateLimited: p.rateLimited(s), Evacuated: p.evacuated[s.entry.DataCentre],
 			LastFailure: s.failureResult, SinceFailure: now - s.failedAt,
 		})
 	}
-	return views
+	return statuses
 }
 
-// Hash is the short form of a name in messages between instances (FNV-1a).
+// Hash returns the FNV-1a hash that stands for a name in messages between instances.
 func Hash(name string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(name) {
