--- a/placement/admit_test.go
+++ b/placement/admit_test.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/placement"
 )
 
-func TestAdmitTurnsAwayWhatCantBeServedInTime(t *testing.T) {
-	r := order()
+func TestAdmitRejectsRequestsThatCantBeServedInTime(t *testing.T) {
+	r := nonRetryable()
 	r.Remaining = time.Second
 	soon := placement.Choice{ExpectedLatency: 300 * time.Millisecond}
 	late := placement.Choice{ExpectedLatency: 800 * time.Millisecond}
--- a/placement/failure_signals_test.go
+++ b/placement/failure_signals_test.go
@@ -11,10 +11,10 @@
 	"foxtailspoke/placement"
 )
 
-// fresh is a server that nothing but good answers is known of.
-func fresh(p *placement.Placer, id string, now time.Duration) {
+// recordSuccesses makes a server known by successful answers only.
+func recordSuccesses(p *placement.Placer, id string, now time.Duration) {
 	for range 10 {
-		p.RecordResult(placement.Hash(id), health.OK, false, work, work, now)
+		p.RecordResult(placement.Hash(id), health.OK, false, serviceTime, serviceTime, now)
 	}
 }
 
@@ -29,73 +29,72 @@
 	return 0
 }
 
-// A server reports a failure. If it did so at once, a spell has begun and the
-// next orders would be lost; if it took as long as the work does, the request
-// has failed by itself, and avoiding the server would only crowd the others.
-func TestQuickErrorsBetraySpells(t *testing.T) {
+// A server reports a failure. If it does so immediately, it is failing and the next
+// non-retryable requests would be lost. After the usual service time, the request itself
+// has failed, and avoiding the server would only overload the others.
+func TestQuickErrorsIndicateFailingServers(t *testing.T) {
 	p := placer("quick", "slow")
 	now := 10 * time.Second
-	fresh(p, "quick", now)
-	fresh(p, "slow", now)
-	p.RecordResult(placement.Hash("quick"), health.ServerError, false, 2*time.Millisecond, work, now)
-	p.RecordResult(placement.Hash("slow"), health.ServerError, false, work, work, now)
+	recordSuccesses(p, "quick", now)
+	recordSuccesses(p, "slow", now)
+	p.RecordResult(placement.Hash("quick"), health.ServerError, false, 2*time.Millisecond, serviceTime, now)
+	p.RecordResult(placement.Hash("slow"), health.ServerError, false, serviceTime, serviceTime, now)
 	must.Greater(t, 0.5, riskOf(t, p, "quick", now))
 	must.Less(t, 0.12, riskOf(t, p, "slow", now))
 }
 
-// train shows the placer servers that fail in one way and then fail again, or
-// answer.
-func train(p *placement.Placer, r health.Result, took time.Duration, again health.Result, servers int) time.Duration {
+// train records, for a number of servers, a failure r and the follow-up result.
+func train(p *placement.Placer, r health.Result, latency time.Duration, followUp health.Result, servers int) time.Duration {
 	now := 10 * time.Second
 	for i := range servers {
 		id := fmt.Sprintf("t-%d", i)
-		fresh(p, id, now)
-		p.RecordResult(placement.Hash(id), r, false, took, work, now)
-		p.RecordResult(placement.Hash(id), again, false, work, work, now+time.Second)
+		recordSuccesses(p, id, now)
+		p.RecordResult(placement.Hash(id), r, false, latency, serviceTime, now)
+		p.RecordResult(placement.Hash(id), followUp, false, serviceTime, serviceTime, now+time.Second)
 		now += 100 * time.Millisecond
 	}
 	return now + 2*time.Second
 }
 
-func trainees(n int, more ...string) []string {
+func trainingServers(n int, more ...string) []string {
 	for i := range n {
 		more = append(more, fmt.Sprintf("t-%d", i))
 	}
 	return more
 }
 
-// The servers of this service fail late in a spell, by whole answers. One such
-// failure must be enough, as soon as it has shown what it means here.
-func TestSlowErrorsThatMeanSpellsAreLearnt(t *testing.T) {
-	p := placer(trainees(30, "a")...)
-	now := train(p, health.ServerError, work, health.ServerError, 30)
-	fresh(p, "a", now)
-	p.RecordResult(placement.Hash("a"), health.ServerError, false, work, work, now)
+// Failing servers of this service answer with errors after the usual service time. Once
+// that has been observed, one such error must be enough to avoid a server.
+func TestSlowErrorsOfFailingServersAreLearnt(t *testing.T) {
+	p := placer(trainingServers(30, "a")...)
+	now := train(p, health.ServerError, serviceTime, health.ServerError, 30)
+	recordSuccesses(p, "a", now)
+	p.RecordResult(placement.Hash("a"), health.ServerError, false, serviceTime, serviceTime, now)
 	must.Greater(t, 0.5, riskOf(t, p, "a", now))
 }
 
-// Answers of this service get lost on their way and say nothing of its servers,
-// which would all be avoided for nothing.
-func TestBreaksThatMeanNothingAreLearnt(t *testing.T) {
-	p := placer(trainees(60, "a")...)
+// Answers of this service are lost on the network, which says nothing about its servers.
+// They must not all be avoided for that.
+func TestDisconnectsOfHealthyServersAreLearnt(t *testing.T) {
+	p := placer(trainingServers(60, "a")...)
 	now := train(p, health.Incomplete, 2*time.Millisecond, health.OK, 60)
-	fresh(p, "a", now)
-	p.RecordResult(placement.Hash("a"), health.Incomplete, false, 2*time.Millisecond, work, now)
+	recordSuccesses(p, "a", now)
+	p.RecordResult(placement.Hash("a"), health.Incomplete, false, 2*time.Millisecond, serviceTime, now)
 	must.Less(t, 0.15, riskOf(t, p, "a", now))
 }
 
-// Attempts that were under way when a server began to fail still answer. Taken
-// for what follows the failure, they would make it look harmless.
-func TestAttemptsUnderWayDoNotExplainASign(t *testing.T) {
-	p := placer(trainees(60, "a")...)
+// Attempts that were in flight when a server began to fail still succeed. If they counted
+// as follow-ups, the failure would seem harmless.
+func TestInFlightAttemptsAreNotFollowUps(t *testing.T) {
+	p := placer(trainingServers(60, "a")...)
 	now := 10 * time.Second
 	for i := range 60 {
 		h := placement.Hash(fmt.Sprintf("t-%d", i))
-		p.RecordResult(h, health.ServerError, false, 2*time.Millisecond, work, now)
-		p.RecordResult(h, health.OK, false, work, work, now+work/2)
+		p.RecordResult(h, health.ServerError, false, 2*time.Millisecond, serviceTime, now)
+		p.RecordResult(h, health.OK, false, serviceTime, serviceTime, now+serviceTime/2)
 	}
 	now += 10 * time.Second
-	fresh(p, "a", now)
-	p.RecordResult(placement.Hash("a"), health.ServerError, false, 2*time.Millisecond, work, now)
+	recordSuccesses(p, "a", now)
+	p.RecordResult(placement.Hash("a"), health.ServerError, false, 2*time.Millisecond, serviceTime, now)
 	must.Greater(t, 0.5, riskOf(t, p, "a", now))
 }
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -14,324 +14,327 @@
 	"foxtailspoke/placement"
 )
 
-// size of a replayed fleet.
-type size struct {
+// fleetParams describes a simulated fleet and its load.
+type fleetParams struct {
 	instances, servers int
-	// perSecond is the number of orders.
-	perSecond float64
-	// errors is the share of orders that a healthy server answers with a
-	// failure of its own.
+	// requestRate in requests per second.
+	requestRate float64
+	// errors is the share of requests that a healthy server answers with an error.
 	errors float64
-	// refused is the share of requests turned away before any server.
+	// refused is the share of requests refused before they are sent to a server.
 	refused float64
-	// lookups is the share of the requests that can be repeated.
-	lookups float64
-	// grey is the share of their answers that half of the servers lose.
-	grey float64
+	// retryableShare is the share of retryable requests.
+	retryableShare float64
+	// lostAnswers is the share of their answers that half of the servers lose.
+	lostAnswers float64
 }
 
-// world replays orders of a fleet at servers with two slots each. A third of
-// the servers is in a spell of failures at any time and resets 85% of what it
-// gets; every nine seconds it is drawn anew which, each server at its own
-// moment. Each instance hears of the others' work 10 ms late.
-type world struct {
-	size
+// simulation sends the requests of a fleet to servers with two slots each. At any time
+// a third of the servers is failing and resets 85% of its requests. The state of each
+// server is redrawn every nine seconds, at a different moment for each. Each instance
+// learns of the requests of the others 10 ms later.
+type simulation struct {
+	fleetParams
 	rng     *rand.Rand
-	servers []*replayServer
-	views   []*placement.Placer
+	servers []*simulatedServer
+	placers []*placement.Placer
 	events  eventQueue
 	sent    int
 	lost    int
-	repeats int
-	// repeatable says what the request at hand is.
-	repeatable bool
-	late       int
-	// used is the sum, over looks taken every tenth of a second, of the share
-	// of the healthy servers that had an order in the two seconds before.
-	used     float64
-	looks    int
-	nextLook time.Duration
+	retries int
+	// retryable is whether the current request is.
+	retryable bool
+	late      int
+	// coverageSum is the sum, over samples taken every 100 ms, of the share of healthy
+	// servers that received a request within the previous two seconds.
+	coverageSum float64
+	samples     int
+	nextSample  time.Duration
 }
 
-type replayServer struct {
-	id        string
-	well      bool
-	wellSince time.Duration
-	until     time.Duration
-	last      time.Duration
-	queue     int
-	free      []time.Duration
-	number    []int
-	// losesAnswers says that it loses a share of its answers.
+type simulatedServer struct {
+	id           string
+	healthy      bool
+	healthySince time.Duration
+	// stateUntil is when the state is redrawn.
+	stateUntil  time.Duration
+	lastRequest time.Duration
+	outstanding int
+	// slotFree is when each slot becomes free.
+	slotFree []time.Duration
+	// outstandingBy is the number of outstanding requests by instance.
+	outstandingBy []int
+	// losesAnswers means that the server loses a share of its answers.
 	losesAnswers bool
 }
 
 const (
-	hearsAfter  = 10 * time.Millisecond
-	replayAim   = 800 * time.Millisecond
-	spellLength = 9 * time.Second
-	illShare    = 0.3
-	firstCaller = 8 * time.Second
-	settled     = 5 * time.Second
+	propagationDelay = 10 * time.Millisecond
+	latencyTarget    = 800 * time.Millisecond
+	statePeriod      = 9 * time.Second
+	failingShare     = 0.3
+	firstRequest     = 8 * time.Second
+	settlingTime     = 5 * time.Second
 )
 
-func newWorld(seed uint64, z size) *world {
-	w := &world{size: z, rng: rand.New(rand.NewPCG(seed, 7))}
+func newSimulation(seed uint64, z fleetParams) *simulation {
+	sim := &simulation{fleetParams: z, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range z.servers {
-		w.servers = append(w.servers, &replayServer{
-			id: fmt.Sprintf("i-%03d", i), well: w.rng.Float64() >= illShare,
-			until: time.Duration(w.rng.Float64() * float64(spellLength)),
-			free:  make([]time.Duration, 2), number: make([]int, z.instances),
+		sim.servers = append(sim.servers, &simulatedServer{
+			id: fmt.Sprintf("i-%03d", i), healthy: sim.rng.Float64() >= failingShare,
+			stateUntil: time.Duration(sim.rng.Float64() * float64(statePeriod)),
+			slotFree:   make([]time.Duration, 2), outstandingBy: make([]int, z.instances),
 			losesAnswers: i%2 == 0,
 		})
 	}
 	for range z.instances {
 		p := placement.New()
-		for _, s := range w.servers {
+		for _, s := range sim.servers {
 			p.Apply(discovery.Change{Server: server(s.id), New: true}, 0)
 		}
-		w.views = append(w.views, p)
+		sim.placers = append(sim.placers, p)
 	}
-	return w
+	return sim
 }
 
-func (w *world) spell(s *replayServer, now time.Duration) {
-	for s.until <= now {
-		was := s.well
-		s.well = w.rng.Float64() >= illShare
-		if s.well && !was {
-			s.wellSince = s.until
+// updateState redraws the state of a server when that is due.
+func (sim *simulation) updateState(s *simulatedServer, now time.Duration) {
+	for s.stateUntil <= now {
+		was := s.healthy
+		s.healthy = sim.rng.Float64() >= failingShare
+		if s.healthy && !was {
+			s.healthySince = s.stateUntil
 		}
-		s.until += spellLength
+		s.stateUntil += statePeriod
 	}
 }
 
-// choice picks a server for an instance's order.
-type choice func(w *world, instance int, now time.Duration) *replayServer
+// chooser chooses a server for a request of an instance.
+type chooser func(sim *simulation, instance int, now time.Duration) *simulatedServer
 
-func placed(w *world, instance int, now time.Duration) *replayServer {
-	r := order()
-	r.Retryable = w.rng.Float64() < w.lookups
+// choosePlacer is the policy of package placement.
+func choosePlacer(sim *simulation, instance int, now time.Duration) *simulatedServer {
+	r := nonRetryable()
+	r.Retryable = sim.rng.Float64() < sim.retryableShare
 	r.RetryBudgetAmple = r.Retryable
-	w.repeatable = r.Retryable
-	c, _ := w.views[instance].Choose(r, now, w.rng.Float64)
-	w.views[instance].RecordSent(c.Server.ID, r, now)
-	for _, s := range w.servers {
+	sim.retryable = r.Retryable
+	c, _ := sim.placers[instance].Choose(r, now, sim.rng.Float64)
+	sim.placers[instance].RecordSent(c.Server.ID, r, now)
+	for _, s := range sim.servers {
 		if s.id == c.Server.ID {
 			return s
 		}
 	}
-	panic("no such server")
+	panic("placement chose an unknown server")
 }
 
-// leastOutstanding is the baseline: the least work as far as it is heard, with
-// two seconds of avoidance after an own failure.
-func leastOutstanding() choice {
+// leastOutstanding is the baseline: the server with the fewest outstanding requests. An
+// instance avoids a server for two seconds after a failure of its own.
+func leastOutstanding() chooser {
 	avoided := make(map[string]time.Duration)
-	return func(w *world, instance int, now time.Duration) *replayServer {
-		var best *replayServer
-		for _, i := range w.rng.Perm(len(w.servers)) {
-			s := w.servers[i]
+	return func(sim *simulation, instance int, now time.Duration) *simulatedServer {
+		var best *simulatedServer
+		for _, i := range sim.rng.Perm(len(sim.servers)) {
+			s := sim.servers[i]
 			if now < avoided[fmt.Sprint(instance, s.id)] {
 				continue
 			}
-			if best == nil || s.queue < best.queue {
+			if best == nil || s.outstanding < best.outstanding {
 				best = s
 			}
 		}
-		if !best.well {
+		if !best.healthy {
 			avoided[fmt.Sprint(instance, best.id)] = now + 2*time.Second
 		}
 		return best
 	}
 }
 
-func (w *world) run(pick choice, length time.Duration) {
-	// Callers come a while after the start.
-	for now := firstCaller; now < firstCaller+length; now += time.Duration(w.rng.ExpFloat64() / w.perSecond * float64(time.Second)) {
-		w.events.runUntil(now)
-		if w.rng.Float64() < w.refused {
-			for _, v := range w.views {
-				v.RecordOutcome("s", false, now)
+func (sim *simulation) run(choose chooser, length time.Duration) {
+	// Requests begin some time after the start.
+	for now := firstRequest; now < firstRequest+length; now += time.Duration(sim.rng.ExpFloat64() / sim.requestRate * float64(time.Second)) {
+		sim.events.runUntil(now)
+		if sim.rng.Float64() < sim.refused {
+			for _, p := range sim.placers {
+				p.RecordOutcome("s", false, now)
 			}
 			continue
 		}
-		w.order(pick, w.rng.IntN(w.instances), now)
+		sim.send(choose, sim.rng.IntN(sim.instances), now)
 	}
 }
 
-// look counts the healthy servers in use.
-func (w *world) look(now time.Duration) {
-	if now < w.nextLook || now < firstCaller+settled {
+// sampleCoverage samples the share of healthy servers in use.
+func (sim *simulation) sampleCoverage(now time.Duration) {
+	if now < sim.nextSample || now < firstRequest+settlingTime {
 		return
 	}
-	w.nextLook = now + 100*time.Millisecond
-	w.looks++
-	used, well := 0, 0
-	for _, s := range w.servers {
-		w.spell(s, now)
-		if !s.well || now-s.wellSince < 2*time.Second {
+	sim.nextSample = now + 100*time.Millisecond
+	sim.samples++
+	used, healthy := 0, 0
+	for _, s := range sim.servers {
+		sim.updateState(s, now)
+		if !s.healthy || now-s.healthySince < 2*time.Second {
 			continue
 		}
-		well++
-		if now-s.last < 2*time.Second {
+		healthy++
+		if now-s.lastRequest < 2*time.Second {
 			used++
 		}
 	}
-	w.used += float64(used) / float64(well)
+	sim.coverageSum += float64(used) / float64(healthy)
 }
 
-func (w *world) coverage() float64 { return w.used / float64(w.looks) }
+func (sim *simulation) coverage() float64 { return sim.coverageSum / float64(sim.samples) }
 
-func (w *world) order(pick choice, instance int, now time.Duration) {
-	s := pick(w, instance, now)
-	s.last = now
-	w.look(now)
-	w.spell(s, now)
-	w.sent++
-	w.count(s, instance, 1, now)
-	if !s.well && w.rng.Float64() < 0.85 {
-		if w.repeatable {
-			w.repeats++
+func (sim *simulation) send(choose chooser, instance int, now time.Duration) {
+	s := choose(sim, instance, now)
+	s.lastRequest = now
+	sim.sampleCoverage(now)
+	sim.updateState(s, now)
+	sim.sent++
+	sim.addOutstanding(s, instance, 1, now)
+	if !s.healthy && sim.rng.Float64() < 0.85 {
+		if sim.retryable {
+			sim.retries++
 		} else {
-			w.lost++
+			sim.lost++
 		}
-		w.end(s, instance, now+2*time.Millisecond, health.Incomplete, 2*time.Millisecond)
+		sim.end(s, instance, now+2*time.Millisecond, health.Incomplete, 2*time.Millisecond)
 		return
 	}
-	lost := s.losesAnswers && w.rng.Float64() < w.grey
+	lost := s.losesAnswers && sim.rng.Float64() < sim.lostAnswers
 	slot := 0
-	if s.free[1] < s.free[0] {
+	if s.slotFree[1] < s.slotFree[0] {
 		slot = 1
 	}
-	begin := max(s.free[slot], now)
-	took := time.Duration((0.2 + 0.8*w.rng.ExpFloat64()) * float64(160*time.Millisecond))
-	s.free[slot] = begin + took
-	if s.free[slot]-now > replayAim {
-		w.late++
+	begin := max(s.slotFree[slot], now)
+	latency := time.Duration((0.2 + 0.8*sim.rng.ExpFloat64()) * float64(160*time.Millisecond))
+	s.slotFree[slot] = begin + latency
+	if s.slotFree[slot]-now > latencyTarget {
+		sim.late++
 	}
 	if lost {
-		if w.repeatable {
-			w.repeats++
+		if sim.retryable {
+			sim.retries++
 		} else {
-			w.lost++
+			sim.lost++
 		}
-		w.end(s, instance, s.free[slot], health.Incomplete, took)
+		sim.end(s, instance, s.slotFree[slot], health.Incomplete, latency)
 		return
 	}
-	if w.rng.Float64() < w.errors {
-		w.end(s, instance, s.free[slot], health.ServerError, took)
+	if sim.rng.Float64() < sim.errors {
+		sim.end(s, instance, s.slotFree[slot], health.ServerError, latency)
 		return
 	}
-	w.end(s, instance, s.free[slot], health.OK, took)
+	sim.end(s, instance, s.slotFree[slot], health.OK, latency)
 }
 
-// count changes an instance's work at a server and has the others hear of it.
-func (w *world) count(s *replayServer, instance, change int, now time.Duration) {
-	s.queue += change
-	s.number[instance] += change
-	n, h := s.number[instance], placement.Hash(s.id)
-	w.views[instance].SetOutstanding(h, 0, n, now)
-	w.events.at(now+hearsAfter, func() {
-		for i, v := range w.views {
+// addOutstanding changes the number of requests that an instance has outstanding at a
+// server and propagates it to the other instances.
+func (sim *simulation) addOutstanding(s *simulatedServer, instance, change int, now time.Duration) {
+	s.outstanding += change
+	s.outstandingBy[instance] += change
+	n, h := s.outstandingBy[instance], placement.Hash(s.id)
+	sim.placers[instance].SetOutstanding(h, 0, n, now)
+	sim.events.at(now+propagationDelay, func() {
+		for i, p := range sim.placers {
 			if i != instance {
-				v.SetOutstanding(h, uint32(instance+1), n, now+hearsAfter)
+				p.SetOutstanding(h, uint32(instance+1), n, now+propagationDelay)
 			}
 		}
 	})
 }
 
-func (w *world) end(s *replayServer, instance int, at time.Duration, r health.Result, took time.Duration) {
-	w.events.at(at, func() {
-		w.count(s, instance, -1, at)
+func (sim *simulation) end(s *simulatedServer, instance int, at time.Duration, r health.Result, latency time.Duration) {
+	sim.events.at(at, func() {
+		sim.addOutstanding(s, instance, -1, at)
 		h := placement.Hash(s.id)
-		w.views[instance].RecordResult(h, r, true, took, 160*time.Millisecond, at)
-		w.views[instance].RecordOutcome("s", r == health.OK, at)
-		w.events.at(at+hearsAfter, func() {
-			for i, v := range w.views {
+		sim.placers[instance].RecordResult(h, r, true, latency, 160*time.Millisecond, at)
+		sim.placers[instance].RecordOutcome("s", r == health.OK, at)
+		sim.events.at(at+propagationDelay, func() {
+			for i, p := range sim.placers {
 				if i != instance {
-					v.RecordResult(h, r, false, took, 160*time.Millisecond, at+hearsAfter)
-					v.RecordOutcome("s", r == health.OK, at+hearsAfter)
+					p.RecordResult(h, r, false, latency, 160*time.Millisecond, at+propagationDelay)
+					p.RecordOutcome("s", r == health.OK, at+propagationDelay)
 				}
 			}
 		})
 	})
 }
 
-// Orders at 60 a second, about a third of what the servers can take. An order
-// that was reset can't be repeated. Choosing the least loaded server loses
-// every sixth; what others heard must keep most of them away from servers in
-// a spell, without letting them wait behind each other.
-func TestFewOrdersMeetAServerInASpell(t *testing.T) {
-	small := size{instances: 6, servers: 15, perSecond: 60}
+// Sixty non-retryable requests per second use about a third of the capacity. Choosing the
+// least loaded server loses every sixth of them. The results shared between instances
+// must keep most of them away from failing servers, without queueing behind each other.
+func TestFewRequestsMeetFailingServers(t *testing.T) {
+	small := fleetParams{instances: 6, servers: 15, requestRate: 60}
 	for seed := range uint64(5) {
-		base := newWorld(seed, small)
-		base.run(leastOutstanding(), 60*time.Second)
-		ours := newWorld(seed, small)
-		ours.run(placed, 60*time.Second)
-		baseLost, lost := float64(base.lost)/float64(base.sent), float64(ours.lost)/float64(ours.sent)
-		t.Logf("seed %d: lost %.1f%% against %.1f%%, late %.1f%%", seed, 100*lost, 100*baseLost, 100*float64(ours.late)/float64(ours.sent))
+		baseline := newSimulation(seed, small)
+		baseline.run(leastOutstanding(), 60*time.Second)
+		placer := newSimulation(seed, small)
+		placer.run(choosePlacer, 60*time.Second)
+		baseLost, lost := float64(baseline.lost)/float64(baseline.sent), float64(placer.lost)/float64(placer.sent)
+		t.Logf("seed %d: lost %.1f%%, baseline %.1f%%, late %.1f%%", seed, 100*lost, 100*baseLost, 100*float64(placer.late)/float64(placer.sent))
 		must.Less(t, baseLost/2, lost)
 		must.Less(t, 0.04, lost)
-		must.Less(t, 0.02, float64(ours.late)/float64(ours.sent))
+		must.Less(t, 0.02, float64(placer.late)/float64(placer.sent))
 	}
 }
 
-// The same at ten times the size: 220 servers of which a third would be enough
-// for the load, with servers that answer one order in eighty with a failure of
-// their own, and workspaces that are over their rate. Spreading requests over
-// all servers on account of these few loses more than it finds out: each try
-// at a server in a spell is an order lost, which calls for more spreading. And
-// all instances that find a server due for a try at the same moment must not
-// try it together. Most healthy servers stay in use all the same: whatever
-// happens next, there is no time to find them.
-func TestFewOrdersAreSpentOnFindingOut(t *testing.T) {
-	grown := size{instances: 12, servers: 220, perSecond: 670, errors: 0.012, refused: 0.027}
+// The same with ten times the load and 220 servers, of which a third would suffice.
+// Servers answer one request in eighty with an error, and workspaces exceed their rate.
+// Spreading requests over all servers because of these few unserved requests would lose
+// more than it gains: each trial of a failing server loses a request, which triggers more
+// spreading. All instances that find a server due at the same moment must not try it
+// together. Most healthy servers must stay in use nevertheless, as there is no time to
+// find them when others fail.
+func TestFewRequestsAreLostOnExploration(t *testing.T) {
+	large := fleetParams{instances: 12, servers: 220, requestRate: 670, errors: 0.012, refused: 0.027}
 	for seed := range uint64(3) {
-		w := newWorld(seed, grown)
-		w.run(placed, 30*time.Second)
-		w.report(t, seed)
-		must.Less(t, 0.03, w.share(w.lost))
-		must.Less(t, 0.02, w.share(w.late))
-		must.Greater(t, 0.8, w.coverage())
+		sim := newSimulation(seed, large)
+		sim.run(choosePlacer, 30*time.Second)
+		sim.report(t, seed)
+		must.Less(t, 0.03, sim.share(sim.lost))
+		must.Less(t, 0.02, sim.share(sim.late))
+		must.Greater(t, 0.8, sim.coverage())
 	}
 }
 
-// The same where every second request can be repeated. These find out which
-// servers are well again, within the fleet's bound on repeats, and hardly any
-// order is spent on it.
-func TestLookupsFindOutForOrders(t *testing.T) {
-	mixed := size{instances: 12, servers: 220, perSecond: 670, errors: 0.012, refused: 0.027, lookups: 0.5}
+// The same with every second request retryable. These probe which servers have recovered,
+// within the fleet's limit on retries, and hardly any non-retryable request is lost on
+// that.
+func TestRetryableRequestsProbeForOthers(t *testing.T) {
+	mixed := fleetParams{instances: 12, servers: 220, requestRate: 670, errors: 0.012, refused: 0.027, retryableShare: 0.5}
 	for seed := range uint64(3) {
-		w := newWorld(seed, mixed)
-		w.run(placed, 30*time.Second)
-		w.report(t, seed)
-		must.Less(t, 0.015, w.share(w.lost))
-		must.Less(t, 0.12, w.share(w.repeats))
-		must.Greater(t, 0.95, w.coverage())
+		sim := newSimulation(seed, mixed)
+		sim.run(choosePlacer, 30*time.Second)
+		sim.report(t, seed)
+		must.Less(t, 0.015, sim.share(sim.lost))
+		must.Less(t, 0.12, sim.share(sim.retries))
+		must.Greater(t, 0.95, sim.coverage())
 	}
 }
 
-// Half of the servers lose a third of their answers, beside the spells of all. Two
-// good answers between two lost ones must not restore trust: each lost answer is
-// an order lost.
-func TestOrdersAvoidServersThatFailPartly(t *testing.T) {
+// Half of the servers lose a third of their answers, in addition to the failing periods
+// of all. Two good answers between two lost ones must not restore trust, as each lost
+// answer is a lost non-retryable request.
+func TestRequestsAvoidDegradedServers(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newWorld(seed, size{instances: 12, servers: 124, perSecond: 240, errors: 0.012, lookups: 0.3, grey: 0.3})
-		w.run(placed, 20*time.Second)
-		w.report(t, seed)
-		must.Less(t, 0.03, w.share(w.lost))
+		sim := newSimulation(seed, fleetParams{instances: 12, servers: 124, requestRate: 240, errors: 0.012, retryableShare: 0.3, lostAnswers: 0.3})
+		sim.run(choosePlacer, 20*time.Second)
+		sim.report(t, seed)
+		must.Less(t, 0.03, sim.share(sim.lost))
 	}
 }
 
-func (w *world) share(n int) float64 { return float64(n) / float64(w.sent) }
+func (sim *simulation) share(n int) float64 { return float64(n) / float64(sim.sent) }
 
-func (w *world) report(t *testing.T, seed uint64) {
-	t.Logf("seed %d: lost %.1f%%, late %.1f%%, repeats %.1f%%, %.0f%% of the healthy servers in use",
-		seed, 100*w.share(w.lost), 100*w.share(w.late), 100*w.share(w.repeats), 100*w.coverage())
+func (sim *simulation) report(t *testing.T, seed uint64) {
+	t.Logf("seed %d: lost %.1f%%, late %.1f%%, retries %.1f%%, %.0f%% of the healthy servers in use",
+		seed, 100*sim.share(sim.lost), 100*sim.share(sim.late), 100*sim.share(sim.retries), 100*sim.coverage())
 }
 
-// eventQueue runs functions in the order of their times.
+// eventQueue runs functions in the order of their scheduled times.
 type eventQueue struct{ heap eventHeap }
 
 type eventAt struct {
--- a/placement/utilization_test.go
+++ b/placement/utilization_test.go
@@ -14,26 +14,26 @@
 	"foxtailspoke/placement"
 )
 
-// A server that answered and then got nothing for two seconds is probably well.
-// Left alone it would be unknown ten seconds later, and an order in four lost
-// on it when the load needs it.
+// A server that answered and then received no requests for two seconds is probably
+// healthy. Left unused, it would be unknown ten seconds later, and one in four
+// non-retryable requests would be lost on it once the load requires it.
 func TestProbablyHealthyServersStayInUse(t *testing.T) {
 	p := placer("hot", "rested")
 	now := 10 * time.Second
 	use(p, "rested", health.OK, now-2*time.Second)
 	use(p, "hot", health.OK, now)
 	use(p, "hot", health.OK, now)
-	must.Eq(t, "rested", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "rested", choose(t, p, nonRetryable(), now).Server.ID)
 	use(p, "rested", health.OK, now)
 	use(p, "hot", health.OK, now)
 	use(p, "hot", health.OK, now)
-	must.Eq(t, "hot", choose(t, p, order(), now+500*time.Millisecond).Server.ID)
+	must.Eq(t, "hot", choose(t, p, nonRetryable(), now+500*time.Millisecond).Server.ID)
 }
 
-// A server that gets no requests becomes due at the same moment for all
-// instances. If all of them sent there at once, all of it would be lost in a
-// spell; of a hundred requests that come right then, a few may try.
-func TestFewInstancesTryTheSameServerTogether(t *testing.T) {
+// A server without requests becomes due at the same moment for all instances. If all
+// instances sent to it at once and it is failing, all those requests would be lost. Of a
+// hundred requests at that moment, only a few may go to it.
+func TestFewInstancesTryTheSameServerAtOnce(t *testing.T) {
 	p := placer("hot", "rested")
 	now := 10 * time.Second
 	for range 5 {
@@ -43,37 +43,37 @@
 	use(p, "hot", health.OK, now)
 	rng, tried := rand.New(rand.NewPCG(1, 1)), 0
 	for range 100 {
-		if c, _ := p.Choose(order(), now, rng.Float64); c.Server.ID == "rested" {
+		if c, _ := p.Choose(nonRetryable(), now, rng.Float64); c.Server.ID == "rested" {
 			tried++
 		}
 	}
 	must.Between(t, 1, tried, 20)
 }
 
-// A server reset connections a moment ago. A lookup that would only be repeated
-// finds out whether it is well again; an order doesn't, nor does a lookup that
-// has failed once already, or one while repeats are scarce.
-func TestLookupsProbeServersThatReset(t *testing.T) {
+// A server reset connections a moment ago. Retryable requests probe whether it has
+// recovered. Non-retryable requests don't, nor do retryable ones that have already failed
+// once or that are sent while the retry budget is low.
+func TestRetryableRequestsProbeServersThatReset(t *testing.T) {
 	p := placer("hot", "failed")
 	now := 10 * time.Second
 	use(p, "failed", health.Incomplete, now-2*time.Second)
 	use(p, "hot", health.OK, now)
 	use(p, "hot", health.OK, now)
-	must.Eq(t, "hot", choose(t, p, order(), now).Server.ID)
-	must.Eq(t, "hot", choose(t, p, lookup(), now).Server.ID)
-	r := lookup()
+	must.Eq(t, "hot", choose(t, p, nonRetryable(), now).Server.ID)
+	must.Eq(t, "hot", choose(t, p, retryable(), now).Server.ID)
+	r := retryable()
 	r.RetryBudgetAmple = true
 	must.Eq(t, "failed", choose(t, p, r, now).Server.ID)
 	must.Eq(t, "hot", choose(t, p, withTried(r, "another"), now).Server.ID)
-	p.RecordResult(placement.Hash("failed"), health.Timeout, true, 5*work, work, now-1500*time.Millisecond)
+	p.RecordResult(placement.Hash("failed"), health.Timeout, true, 5*serviceTime, serviceTime, now-1500*time.Millisecond)
 	must.Eq(t, "hot", choose(t, p, r, now).Server.ID)
 }
 
-// A server resets a connection, and then another instance, whose path to it is
-// cut, gets none at all. Lookups here go on finding out whether it is well
-// again; if this instance's own path is cut, each would wait in vain.
-func TestOthersCutPathsDontKeepLookupsFromProbing(t *testing.T) {
-	r := lookup()
+// A server resets a connection, and then another instance, whose path to it is down, fails
+// to connect. Retryable requests of this instance must still probe the server. If the
+// path of this instance is down they must not, as each would wait for its timeout.
+func TestPathFailuresOfOthersDontPreventProbes(t *testing.T) {
+	r := retryable()
 	r.RetryBudgetAmple = true
 	for own, chosen := range map[bool]string{false: "failed", true: "hot"} {
 		p := placer("hot", "failed")
@@ -86,56 +86,56 @@
 	}
 }
 
-// All instances were down and have just started. Nothing is known of any
-// server, and what went unserved meanwhile isn't remembered. Without the spread
-// the first server to answer would get all requests.
-func TestAfterAStartAllServersGetRequests(t *testing.T) {
+// All instances were down and have just started. Nothing is known about any server, and
+// requests that went unserved meanwhile aren't recorded. Without spreading, the first
+// server to answer would receive all requests.
+func TestAllServersReceiveRequestsAfterAStart(t *testing.T) {
 	p := placer("a", "b", "c", "d")
 	seen := make(map[string]bool)
 	for i := range 4 {
 		now := time.Duration(i+1) * 20 * time.Millisecond
-		id := choose(t, p, order(), now).Server.ID
+		id := choose(t, p, nonRetryable(), now).Server.ID
 		seen[id] = true
 		use(p, id, health.OK, now)
 	}
 	must.MapLen(t, 4, seen)
 }
 
-// A fifth of the instances stands still. Their callers' requests go unserved and
-// nobody tells; healthy servers must not stay idle meanwhile, nor for ever.
-func TestSilentInstancesBringIdleServersIntoUse(t *testing.T) {
+// A fifth of the instances stops responding, and the requests of their callers go unserved
+// without being reported. Idle servers must come into use meanwhile, but not longer.
+func TestInstanceLossBringsIdleServersIntoUse(t *testing.T) {
 	p := placer("hot", "idle")
 	now := 20 * time.Second
 	use(p, "idle", health.Incomplete, now-3*time.Second)
 	use(p, "hot", health.OK, now)
 	use(p, "hot", health.OK, now)
-	must.Eq(t, "hot", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "hot", choose(t, p, nonRetryable(), now).Server.ID)
 	p.RecordInstanceLoss(now)
-	must.Eq(t, "idle", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "idle", choose(t, p, nonRetryable(), now).Server.ID)
 	now += 6 * time.Second
 	use(p, "hot", health.OK, now)
-	must.Eq(t, "hot", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "hot", choose(t, p, nonRetryable(), now).Server.ID)
 }
 
-// Servers were added. They answer nobody yet, so nothing speaks for them; with
-// the load on known servers they would stay idle for good.
-func TestNewcomerGetsARequestSoon(t *testing.T) {
+// A new server has no results yet. It would stay idle if all requests went to known
+// servers.
+func TestNewServerReceivesARequestSoon(t *testing.T) {
 	p := placer("old")
 	for range 5 {
 		use(p, "old", health.OK, 10*time.Second)
 	}
 	p.Apply(discovery.Change{Server: server("new"), New: true}, 10*time.Second)
-	must.Eq(t, "old", choose(t, p, order(), 10*time.Second).Server.ID)
+	must.Eq(t, "old", choose(t, p, nonRetryable(), 10*time.Second).Server.ID)
 	now := 11 * time.Second
 	use(p, "old", health.OK, now)
-	must.Eq(t, "new", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "new", choose(t, p, nonRetryable(), now).Server.ID)
 	use(p, "new", health.Incomplete, now)
-	must.Eq(t, "old", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "old", choose(t, p, nonRetryable(), now).Server.ID)
 }
 
-// More than a tenth of a service's requests goes unserved while healthy servers
-// are out of use. They must get requests within a second or two; one that has
-// just failed must not.
+// More than a tenth of a service's requests goes unserved while healthy servers are idle.
+// They must receive requests within one or two seconds, but not a server that has just
+// failed.
 func TestUnservedRequestsBringIdleServersIntoUse(t *testing.T) {
 	p := placer("hot", "idle", "failed")
 	now := 10 * time.Second
@@ -145,33 +145,33 @@
 		use(p, "hot", health.OK, now)
 		p.RecordOutcome("s", i >= 3, now)
 	}
-	must.Eq(t, "idle", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "idle", choose(t, p, nonRetryable(), now).Server.ID)
 	use(p, "idle", health.OK, now)
-	must.Eq(t, "hot", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "hot", choose(t, p, nonRetryable(), now).Server.ID)
 	now += time.Second
 	use(p, "hot", health.OK, now)
 	use(p, "idle", health.OK, now)
-	must.Eq(t, "failed", choose(t, p, order(), now).Server.ID)
+	must.Eq(t, "failed", choose(t, p, nonRetryable(), now).Server.ID)
 }
 
-// Workspaces over their rate have a quarter of the lookups refused. A fourth of the
-// servers come out of spells together, while what may be repeated is used up and
-// nothing probes them. As the rest is more than enough of all servers in use,
-// nobody looked for them, though they were the ones to count.
-func TestUnservedLookupsReachServersThatAreWellAgain(t *testing.T) {
+// A quarter of the retryable requests is refused because workspaces exceed their rate. A
+// quarter of the servers recovers at the same time, while the retry budget is used up and
+// nothing probes them. The other servers alone exceed the coverage for non-retryable
+// requests, so the recovered ones would stay idle with that limit.
+func TestUnservedRetryableRequestsReachRecoveredServers(t *testing.T) {
 	var all []string
 	for i := range 96 {
 		all = append(all, fmt.Sprintf("i-%02d", i))
 	}
 	p := placer(all...)
-	again := make(map[string]bool)
+	recovered := make(map[string]bool)
 	begin := 20 * time.Second
 	for i, id := range all {
 		if i%4 > 0 {
 			use(p, id, health.OK, begin)
 			continue
 		}
-		again[id] = true
+		recovered[id] = true
 		for range 2 {
 			use(p, id, health.Incomplete, begin-2*time.Second)
 		}
@@ -183,21 +183,22 @@
 			p.RecordOutcome("s", false, now)
 			continue
 		}
-		c, ok := p.Choose(lookup(), now, rng.Float64)
+		c, ok := p.Choose(retryable(), now, rng.Float64)
 		must.True(t, ok)
 		use(p, c.Server.ID, health.OK, now)
 		p.RecordOutcome("s", true, now)
-		if again[c.Server.ID] {
+		if recovered[c.Server.ID] {
 			found[c.Server.ID] = true
 			sent++
 		}
 	}
-	must.Greater(t, 0.7, float64(len(found))/float64(len(again)), must.Sprint(sent, " requests"))
+	must.Greater(t, 0.7, float64(len(found))/float64(len(recovered)), must.Sprint(sent, " requests"))
 }
 
-// More than half of the servers are in spells and were tried a moment ago, and a
-// tenth of the orders is lost. Of the few that are well again, half are out of use.
-// Counted among all servers in use, those that had just failed made up for them.
+// More than half of the servers are failing and were tried a moment ago, and a tenth of
+// the non-retryable requests is lost. Of the few healthy servers, half have recovered and
+// are idle. The servers that have just failed count as in use, so the share of servers in
+// use hides the idle ones.
 func TestUnservedOrdersReachServersThatAreWellAgain(t *testing.T) {
 	var all []string
 	for i := range 15 {
@@ -205,7 +206,7 @@
 	}
 	p := placer(all...)
 	begin := 20 * time.Second
-	again := all[:3]
+	recovered := all[:3]
 	for i, id := range all {
 		switch {
 		case i < 3:
@@ -219,12 +220,12 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	found := make(map[string]bool)
 	for now := begin; now < begin+1200*time.Millisecond; now += 25 * time.Millisecond {
-		c, ok := p.Choose(order(), now, rng.Float64)
+		c, ok := p.Choose(nonRetryable(), now, rng.Float64)
 		must.True(t, ok)
 		use(p, c.Server.ID, health.OK, now)
 		p.RecordOutcome("s", rng.Float64() > 0.11, now)
 		p.RecordOutcome("s", rng.Float64() > 0.11, now)
-		if slices.Contains(again, c.Server.ID) {
+		if slices.Contains(recovered, c.Server.ID) {
 			found[c.Server.ID] = true
 		}
 	}
