--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/replica"
 )
 
-// evacuationRows are the rows of the configuration's table that evacuate data
-// centres. They are few and small enough to be told in every notice.
+// evacuationRows returns the rows of the configuration table that evacuate data
+// centres. They are few and small enough to be part of every update.
 func (e *Edge) evacuationRows() []replica.Row {
 	var rows []replica.Row
 	for _, r := range e.state.config.Rows() {
@@ -23,36 +23,40 @@
 	return rows
 }
 
-// takeEvacuations acts on the evacuations that the copy of the table holds.
-func (e *Edge) takeEvacuations(now time.Duration) {
+// applyEvacuationRows applies the evacuations in the local copy of the
+// configuration table.
+func (e *Edge) applyEvacuationRows(now time.Duration) {
 	at, known := e.state.config.Position()
 	if known {
-		e.evacuate(at, dataCentresOf(e.evacuationRows()), now)
+		e.setEvacuations(at, evacuatedDataCentres(e.evacuationRows()), now)
 	}
 }
 
-// applyEvacuations acts on the evacuations that a notice tells, whether or not
-// this instance has the configuration of that version. It returns the rows that
-// bring its copy to the same state.
-func (e *Edge) applyEvacuations(n evidence.TableUpdate, told []evidence.Row, now time.Duration) []evidence.Row {
-	listed := make(map[string]bool, len(told))
+// applyUpdateEvacuations applies the evacuations of a table update, whether or
+// not this instance has the configuration of that version. It returns the rows
+// that bring the local copy to the same state.
+func (e *Edge) applyUpdateEvacuations(n evidence.TableUpdate, rows []evidence.Row, now time.Duration) []evidence.Row {
+	listed := make(map[string]bool, len(rows))
 	var dataCentres []string
-	for _, r := range told {
+	for _, r := range rows {
 		if dc, ok := platform.EvacuatedDataCentre(r.Key); ok {
 			dataCentres = append(dataCentres, dc)
 			listed[r.Key] = true
 		}
 	}
-	e.evacuate(replica.Position{Era: n.Era, Version: n.Version}, dataCentres, now)
+	e.setEvacuations(replica.Position{Era: n.Era, Version: n.Version}, dataCentres, now)
 	for _, r := range e.evacuationRows() {
 		if !listed[r.Key] {
-			told = append(told, evidence.Row{Key: r.Key, Deleted: true})
+			rows = append(rows, evidence.Row{Key: r.Key, Deleted: true})
 		}
 	}
-	return told
+	return rows
 }
 
-func (e *Edge) evacuate(at replica.Position, dataCentres []string, now time.Duration) {
+// setEvacuations replaces the set of evacuated data centres. After a restore of
+// the store the earlier ones are kept for a while: the store may have lost
+// them.
+func (e *Edge) setEvacuations(at replica.Position, dataCentres []string, now time.Duration) {
 	s := &e.state
 	if now < s.restoredUntil {
 		dataCentres = append(dataCentres, s.evacuations.List()...)
@@ -70,7 +74,7 @@
 	}
 }
 
-func dataCentresOf(rows []replica.Row) []string {
+func evacuatedDataCentres(rows []replica.Row) []string {
 	var dataCentres []string
 	for _, r := range rows {
 		if dc, ok := platform.EvacuatedDataCentre(r.Key); ok {
@@ -80,10 +84,11 @@
 	return dataCentres
 }
 
-// updateHolders tells the limiters of cold and limited servers which instances
-// there are, heard or not. They know nothing until the store's list is known: an
-// instance that has just started would otherwise take the shares of all others.
-func (e *Edge) updateHolders() {
+// updateLimiterInstances passes the instances of the fleet, reachable or not,
+// to the limiters of cold and rate-limited servers. It does nothing until the
+// list of instances has been read: an instance that has just started would
+// otherwise take the shares of all others.
+func (e *Edge) updateLimiterInstances() {
 	s := &e.state
 	if _, known := s.instances.Version(); !known {
 		return
--- a/edge/fetch.go
+++ b/edge/fetch.go
@@ -14,20 +14,22 @@
 )
 
 const (
-	// fetchSpread spreads the reads of a new configuration.
-	fetchSpread = 60 * time.Millisecond
-	// fetchRetry is the least pause after a read that failed.
-	fetchRetry = 500 * time.Millisecond
-	// readersEach is how many instances of a data centre read from the store
-	// what is too large to be told; the others ask these. If all of them did,
-	// the calls would grow with the fleet, up to all that the store answers.
-	readersEach = 2
-	// readersFirst leaves the readers time for their call: 4 ms as a rule.
-	readersFirst = 50 * time.Millisecond
+	// fetchJitter spreads the reads of a new configuration.
+	fetchJitter = 60 * time.Millisecond
+	// fetchRetryDelay is the minimum pause after a failed read.
+	fetchRetryDelay = 500 * time.Millisecond
+	// readersPerDataCentre is how many instances of a data centre read from the
+	// store what is too large for a table update; the others fetch it from
+	// them. If every instance read it, the calls would grow with the fleet up
+	// to the limit of the store.
+	readersPerDataCentre = 2
+	// readerHeadStart gives the readers time for their own call, which usually
+	// takes 4 ms.
+	readerHeadStart = 50 * time.Millisecond
 )
 
-// fetchConfig reads the configuration when another instance says that there is
-// a newer one.
+// fetchConfig reads the configuration when another instance has announced a
+// newer one.
 func (e *Edge) fetchConfig(ctx context.Context) error {
 	select {
 	case <-e.storeReadable:
@@ -40,65 +42,67 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchSpread))) {
+		if !sleepContext(ctx, time.Duration(rand.Float64()*float64(fetchJitter))) {
 			return ctx.Err()
 		}
-		if e.hasToldConfig() || e.askReaders(ctx, methodConfig, configTimeout, e.hasToldConfig) {
+		if e.hasAnnouncedConfig() || e.fetchFromReaders(ctx, methodConfig, configSnapshotTimeout, e.hasAnnouncedConfig) {
 			continue
 		}
 		if !e.readConfig(ctx) {
-			e.askPeer(ctx)
-			sleepContext(ctx, fetchRetry)
+			e.fetchFromPeer(ctx)
+			sleepContext(ctx, fetchRetryDelay)
 		}
 	}
 }
 
-// askReaders asks the readers of this data centre until one of them has brought
-// what is missing. It reports false if this instance is one of them, or none of
-// them has it.
-func (e *Edge) askReaders(ctx context.Context, method string, timeout time.Duration, has func() bool) bool {
+// fetchFromReaders requests snapshots from the readers of this data centre
+// until complete returns true. It returns false if this instance is a reader
+// itself or if no reader has the missing data.
+func (e *Edge) fetchFromReaders(ctx context.Context, method string, timeout time.Duration, complete func() bool) bool {
 	e.mu.Lock()
 	readers := e.readers()
 	e.mu.Unlock()
-	if slices.Contains(readers, e.self) || !sleepContext(ctx, readersFirst) {
+	if slices.Contains(readers, e.self) || !sleepContext(ctx, readerHeadStart) {
 		return false
 	}
 	for _, reader := range readers {
-		if has() {
+		if complete() {
 			return true
 		}
-		e.askSnapshot(ctx, reader, method, timeout)
+		e.fetchSnapshot(ctx, reader, method, timeout)
 	}
-	return has()
+	return complete()
 }
 
-// hasToldConfig reports whether the newest configuration that another instance
-// told of is here.
-func (e *Edge) hasToldConfig() bool {
+// hasAnnouncedConfig reports whether this instance has the newest configuration
+// that another instance has announced.
+func (e *Edge) hasAnnouncedConfig() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, known := e.state.config.Position()
-	return known && !e.configRow().Before(e.state.announcedConfig)
+	return known && !e.configRowPosition().Before(e.state.announcedConfig)
 }
 
-// configRow is the version of the configuration's row in this instance's copy.
-func (e *Edge) configRow() replica.Position {
+// configRowPosition returns the era and version of the configuration row in the
+// local copy.
+func (e *Edge) configRowPosition() replica.Position {
 	at, _ := e.state.config.Position()
-	// A copy of the store may be older than the first configuration.
+	// A backup of the store may be older than the first configuration.
 	row, _ := e.state.config.Row(platform.KeyConfig)
 	return replica.Position{Era: at.Era, Version: row.Version}
 }
 
-// hasToldServers is the same for the list of servers.
-func (e *Edge) hasToldServers() bool {
+// hasAnnouncedServers reports whether this instance has the newest list of
+// servers that another instance has announced.
+func (e *Edge) hasAnnouncedServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at, known := e.state.servers.Position()
 	return known && !at.Before(e.state.announcedServers)
 }
 
-// readers are the instances of the own data centre that read the store for the
-// others, the same for all of them: those with fast links first.
+// readers returns the instances of this data centre that read the store for the
+// others. All instances select the same ones, those with fast links first.
 func (e *Edge) readers() []uint32 {
 	members := []relay.Member{e.selfMember()}
 	for _, m := range e.state.messenger.Fleet().All() {
@@ -116,22 +120,23 @@
 		return cmp.Compare(relay.Hash(a.ID), relay.Hash(b.ID))
 	})
 	var ids []uint32
-	for _, m := range members[:min(len(members), readersEach)] {
+	for _, m := range members[:min(len(members), readersPerDataCentre)] {
 		ids = append(ids, m.ID)
 	}
 	return ids
 }
 
-// isReader reports whether this instance is one of them.
+// isReader reports whether this instance is one of its data centre's readers.
 func (e *Edge) isReader() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Contains(e.readers(), e.self)
 }
 
-// readConfig reads the configuration from the store.
+// readConfig reads the configuration from the store and reports whether it
+// could be applied.
 func (e *Edge) readConfig(ctx context.Context) bool {
-	p := e.ask(ctx, evidence.Config)
+	p := e.readTable(ctx, evidence.Config)
 	if p.err != nil {
 		e.logStoreError(p, e.now())
 		return false
@@ -139,16 +144,17 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.observe(p.answer.Era, p.answer.StoreTime, now) {
+	if !e.observeStore(p.result.Era, p.result.StoreTime, now) {
 		return false
 	}
-	if _, ok := e.takeAnswer(p.table, p.answer, p.since, now); !ok {
+	if _, ok := e.applyReadResult(p.table, p.result, p.since, now); !ok {
 		return false
 	}
-	e.prove(p.table, p.answer.StoreTime, now)
+	e.recordProof(p.table, p.result.StoreTime, now)
 	return true
 }
 
+// sleepContext waits for d and reports false if ctx ends first.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// limitedServer is a backend server whose answers name a limit, with the times at
-// which its requests came.
+// limitedServer is a backend server that sets a limit in its responses and records
+// the arrival times of its requests.
 type limitedServer struct {
 	*backend
-	// limit is the header's value; empty names none.
+	// limit is the value of the Server-Limit header; empty for no header.
 	limit atomic.Pointer[string]
 	mu    sync.Mutex
 	times []time.Time
@@ -36,8 +36,8 @@
 	return s
 }
 
-// since is how many requests have come since then.
-func (s *limitedServer) since(t time.Time) int {
+// requestsSince returns the number of requests that arrived after t.
+func (s *limitedServer) requestsSince(t time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -49,9 +49,9 @@
 	return n
 }
 
-// lookupsFor sends lookups to all instances in turn, one every gap, and returns
-// how many were served.
-func (f *fleet) lookupsFor(d, gap time.Duration) int {
+// sendLookups sends lookups to all instances in turn for d, with a pause of gap
+// between them, and returns how many were served.
+func (f *fleet) sendLookups(d, gap time.Duration) int {
 	var served atomic.Int64
 	var wg sync.WaitGroup
 	n := 0
@@ -68,52 +68,52 @@
 	return int(served.Load())
 }
 
-// A backend server in need names a limit, and the instances together go on
-// sending it many times as much.
-func TestInstancesTogetherKeepToTheLimitOfAServer(t *testing.T) {
+// A server sets a limit. Guards against the instances together sending it many
+// times as much, which happens if each applies the limit by itself.
+func TestServerLimitHoldsOverAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "2")
 	f.backend("other", nil)
 	f.startAll(4)
-	f.lookupsFor(time.Second, 10*time.Millisecond)
+	f.sendLookups(time.Second, 10*time.Millisecond)
 	start := time.Now()
-	served := f.lookupsFor(4*time.Second, 10*time.Millisecond)
+	served := f.sendLookups(4*time.Second, 10*time.Millisecond)
 	must.Positive(t, served)
-	// One and a half times what the limit allows in four seconds, and five more.
-	must.LessEq(t, 1.5*2*4+5, float64(limited.since(start)))
-	must.Positive(t, limited.since(start))
+	// 1.5 times the limit over four seconds, plus five requests.
+	must.LessEq(t, 1.5*2*4+5, float64(limited.requestsSince(start)))
+	must.Positive(t, limited.requestsSince(start))
 }
 
-// A server that is well again stays at its former limit, and callers wait for the
-// others.
-func TestServerIsUsedAtWillOnceItNamesNoLimit(t *testing.T) {
+// Guards against a recovered server staying at its former limit, which makes
+// callers wait for the other servers.
+func TestServerLimitEndsWithResponseWithoutLimit(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "2")
 	f.backend("other", nil)
 	f.startAll(8)
-	f.lookupsFor(2*time.Second, 10*time.Millisecond)
+	f.sendLookups(2*time.Second, 10*time.Millisecond)
 	none := ""
 	limited.limit.Store(&none)
-	f.lookupsFor(4*time.Second, 10*time.Millisecond)
+	f.sendLookups(4*time.Second, 10*time.Millisecond)
 	start := time.Now()
-	f.lookupsFor(time.Second, 10*time.Millisecond)
-	must.Greater(t, 12, limited.since(start))
+	f.sendLookups(time.Second, 10*time.Millisecond)
+	must.Greater(t, 12, limited.requestsSince(start))
 }
 
-// All servers name limits. What goes beyond them is refused as not run, at once,
-// and nothing waits until its deadline.
+// All servers are at their limits. Excess requests must be refused at once as not
+// executed, and must not wait until their deadline.
 func TestRequestsAboveAllLimitsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
 	limited := f.limitedServer("limited", "1")
 	f.startAll(1)
-	f.lookupsFor(500*time.Millisecond, 10*time.Millisecond)
-	before := limited.since(time.Time{})
+	f.sendLookups(500*time.Millisecond, 10*time.Millisecond)
+	before := limited.requestsSince(time.Time{})
 	for range 20 {
 		start := time.Now()
 		r, id := f.order(0)
@@ -123,14 +123,15 @@
 		must.Eq(t, http.StatusServiceUnavailable, r.status)
 		must.Eq(t, "servers-at-their-limit\n", r.body)
 		must.NotEq(t, "", r.header.Get("Retry-After"))
-		must.Zero(t, limited.runs(id))
+		must.Zero(t, limited.executions(id))
 		must.Less(t, 200*time.Millisecond, time.Since(start))
 	}
-	must.LessEq(t, before+2, limited.since(time.Time{}))
+	must.LessEq(t, before+2, limited.requestsSince(time.Time{}))
 }
 
-// A limited server's own error bears neither its signature nor its limit. Taken for
-// the limit's end, it would let everybody send at will until the next good answer.
+// A limited server's error response has neither a signature nor a limit header.
+// Taken for the end of the limit, it would let all instances send without limit
+// until the next signed response.
 func TestUnsignedErrorDoesNotEndALimit(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -150,8 +151,8 @@
 	}
 	f.backend("other", nil)
 	f.startAll(4)
-	f.lookupsFor(time.Second, 10*time.Millisecond)
+	f.sendLookups(time.Second, 10*time.Millisecond)
 	start := time.Now()
-	f.lookupsFor(4*time.Second, 10*time.Millisecond)
-	must.LessEq(t, 1.5*2*4+5, float64(limited.since(start)))
+	f.sendLookups(4*time.Second, 10*time.Millisecond)
+	must.LessEq(t, 1.5*2*4+5, float64(limited.requestsSince(start)))
 }
