--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -16,32 +16,33 @@
 	"foxtailspoke/upstream"
 )
 
-// attempt is one try of a call at one server.
+// attempt is one attempt to have a call served by one backend server.
 type attempt struct {
 	choice placement.Choice
 	answer upstream.Response
 	result health.Result
 	took   time.Duration
 	number int
-	// start is when it was sent.
+	// start is the time at which the attempt was sent.
 	start  time.Duration
 	cancel context.CancelFunc
-	// endPublished says that its end was told.
+	// endPublished is set once the end of the attempt was published to the other
+	// instances.
 	endPublished bool
 }
 
-// run sends the call to servers until one has answered or nothing more may be
-// tried.
-func (e *Edge) run(ctx context.Context, c *call) (*attempt, *verdict) {
+// run sends the call to backend servers until one has answered or no further
+// attempt is allowed.
+func (e *Edge) run(ctx context.Context, c *call) (*attempt, *refusal) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(c.deadline-e.now()))
 	defer cancel()
-	r := &runner{e: e, c: c, ctx: ctx, done: make(chan *attempt, maxRunning)}
-	defer r.settle()
+	r := &runner{e: e, c: c, ctx: ctx, done: make(chan *attempt, maxConcurrentAttempts)}
+	defer r.cancelRemaining()
 	return r.run()
 }
 
-// maxRunning bounds the attempts of one call.
-const maxRunning = 8
+// maxConcurrentAttempts bounds the attempts of one call.
+const maxConcurrentAttempts = 8
 
 // runner drives the attempts of one call.
 type runner struct {
@@ -51,37 +52,39 @@
 	done    chan *attempt
 	running []*attempt
 	tried   []string
-	// mayHaveRun says that an attempt ended without proof that it didn't run.
+	// mayHaveRun is set once an attempt has ended without proof that the server did
+	// not execute the request.
 	mayHaveRun bool
-	// last is the newest whole answer with a server's own failure.
-	last *attempt
+	// lastServerError is the attempt with the latest complete response that reports
+	// a failure of the server itself.
+	lastServerError *attempt
 }
 
-func (r *runner) run() (*attempt, *verdict) {
-	if v := r.begin(); v != nil {
+func (r *runner) run() (*attempt, *refusal) {
+	if v := r.startAttempt(); v != nil {
 		r.e.publishRefusal(r.c)
 		return nil, v
 	}
-	late := time.NewTimer(r.e.patience(r.c))
+	late := time.NewTimer(r.e.lateAfter(r.c))
 	defer late.Stop()
 	for {
 		select {
 		case a := <-r.done:
 			r.remove(a)
-			if done, v := r.ended(a); done != nil || v != nil {
+			if done, v := r.handleEnd(a); done != nil || v != nil {
 				return done, v
 			}
 		case <-late.C:
-			r.hedge()
+			r.handleLate()
 		case <-r.ctx.Done():
-			return r.last, r.timedOut()
+			return r.lastServerError, r.timedOut()
 		}
 	}
 }
 
-// begin starts an attempt at the best server.
-func (r *runner) begin() *verdict {
-	choice, v := r.e.place(r.c, r.tried)
+// startAttempt starts an attempt at the best available server.
+func (r *runner) startAttempt() *refusal {
+	choice, v := r.e.chooseServer(r.c, r.tried)
 	if v != nil {
 		return v
 	}
@@ -109,9 +112,9 @@
 	}
 }
 
-// ended decides what follows an attempt's end: an answer for the caller, a
-// refusal, or neither while it goes on.
-func (r *runner) ended(a *attempt) (*attempt, *verdict) {
+// handleEnd decides what follows the end of an attempt. It returns a response or a
+// refusal for the caller, or neither if the call goes on.
+func (r *runner) handleEnd(a *attempt) (*attempt, *refusal) {
 	if a.result == health.OK {
 		r.e.publishAttemptEnd(r.c, a, evidence.RequestServed)
 		return a, nil
@@ -119,59 +122,62 @@
 	mayHaveRun := r.mayHaveRun
 	r.mayHaveRun = r.mayHaveRun || !a.result.ProvedNotRun()
 	if a.result == health.ServerError {
-		r.last = a
+		r.lastServerError = a
 	}
-	d := r.e.decide(r.c, a, len(r.tried), len(r.running), mayHaveRun)
+	d := r.e.decideRetry(r.c, a, len(r.tried), len(r.running), mayHaveRun)
 	switch d.Action {
 	case retry.Wait:
 		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
 		return nil, nil
 	case retry.Retry:
 		r.e.publishAttemptEnd(r.c, a, evidence.RequestPending)
-		if v := r.begin(); v == nil {
+		if v := r.startAttempt(); v == nil {
 			return nil, nil
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
 		r.e.publishAttemptEnd(r.c, a, evidence.RequestUnserved)
 	}
-	if r.last != nil {
-		return r.last, nil
+	if r.lastServerError != nil {
+		return r.lastServerError, nil
 	}
-	return nil, r.refusal(d)
+	return nil, r.notServed(d)
 }
 
-// refusal is the truth about a call without an answer.
-func (r *runner) refusal(d retry.Decision) *verdict {
+// notServed returns the refusal of a call that has no response. It reports the
+// call as not executed only if that is certain.
+func (r *runner) notServed(d retry.Decision) *refusal {
 	if r.mayHaveRun {
-		return &verdict{status: http.StatusBadGateway, rule: RuleServerFailed}
+		return &refusal{status: http.StatusBadGateway, rule: RuleServerFailed}
 	}
-	return &verdict{http.StatusServiceUnavailable, RuleNotRun, d.RetryAfter}
+	return &refusal{http.StatusServiceUnavailable, RuleNotRun, d.RetryAfter}
 }
 
-func (r *runner) timedOut() *verdict {
-	if r.last != nil {
+func (r *runner) timedOut() *refusal {
+	if r.lastServerError != nil {
 		return nil
 	}
-	return &verdict{status: http.StatusGatewayTimeout, rule: RuleTimeout}
+	return &refusal{status: http.StatusGatewayTimeout, rule: RuleTimeout}
 }
 
-// hedge tells that the attempt is late, and asks a second server if the
-// request may run twice.
-func (r *runner) hedge() {
+// handleLate publishes that the attempt is late and hedges it with a second server
+// if the request may be executed twice.
+func (r *runner) handleLate() {
 	if len(r.running) != 1 {
 		return
 	}
 	a := r.running[0]
 	r.e.publishLate(a)
 	if r.e.mayHedge(r.c, len(r.tried), r.mayHaveRun) {
-		// No room for a second attempt: the first goes on alone.
-		_ = r.begin()
+		// If no server is available for a second attempt, the first one continues
+		// alone.
+		_ = r.startAttempt()
 	}
 }
 
-// settle ends the attempts that nobody waits for any more and takes in how
-// they ended. A caller that left, or was answered, must not keep servers busy.
-func (r *runner) settle() {
+// cancelRemaining cancels the attempts whose results are no longer needed and
+// records how they ended, so that a caller that has disconnected or been answered
+// does not keep servers busy.
+func (r *runner) cancelRemaining() {
 	running := r.running
 	for _, a := range running {
 		a.cancel()
@@ -191,8 +197,8 @@
 	}()
 }
 
-// decide asks the rules of retries.
-func (e *Edge) decide(c *call, a *attempt, number, running int, mayHaveRun bool) retry.Decision {
+// decideRetry applies the retry rules to an attempt that has ended.
+func (e *Edge) decideRetry(c *call, a *attempt, number, running int, mayHaveRun bool) retry.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := e.retryState(c, a.result, number, running, mayHaveRun)
@@ -224,14 +230,14 @@
 	}
 }
 
-// patience is how long an attempt may take before it counts as late.
-func (e *Edge) patience(c *call) time.Duration {
+// lateAfter returns the time after which an attempt counts as late.
+func (e *Edge) lateAfter(c *call) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return retry.Patience(e.routeStatsFor(c.route).work)
 }
 
-// classify says what an attempt's end tells of the server.
+// classify returns what the end of an attempt says about the server.
 func classify(a upstream.Response) health.Result {
 	switch a.Outcome {
 	case upstream.NotSent:
@@ -254,13 +260,14 @@
 	case a.Status >= http.StatusInternalServerError:
 		return health.ServerError
 	case a.Status < http.StatusMultipleChoices && a.Header.Get(platform.HeaderProof) == "":
-		// A success that no server has signed is no server's answer.
+		// A successful response without a signature does not come from a backend
+		// server.
 		return health.Mismatch
 	}
 	return health.OK
 }
 
-// upstreamRequest is what a server gets.
+// upstreamRequest builds the request to send to the chosen server.
 func (e *Edge) upstreamRequest(c *call, choice placement.Choice) upstream.Request {
 	h := c.header.Clone()
 	h.Set(platform.HeaderExpect, choice.Server.ID)
@@ -275,8 +282,8 @@
 	}
 }
 
-// logAttempt writes what was expected of a server and what came of it. Good
-// answers are told by the line of their request.
+// logAttempt logs the expected and the actual outcome of an attempt. Successful
+// attempts are covered by the log line of their request.
 func (e *Edge) logAttempt(c *call, a *attempt, now time.Duration) {
 	if a.result == health.OK || !e.budget.Take(now, 1) {
 		return
@@ -285,7 +292,7 @@
 		slog.String("request", c.id), slog.Int("attempt", a.number),
 		slog.String("server", a.choice.Server.ID), slog.String("service", c.service),
 		slog.String("result", a.result.String()), slog.Int64("took_ms", a.took.Milliseconds()),
-		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round(a.choice.Risk)),
+		slog.Int("outstanding", a.choice.Outstanding), slog.Float64("risk", round3(a.choice.Risk)),
 		slog.Int64("expected_ms", a.choice.ExpectedLatency.Milliseconds()),
 	}
 	if a.answer.Err != nil {
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -17,38 +17,41 @@
 	"foxtailspoke/usage"
 )
 
-// takeRows takes in changed rows and returns those that changed anything. Restored
-// says that they are those of a store that just came back from a copy.
-func (e *Edge) takeRows(t evidence.Table, rows []replica.Row, restored bool, now time.Duration) []replica.Row {
+// applyRows applies rows received from the store and returns those that must be
+// forwarded to other instances. restored reports that they are the first rows
+// read after the store was restored from a backup.
+func (e *Edge) applyRows(t evidence.Table, rows []replica.Row, restored bool, now time.Duration) []replica.Row {
 	switch t {
 	case evidence.Config:
 		for _, r := range rows {
-			e.takeConfig(r, now)
+			e.applyConfig(r, now)
 		}
-		e.takeEvacuations(now)
+		e.applyEvacuationRows(now)
 		return rows
 	case evidence.Servers:
-		return e.takeServers(rows, restored, now)
+		return e.applyServerRows(rows, restored, now)
 	default:
 		for _, r := range rows {
 			if restored && r.Gone {
-				// It may have been written after the copy. Readers write it again.
+				// The row may have been written after the backup was taken. The
+				// readers write it again.
 				continue
 			}
-			e.takeInstance(r, now)
+			e.applyInstanceRow(r, now)
 		}
 		return rows
 	}
 }
 
-// takeConfig puts a new configuration in force.
-func (e *Edge) takeConfig(r replica.Row, now time.Duration) {
+// applyConfig decodes the configuration row and activates it, unless it is
+// older than the active one.
+func (e *Edge) applyConfig(r replica.Row, now time.Duration) {
 	s := &e.state
 	if r.Key != platform.KeyConfig {
 		return
 	}
 	if r.Gone {
-		e.keepConfig(0)
+		e.retainConfigRow(0)
 		return
 	}
 	c, err := platform.DecodeConfig(r.Value)
@@ -59,33 +62,34 @@
 	}
 	s.configUnreadable = false
 	if s.table != nil && c.Version < s.table.Version {
-		e.keepConfig(r.Version)
+		e.retainConfigRow(r.Version)
 		return
 	}
 	s.table, s.configInForce = routing.NewTable(c), r.Value
 	for _, w := range s.table.Workspaces() {
-		s.usage.SetLimit(workspaceHash(w.Name), e.limitOf(w), now)
+		s.usage.SetLimit(workspaceHash(w.Name), e.workspaceLimit(w), now)
 	}
 	for _, service := range c.Services {
 		s.placer.SetWarmUp(service.Name, placement.WarmUp{Duration: service.WarmUp, Rate: service.WarmUpRate})
 	}
 	if c.Limits.IdleTimeout > 0 {
-		e.callers.SetIdleTimeout(c.Limits.IdleTimeout)
+		e.callerServer.SetIdleTimeout(c.Limits.IdleTimeout)
 	}
 	event.ConfigInForce.Log(e.log, slog.Uint64("version", uint64(c.Version)),
 		slog.Int("routes", len(c.Routes)), slog.Int("workspaces", len(c.Workspaces)))
 }
 
-// keepConfig puts the configuration in force into the copy of the table, in place of
-// a row of that version that is older: instances that start learn it from there.
-func (e *Edge) keepConfig(version uint64) {
+// retainConfigRow stores the active configuration in the local copy of the
+// table, in place of an older row with the given version, so that instances
+// that start later receive the active one.
+func (e *Edge) retainConfigRow(version uint64) {
 	if e.state.configInForce != nil {
 		e.state.config.ApplyOwnWrite(replica.Row{Key: platform.KeyConfig, Value: e.state.configInForce, Version: version})
 	}
 }
 
-// limitOf is the limit that a workspace is held to.
-func (e *Edge) limitOf(w routing.Workspace) usage.Limit {
+// workspaceLimit returns the rate limit that is enforced for a workspace.
+func (e *Edge) workspaceLimit(w routing.Workspace) usage.Limit {
 	if !e.mechanisms.On(mechanism.Tolerance) {
 		return usage.StrictLimit(w.Rate, w.Burst)
 	}
@@ -94,13 +98,13 @@
 	return t.Loosen(usage.StrictLimit(w.Rate, w.Burst))
 }
 
-// takeServers takes in changed entries of backend servers, and returns those
-// that others must hear of: all but entries that only renewed themselves. An
-// entry that came back unchanged after it had run out with the store is news
-// to them. If it weren't told, their copies would lack it from then on: they
-// would drop a living server, and whoever of them read later that it leaves
-// would have nothing to remove and nothing to tell.
-func (e *Edge) takeServers(rows []replica.Row, restored bool, now time.Duration) []replica.Row {
+// applyServerRows applies changed entries of backend servers and returns those
+// that must be forwarded to other instances: all except mere renewals. An entry
+// that expired during a store outage and reappeared unchanged is forwarded too.
+// Otherwise the other instances would drop a live server, and one of them that
+// later read its removal would have no entry to remove and would not forward
+// it.
+func (e *Edge) applyServerRows(rows []replica.Row, restored bool, now time.Duration) []replica.Row {
 	s := &e.state
 	var keepUntil time.Duration
 	if s.outageEnd > 0 {
@@ -108,26 +112,29 @@
 	}
 	var changed []replica.Row
 	for _, r := range rows {
-		unsettled := s.serverList.DiffersFromStore(r.Key)
-		c, ok := e.serverChange(r, restored, now, keepUntil)
+		differed := s.serverList.DiffersFromStore(r.Key)
+		c, ok := e.updateServerList(r, restored, now, keepUntil)
 		if ok {
-			e.applyServer(c, now)
+			e.applyServerChange(c, now)
 		}
-		if ok || r.Gone || unsettled {
+		if ok || r.Gone || differed {
 			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
-func (e *Edge) serverChange(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
+// updateServerList applies one row of the server table to the list of servers.
+// It reports false if the list didn't change. Servers that disappeared during
+// an outage are kept until keepUntil.
+func (e *Edge) updateServerList(r replica.Row, restored bool, now, keepUntil time.Duration) (discovery.Change, bool) {
 	s := &e.state
 	if r.Gone {
 		return s.serverList.Remove(r.Key, now, keepUntil)
 	}
 	entry, err := platform.DecodeServer(r.Key, r.Value)
 	if err != nil {
-		// An entry that somebody else wrote, or half wrote, names no server.
+		// An entry that can't be decoded names no server.
 		if e.budget.Take(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", r.Key), slog.Any("error", err))
 		}
@@ -139,7 +146,9 @@
 	return s.serverList.Put(entry, now)
 }
 
-func (e *Edge) applyServer(c discovery.Change, now time.Duration) {
+// applyServerChange passes a change of the server list to the placer and the
+// connection pool.
+func (e *Edge) applyServerChange(c discovery.Change, now time.Duration) {
 	e.state.placer.Apply(c, now)
 	if c.Removed {
 		e.pool.CloseIdle(c.Server.Address)
@@ -149,20 +158,23 @@
 		slog.Int64("warm_up_ms", c.Server.WarmUp.Milliseconds()))
 }
 
-// expireServers drops servers that didn't come back after an outage.
+// expireServers removes servers whose entries did not reappear after a store
+// outage.
 func (e *Edge) expireServers(now time.Duration) {
 	for _, c := range e.state.serverList.Expire(now) {
-		e.applyServer(c, now)
+		e.applyServerChange(c, now)
 	}
 }
 
-// instanceDocument is an instance's row in the store.
+// instanceDocument is the value of an instance's row in the store.
 type instanceDocument struct {
 	DataCentre string `json:"dataCentre"`
 	SlowLink   bool   `json:"slowLink,omitempty"`
 }
 
-func (e *Edge) takeInstance(r replica.Row, now time.Duration) {
+// applyInstanceRow applies one row of the instance table; this instance's own
+// row is ignored.
+func (e *Edge) applyInstanceRow(r replica.Row, now time.Duration) {
 	id, err := parseIPv4(r.Key)
 	if err != nil || id == e.self {
 		return
--- a/edge/era.go
+++ b/edge/era.go
@@ -9,15 +9,15 @@
 	"foxtailspoke/replica"
 )
 
-// rewriteWait is how long after the store's return from a copy its answers prove
-// nothing of the configuration: operators' latest changes, such as a key that they
-// took away, may not be written again yet.
-const rewriteWait = time.Second
+// configRewriteTime is how long after a restore of the store its answers don't
+// prove that the configuration is current: the latest changes of operators,
+// such as a revoked key, may not have been written again yet.
+const configRewriteTime = time.Second
 
-// observe takes in the era and the clock of an answer of the store, to this instance
-// or another one. It reports false if the answer is of an era that has passed: the
-// store has forgotten what it says.
-func (e *Edge) observe(era uint64, stamp, now time.Duration) bool {
+// observeStore records the era and clock of an answer of the store, whether
+// this instance or another one received it. It returns false if the answer
+// belongs to an earlier era and so may contain data that the store has lost.
+func (e *Edge) observeStore(era uint64, storeTime, now time.Duration) bool {
 	s := &e.state
 	switch {
 	case !s.eraKnown:
@@ -25,22 +25,23 @@
 	case era < s.era:
 		return false
 	case era > s.era:
-		e.beginEra(era, stamp, now)
+		e.beginEra(era, storeTime, now)
 	}
-	s.clock.Observe(stamp, now)
+	s.clock.Observe(storeTime, now)
 	return true
 }
 
-// beginEra takes in that the store came back from a copy. Its clock may have gone
-// back as well, so that proofs are carried over by their age.
-func (e *Edge) beginEra(era uint64, stamp, now time.Duration) {
+// beginEra handles a restore of the store from a backup. The store's clock may
+// have gone back too, so proofs of freshness keep their age rather than their
+// timestamp.
+func (e *Edge) beginEra(era uint64, storeTime, now time.Duration) {
 	s := &e.state
 	event.StoreRestored.Log(e.log, slog.Uint64("era", era), slog.Uint64("before", s.era))
 	age := e.configAge(now)
 	s.clock.Reset()
-	s.configProof = stamp - age
-	s.era, s.eraStart = era, stamp
-	// Entries that were first written after the copy are missing.
+	s.configProof = storeTime - age
+	s.era, s.eraStart = era, storeTime
+	// Entries first written after the backup was taken are missing.
 	s.outageEnd = now
 	s.restoredUntil = now + discovery.RemovalGracePeriod
 	s.nextInstancesRead = 0
@@ -49,14 +50,15 @@
 	}
 }
 
-// rewriting reports whether at this moment of the store's clock the configuration
-// may lack what operators have to write again.
-func (e *Edge) rewriting(stamp time.Duration) bool {
-	return e.state.eraStart > 0 && stamp < e.state.eraStart+rewriteWait
+// inConfigRewrite reports whether, at this reading of the store's clock, the
+// configuration may lack changes that operators still have to write again after
+// a restore.
+func (e *Edge) inConfigRewrite(storeTime time.Duration) bool {
+	return e.state.eraStart > 0 && storeTime < e.state.eraStart+configRewriteTime
 }
 
-// currentEra reports whether a copy is of the store's present era.
-func (e *Edge) currentEra(t *replica.Table) bool {
+// isCurrentEra reports whether a copy belongs to the store's current era.
+func (e *Edge) isCurrentEra(t *replica.Table) bool {
 	at, known := t.Position()
 	return known && at.Era == e.state.era
 }
--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -11,23 +11,24 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// fromACopy has the store lose what it was told since a copy, during a moment in
-// which it answers nobody.
-func (f *fleet) fromACopy(c rowstore.Copy) {
+// restoreStore restores the store from a backup, during a moment in which it
+// answers no call.
+func (f *fleet) restoreStore(c rowstore.Copy) {
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
 	time.Sleep(300 * time.Millisecond)
 	f.store.Restore(c)
 	f.store.SetFault(nil)
 }
 
-// changeOften writes rows that concern nobody, as heartbeats do.
-func (f *fleet) changeOften(n int) {
+// writeUnrelatedRows advances the store's versions, as heartbeats of servers
+// do.
+func (f *fleet) writeUnrelatedRows(n int) {
 	for range n {
 		f.store.Put("servers", "nobody", []byte("{}"))
 	}
 }
 
-// addRoute puts a configuration in force that has one more route.
+// addRoute writes a configuration that has one more route.
 func (f *fleet) addRoute() {
 	f.configureWith(func(config map[string]any) {
 		config["routes"] = append(config["routes"].([]any), map[string]any{
@@ -37,57 +38,58 @@
 	}, 1000, key)
 }
 
-func (f *fleet) servesAdded(n int) bool {
+func (f *fleet) servesAddedRoute(n int) bool {
 	r, _ := f.call(n, http.MethodGet, "/added/1", "", nil)
 	return r.status == http.StatusOK
 }
 
-// The store comes back from a copy and gives its versions out again. Instances take
-// every answer for older than what they know: a change that is confirmed from then
-// on isn't in force for minutes.
-func TestChangesAreInForceAfterTheStoreCameBackFromACopy(t *testing.T) {
+// The store is restored and reuses its version numbers. If instances took all
+// answers for older than their copies, a configuration change confirmed after
+// the restore would take minutes to become active.
+func TestConfigurationChangesApplyAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
 	f.backend("one", nil)
 	f.startAll(3)
 	c := f.store.Copy()
-	f.changeOften(200)
+	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	time.Sleep(500 * time.Millisecond)
 	f.addRoute()
 	time.Sleep(2 * time.Second)
 	for n := range f.instances {
-		must.True(t, f.servesAdded(n), must.Sprint("instance ", n))
+		must.True(t, f.servesAddedRoute(n), must.Sprint("instance ", n))
 	}
 }
 
-// The same, with versions that have grown past those of before the copy by the time
-// of the first answer: what changed between the copy and that version is missed.
-func TestChangesAreInForceAfterVersionsGrewAgain(t *testing.T) {
+// By the first answer after a restore, the versions exceed those from before
+// it. Changes between the backup's version and that of the instances' copies
+// must not be missed.
+func TestConfigurationChangesApplyWhenVersionsExceedThoseBeforeRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
 	f.backend("one", nil)
 	f.startAll(3)
 	c := f.store.Copy()
-	f.changeOften(20)
+	f.writeUnrelatedRows(20)
 	time.Sleep(time.Second)
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
 	f.store.Restore(c)
 	f.addRoute()
-	f.changeOften(60)
+	f.writeUnrelatedRows(60)
 	f.store.SetFault(nil)
 	time.Sleep(2 * time.Second)
 	for n := range f.instances {
-		must.True(t, f.servesAdded(n), must.Sprint("instance ", n))
+		must.True(t, f.servesAddedRoute(n), must.Sprint("instance ", n))
 	}
 }
 
-// A server that says that it leaves, after the store came back from a copy, goes on
-// getting requests.
-func TestServerThatLeavesAfterACopyGetsNothing(t *testing.T) {
+// A server that starts draining after a restore of the store must get no more
+// requests.
+func TestServerDrainingAfterRestoreGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -95,21 +97,21 @@
 	f.backend("staying", nil)
 	f.startAll(3)
 	c := f.store.Copy()
-	f.changeOften(200)
+	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	time.Sleep(500 * time.Millisecond)
 	f.writeEntry(leaving, "draining")
 	time.Sleep(2 * time.Second)
 	before := leaving.total()
-	f.lookupsFor(time.Second, 10*time.Millisecond)
+	f.sendLookups(time.Second, 10*time.Millisecond)
 	must.Eq(t, before, leaving.total())
 }
 
-// A server says that it leaves, or is gone. The store then comes back from a copy
-// that lists it as ready, until the server's word is written again: it must get
-// nothing meanwhile.
-func TestCopyDoesNotBringBackServersThatHaveLeft(t *testing.T) {
+// A server drains or is removed, and the store is then restored from a backup
+// that lists it as ready. It must get no requests until its state is written
+// again, nor afterwards.
+func TestRestoreDoesNotReactivateServersThatLeft(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(*fleet, *backend){
 		"leaving": func(f *fleet, b *backend) { f.writeEntry(b, "draining") },
@@ -125,23 +127,23 @@
 			c := f.store.Copy()
 			leave(f, leaving)
 			time.Sleep(time.Second)
-			f.fromACopy(c)
+			f.restoreStore(c)
 			time.Sleep(time.Second)
 			before := leaving.total()
-			f.lookupsFor(time.Second, 10*time.Millisecond)
+			f.sendLookups(time.Second, 10*time.Millisecond)
 			must.Eq(t, before, leaving.total())
 			leave(f, leaving)
 			time.Sleep(time.Second)
-			f.lookupsFor(500*time.Millisecond, 10*time.Millisecond)
+			f.sendLookups(500*time.Millisecond, 10*time.Millisecond)
 			must.Eq(t, before, leaving.total())
 		})
 	}
 }
 
-// A server is taken off the list by mistake of the network: its entry ran out while
-// it was cut off, and the store comes back from a copy that lists it. Once it writes
-// again it must be used.
-func TestServerThatWritesAgainAfterACopyIsUsed(t *testing.T) {
+// A server that was cut off loses its entry, and the store is then restored
+// from a backup that lists it. Once the server writes its entry again, it must
+// be used.
+func TestServerThatRenewsItsEntryAfterRestoreIsUsed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -151,18 +153,19 @@
 	c := f.store.Copy()
 	f.store.Remove("servers", cut.id)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	time.Sleep(time.Second)
 	f.writeEntry(cut, "ready")
 	time.Sleep(time.Second)
 	before := cut.total()
-	f.lookupsFor(2*time.Second, 10*time.Millisecond)
+	f.sendLookups(2*time.Second, 10*time.Millisecond)
 	must.Greater(t, before, cut.total())
 }
 
-// Operators evacuate a data centre, and the store comes back from a copy without the
-// evacuation until that is written again. Its servers must get nothing meanwhile.
-func TestCopyDoesNotEndAnEvacuation(t *testing.T) {
+// Operators evacuate a data centre, and the store is then restored from a
+// backup without the evacuation. The servers there must get no requests until
+// the evacuation is written again.
+func TestRestoreDoesNotEndAnEvacuation(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -173,21 +176,21 @@
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	time.Sleep(time.Second)
 	before := away.total()
-	f.fromACopy(c)
-	f.lookupsFor(1500*time.Millisecond, 10*time.Millisecond)
+	f.restoreStore(c)
+	f.sendLookups(1500*time.Millisecond, 10*time.Millisecond)
 	f.store.Put("op", "evacuate/away", []byte("{}"))
-	f.lookupsFor(1500*time.Millisecond, 10*time.Millisecond)
+	f.sendLookups(1500*time.Millisecond, 10*time.Millisecond)
 	must.Eq(t, before, away.total())
 	f.store.Remove("op", "evacuate/away")
 	eventually(t, 5*time.Second, "the data centre is used again", func() bool {
-		f.lookupsFor(100*time.Millisecond, 10*time.Millisecond)
+		f.sendLookups(100*time.Millisecond, 10*time.Millisecond)
 		return away.total() > before
 	})
 }
 
-// The store loses the rows of instances. They must be written again in each data
-// centre: an instance of a later start finds the others by them.
-func TestRowsOfInstancesAreWrittenAgainAfterACopy(t *testing.T) {
+// A restore loses the rows of instances. They must be written again in each
+// data centre: instances that start later discover the others by them.
+func TestInstanceRowsAreRewrittenAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
@@ -199,28 +202,28 @@
 	}
 	all := func() bool { return len(f.store.Rows("instances")) == n }
 	eventually(t, 15*time.Second, "all instances are listed", all)
-	f.changeOften(100)
+	f.writeUnrelatedRows(100)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	must.SliceEmpty(t, f.store.Rows("instances"))
 	eventually(t, 12*time.Second, "all instances are listed again", all)
 }
 
-// The store comes back from a copy. What instances learnt from their readers looked
-// as old as the proof of the configuration, and each of them read the store itself.
-func TestFewInstancesReadAStoreThatCameBack(t *testing.T) {
+// After a restore, data from the readers looked as old as the proof of the
+// configuration, and each instance read the store itself.
+func TestFewInstancesReadARestoredStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1000, key)
 	f.backend("one", nil)
 	f.startAll(12)
 	c := f.store.Copy()
-	f.changeOften(200)
+	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
-	f.fromACopy(c)
+	f.restoreStore(c)
 	before := f.store.Calls()
 	time.Sleep(2 * time.Second)
-	// Half of what they need if each reads for itself, two attempts at changes and
-	// three tables, and what polling takes as usual.
+	// Half of the calls if each instance read for itself, which takes two
+	// attempts to read changes and three tables, plus the usual polling.
 	must.LessEq(t, 12*5/2+10, f.store.Calls()-before)
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -1,29 +1,22 @@
 package edge
 
 import (
-	"context"
-	"log/slog"
 	"net/http"
-	"os"
-	"reflect"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
-
-	"foxtailspoke/edge/settings"
-	"foxtailspoke/event"
-	"foxtailspoke/freshness"
 )
 
 const namespace = "foxtailspoke_edge"
 
-// metrics of one instance. No label is a workspace or a server: thousands of
-// them would be as many series. How single ones fare is in the logs.
+// metrics of one instance. No label is a workspace or a server: there are
+// thousands of each, and every value would add a time series. The logs have their
+// details.
 type metrics struct {
 	registry          *prometheus.Registry
 	requests          *prometheus.CounterVec
-	took              *prometheus.HistogramVec
+	durations         *prometheus.HistogramVec
 	attempts          *prometheus.CounterVec
 	datagrams         prometheus.Counter
 	datagramsReceived prometheus.Counter
@@ -35,7 +28,7 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total", Help: "Callers' requests by the rule that ended them.",
 		}, []string{"rule"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's headers to its answer, by rule.",
 			Buckets: prometheus.ExponentialBuckets(1e-3, 2, 14),
 		}, []string{"rule"}),
@@ -49,7 +42,7 @@
 			Namespace: namespace, Name: "datagrams_received_total", Help: "Datagrams read from other instances.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.took, m.attempts, m.datagrams, m.datagramsReceived)
+	m.registry.MustRegister(m.requests, m.durations, m.attempts, m.datagrams, m.datagramsReceived)
 	m.gauge("rounds_total", "Rounds sent to listeners and other relays.", e.locked(func() float64 {
 		return float64(e.state.messenger.Hub().Rounds())
 	}))
@@ -59,7 +52,7 @@
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
 	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.ConnectionsOpened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
-		return float64(e.budget.LeftOut() + e.lines.Dropped())
+		return float64(e.budget.LeftOut() + e.logWriter.Dropped())
 	})
 	m.gauge("configuration_age_seconds", "Age of the proof that the configuration in force is the newest.", e.locked(func() float64 {
 		return e.configAge(e.now()).Seconds()
@@ -103,7 +96,7 @@
 		prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// locked wraps a reader of the state.
+// locked wraps a function so that it reads the state with the lock held.
 func (e *Edge) locked(read func() float64) func() float64 {
 	return func() float64 {
 		e.mu.Lock()
@@ -112,7 +105,7 @@
 	}
 }
 
-// handler serves the metrics under every path but that of the status.
+// handler serves the metrics on every path except that of the status.
 func (m *metrics) handler(status http.HandlerFunc) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathStatus, status)
@@ -120,40 +113,7 @@
 	return mux
 }
 
-func (m *metrics) ended(rule Rule, took time.Duration) {
+func (m *metrics) observeRequest(rule Rule, took time.Duration) {
 	m.requests.WithLabelValues(string(rule)).Inc()
-	m.took.WithLabelValues(string(rule)).Observe(took.Seconds())
-}
-
-// settingsEvery is how often the settings file is looked at: it may change
-// without a signal.
-const settingsEvery = time.Second
-
-// watchSettings takes in changes of the settings file that can take effect
-// while the process runs: the store's address and the bounds.
-func (e *Edge) watchSettings(ctx context.Context) error {
-	current := e.settings
-	var seen os.FileInfo
-	for sleepContext(ctx, settingsEvery) {
-		info, err := os.Stat(e.file)
-		if err != nil || (seen != nil && info.ModTime().Equal(seen.ModTime()) && info.Size() == seen.Size()) {
-			continue
-		}
-		seen = info
-		s, err := settings.Load(e.file)
-		if err != nil {
-			event.SettingsRejected.Log(e.log, slog.Any("error", err))
-			continue
-		}
-		if reflect.DeepEqual(s, current) {
-			continue
-		}
-		current = s
-		e.store.SetAddress(s.Store.Address)
-		e.mu.Lock()
-		e.state.bounds = freshness.NewBounds(settings.Seconds(s.Bounds.RevokeS))
-		e.mu.Unlock()
-		event.SettingsReloaded.Log(e.log, slog.String("store", s.Store.Address))
-	}
-	return ctx.Err()
+	m.durations.WithLabelValues(string(rule)).Observe(took.Seconds())
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -17,50 +17,50 @@
 	"foxtailspoke/usage"
 )
 
-// maxDatagramIn is the largest datagram taken in, in bytes.
-const maxDatagramIn = 4 << 10
+// maxReceiveBytes is the size of the receive buffer for datagrams.
+const maxReceiveBytes = 4 << 10
 
-// publish sends a message to everybody; an urgent one waits for no round. The lock
-// must be held.
+// publish sends a message to all instances; an urgent one isn't held back for
+// the next round. The lock must be held.
 func (e *Edge) publish(m evidence.Message, urgent bool) {
 	now := e.now()
 	before := e.state.messenger.Hub().Relay()
-	e.sendAll(e.state.messenger.Publish(m, urgent, now))
-	e.noteRelay(before, now)
-	e.keepRounds(now)
+	e.sendOrLog(e.state.messenger.Publish(m, urgent, now))
+	e.logRelayChange(before, now)
+	e.runDueRounds(now)
 }
 
-// announceReadiness tells everybody at once whether this instance is ready.
+// announceReadiness sends this instance's readiness to all instances at once.
 func (e *Edge) announceReadiness() {
 	now := e.now()
-	e.sendAll(e.state.messenger.Announce(true, now))
-	e.keepRounds(now)
+	e.sendOrLog(e.state.messenger.Announce(true, now))
+	e.runDueRounds(now)
 }
 
-// noteKnown tells the others that this instance has become ready, and greets them
-// if it hears nobody, as soon as it knows what it needs. If it waited for its
-// next heartbeat after a kill of all, callers would be sent to the few instances
-// that are known to be ready, and be late there.
-func (e *Edge) noteKnown(now time.Duration) {
+// announceIfChanged joins the fleet if no peer is heard, and announces a change
+// of this instance's readiness without waiting for the next heartbeat. If it
+// waited after a crash of all instances, callers would be directed to the few
+// instances known to be ready and be delayed there.
+func (e *Edge) announceIfChanged(now time.Duration) {
 	s := &e.state
-	e.sendAll(s.messenger.Join(now))
+	e.sendOrLog(s.messenger.Join(now))
 	if ready := e.readyLocked(); ready != s.announcedReady {
 		s.announcedReady = ready
 		e.announceReadiness()
 	}
 }
 
-// noteRelay logs that another instance is told from now on.
-func (e *Edge) noteRelay(before uint32, now time.Duration) {
+// logRelayChange logs a change of the relay that this instance sends to.
+func (e *Edge) logRelayChange(before uint32, now time.Duration) {
 	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, routineLogShare) {
 		event.RelayChanged.Log(e.log, slog.String("before", addrPort(before, 0).Addr().String()),
 			slog.String("relay", addrPort(after, 0).Addr().String()))
 	}
 }
 
-// keepRounds does what is due for others, and sees to it that this happens again
-// when more is. The lock must be held.
-func (e *Edge) keepRounds(now time.Duration) {
+// runDueRounds runs the due rounds of the messenger and sets the timer for the
+// next one. The lock must be held.
+func (e *Edge) runDueRounds(now time.Duration) {
 	s := &e.state
 	due := s.messenger.Due()
 	for ; due <= now; due = s.messenger.Due() {
@@ -71,29 +71,29 @@
 	}
 	s.roundDue = due
 	if s.roundTimer == nil {
-		s.roundTimer = time.AfterFunc(due-now, e.roundsDue)
+		s.roundTimer = time.AfterFunc(due-now, e.onRoundTimer)
 		return
 	}
 	s.roundTimer.Reset(due - now)
 }
 
-func (e *Edge) roundsDue() {
+func (e *Edge) onRoundTimer() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state.roundDue = 0
-	e.keepRounds(e.now())
+	e.runDueRounds(e.now())
 }
 
-// sendAll is send of what could be made, with the reason for the rest.
-func (e *Edge) sendAll(datagrams []relay.Datagram, err error) {
+// sendOrLog logs err, if any, and sends the datagrams that could be encoded.
+func (e *Edge) sendOrLog(datagrams []relay.Datagram, err error) {
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.Any("error", err))
 	}
 	e.send(datagrams)
 }
 
-// send writes datagrams. One that can't be written is as good as lost on the
-// way, which every message allows for.
+// send writes datagrams. Write errors are ignored like losses in the network,
+// which the protocol tolerates.
 func (e *Edge) send(datagrams []relay.Datagram) {
 	for i := range datagrams {
 		d := &datagrams[i]
@@ -105,13 +105,13 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats, and looks at what time alone changes.
+// sendHeartbeats sends heartbeats and runs the time-driven checks.
 func (e *Edge) sendHeartbeats(ctx context.Context) error {
 	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
-		e.pulse(e.now())
+		e.tick(e.now())
 		e.mu.Unlock()
 		select {
 		case <-ticker.C:
@@ -121,40 +121,41 @@
 	}
 }
 
-func (e *Edge) pulse(now time.Duration) {
+func (e *Edge) tick(now time.Duration) {
 	s := &e.state
 	all := len(s.messenger.Fleet().All())
-	fell, out, err := s.messenger.Tick(now)
-	e.lost(fell, all, now)
-	e.sendAll(out, err)
-	e.keepRounds(now)
-	e.updateHolders()
-	e.noteKnown(now)
+	silent, datagrams, err := s.messenger.Tick(now)
+	e.handlePeersSilent(silent, all, now)
+	e.sendOrLog(datagrams, err)
+	e.runDueRounds(now)
+	e.updateLimiterInstances()
+	e.announceIfChanged(now)
 	e.expireServers(now)
-	e.noteStore(now)
+	e.logStoreAvailability(now)
 	e.logDroppedLines(now)
 }
 
-// receiveDatagrams takes in datagrams.
+// receiveDatagrams receives datagrams from peers until ctx ends.
 func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.socket.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
-	b := make([]byte, maxDatagramIn)
+	b := make([]byte, maxReceiveBytes)
 	for {
 		n, from, err := e.socket.ReadFromUDPAddrPort(b)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
-			return errors.Wrap(err, "datagrams")
+			return errors.Wrap(err, "receiving datagrams")
 		}
 		e.metrics.datagramsReceived.Inc()
-		e.take(from, b[:n])
+		e.handleDatagram(from, b[:n])
 	}
 }
 
-// take takes in one datagram.
-func (e *Edge) take(from netip.AddrPort, b []byte) {
+// handleDatagram handles one datagram from a peer and sends what results from
+// it.
+func (e *Edge) handleDatagram(from netip.AddrPort, b []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -162,15 +163,15 @@
 	if err != nil && e.budget.Take(now, routineLogShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
-	e.found(t.NewlyAlive)
+	e.handlePeersReturned(t.NewlyAlive)
 	for i := range t.Messages {
 		e.applyMessage(&t.Messages[i], now)
 	}
 	e.send(t.Outgoing)
-	e.keepRounds(now)
+	e.runDueRounds(now)
 }
 
-// applyMessage takes in one message.
+// applyMessage applies one message of another instance.
 func (e *Edge) applyMessage(m *fleet.ReceivedMessage, now time.Duration) {
 	s := &e.state
 	if m.Restarted {
@@ -191,7 +192,7 @@
 		if n.StoreClockUS != 0 {
 			s.lastReader = m.Source
 		}
-		e.applyNotice(n, now)
+		e.applyTableUpdate(n, now)
 	}
 }
 
--- a/edge/register.go
+++ b/edge/register.go
@@ -15,71 +15,75 @@
 )
 
 const (
-	// registerEvery is how often a reader looks whether instances of its data
-	// centre lack their rows.
-	registerEvery = 2 * time.Second
-	// registerLater is how long each reader leaves that to the one before it,
-	// and registerAlone how long all others do.
-	registerLater = 4 * time.Second
-	registerAlone = 20 * time.Second
-	// goneAfter is the silence after which an instance is taken off the list:
-	// longer than any disturbance of the network that passes by itself.
-	goneAfter = 2 * time.Minute
-	// maxRows bounds the rows of one call; the store takes 100 entries.
-	maxRows = 100
+	// registerInterval is how often an instance checks whether instances of its
+	// data centre lack a row in the store.
+	registerInterval = 2 * time.Second
+	// readerWriteDelay is how much longer each reader waits before it writes
+	// missing rows than the reader before it. fallbackWriteDelay is how long
+	// instances other than readers wait.
+	readerWriteDelay   = 4 * time.Second
+	fallbackWriteDelay = 20 * time.Second
+	// removeInstanceAfter is the silence after which an instance is removed
+	// from the list. It is longer than network disturbances that clear up
+	// without intervention.
+	removeInstanceAfter = 2 * time.Minute
+	// maxRowsPerWrite bounds the rows of one write; the store accepts 100
+	// entries.
+	maxRowsPerWrite = 100
 )
 
-// registerInstances has the instances of this data centre listed in the store, so that
-// those of a later start find them, and a cut doesn't double any rate: what
-// belongs to a listed instance that isn't heard isn't counted on. One call
-// writes the rows of all that lack them.
+// registerInstances writes missing rows of this data centre's instances to the
+// store, all in one call. Instances that start later discover the others by
+// these rows. They also keep a network partition from doubling rates: the share
+// of a listed but unreachable instance isn't used by the others.
 func (e *Edge) registerInstances(ctx context.Context) error {
 	select {
 	case <-e.storeReadable:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	lacking := time.Duration(0)
-	for sleepContext(ctx, registerEvery) {
+	missingFor := time.Duration(0)
+	for sleepContext(ctx, registerInterval) {
 		e.mu.Lock()
-		rows := e.unlistedRows()
-		patience := e.registerPatience()
+		rows := e.missingInstanceRows()
+		delay := e.registerDelay()
 		ready := e.state.table != nil
 		e.mu.Unlock()
 		if !ready {
-			e.askPeer(ctx)
+			e.fetchFromPeer(ctx)
 		}
 		if len(rows) == 0 {
-			lacking = 0
+			missingFor = 0
 			continue
 		}
-		if lacking += registerEvery; lacking <= patience {
+		if missingFor += registerInterval; missingFor <= delay {
 			continue
 		}
-		lacking = 0
+		missingFor = 0
 		if err := e.store.Write(ctx, platform.TableInstances, rows...); err != nil {
 			event.StoreCallFailed.Log(e.log, slog.String("table", platform.TableInstances), slog.Any("error", err))
 			continue
 		}
 		e.mu.Lock()
-		e.noteListed(rows)
+		e.recordWrittenRows(rows)
 		e.mu.Unlock()
 	}
 	return ctx.Err()
 }
 
-// registerPatience is how long this instance leaves the writing to others.
-func (e *Edge) registerPatience() time.Duration {
+// registerDelay returns how long this instance leaves the write to others.
+func (e *Edge) registerDelay() time.Duration {
 	i := slices.Index(e.readers(), e.self)
 	if i < 0 {
-		return registerAlone
+		return fallbackWriteDelay
 	}
-	return time.Duration(i) * registerLater
+	return time.Duration(i) * readerWriteDelay
 }
 
-// unlistedRows are the rows that instances of this data centre lack. As long as
-// the list isn't known, nobody does.
-func (e *Edge) unlistedRows() []replica.Row {
+// missingInstanceRows returns rows of this data centre's instances that are
+// missing from the store or differ there. Until the list has been read it
+// returns none.
+func (e *Edge) missingInstanceRows() []replica.Row {
 	if _, known := e.state.instances.Version(); !known {
 		return nil
 	}
@@ -101,28 +105,28 @@
 			event.StoreCallFailed.Log(e.log, slog.Any("error", err))
 			continue
 		}
-		if !bytes.Equal(listed[key], value) && len(rows) < maxRows {
+		if !bytes.Equal(listed[key], value) && len(rows) < maxRowsPerWrite {
 			rows = append(rows, replica.Row{Key: key, Value: value})
 		}
 	}
 	return rows
 }
 
-// noteListed takes in rows that were just written, before the store tells of
-// them.
-func (e *Edge) noteListed(rows []replica.Row) {
+// recordWrittenRows applies rows that were just written, before the store
+// returns them.
+func (e *Edge) recordWrittenRows(rows []replica.Row) {
 	for _, r := range rows {
 		e.state.instances.ApplyOwnWrite(r)
-		e.takeInstance(r, e.now())
+		e.applyInstanceRow(r, e.now())
 	}
 }
 
-// removeGone takes instances off the list that are gone for good. Their part of
-// the workspaces' rates would lie idle for ever. One that was only cut off for
-// so long gets its row again once it is heard.
-func (e *Edge) removeGone(ctx context.Context) {
+// removeGoneInstances removes instances that are gone for good from the list;
+// otherwise their share of the workspaces' rates would stay unused. An instance
+// that was only cut off gets its row again once it is heard.
+func (e *Edge) removeGoneInstances(ctx context.Context) {
 	e.mu.Lock()
-	rows := e.goneRows(e.now())
+	rows := e.goneInstanceRows(e.now())
 	e.mu.Unlock()
 	if len(rows) == 0 {
 		return
@@ -132,10 +136,10 @@
 	}
 }
 
-func (e *Edge) goneRows(now time.Duration) []replica.Row {
+func (e *Edge) goneInstanceRows(now time.Duration) []replica.Row {
 	var rows []replica.Row
 	for id, m := range e.state.messenger.Fleet().All() {
-		if m.Listed && !m.Alive && now-m.LastHeard > goneAfter && len(rows) < maxRows {
+		if m.Listed && !m.Alive && now-m.LastHeard > removeInstanceAfter && len(rows) < maxRowsPerWrite {
 			rows = append(rows, replica.Row{Key: addrPort(id, 0).Addr().String(), Gone: true})
 		}
 	}
--- a/health/collector.go
+++ b/health/collector.go
@@ -19,8 +19,8 @@
 
 // pool is the pooled evidence on one service.
 type pool struct {
-	failed *ledger
-	late   *ledger
+	failed *outcomeStats
+	late   *outcomeStats
 	// reporters are the instances that reported lately.
 	reporters map[string]*reporter
 	// servers are those under suspicion, relieved, ejected or returned.
@@ -71,9 +71,9 @@
 	return &Collector{settings: s, instances: 1, dataCentres: 1, services: map[string]*pool{}}
 }
 
-// SetFleet tells how many entry instances are live, and in how many data
+// SetFleetSize tells how many entry instances are live, and in how many data
 // centres. An ejection needs evidence from several of each, if there are.
-func (c *Collector) SetFleet(instances, dataCentres int) {
+func (c *Collector) SetFleetSize(instances, dataCentres int) {
 	c.instances = max(1, instances)
 	c.dataCentres = max(1, dataCentres)
 }
@@ -117,10 +117,10 @@
 	}
 }
 
-// OwnReport takes in what a server says of its own health. "Sick" shortens
+// AcceptSelfReport takes in what a server says of its own health. "Sick" shortens
 // the suspicion; "healthy" means nothing, because servers say so while they
 // fail requests.
-func (c *Collector) OwnReport(now time.Duration, service, server string, healthy bool) {
+func (c *Collector) AcceptSelfReport(now time.Duration, service, server string, healthy bool) {
 	if healthy {
 		return
 	}
@@ -134,8 +134,8 @@
 	if !ok {
 		s := c.settings
 		p = &pool{
-			failed:    newLedger(s.FailureShare, s.SickFailureShare, s.PooledMemory),
-			late:      newLedger(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
+			failed:    newOutcomeStats(s.FailureShare, s.SickFailureShare, s.PooledMemory),
+			late:      newOutcomeStats(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
 			reporters: map[string]*reporter{},
 			servers:   map[string]*serverState{},
 		}
@@ -160,7 +160,7 @@
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setUsual(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
+		p.late.setBaseline(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
 		p.advised = c.advise(now, p)
 	}
 	for _, s := range p.advised {
