--- a/edge/join.go
+++ b/edge/join.go
@@ -7,55 +7,59 @@
 )
 
 const (
-	// joinStep is how often an instance that has just started looks whether
-	// others know already what it would read from the store.
-	joinStep = 20 * time.Millisecond
-	// joinFirst bounds that wait at the first start of the whole fleet, for
-	// instances that aren't readers: callers come later than that, and some
-	// hundred instances would read three tables within a second.
-	joinFirst = 4 * time.Second
-	// joinReaders leaves readers of a first start time to find each other.
-	joinReaders = 300 * time.Millisecond
-	// joinSpread spreads those whose wait has ended then.
-	joinSpread = 250 * time.Millisecond
-	// joinAgain bounds the wait of an instance that starts later: a moment, in
-	// which others that serve answer its greeting. After a kill of all nobody
-	// else knows anything, and callers are waiting.
-	joinAgain = 40 * time.Millisecond
+	// joinPollInterval is how often an instance that has just started checks
+	// whether a peer already has the data that it would read from the store.
+	joinPollInterval = 20 * time.Millisecond
+	// firstStartJoinTimeout bounds that wait for instances other than readers
+	// when the whole fleet starts for the first time. Callers arrive later than
+	// that, and without the wait some hundred instances would read three tables
+	// within a second.
+	firstStartJoinTimeout = 4 * time.Second
+	// readerJoinTimeout gives readers time to discover each other at a first
+	// start.
+	readerJoinTimeout = 300 * time.Millisecond
+	// joinJitter spreads the reads of instances whose wait ends at a first
+	// start.
+	joinJitter = 250 * time.Millisecond
+	// restartJoinTimeout bounds the wait of an instance that starts later. It
+	// suffices for a serving peer to answer the join message. After a crash of
+	// all instances no peer has the data, and callers are waiting.
+	restartJoinTimeout = 40 * time.Millisecond
 )
 
-// join waits until another instance has told what it knows, or until it is time
-// to read the store.
-func (e *Edge) join(ctx context.Context) {
+// waitForPeerState waits until a peer has supplied the configuration and
+// servers, or until this instance may read the store itself.
+func (e *Edge) waitForPeerState(ctx context.Context) {
 	defer close(e.storeReadable)
 	start := e.now()
 	spread := rand.Float64()
-	for !e.knowsServers() && e.now()-start < e.joinWithin(spread) {
-		if !sleepContext(ctx, joinStep) {
+	for !e.hasConfigAndServers() && e.now()-start < e.joinTimeout(spread) {
+		if !sleepContext(ctx, joinPollInterval) {
 			return
 		}
-		if e.othersAreReady() && !e.askReaders(ctx, methodGet, snapshotTimeout, e.knowsServers) {
-			e.askPeer(ctx)
+		if e.hasReadyPeer() && !e.fetchFromReaders(ctx, methodGet, snapshotTimeout, e.hasConfigAndServers) {
+			e.fetchFromPeer(ctx)
 		}
 	}
 }
 
-// joinWithin is how long to wait for others, given a number from 0 to 1.
-func (e *Edge) joinWithin(spread float64) time.Duration {
-	late := time.Duration(spread * float64(joinSpread))
+// joinTimeout returns how long to wait for peers; spread is a random number in
+// [0,1).
+func (e *Edge) joinTimeout(spread float64) time.Duration {
+	jitter := time.Duration(spread * float64(joinJitter))
 	switch {
 	case !e.settings.FirstStart:
-		return joinAgain
+		return restartJoinTimeout
 	case e.isReader():
-		return joinReaders + late
+		return readerJoinTimeout + jitter
 	default:
-		return joinFirst + late
+		return firstStartJoinTimeout + jitter
 	}
 }
 
-// othersAreReady reports whether another instance knows all that there is to
-// know.
-func (e *Edge) othersAreReady() bool {
+// hasReadyPeer reports whether a peer is ready, and so has the configuration
+// and the servers.
+func (e *Edge) hasReadyPeer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, m := range e.state.messenger.Fleet().All() {
@@ -66,7 +70,7 @@
 	return false
 }
 
-func (e *Edge) knowsServers() bool {
+func (e *Edge) hasConfigAndServers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, known := e.state.servers.Version()
--- a/edge/outage_test.go
+++ b/edge/outage_test.go
@@ -16,8 +16,9 @@
 	"foxtailspoke/replica"
 )
 
-// newQuiet returns an instance that listens but isn't run: the test feeds it.
-func newQuiet(t *testing.T) *Edge {
+// newIdleInstance returns an instance that listens but isn't run; the test
+// calls its methods.
+func newIdleInstance(t *testing.T) *Edge {
 	t.Helper()
 	const any = "127.0.0.1:0"
 	e, err := New("", settings.Settings{
@@ -30,26 +31,26 @@
 	return e
 }
 
-// polls feeds a table's answer to the instance that asked, and the notices of
-// it to the other.
-func polls(asker, other *Edge, a replica.ReadResult, at time.Duration) {
+// pollAndNotify applies the read of a table to the polling instance and its
+// updates to the other one.
+func pollAndNotify(asker, other *Edge, a replica.ReadResult, at time.Duration) {
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
 	since, _ := asker.state.servers.Version()
-	p := polled{table: evidence.Servers, since: since, answer: a}
-	asker.observe(a.Era, a.StoreTime, at)
-	asker.noteReturn(p.table, a.StoreTime, at)
-	told, _ := asker.takeAnswer(p.table, a, since, at)
-	notices := asker.notices(p, told)
-	asker.prove(p.table, a.StoreTime, at)
+	p := tableRead{table: evidence.Servers, since: since, result: a}
+	asker.observeStore(a.Era, a.StoreTime, at)
+	asker.recordOutageEnd(p.table, a.StoreTime, at)
+	changed, _ := asker.applyReadResult(p.table, a, since, at)
+	updates := asker.tableUpdatesFor(p, changed)
+	asker.recordProof(p.table, a.StoreTime, at)
 	other.mu.Lock()
 	defer other.mu.Unlock()
-	for _, n := range notices {
-		other.applyNotice(n, at)
+	for _, n := range updates {
+		other.applyTableUpdate(n, at)
 	}
 }
 
-func entry(t *testing.T, id string, version uint64) replica.Row {
+func serverRow(t *testing.T, id string, version uint64) replica.Row {
 	t.Helper()
 	b, err := json.Marshal(map[string]any{
 		"service": "s", "address": "10.0.0.9:80", "zone": "dc", "slots": 2, "state": "ready", "born": 1,
@@ -58,49 +59,47 @@
 	return replica.Row{Key: id, Value: b, Version: version}
 }
 
-// The store is away for so long that a server's entry runs out, and comes back
-// unchanged within the time that it is waited for. Instances that hear of it
-// from another go on sending requests there; once the server leaves, none does.
-// The entry that came back was taken for old news by whoever read it and told
-// to nobody: all others dropped a living server. One of these later read that
-// the server leaves, had no entry to remove and told nobody either, so that the
-// rest sent it requests for as long as it answered.
-func TestEntryThatRanOutAndCameBackIsToldToAll(t *testing.T) {
-	one, two := newQuiet(t), newQuiet(t)
-	usable := func(e *Edge) bool {
+// A server's entry expires during a store outage and reappears unchanged within
+// the grace period. The polling instance took it for known and did not forward
+// it, so that all others dropped a live server. One of these later read that
+// the server leaves, had no entry to remove and did not forward that either, so
+// that the rest kept sending requests to the server.
+func TestExpiredEntryThatReappearsIsForwarded(t *testing.T) {
+	one, two := newIdleInstance(t), newIdleInstance(t)
+	hasServer := func(e *Edge) bool {
 		e.expireServers(e.now())
 		_, known := e.state.serverList.Get("i-1")
 		return known
 	}
 	at := one.now()
-	stamp := 100 * time.Second
+	storeTime := 100 * time.Second
 	answer := func(version uint64, rows ...replica.Row) replica.ReadResult {
-		return replica.ReadResult{Version: version, StoreTime: stamp, Rows: rows}
+		return replica.ReadResult{Version: version, StoreTime: storeTime, Rows: rows}
 	}
-	whole := answer(10, entry(t, "i-1", 10))
+	whole := answer(10, serverRow(t, "i-1", 10))
 	whole.Full = true
-	polls(one, two, whole, at)
-	polls(two, one, whole, at)
-	must.True(t, usable(one) && usable(two))
+	pollAndNotify(one, two, whole, at)
+	pollAndNotify(two, one, whole, at)
+	must.True(t, hasServer(one) && hasServer(two))
 
-	// The store is back; the entry has run out meanwhile and returns.
+	// After the outage the entry is missing and then reappears.
 	at += 5 * time.Second
-	stamp += 5 * time.Second
-	polls(one, two, answer(11, replica.Row{Key: "i-1", Gone: true, Version: 11}), at)
+	storeTime += 5 * time.Second
+	pollAndNotify(one, two, answer(11, replica.Row{Key: "i-1", Gone: true, Version: 11}), at)
 	at += 500 * time.Millisecond
-	stamp += 500 * time.Millisecond
-	polls(one, two, answer(12, entry(t, "i-1", 12)), at)
+	storeTime += 500 * time.Millisecond
+	pollAndNotify(one, two, answer(12, serverRow(t, "i-1", 12)), at)
 	for _, e := range []*Edge{one, two} {
 		for _, c := range e.state.serverList.Expire(at + discovery.RemovalGracePeriod) {
-			t.Errorf("%s is dropped although its entry is back", c.Server.ID)
+			t.Errorf("%s was dropped although its entry has reappeared", c.Server.ID)
 		}
 		must.Len(t, 1, e.state.servers.Rows())
 	}
 
-	// Now it leaves, and the other instance reads it.
+	// The server leaves, and the other instance reads that.
 	at += 10 * time.Second
-	stamp += time.Second
-	polls(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
+	storeTime += time.Second
+	pollAndNotify(two, one, answer(13, replica.Row{Key: "i-1", Gone: true, Version: 13}), at)
 	for _, e := range []*Edge{one, two} {
 		_, known := e.state.serverList.Get("i-1")
 		must.False(t, known)
