--- a/edge/snapshots.go
+++ b/edge/snapshots.go
@@ -22,24 +22,26 @@
 )
 
 const (
-	// snapshotTimeout bounds a question to another instance.
+	// snapshotTimeout bounds a request for a snapshot.
 	snapshotTimeout = 500 * time.Millisecond
-	// configTimeout bounds one for the configuration alone. Two of them and a
-	// call to the store must fit into what is left of the two seconds in which
-	// a change is in force, half a second after the change.
-	configTimeout = 200 * time.Millisecond
-	// packedFor is how long a packed snapshot is handed out.
-	packedFor = 100 * time.Millisecond
-	// maxSnapshotCalls bounds the connections of other instances.
-	maxSnapshotCalls = 32
+	// configSnapshotTimeout bounds a request for the configuration alone. A
+	// change must be active within two seconds, of which half a second has
+	// passed by then; two such requests and a call to the store must fit into
+	// the rest.
+	configSnapshotTimeout = 200 * time.Millisecond
+	// snapshotCacheTime is how long an encoded snapshot is reused.
+	snapshotCacheTime = 100 * time.Millisecond
+	// maxSnapshotConns bounds the concurrent connections of other instances.
+	maxSnapshotConns = 32
 
 	methodGet    = "Snapshots.Get"
 	methodConfig = "Snapshots.Config"
 )
 
-// Snapshot is everything an instance has read from the store.
+// Snapshot holds the data that an instance has read from the store.
 type Snapshot struct {
-	// Era of the store, and what its clock shows; 0 if unknown or not told.
+	// Era is the era of the store, and Clock its clock reading; 0 if unknown or
+	// not included.
 	Era    uint64
 	Clock  time.Duration
 	Tables []SnapshotTable
@@ -50,47 +52,49 @@
 	Table   evidence.Table
 	Era     uint64
 	Version uint64
-	// Stamp is the store's clock up to which it is complete; 0 if unproved.
+	// Stamp is the reading of the store's clock up to which the table is known
+	// to be complete; 0 if unknown.
 	Stamp time.Duration
 	Rows  []replica.Row
 }
 
-// Nothing is the argument of calls that need none.
+// Nothing is the argument of RPC methods that need none.
 type Nothing struct{}
 
-// Packed is a compressed Snapshot.
+// Packed is a Snapshot as gzip-compressed JSON.
 type Packed struct{ Data []byte }
 
-// Snapshots is what instances may ask each other for, by net/rpc.
+// Snapshots is the net/rpc service by which instances fetch data from each
+// other.
 type Snapshots struct {
 	edge *Edge
 
 	mu sync.Mutex
-	// config is the packed configuration of row version configRow with these
+	// config is the encoded configuration for the row at configRow and these
 	// evacuations.
 	config      Packed
 	configRow   replica.Position
 	evacuations []string
-	// all is everything, packed at allAt.
+	// all is the encoded full snapshot, made at allAt.
 	all   Packed
 	allAt time.Duration
 }
 
-// Get returns what this instance knows. It is packed once for all that ask
-// within moments; its stamps say how old it is.
+// Get returns the full snapshot. It is encoded once for all requests within
+// snapshotCacheTime; its timestamps show its age.
 func (s *Snapshots) Get(_ Nothing, reply *Packed) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.edge.mu.Lock()
 	now := s.edge.now()
 	var snapshot Snapshot
-	fresh := len(s.all.Data) > 0 && now-s.allAt < packedFor
+	fresh := len(s.all.Data) > 0 && now-s.allAt < snapshotCacheTime
 	if !fresh {
 		snapshot = s.edge.snapshot(now)
 	}
 	s.edge.mu.Unlock()
 	if !fresh {
-		packed, err := pack(snapshot)
+		packed, err := packSnapshot(snapshot)
 		if err != nil {
 			return err
 		}
@@ -100,13 +104,14 @@
 	return nil
 }
 
-// Config returns the configuration alone, without a proof of its age. It is
-// packed once, because all that lack it ask within moments.
+// Config returns the configuration alone, without a proof of its age. The
+// encoded form is cached, because all instances that lack it request it at
+// about the same time.
 func (s *Snapshots) Config(_ Nothing, reply *Packed) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.edge.mu.Lock()
-	row := s.edge.configRow()
+	row := s.edge.configRowPosition()
 	at, _ := s.edge.state.config.Position()
 	era := s.edge.state.era
 	rows := s.edge.state.config.Rows()
@@ -114,7 +119,7 @@
 	s.edge.mu.Unlock()
 	if row != s.configRow || !slices.Equal(evacuations, s.evacuations) {
 		table := SnapshotTable{Table: evidence.Config, Era: at.Era, Version: at.Version, Rows: rows}
-		packed, err := pack(Snapshot{Era: era, Tables: []SnapshotTable{table}})
+		packed, err := packSnapshot(Snapshot{Era: era, Tables: []SnapshotTable{table}})
 		if err != nil {
 			return err
 		}
@@ -124,14 +129,14 @@
 	return nil
 }
 
-func pack(snapshot Snapshot) (Packed, error) {
+func packSnapshot(snapshot Snapshot) (Packed, error) {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := json.NewEncoder(z).Encode(snapshot); err != nil {
-		return Packed{}, errors.Wrap(err, "snapshot")
+		return Packed{}, errors.Wrap(err, "encoding snapshot")
 	}
 	if err := z.Close(); err != nil {
-		return Packed{}, errors.Wrap(err, "snapshot")
+		return Packed{}, errors.Wrap(err, "compressing snapshot")
 	}
 	return Packed{Data: b.Bytes()}, nil
 }
@@ -143,11 +148,11 @@
 		all.Clock = clock
 	}
 	for _, t := range []evidence.Table{evidence.Config, evidence.Servers, evidence.Instances} {
-		if !e.currentEra(e.copyOf(t)) {
+		if !e.isCurrentEra(e.replicaOf(t)) {
 			continue
 		}
-		at, _ := e.copyOf(t).Position()
-		table := SnapshotTable{Table: t, Era: at.Era, Version: at.Version, Rows: e.copyOf(t).Rows()}
+		at, _ := e.replicaOf(t).Position()
+		table := SnapshotTable{Table: t, Era: at.Era, Version: at.Version, Rows: e.replicaOf(t).Rows()}
 		switch t {
 		case evidence.Config:
 			table.Stamp = s.configProof
@@ -160,22 +165,22 @@
 	return all
 }
 
-// serveSnapshots answers other instances.
+// serveSnapshots serves the Snapshots RPC methods to other instances.
 func (e *Edge) serveSnapshots(ctx context.Context) error {
 	server := rpc.NewServer()
 	if err := server.Register(&Snapshots{edge: e}); err != nil {
-		return errors.Wrap(err, "snapshots")
+		return errors.Wrap(err, "registering the snapshot service")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = e.ports.snapshots.Close() })
 	defer stop()
-	slots := make(chan struct{}, maxSnapshotCalls)
+	slots := make(chan struct{}, maxSnapshotConns)
 	for {
 		c, err := e.ports.snapshots.Accept()
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
-			return errors.Wrap(err, "snapshots")
+			return errors.Wrap(err, "accepting a snapshot connection")
 		}
 		slots <- struct{}{}
 		go func() {
@@ -186,9 +191,9 @@
 	}
 }
 
-// askPeer takes in what one of the other instances knows. Those that are ready
-// know all that there is to know.
-func (e *Edge) askPeer(ctx context.Context) {
+// fetchFromPeer fetches a full snapshot from a random peer, preferably one that
+// is ready and so has the configuration and the servers.
+func (e *Edge) fetchFromPeer(ctx context.Context) {
 	e.mu.Lock()
 	var ready, alive []uint32
 	for id, m := range e.state.messenger.Fleet().All() {
@@ -204,44 +209,45 @@
 		ready = alive
 	}
 	if len(ready) > 0 {
-		e.askSnapshot(ctx, ready[rand.IntN(len(ready))], methodGet, snapshotTimeout)
+		e.fetchSnapshot(ctx, ready[rand.IntN(len(ready))], methodGet, snapshotTimeout)
 	}
 }
 
-// askSnapshot takes in what another instance answers to a method of Snapshots.
-func (e *Edge) askSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
+// fetchSnapshot calls a method of Snapshots on another instance and applies the
+// result.
+func (e *Edge) fetchSnapshot(ctx context.Context, peer uint32, method string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	snapshot, err := getSnapshot(ctx, addrPort(peer, e.peerPort).String(), method)
+	snapshot, err := callSnapshot(ctx, addrPort(peer, e.peerPort).String(), method)
 	if err != nil {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", addrPort(peer, 0).Addr().String()), slog.Any("error", err))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.takeSnapshot(snapshot, e.now())
+	e.applySnapshot(snapshot, e.now())
 }
 
-// takeSnapshot takes in what another instance knows.
-func (e *Edge) takeSnapshot(snapshot Snapshot, now time.Duration) {
+// applySnapshot applies the snapshot of another instance.
+func (e *Edge) applySnapshot(snapshot Snapshot, now time.Duration) {
 	if !e.observeSnapshot(snapshot, now) {
 		return
 	}
 	for _, t := range snapshot.Tables {
 		a := replica.ReadResult{Rows: t.Rows, Era: t.Era, Version: t.Version, StoreTime: t.Stamp, Full: true}
-		if _, ok := e.takeAnswer(t.Table, a, 0, now); ok && t.Stamp > 0 {
-			e.prove(t.Table, t.Stamp, now)
+		if _, ok := e.applyReadResult(t.Table, a, 0, now); ok && t.Stamp > 0 {
+			e.recordProof(t.Table, t.Stamp, now)
 		}
 	}
-	e.countShare()
-	e.noteKnown(now)
+	e.updateRateShare()
+	e.announceIfChanged(now)
 }
 
-// observeSnapshot is observe for a snapshot. One that doesn't tell the store's clock
-// can't begin an era.
+// observeSnapshot is observeStore for a snapshot. A snapshot without the
+// store's clock can't begin an era.
 func (e *Edge) observeSnapshot(s Snapshot, now time.Duration) bool {
 	if s.Clock > 0 {
-		return e.observe(s.Era, s.Clock, now)
+		return e.observeStore(s.Era, s.Clock, now)
 	}
 	if !e.state.eraKnown {
 		e.state.era, e.state.eraKnown = s.Era, true
@@ -249,32 +255,34 @@
 	return s.Era == e.state.era
 }
 
-func getSnapshot(ctx context.Context, address, method string) (Snapshot, error) {
+// callSnapshot calls a Snapshots method of the instance at address and decodes
+// the reply.
+func callSnapshot(ctx context.Context, address, method string) (Snapshot, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		return Snapshot{}, errors.Wrap(err, "snapshot")
+		return Snapshot{}, errors.Wrap(err, "connecting for a snapshot")
 	}
 	defer func() { _ = c.Close() }()
 	if end, ok := ctx.Deadline(); ok {
 		if err := c.SetDeadline(end); err != nil {
-			return Snapshot{}, errors.Wrap(err, "snapshot")
+			return Snapshot{}, errors.Wrap(err, "setting the deadline of a snapshot call")
 		}
 	}
 	client := rpc.NewClient(c)
 	defer func() { _ = client.Close() }()
 	var packed Packed
 	if err := client.Call(method, Nothing{}, &packed); err != nil {
-		return Snapshot{}, errors.Wrap(err, "snapshot")
+		return Snapshot{}, errors.Wrap(err, "requesting snapshot")
 	}
 	z, err := gzip.NewReader(bytes.NewReader(packed.Data))
 	if err != nil {
-		return Snapshot{}, errors.Wrap(err, "snapshot")
+		return Snapshot{}, errors.Wrap(err, "decompressing snapshot")
 	}
 	var s Snapshot
-	err = json.NewDecoder(io.LimitReader(z, maxSnapshot)).Decode(&s)
-	return s, errors.Wrap(err, "snapshot")
+	err = json.NewDecoder(io.LimitReader(z, maxSnapshotBytes)).Decode(&s)
+	return s, errors.Wrap(err, "decoding snapshot")
 }
 
-// maxSnapshot bounds what is unpacked of a snapshot, in bytes.
-const maxSnapshot = 64 << 20
+// maxSnapshotBytes bounds the decompressed size of a snapshot.
+const maxSnapshotBytes = 64 << 20
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -327,7 +327,7 @@
 		n.shards.writing = false
 	})
 	part("rankShards", n.rankShards)
-	part("holderForget", func() { n.holder.Forget(n.now) })
+	part("holderForget", func() { n.holder.EvictIdle(n.now) })
 }
 
 // BenchmarkScaleBytes reports the memory of an instance's list and of the
@@ -340,7 +340,7 @@
 			l.fillList(s)
 			l.pass(time.Second)
 			l.pass(time.Second)
-			must.Eq(b, s.entries, len(l.node.member.Live().Entries()))
+			must.Eq(b, s.entries, len(l.node.member.Directory().Entries()))
 			b.ReportMetric(float64(heapBytes()-before)/float64(s.entries+s.targets), "B/instance")
 			runtime.KeepAlive(l)
 		})
