--- a/health/observer.go
+++ b/health/observer.go
@@ -102,25 +102,25 @@
 // slow reports whether the service as a whole is slower than usual.
 func (v *serviceEvidence) slow() bool { return v.lateShare > slowServiceShare }
 
-// ledgerSet says which ledgers an observation belongs to.
-type ledgerSet struct{ failed, late bool }
+// countedOutcomes says which ledgers an observation belongs to.
+type countedOutcomes struct{ failed, late bool }
 
 // classify tells which way an observation is bad, and where it counts.
-func (o *Observer) classify(v *serviceEvidence, ob Observation) (failed, late bool, c ledgerSet) {
+func (o *Observer) classify(v *serviceEvidence, ob Observation) (failed, late bool, c countedOutcomes) {
 	switch ob.Result {
 	case Late:
-		return false, true, ledgerSet{late: true}
+		return false, true, countedOutcomes{late: true}
 	case Shed:
 		// A refusal for want of room is about load, like lateness: the server
 		// gets less first, and is suspect only if it goes on refusing then.
-		return false, true, ledgerSet{late: true}
+		return false, true, countedOutcomes{late: true}
 	case NotRun, Cancelled:
-		return false, false, ledgerSet{}
+		return false, false, countedOutcomes{}
 	case OK:
 		late = !ob.ReportedLate && ob.Latency > o.lateThreshold(v)
-		return false, late, ledgerSet{failed: true, late: !ob.ReportedLate}
+		return false, late, countedOutcomes{failed: true, late: !ob.ReportedLate}
 	default:
-		return ob.Result.Failed(), false, ledgerSet{failed: true}
+		return ob.Result.Failed(), false, countedOutcomes{failed: true}
 	}
 }
 
--- a/health/report.go
+++ b/health/report.go
@@ -69,7 +69,7 @@
 }
 
 // record adds an observation if its server is in doubt or its workspace named.
-func (p *pending) record(now time.Duration, v *serviceEvidence, ob Observation, failed, late bool, c ledgerSet) {
+func (p *pending) record(now time.Duration, v *serviceEvidence, ob Observation, failed, late bool, c countedOutcomes) {
 	if ob.Result != Late {
 		p.rate = p.rate*rateFade(now-p.rateAt) + 1
 		p.rateAt = now
@@ -101,7 +101,7 @@
 	p.bad = p.bad || bad
 }
 
-func (w *WorkspaceCount) plus(name string, failed, late bool, c ledgerSet) *WorkspaceCount {
+func (w *WorkspaceCount) plus(name string, failed, late bool, c countedOutcomes) *WorkspaceCount {
 	if w == nil {
 		w = &WorkspaceCount{Workspace: name}
 	}
