--- a/retry/budget.go
+++ b/retry/budget.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// pressureHalfLife is how fast the memory of refused second attempts fades.
-const pressureHalfLife = 5 * time.Second
+// giveUpHalfLife is the half-life of the count of recent give-ups.
+const giveUpHalfLife = 5 * time.Second
 
-// Budget pays for the second attempts of one service at one instance.
+// Budget is a token bucket that limits the retries and hedges sent to one
+// service by one instance.
 //
 // Without it, a service on which every request fails would get each request
-// MaxAttempts times, which keeps it from recovering. Every request earns
-// Share of a second attempt, so that the load stays below 1+Share times the
-// requests, plus Reserve once.
+// MaxAttempts times, which keeps it from recovering. Each request adds Share
+// tokens and each further attempt costs one, so the load stays below 1+Share
+// times the number of requests, plus Reserve once.
 type Budget struct {
 	settings Settings
 	rng      *rand.Rand
 	tokens   float64
-	// pressure is the fading count of requests that were given up.
-	pressure float64
-	at       time.Duration
+	// recentGiveUps is the exponentially decaying count of requests that were
+	// given up, as of recentGiveUpsAt.
+	recentGiveUps   float64
+	recentGiveUpsAt time.Duration
 }
 
-// NewBudget returns a budget that holds its reserve.
+// NewBudget returns a budget that holds Reserve tokens.
 func NewBudget(s Settings, rng *rand.Rand) *Budget {
 	return &Budget{settings: s, rng: rng, tokens: s.Reserve}
 }
 
-// RecordRequest counts a caller's request, before its first attempt.
+// RecordRequest adds the tokens that a request earns. Call it once per request,
+// before the first attempt.
 func (b *Budget) RecordRequest() {
 	b.tokens = min(b.tokens+b.settings.Share, b.settings.Reserve)
 }
@@ -41,19 +44,20 @@
 	return true
 }
 
-// hedgeReserve is what hedges leave for retries: a failed request needs its
-// second attempt more than a late one.
+// hedgeReserve is the number of tokens that hedges leave for retries: a failed
+// request needs its second attempt more than a late one.
 const hedgeReserve = 2
 
 func (b *Budget) takeHedge() bool {
 	return b.tokens >= 1+hedgeReserve && b.take()
 }
 
-// retryAfter spreads the callers' returns: the more requests were given up
-// lately, the later, and each at another moment; none sooner than least.
-func (b *Budget) retryAfter(now, least time.Duration) time.Duration {
-	b.pressure = fade(b.pressure, now-b.at, pressureHalfLife) + 1
-	b.at = now
-	wait := time.Duration(float64(least) * (1 + b.pressure/10) * (0.75 + b.rng.Float64()/2))
-	return min(max(wait, least), b.settings.MaxRetryAfter)
+// retryAfter returns the Retry-After time for a request that is given up. It
+// grows with the number of recent give-ups and is jittered, so that callers
+// don't come back at the same time, and is at least minimum.
+func (b *Budget) retryAfter(now, minimum time.Duration) time.Duration {
+	b.recentGiveUps = decay(b.recentGiveUps, now-b.recentGiveUpsAt, giveUpHalfLife) + 1
+	b.recentGiveUpsAt = now
+	wait := time.Duration(float64(minimum) * (1 + b.recentGiveUps/10) * (0.75 + b.rng.Float64()/2))
+	return min(max(wait, minimum), b.settings.MaxRetryAfter)
 }
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -9,12 +9,12 @@
 	"foxtailspoke/retry"
 )
 
-// A lookup whose answer broke off is tried elsewhere. An order is not: it may
-// have run. An order that reached nobody is.
+// A lookup whose response was truncated is retried at another server. An order is
+// not, since it may have run. An order whose connection failed is retried.
 func Example() {
 	b := retry.NewBudget(retry.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	for range 100 {
-		b.RecordRequest() // a share of the requests may be retries
+		b.RecordRequest() // each request earns a share of a retry
 	}
 	a := retry.Attempt{Result: health.Incomplete, Idempotent: true, AttemptCount: 1, Deadline: 2 * time.Second, Untried: 3, UntriedHasSlot: true}
 	lookup := retry.Decide(time.Second, a, b)
--- /dev/null
+++ b/retry/fleet_budget.go
@@ -0,0 +1,64 @@
+package retry
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// FleetBudget is the retry budget of one service across the fleet, as seen by
+// one instance from the attempts that the other instances report.
+type FleetBudget struct {
+	budget *Budget
+	window Window
+}
+
+// Limit bounds the retries to a service across all instances.
+type Limit struct {
+	// Up to Ratio times the service's requests, plus Slack, may be retried.
+	Ratio, Slack float64
+	// Coverage is the share of the fleet whose attempts this instance counts,
+	// itself included, from 0 to 1. The instance uses only that share of the
+	// limit.
+	Coverage float64
+}
+
+const (
+	// limitShare is the share of the limit that is used. The rest covers
+	// retries of other instances that haven't been reported yet.
+	limitShare = 0.7
+	// probeShare is the share of the usable limit up to which idempotent
+	// requests may probe whether servers have recovered. The rest is kept for
+	// requests that fail for other reasons.
+	probeShare = 0.6
+	// maxFleetAttempts bounds the attempts of one request, in addition to the
+	// limit of its route.
+	maxFleetAttempts = 8
+)
+
+// NewFleetBudget returns a budget without requests. The parameter retryAfter is
+// the shortest Retry-After time sent to callers.
+func NewFleetBudget(retryAfter time.Duration, rng *rand.Rand) *FleetBudget {
+	s := DefaultSettings()
+	s.MaxAttempts = maxFleetAttempts
+	s.RetryAfter = retryAfter
+	return &FleetBudget{budget: NewBudget(s, rng)}
+}
+
+// Count records an attempt of any instance: the first one of a request, or a
+// retry.
+func (f *FleetBudget) Count(retry bool, now time.Duration) { f.window.Count(retry, now) }
+
+// Budget returns the budget, with the number of retries that the limit still
+// allows.
+func (f *FleetBudget) Budget(l Limit, now time.Duration) *Budget {
+	share := limitShare * l.Coverage
+	f.budget.SetTokens(f.window.Remaining(l.Ratio*share, l.Slack*share, now))
+	return f.budget
+}
+
+// MayProbe reports whether requests may be used to probe whether servers have
+// recovered.
+func (f *FleetBudget) MayProbe(l Limit, now time.Duration) bool {
+	share := limitShare * l.Coverage
+	return f.window.UsedShare(l.Ratio*share, l.Slack*share, now) < probeShare
+}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,8 +1,9 @@
-// Package retry decides what follows a backend server's answer: deliver it,
-// try another server, or give up with a truthful outcome.
+// Package retry decides what follows an attempt at a backend server: deliver the
+// response, try another server, or give up and report whether the request may
+// have run.
 //
-// A non-idempotent request is sent again only if it was proved not run. All
-// second attempts of a service, hedges included, are paid from one budget.
+// A non-idempotent request is sent again only if it provably didn't run. All
+// retries and hedges of a service draw on one budget.
 package retry
 
 import (
@@ -15,15 +16,15 @@
 type Action int
 
 const (
-	// Deliver passes the server's answer on to the caller.
+	// Deliver passes the server's response on to the caller.
 	Deliver Action = iota
 	// Retry sends the request to another server at once.
 	Retry
-	// Hedge sends a second copy to another server beside the first.
+	// Hedge sends a second copy to another server while the first is in flight.
 	Hedge
-	// Wait leaves the running attempt alone.
+	// Wait lets the attempt in flight continue.
 	Wait
-	// GiveUp answers the caller at once with Outcome and RetryAfter.
+	// GiveUp fails the request at once with Outcome and RetryAfter.
 	GiveUp
 )
 
@@ -31,18 +32,18 @@
 type Outcome int
 
 const (
-	// OutcomeNone belongs to actions other than GiveUp.
+	// OutcomeNone accompanies all actions other than GiveUp.
 	OutcomeNone Outcome = iota
-	// NotRun is said only if no attempt can have run.
+	// NotRun means that no attempt can have run.
 	NotRun
-	// Unknown means that an attempt may have run, in part or whole.
+	// Unknown means that an attempt may have run, partly or completely.
 	Unknown
 )
 
-// Reason is the rule behind a decision.
+// Reason names the rule behind a decision.
 type Reason string
 
-// The reasons, in words for a decision record.
+// The reasons, as written to decision records.
 const (
 	ReasonAnswered      Reason = "the server answered"
 	ReasonRetry         Reason = "another server is tried"
@@ -56,26 +57,28 @@
 	ReasonInFlight      Reason = "the first attempt goes on"
 )
 
-// Attempt is the state of a request when an attempt has ended or is late.
+// Attempt is the state of a request when one of its attempts has ended or is
+// late.
 type Attempt struct {
 	Result health.Result
-	// Idempotent comes from the request's method or its route.
+	// Idempotent is derived from the request's method or set by its route.
 	Idempotent bool
-	// AttemptCount of attempts made so far, hedges included; 1 after the first.
+	// AttemptCount is the number of attempts so far, hedges included; 1 after
+	// the first.
 	AttemptCount int
-	// MayHaveRun says that an earlier attempt of this request wasn't proved
-	// not run, so that the outcome can't be NotRun any more.
+	// MayHaveRun says that an earlier attempt of this request may have run, so
+	// that the outcome can't be NotRun any more.
 	MayHaveRun bool
-	// InFlight counts other attempts of this request that are still out.
+	// InFlight is the number of other attempts of this request in flight.
 	InFlight int
-	// Deadline is when the caller's time is up, on the clock of now.
+	// Deadline is when the request times out, on the clock of now.
 	Deadline time.Duration
-	// Untried is how many servers are left that weren't tried.
+	// Untried is the number of servers that haven't been tried yet.
 	Untried int
-	// UntriedHasSlot says that one of them has a free slot as far as is known.
+	// UntriedHasSlot says that one of them is known to have a free slot.
 	UntriedHasSlot bool
-	// HadFreeSlot says that the server had one, as far as is known, when the request
-	// was sent.
+	// HadFreeSlot says that the server was known to have a free slot when the
+	// request was sent to it.
 	HadFreeSlot bool
 }
 
@@ -83,28 +86,30 @@
 type Decision struct {
 	Action  Action
 	Outcome Outcome
-	// RetryAfter is the least time that the caller should wait, with GiveUp.
+	// RetryAfter is how long the caller should wait at least, with GiveUp.
 	RetryAfter time.Duration
 	Reason     Reason
 }
 
-// Settings of retries. The zero value isn't useful; see DefaultSettings.
+// Settings configure retries. The zero value isn't useful; see DefaultSettings.
 type Settings struct {
-	// Share of requests that may be sent a second time.
+	// Share is the share of requests that may be retried or hedged.
 	Share float64
-	// Reserve is how many second attempts a quiet service may make at once.
+	// Reserve is the capacity of the budget: how many further attempts may be
+	// sent in a burst.
 	Reserve float64
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
-	// MinRemaining is the least time that a second attempt needs.
+	// MinRemaining is the time that must be left before the deadline for
+	// another attempt.
 	MinRemaining time.Duration
-	// RetryAfter is the shortest wait told to callers.
+	// RetryAfter is the shortest Retry-After time sent to callers.
 	RetryAfter time.Duration
-	// MaxRetryAfter is the longest.
+	// MaxRetryAfter is the longest Retry-After time sent to callers.
 	MaxRetryAfter time.Duration
 }
 
-// DefaultSettings returns the settings used unless operators change them.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Share:         0.1,
@@ -116,7 +121,7 @@
 	}
 }
 
-// Decide says what follows the end of an attempt.
+// Decide returns what to do after the end of an attempt.
 func Decide(now time.Duration, a Attempt, b *Budget) Decision {
 	if a.Result == health.OK {
 		return Decision{Action: Deliver, Reason: ReasonAnswered}
@@ -124,7 +129,7 @@
 	if a.InFlight > 0 {
 		return Decision{Action: Wait, Reason: ReasonInFlight}
 	}
-	reason := refusal(now, a, b.settings)
+	reason := denialReason(now, a, b.settings)
 	if reason == "" && !b.take() {
 		reason = ReasonBudget
 	}
@@ -134,17 +139,18 @@
 	return giveUp(now, a, b, reason)
 }
 
-// DecideHedge says whether a late attempt gets a second one beside it.
+// DecideHedge returns whether to hedge a late attempt.
 func DecideHedge(now time.Duration, a Attempt, b *Budget) Decision {
 	a.Result = health.Late
-	if a.InFlight > 1 || refusal(now, a, b.settings) != "" || !a.UntriedHasSlot || !b.takeHedge() {
+	if a.InFlight > 1 || denialReason(now, a, b.settings) != "" || !a.UntriedHasSlot || !b.takeHedge() {
 		return Decision{Action: Wait, Reason: ReasonInFlight}
 	}
 	return Decision{Action: Hedge, Reason: ReasonHedge}
 }
 
-// refusal returns why no further attempt is allowed, budget aside.
-func refusal(now time.Duration, a Attempt, s Settings) Reason {
+// denialReason returns why no further attempt is allowed, regardless of the
+// budget, or "" if one is allowed.
+func denialReason(now time.Duration, a Attempt, s Settings) Reason {
 	switch {
 	case !a.Idempotent && (a.MayHaveRun || !a.Result.ProvedNotRun()):
 		return ReasonNotIdempotent
@@ -155,8 +161,8 @@
 	case a.Untried == 0:
 		return ReasonNoServer
 	case a.Result == health.Shed && (a.AttemptCount > 1 || !a.UntriedHasSlot):
-		// Without this, a service that sheds gets its own refusals back as
-		// new load, and sheds more. One try at a server with room is enough
+		// Retrying shed requests without limit would add load to a service that
+		// already sheds load. One retry at a server with a free slot is enough
 		// to get past a single full server.
 		return ReasonShed
 	default:
@@ -164,22 +170,22 @@
 	}
 }
 
-// leastWait is the shortest wait told to the caller of a request that is given up.
-// A server that refuses with free slots may take the very next request: waiting
-// for room that is there already would only make its caller late.
-func leastWait(a Attempt, s Settings) time.Duration {
+// minRetryAfter returns the shortest Retry-After time for a request that is given
+// up. A server that sheds although it has free slots may accept the next request,
+// so a long wait would only delay the caller.
+func minRetryAfter(a Attempt, s Settings) time.Duration {
 	if a.Result == health.Shed && a.HadFreeSlot {
-		return min(s.RetryAfter, afterRandomShed)
+		return min(s.RetryAfter, retryAfterRandomShed)
 	}
 	return s.RetryAfter
 }
 
-// afterRandomShed is how soon a caller may come back after a server refused it
-// with slots free, as long as that is rare.
-const afterRandomShed = 150 * time.Millisecond
+// retryAfterRandomShed is the shortest Retry-After time after a server with free
+// slots shed the request, as long as give-ups are rare.
+const retryAfterRandomShed = 150 * time.Millisecond
 
-// giveUp ends the request. A whole answer from the server goes to the caller
-// even if it reports an error: it is the truth about what was done.
+// giveUp ends the request. A complete response goes to the caller even if it
+// reports an error, because only the server knows what was done.
 func giveUp(now time.Duration, a Attempt, b *Budget, reason Reason) Decision {
 	if a.Result == health.ServerError {
 		return Decision{Action: Deliver, Reason: reason}
@@ -188,5 +194,5 @@
 	if !a.MayHaveRun && a.Result.ProvedNotRun() {
 		outcome = NotRun
 	}
-	return Decision{Action: GiveUp, Outcome: outcome, RetryAfter: b.retryAfter(now, leastWait(a, b.settings)), Reason: reason}
+	return Decision{Action: GiveUp, Outcome: outcome, RetryAfter: b.retryAfter(now, minRetryAfter(a, b.settings)), Reason: reason}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -20,12 +20,12 @@
 	return NewBudget(DefaultSettings(), rand.New(rand.NewPCG(1, 1)))
 }
 
-// A shop orders cartridges. The server takes the order, then the answer gets
-// lost. If anything sends the order again, the shop is billed twice; if the
-// shop is told "not run", it orders again itself. The whole table of results
-// and histories is checked, with time, servers and budget in plenty.
-func TestNeverRepeatsWhatMayHaveRun(t *testing.T) {
-	proved := map[health.Result]bool{health.ConnectFailed: true, health.Shed: true, health.NotRun: true}
+// A non-idempotent request may have run although its response was lost. Sending
+// it again would run it twice, and reporting it as not run would make the caller
+// send it again. Checks all combinations of results and histories, with ample
+// time, servers and budget.
+func TestNoRetryOfRequestsThatMayHaveRun(t *testing.T) {
+	provedNotRun := map[health.Result]bool{health.ConnectFailed: true, health.Shed: true, health.NotRun: true}
 	for _, r := range results {
 		for _, mayHaveRun := range []bool{false, true} {
 			for number := 1; number <= 4; number++ {
@@ -33,10 +33,10 @@
 				name := fmt.Sprint(r, mayHaveRun, number)
 				d := Decide(0, a, newBudget())
 				if d.Action == Retry {
-					must.True(t, proved[r] && !mayHaveRun, must.Sprint(name))
+					must.True(t, provedNotRun[r] && !mayHaveRun, must.Sprint(name))
 				}
 				if d.Outcome == NotRun {
-					must.True(t, proved[r] && !mayHaveRun, must.Sprint(name))
+					must.True(t, provedNotRun[r] && !mayHaveRun, must.Sprint(name))
 				}
 				if d.Action == GiveUp {
 					must.Positive(t, d.RetryAfter, must.Sprint(name))
@@ -49,43 +49,43 @@
 }
 
 func TestDecide(t *testing.T) {
-	ok := Attempt{Idempotent: true, AttemptCount: 1, Deadline: time.Second, Untried: 3, UntriedHasSlot: true}
+	base := Attempt{Idempotent: true, AttemptCount: 1, Deadline: time.Second, Untried: 3, UntriedHasSlot: true}
 	tests := []struct {
-		name string
-		with func(*Attempt)
-		want Action
-		says Outcome
-		why  Reason
+		name    string
+		modify  func(*Attempt)
+		want    Action
+		outcome Outcome
+		reason  Reason
 	}{
-		{"answer", func(a *Attempt) { a.Result = health.OK }, Deliver, OutcomeNone, ReasonAnswered},
+		{"answered", func(a *Attempt) { a.Result = health.OK }, Deliver, OutcomeNone, ReasonAnswered},
 		{"lookup timed out", func(a *Attempt) { a.Result = health.Timeout }, Retry, OutcomeNone, ReasonRetry},
 		{"order not connected", func(a *Attempt) { a.Result = health.ConnectFailed; a.Idempotent = false }, Retry, OutcomeNone, ReasonRetry},
 		{"order timed out", func(a *Attempt) { a.Result = health.Timeout; a.Idempotent = false }, GiveUp, Unknown, ReasonNotIdempotent},
-		{"order failed whole", func(a *Attempt) { a.Result = health.ServerError; a.Idempotent = false }, Deliver, OutcomeNone, ReasonNotIdempotent},
-		{"no time", func(a *Attempt) { a.Result = health.ConnectFailed; a.Deadline = 0 }, GiveUp, NotRun, ReasonDeadline},
-		{"no server", func(a *Attempt) { a.Result = health.Timeout; a.Untried = 0 }, GiveUp, Unknown, ReasonNoServer},
-		{"tried enough", func(a *Attempt) { a.Result = health.Timeout; a.AttemptCount = 3 }, GiveUp, Unknown, ReasonAttempts},
+		{"order answered with an error", func(a *Attempt) { a.Result = health.ServerError; a.Idempotent = false }, Deliver, OutcomeNone, ReasonNotIdempotent},
+		{"deadline passed", func(a *Attempt) { a.Result = health.ConnectFailed; a.Deadline = 0 }, GiveUp, NotRun, ReasonDeadline},
+		{"no untried server", func(a *Attempt) { a.Result = health.Timeout; a.Untried = 0 }, GiveUp, Unknown, ReasonNoServer},
+		{"attempts used up", func(a *Attempt) { a.Result = health.Timeout; a.AttemptCount = 3 }, GiveUp, Unknown, ReasonAttempts},
 		{"shed once", func(a *Attempt) { a.Result = health.Shed }, Retry, OutcomeNone, ReasonRetry},
 		{"shed twice", func(a *Attempt) { a.Result = health.Shed; a.AttemptCount = 2 }, GiveUp, NotRun, ReasonShed},
-		{"shed, all full", func(a *Attempt) { a.Result = health.Shed; a.UntriedHasSlot = false }, GiveUp, NotRun, ReasonShed},
-		{"hedge still out", func(a *Attempt) { a.Result = health.Timeout; a.InFlight = 1 }, Wait, OutcomeNone, ReasonInFlight},
+		{"shed, no free slot", func(a *Attempt) { a.Result = health.Shed; a.UntriedHasSlot = false }, GiveUp, NotRun, ReasonShed},
+		{"hedge in flight", func(a *Attempt) { a.Result = health.Timeout; a.InFlight = 1 }, Wait, OutcomeNone, ReasonInFlight},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := ok
-			tt.with(&a)
+			a := base
+			tt.modify(&a)
 			d := Decide(0, a, newBudget())
 			must.Eq(t, tt.want, d.Action)
-			must.Eq(t, tt.says, d.Outcome)
-			must.Eq(t, tt.why, d.Reason)
+			must.Eq(t, tt.outcome, d.Outcome)
+			must.Eq(t, tt.reason, d.Reason)
 		})
 	}
 }
 
-// Every server of a service fails every request. Each caller's request is
-// retried, and each late one hedged, so that the sick service gets several
-// times its normal load and can't recover. The budget bounds the extra load.
-func TestBudgetBoundsLoadWhenAllFails(t *testing.T) {
+// When every server of a service fails every request, retries and hedges could
+// multiply the load and keep the service from recovering. The budget bounds the
+// extra load.
+func TestBudgetBoundsLoadWhenAllAttemptsFail(t *testing.T) {
 	const requests = 10_000
 	s := DefaultSettings()
 	b := newBudget()
@@ -108,24 +108,24 @@
 	must.Greater(t, requests, attempts)
 }
 
-// All servers of a service refuse every second request at random, whatever their
-// load. Callers that were told to wait as for a full service came back too late
-// to be served in time.
-func TestCallersReturnSoonToServersThatRefuseWithFreeSlots(t *testing.T) {
+// When the servers of a service shed every second request at random, regardless of
+// their load, callers that are told to wait as long as for a full service come
+// back too late to be served before their deadline.
+func TestShortRetryAfterIfServersShedWithFreeSlots(t *testing.T) {
 	for _, free := range []bool{true, false} {
 		s := DefaultSettings()
 		s.RetryAfter = 500 * time.Millisecond
 		b := NewBudget(s, rand.New(rand.NewPCG(1, 1)))
 		a := Attempt{Result: health.Shed, AttemptCount: 2, Deadline: time.Minute, UntriedHasSlot: true, HadFreeSlot: free}
 		var sum time.Duration
-		const given = 20
-		for i := range given {
+		const giveUps = 20
+		for i := range giveUps {
 			d := Decide(time.Duration(i)*500*time.Millisecond, a, b)
 			must.Eq(t, GiveUp, d.Action)
 			must.Eq(t, NotRun, d.Outcome)
 			sum += d.RetryAfter
 		}
-		must.Eq(t, free, sum/given < 400*time.Millisecond)
-		must.Greater(t, 100*time.Millisecond, sum/given)
+		must.Eq(t, free, sum/giveUps < 400*time.Millisecond)
+		must.Greater(t, 100*time.Millisecond, sum/giveUps)
 	}
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -2,72 +2,73 @@
 
 import "time"
 
-// Window counts requests and repeats of one service over the time in which a
-// bound on repeats is counted.
+// Window counts requests and retries of one service in the sliding window over
+// which the limit on retries applies.
 //
-// Load pattern: a service fails a part of everything, and each instance alone
-// has too few requests for a share of its own to amount to one repeat. Counting
-// over the fleet lets the instance that needs a repeat have it, while all
-// together stay below the bound.
+// When a service fails some of its requests, a single instance may have too few
+// requests for its own share of the limit to amount to one retry. Counting
+// across the fleet lets the instance that needs a retry send it, while all
+// instances together stay below the limit.
 type Window struct {
-	seconds [windowSeconds]tally
+	buckets [windowSeconds]windowBucket
 }
 
-type tally struct {
+type windowBucket struct {
 	second            int64
-	requests, repeats int
+	requests, retries int
 }
 
-// windowSeconds is the time that counts, as the platform bounds it. A second
-// that has begun counts whole, so that the window is rather too long.
+// windowSeconds is the length of the window. The platform limits retries over
+// 10 s; the current second counts as a whole one, so the window errs on the
+// long side.
 const windowSeconds = 11
 
-// Count takes in an attempt: the first of a request, or a repeat.
-func (w *Window) Count(repeat bool, now time.Duration) {
-	t := w.at(now)
-	if repeat {
-		t.repeats++
+// Count records an attempt: the first one of a request, or a retry.
+func (w *Window) Count(retry bool, now time.Duration) {
+	t := w.bucketAt(now)
+	if retry {
+		t.retries++
 	} else {
 		t.requests++
 	}
 }
 
-func (w *Window) at(now time.Duration) *tally {
+func (w *Window) bucketAt(now time.Duration) *windowBucket {
 	second := int64(now / time.Second)
-	t := &w.seconds[second%windowSeconds]
+	t := &w.buckets[second%windowSeconds]
 	if t.second != second {
-		*t = tally{second: second}
+		*t = windowBucket{second: second}
 	}
 	return t
 }
 
-// Remaining is how many repeats the bound still allows: a share of the requests and
-// a number beside it.
+// Remaining returns how many retries are still allowed by a limit of ratio times
+// the requests, plus slack. It is negative if the limit is exceeded.
 func (w *Window) Remaining(ratio, slack float64, now time.Duration) float64 {
-	allowed, repeats := w.sums(ratio, slack, now)
-	return allowed - repeats
+	allowed, retries := w.totals(ratio, slack, now)
+	return allowed - retries
 }
 
-// UsedShare is the part of the bound that is used up.
+// UsedShare returns the share of the limit that is used up.
 func (w *Window) UsedShare(ratio, slack float64, now time.Duration) float64 {
-	allowed, repeats := w.sums(ratio, slack, now)
+	allowed, retries := w.totals(ratio, slack, now)
 	if allowed <= 0 {
 		return 1
 	}
-	return repeats / allowed
+	return retries / allowed
 }
 
-func (w *Window) sums(ratio, slack float64, now time.Duration) (allowed, repeated float64) {
+func (w *Window) totals(ratio, slack float64, now time.Duration) (allowed, retried float64) {
 	oldest := int64(now/time.Second) - windowSeconds
-	requests, repeats := 0, 0
-	for _, t := range w.seconds {
+	requests, retries := 0, 0
+	for _, t := range w.buckets {
 		if t.second > oldest {
 			requests += t.requests
-			repeats += t.repeats
+			retries += t.retries
 		}
 	}
-	return ratio*float64(requests) + slack, float64(repeats)
+	return ratio*float64(requests) + slack, float64(retries)
 }
 
-// SetTokens sets what the budget holds, in place of what it earned itself.
+// SetTokens replaces the tokens that the budget earned from its own requests.
 func (b *Budget) SetTokens(tokens float64) { b.tokens = max(tokens, 0) }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -7,15 +7,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// A service refuses more than half of everything, so that every other request
-// asks for a repeat. However many do, the repeats of any ten seconds stay below
-// the bound that is used; the rest of the platform's bound is for what other
-// instances do unheard.
-func TestRepeatsStayBelowTheBound(t *testing.T) {
+// When a service sheds more than half of its requests, every other request needs a
+// retry. The retries of any 10 s must stay below the part of the platform's limit
+// that is used; the rest covers retries of other instances that haven't been
+// reported yet.
+func TestRetriesStayBelowTheLimit(t *testing.T) {
 	const ratio, slack = 0.14, 150.0
 	var w Window
 	b := NewBudget(DefaultSettings(), nil)
-	var repeats []time.Duration
+	var retries []time.Duration
 	requests := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 2 * time.Millisecond {
 		w.Count(false, now)
@@ -23,12 +23,12 @@
 		b.SetTokens(w.Remaining(ratio, slack, now))
 		if b.take() {
 			w.Count(true, now)
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
 	first, most := 0, 0
-	for last, at := range repeats {
-		for at-repeats[first] >= 10*time.Second {
+	for last, at := range retries {
+		for at-retries[first] >= 10*time.Second {
 			first++
 		}
 		most = max(most, last-first+1)
@@ -37,7 +37,7 @@
 	must.Greater(t, 500, most)
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowDropsOldCounts(t *testing.T) {
 	var w Window
 	for range 10 {
 		w.Count(true, time.Second)
