--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-func TestPickSkipsWhatMustNotBeUsed(t *testing.T) {
+func TestPickSkipsUnusableServers(t *testing.T) {
 	p := newPicker()
 	list := servers(4)
 	list[0].Leaving = true
@@ -35,7 +35,7 @@
 	must.False(t, ok)
 }
 
-func TestCarefulAvoidsSuspects(t *testing.T) {
+func TestAvoidSuspects(t *testing.T) {
 	p := newPicker()
 	list := servers(3)
 	list[0].Weight = 0.3
@@ -60,9 +60,9 @@
 	return float64(got) / n
 }
 
-// A server comes back from an ejection, or is new, with cold caches. With its
-// full share at once, it would fail and be ejected again.
-func TestNewAndReturnedServersStartSlowly(t *testing.T) {
+// A new or readmitted server has cold caches. With its full share of the requests
+// at once, it would fail and be ejected again.
+func TestRampOfNewAndReadmittedServers(t *testing.T) {
 	p := newPicker()
 	list := servers(4)
 	must.Between(t, 0.2, share(p, 0, list, "s00"), 0.3)
@@ -75,11 +75,11 @@
 	must.Between(t, 0.001, share(p, 14*time.Second, list, "new"), 0.05)
 }
 
-// 2,000 instances before the 60 servers of each service: no server may get
-// more than 300 connections, and a change of one server or of the number of
-// instances may move only few connections.
+// With 2,000 instances and 60 servers for each service, no server may get more than
+// 300 connections, and a change of one server or of the number of instances may move
+// only a few connections.
 func TestSubsetBoundsConnections(t *testing.T) {
-	const instances, size, most = 2000, 60, 300
+	const instances, size, maxConnections = 2000, 60, 300
 	ids := make([]string, size)
 	for service := range 4 {
 		for i := range ids {
@@ -87,19 +87,19 @@
 		}
 		connections := map[string]int{}
 		for i := range instances {
-			subset := Subset(fmt.Sprint("inst", i), instances, ids, most)
+			subset := Subset(fmt.Sprint("inst", i), instances, ids, maxConnections)
 			for _, s := range subset {
 				connections[s]++
 			}
 			if i%8 != 0 {
 				continue
 			}
-			must.Eq(t, subset, Subset(fmt.Sprint("inst", i), instances-40, ids, most))
-			without := Subset(fmt.Sprint("inst", i), instances, ids[1:], most)
+			must.Eq(t, subset, Subset(fmt.Sprint("inst", i), instances-40, ids, maxConnections))
+			without := Subset(fmt.Sprint("inst", i), instances, ids[1:], maxConnections)
 			must.LessEq(t, 1, added(subset, without))
 		}
 		for s, n := range connections {
-			must.LessEq(t, most, n, must.Sprint(s))
+			must.LessEq(t, maxConnections, n, must.Sprint(s))
 		}
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,8 @@
 	"foxtailspoke/balance"
 )
 
-// Of three servers one leaves and one has no free slot, so the third is
-// picked; a request that has tried it already finds none.
+// One of three servers is leaving and one has no free slot, so the third is
+// picked. A request that has already tried both remaining servers gets none.
 func Example() {
 	p := balance.NewPicker(balance.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	servers := []balance.Server{
@@ -22,8 +22,8 @@
 	_, ok := p.Pick(0, "catalogue", servers, balance.Options{Exclude: []string{"free", "busy"}})
 	fmt.Println(ok)
 
-	// So that many instances stay within a server's connections, each uses
-	// some of the servers only.
+	// Each of 2,000 instances connects to 2 of 15 servers, so that no server has
+	// more than 300 connections.
 	fmt.Println(balance.SubsetSize(2000, 15, 300))
 	// Output:
 	// free true
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -1,6 +1,7 @@
-// Package balance chooses the backend server for an attempt: the less loaded
-// of two, drawn by weight. It also chooses which servers an instance connects
-// to at all, so that a server's connections stay bounded in a large fleet.
+// Package balance selects the backend server for an attempt by weighted random
+// sampling and the power of two choices. It also selects the subset of servers
+// that an instance connects to, which bounds the connections per server in a
+// large fleet.
 package balance
 
 import (
@@ -10,105 +11,109 @@
 	"time"
 )
 
-// Server is a backend server as this instance sees it now.
+// Server is the current state of a backend server as known to this instance.
 type Server struct {
 	ID         string
 	DataCentre string
-	// Slots is how many requests it works on at the same time.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Weight is from 0 to 1, from health.Observer.
+	// Weight is between 0 and 1, as given by health.Observer.
 	Weight float64
-	// Leaving and Ejected servers get nothing new.
+	// Leaving and Ejected servers get no new requests.
 	Leaving bool
 	Ejected bool
 }
 
-// Options of one pick.
+// Options modify a single pick.
 type Options struct {
-	// Exclude lists servers that this request tried already.
+	// Exclude lists servers that this request has already tried.
 	Exclude []string
-	// AvoidSuspects keeps away from suspect servers while there is a better one.
-	// It is meant for requests that can't be sent a second time: a failure
-	// costs their caller more than it costs a lookup, which is retried.
+	// AvoidSuspects excludes suspect servers while there are others. It is meant
+	// for requests that can't be retried, for which a failure costs the caller
+	// more.
 	AvoidSuspects bool
 }
 
-// Settings of the choice. See DefaultSettings.
+// Settings configure a Picker. See DefaultSettings.
 type Settings struct {
-	// Ramp is how long a new or returned server takes to full weight.
+	// Ramp is the time in which a new or readmitted server reaches its full
+	// weight.
 	Ramp time.Duration
-	// RampStart is the share of its weight that it starts with.
+	// RampStart is the share of its weight with which such a server starts.
 	RampStart float64
 	// CarefulWeight is the weight below which a server counts as suspect.
 	CarefulWeight float64
 }
 
-// DefaultSettings returns the settings used unless operators change them.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{Ramp: 10 * time.Second, RampStart: 0.1, CarefulWeight: 0.5}
 }
 
-// minWeight keeps weights above zero in divisions.
+// minWeight keeps weights above zero, so that every candidate can be sampled.
 const minWeight = 0.001
 
-// Picker chooses servers for one instance and counts what it has in flight.
+// Picker selects servers for one instance and counts the attempts that the
+// instance has in flight.
 type Picker struct {
 	settings Settings
 	rng      *rand.Rand
-	services map[string]*view
+	services map[string]*serviceState
 }
 
-// view is what the picker remembers of one service.
-type view struct {
-	// seen is false until the first list: its servers need no ramp.
-	seen    bool
-	servers map[string]*entry
+// serviceState is the picker's state of one service.
+type serviceState struct {
+	// initialized is set after the first list of servers, which start without
+	// a ramp.
+	initialized bool
+	servers     map[string]*serverState
 }
 
-type entry struct {
+type serverState struct {
 	inFlight int
-	// since is when the server came into use, for the ramp.
-	since  time.Duration
-	ramped bool
-	out    bool
+	// inUseSince is when the ramp of the server started.
+	inUseSince time.Duration
+	ramped     bool
+	ejected    bool
 }
 
-// NewPicker returns a picker with nothing in flight.
+// NewPicker returns a picker without attempts in flight.
 func NewPicker(s Settings, rng *rand.Rand) *Picker {
-	return &Picker{settings: s, rng: rng, services: map[string]*view{}}
+	return &Picker{settings: s, rng: rng, services: map[string]*serviceState{}}
 }
 
-// Pick returns the server for an attempt, or false if none may be used. The
-// servers are the instance's whole view of the service at this moment.
+// Pick returns the server for an attempt, or false if none may be used. The list
+// must contain all servers of the service that the instance currently knows.
 func (p *Picker) Pick(now time.Duration, service string, servers []Server, o Options) (string, bool) {
-	v := p.view(service)
+	v := p.service(service)
 	candidates := p.candidates(now, v, servers, o.Exclude)
 	if o.AvoidSuspects {
-		candidates = careful(candidates, p.settings.CarefulWeight)
+		candidates = withoutSuspects(candidates, p.settings.CarefulWeight)
 	}
 	if len(candidates) == 0 {
 		return "", false
 	}
-	first := p.draw(candidates, -1)
-	second := p.draw(candidates, first)
+	first := p.sample(candidates, -1)
+	second := p.sample(candidates, first)
 	if second >= 0 && candidates[second].load() < candidates[first].load() {
 		first = second
 	}
 	return candidates[first].id, true
 }
 
-// Started counts an attempt that was sent to a server.
+// Started records that an attempt was sent to a server.
 func (p *Picker) Started(service, server string) {
-	p.view(service).entry(server).inFlight++
+	p.service(service).server(server).inFlight++
 }
 
-// Ended counts the end of an attempt, however it ended.
+// Ended records the end of an attempt, whatever its result.
 func (p *Picker) Ended(service, server string) {
-	e := p.view(service).entry(server)
+	e := p.service(service).server(server)
 	e.inFlight = max(0, e.inFlight-1)
 }
 
-// InFlight returns how many attempts this instance has at a server.
+// InFlight returns the number of attempts that this instance has in flight at a
+// server.
 func (p *Picker) InFlight(service, server string) int {
 	v, ok := p.services[service]
 	if !ok {
@@ -120,19 +125,19 @@
 	return 0
 }
 
-func (p *Picker) view(service string) *view {
+func (p *Picker) service(service string) *serviceState {
 	v, ok := p.services[service]
 	if !ok {
-		v = &view{servers: map[string]*entry{}}
+		v = &serviceState{servers: map[string]*serverState{}}
 		p.services[service] = v
 	}
 	return v
 }
 
-func (v *view) entry(server string) *entry {
+func (v *serviceState) server(server string) *serverState {
 	e, ok := v.servers[server]
 	if !ok {
-		e = &entry{ramped: true}
+		e = &serverState{ramped: true}
 		v.servers[server] = e
 	}
 	return e
@@ -146,18 +151,18 @@
 	inFlight float64
 }
 
-// load is the share of the server's slots that this instance uses. The weight
-// isn't in it: it decides how often a server is drawn. With the weight in
-// both, a suspect server would lose every comparison, get nothing at all, and
-// never show that it is well again.
+// load returns the share of the server's slots that this instance uses. It leaves
+// out the weight, which already decides how often a server is sampled. With the
+// weight in both, a suspect server would lose every comparison, get no requests
+// and never show that it has recovered.
 func (c candidate) load() float64 {
 	return c.inFlight / c.slots
 }
 
-func (p *Picker) candidates(now time.Duration, v *view, servers []Server, exclude []string) []candidate {
+func (p *Picker) candidates(now time.Duration, v *serviceState, servers []Server, exclude []string) []candidate {
 	list := make([]candidate, 0, len(servers))
 	for _, s := range servers {
-		e := p.track(now, v, s)
+		e := p.updateServer(now, v, s)
 		if s.Leaving || s.Ejected || slices.Contains(exclude, s.ID) {
 			continue
 		}
@@ -168,28 +173,29 @@
 			inFlight: float64(e.inFlight),
 		})
 	}
-	v.seen = true
+	v.initialized = true
 	return list
 }
 
-// track notices new servers and returns from ejection, which start slowly.
-func (p *Picker) track(now time.Duration, v *view, s Server) *entry {
+// updateServer updates the state of a server and starts the ramp if the server is
+// new or readmitted.
+func (p *Picker) updateServer(now time.Duration, v *serviceState, s Server) *serverState {
 	e, known := v.servers[s.ID]
 	if !known {
-		e = &entry{since: now, ramped: !v.seen}
+		e = &serverState{inUseSince: now, ramped: !v.initialized}
 		v.servers[s.ID] = e
 	}
-	if e.out && !s.Ejected {
-		e.since = now
+	if e.ejected && !s.Ejected {
+		e.inUseSince = now
 		e.ramped = false
 	}
-	e.out = s.Ejected
+	e.ejected = s.Ejected
 	return e
 }
 
-// ramp returns the share of its weight that a server may use by now.
-func (p *Picker) ramp(now time.Duration, e *entry) float64 {
-	age := now - e.since
+// ramp returns the current share of a server's weight.
+func (p *Picker) ramp(now time.Duration, e *serverState) float64 {
+	age := now - e.inUseSince
 	if e.ramped || age >= p.settings.Ramp {
 		e.ramped = true
 		return 1
@@ -197,11 +203,12 @@
 	return p.settings.RampStart + (1-p.settings.RampStart)*age.Seconds()/p.settings.Ramp.Seconds()
 }
 
-// careful drops suspect servers, unless all are.
-func careful(list []candidate, weight float64) []candidate {
+// withoutSuspects returns the servers of at least minimum weight, or the whole list
+// if there are none.
+func withoutSuspects(list []candidate, minimum float64) []candidate {
 	var kept []candidate
 	for _, c := range list {
-		if c.weight >= weight {
+		if c.weight >= minimum {
 			kept = append(kept, c)
 		}
 	}
@@ -211,34 +218,36 @@
 	return kept
 }
 
-// draw returns the index of a candidate, by weight and slots; -1 if none.
-func (p *Picker) draw(list []candidate, not int) int {
+// sample returns the index of a random candidate other than exclude, with a
+// probability proportional to weight times slots, or -1 if there is none.
+func (p *Picker) sample(list []candidate, exclude int) int {
 	total := 0.0
 	for i, c := range list {
-		if i != not {
+		if i != exclude {
 			total += c.weight * c.slots
 		}
 	}
-	left := p.rng.Float64() * total
+	remaining := p.rng.Float64() * total
 	last := -1
 	for i, c := range list {
-		if i == not {
+		if i == exclude {
 			continue
 		}
 		last = i
-		left -= c.weight * c.slots
-		if left < 0 {
+		remaining -= c.weight * c.slots
+		if remaining < 0 {
 			break
 		}
 	}
 	return last
 }
 
-// SetServers drops what is kept of servers that are gone. The list has all
-// servers of the service, also the leaving and the ejected ones.
+// SetServers removes the state of servers that aren't listed and have no attempts
+// in flight. The list has all servers of the service, including leaving and
+// ejected ones.
 func (p *Picker) SetServers(service string, servers []string) {
-	v := p.view(service)
-	maps.DeleteFunc(v.servers, func(id string, e *entry) bool {
+	v := p.service(service)
+	maps.DeleteFunc(v.servers, func(id string, e *serverState) bool {
 		return e.inFlight == 0 && !slices.Contains(servers, id)
 	})
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// subsetFill leaves room for chance: rendezvous hashing spreads the
-	// instances over the servers like dice, and the fullest server must stay
-	// within its connections.
+	// subsetFill is the mean share of a server's connections in use. Rendezvous
+	// hashing spreads the instances unevenly over the servers, and the server
+	// with the most connections must stay within its limit.
 	subsetFill = 0.75
-	// minSubset lets a retry go to another server.
+	// minSubset is 2 so that a retry can go to another server.
 	minSubset = 2
 )
 
-// SubsetSize returns how many servers an instance connects to, so that no
-// server has more than maxConnections from a fleet of so many instances.
+// SubsetSize returns the number of servers that an instance connects to, so that
+// no server has more than maxConnections from a fleet of the given size.
 func SubsetSize(instances, servers, maxConnections int) int {
 	if instances <= maxConnections {
 		return servers
@@ -27,9 +27,9 @@
 }
 
 // Subset returns the servers that an instance connects to, sorted by
-// preference. It depends only on the arguments. If one server comes or goes,
-// at most one server of an instance's subset changes; if other instances come
-// or go, none does, except when SubsetSize changes.
+// preference. It depends only on the arguments. If one server is added or removed,
+// at most one server of an instance's subset changes; if other instances are added
+// or removed, none does unless SubsetSize changes.
 func Subset(instance string, instances int, servers []string, maxConnections int) []string {
 	type ranked struct {
 		id   string
@@ -49,11 +49,11 @@
 	return subset
 }
 
-// SubsetFloor returns the share of a service's floor that falls to a view of
-// some of its servers, rounded up.
-func SubsetFloor(floor, servers, view int) int {
+// SubsetFloor returns the share of a service's floor, the number of servers that
+// must stay in use, that applies to a subset of its servers, rounded up.
+func SubsetFloor(floor, servers, subset int) int {
 	if servers <= 0 {
 		return 0
 	}
-	return min(view, (floor*view+servers-1)/servers)
+	return min(subset, (floor*subset+servers-1)/servers)
 }
