--- a/health/observer.go
+++ b/health/observer.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Observer is one instance's own evidence on the servers that it uses.
+// Observer collects the evidence of one instance on the servers that it uses.
 type Observer struct {
 	settings Settings
 	rng      *rand.Rand
 	services map[string]*serviceEvidence
-	// pending are the services with something to report.
+	// pending is the set of services with observations to report.
 	pending map[string]struct{}
-	// reportBytes is what may be sent now; it refills by ReportBytes a second.
+	// reportBytes is the remaining report budget in bytes. It refills at
+	// ReportBytes per second.
 	reportBytes float64
 	refilledAt  time.Duration
 }
 
-// serviceEvidence is the evidence on one service's servers.
+// serviceEvidence is the evidence on the servers of one service.
 type serviceEvidence struct {
 	name      string
 	latencies latencyHistogram
 	failed    *outcomeStats
 	late      *outcomeStats
-	// shed is when a server last refused for want of room.
+	// shed is the time of the last Shed result of each server.
 	shed map[string]time.Duration
-	// advice is what the service's collector said last.
+	// advice is the last advice of the service's collector.
 	advice    map[string]Suspect
 	advisedAt time.Duration
 	pending   pending
-	// lateShare is the share of late answers among the last ones.
+	// lateShare is the moving average of the share of late responses.
 	lateShare float64
-	// lastLateServer is the server that answered late last.
+	// lastLateServer is the server with the last late response.
 	lastLateServer string
-	// unsampled counts the latencies not learnt from since the last one.
+	// unsampled counts the latencies skipped since the last sample.
 	unsampled int
 }
 
@@ -49,7 +50,7 @@
 	}
 }
 
-// Observe takes in how an attempt went, or that it is late.
+// Observe records the result of an attempt, or that the attempt is late.
 func (o *Observer) Observe(now time.Duration, ob Observation) {
 	v := o.service(ob.Service)
 	failed, late, counts := o.classify(v, ob)
@@ -72,8 +73,9 @@
 	}
 }
 
-// updateLateShare follows the share of late answers of servers beyond suspicion. One
-// server that is late again and again doesn't make the service slow.
+// updateLateShare updates the share of late responses, for servers that aren't
+// suspect. Consecutive late responses of the same server count once, so that one
+// slow server doesn't make the service count as slow.
 func (o *Observer) updateLateShare(now time.Duration, v *serviceEvidence, server string, late bool) {
 	repeated := late && server == v.lastLateServer
 	if late {
@@ -86,9 +88,9 @@
 	v.late.setBaseline(v.lateShare, o.settings.healthyLateShare(), o.settings.SickLateShare)
 }
 
-// recordLatency takes a latency into what counts as usual. While the whole service is
-// slow, it learns slowly: otherwise the slowness would pass for usual within
-// seconds, hedges would start again, and chance differences between
+// recordLatency adds a latency to the distribution. While the whole service is
+// slow, only one in slowSampling is added. Otherwise the slowness would become the
+// baseline within seconds, hedging would resume, and random differences between
 // overloaded servers would count against them.
 func (v *serviceEvidence) recordLatency(latency time.Duration) {
 	v.unsampled++
@@ -102,17 +104,19 @@
 // slow reports whether the service as a whole is slower than usual.
 func (v *serviceEvidence) slow() bool { return v.lateShare > slowServiceShare }
 
-// countedOutcomes says which ledgers an observation belongs to.
+// countedOutcomes says in which statistics an observation counts.
 type countedOutcomes struct{ failed, late bool }
 
-// classify tells which way an observation is bad, and where it counts.
+// classify returns whether an observation is failed or late, and the statistics
+// in which it counts.
 func (o *Observer) classify(v *serviceEvidence, ob Observation) (failed, late bool, c countedOutcomes) {
 	switch ob.Result {
 	case Late:
 		return false, true, countedOutcomes{late: true}
 	case Shed:
-		// A refusal for want of room is about load, like lateness: the server
-		// gets less first, and is suspect only if it goes on refusing then.
+		// A shed request indicates load, like a late response: the weight of the
+		// server is lowered first, and it becomes suspect only if it keeps
+		// shedding.
 		return false, true, countedOutcomes{late: true}
 	case NotRun, Cancelled:
 		return false, false, countedOutcomes{}
@@ -125,25 +129,26 @@
 }
 
 const (
-	// lateShareWindow is over about how many answers lateShare goes.
+	// lateShareWindow is the number of responses over which lateShare averages.
 	lateShareWindow = 24
-	// slowServiceShare is the share of late answers above which the service as a
-	// whole is slow.
+	// slowServiceShare is the share of late responses above which the service as
+	// a whole is slow.
 	slowServiceShare = 0.2
-	// slowSampling is one in how many latencies is learnt from then.
+	// slowSampling is the sampling interval of latencies while the service is
+	// slow.
 	slowSampling = 8
 )
 
-// HedgeDelay returns after how long a second server may be asked, or false.
-// It is for the sake of a few slow servers. While the whole service is slow,
-// second copies would only slow it further.
+// HedgeDelay returns the delay after which a request may be hedged, and whether it
+// may be hedged at all. Hedging helps against a few slow servers. While the whole
+// service is slow, it would only add load.
 func (o *Observer) HedgeDelay(service string) (time.Duration, bool) {
 	v := o.service(service)
 	return o.lateThreshold(v), !v.slow()
 }
 
-// LateThreshold returns how long an answer of the service may take before it is
-// late, and is to be observed as Late.
+// LateThreshold returns how long a response of the service may take before the
+// attempt is late. The caller then observes it as Late.
 func (o *Observer) LateThreshold(service string) time.Duration {
 	return o.lateThreshold(o.service(service))
 }
@@ -179,24 +184,24 @@
 	return 0
 }
 
-// SetServers drops what is held against servers that aren't in use any more:
-// ended, leaving or ejected. Call it when the list or the permits change. A
-// server that returns from an ejection is judged anew, because what was known
-// of it is as old as the ejection.
+// SetServers drops the evidence on servers that aren't in use any more: stopped,
+// leaving or ejected. Call it when the list or the permits change. A readmitted
+// server starts without evidence, since what was known of it predates the
+// ejection.
 func (o *Observer) SetServers(service string, inUse []string) {
 	v := o.service(service)
 	keep := make(map[string]bool, len(inUse))
 	for _, id := range inUse {
 		keep[id] = true
 	}
-	gone := func(id string) bool { return !keep[id] }
+	unused := func(id string) bool { return !keep[id] }
 	for _, l := range []*outcomeStats{v.failed, v.late} {
 		for id := range l.byServer {
-			if gone(id) {
+			if unused(id) {
 				l.removeServer(id)
 			}
 		}
 	}
-	maps.DeleteFunc(v.shed, func(id string, _ time.Duration) bool { return gone(id) })
-	maps.DeleteFunc(v.advice, func(id string, _ Suspect) bool { return gone(id) })
+	maps.DeleteFunc(v.shed, func(id string, _ time.Duration) bool { return unused(id) })
+	maps.DeleteFunc(v.advice, func(id string, _ Suspect) bool { return unused(id) })
 }
--- a/health/probe.go
+++ b/health/probe.go
@@ -6,27 +6,28 @@
 	"foxtailspoke/config"
 )
 
-// Probe is a request to an ejected server that no caller waits for.
+// Probe is a request to an ejected server on which no caller waits.
 type Probe struct {
 	Service string
 	Server  string
 }
 
-// probeState is the way back of one ejected server.
+// probeState tracks the ejection, the probes and the readmission of one server.
 type probeState struct {
 	ejected   bool
 	ejectedAt time.Duration
-	// probeDelay before the first probe; doubled for servers that flap.
+	// probeDelay is the time from the ejection to the first probe. It doubles
+	// for flapping servers.
 	probeDelay time.Duration
 	nextProbe  time.Duration
 	successes  int
-	// returnedAt is when it last came back.
-	returned   bool
-	returnedAt time.Duration
+	// readmittedAt is the time of the last readmission.
+	readmitted   bool
+	readmittedAt time.Duration
 }
 
-// DueProbes returns the probes that are due, given the service's permits row.
-// The row tells which servers are ejected, whoever ejected them.
+// DueProbes returns the probes that are due, given the service's permits row. The
+// row lists all ejected servers, whichever instance proposed the ejection.
 func (c *Collector) DueProbes(now time.Duration, service string, row config.Permits) []Probe {
 	p := c.pool(service)
 	c.syncEjections(now, p, row)
@@ -42,7 +43,7 @@
 	return due
 }
 
-// RecordProbe takes in a probe's result.
+// RecordProbe records the result of a probe.
 func (c *Collector) RecordProbe(now time.Duration, pr Probe, r Result, latency time.Duration) {
 	s := &c.pool(pr.Service).server(pr.Server).probing
 	if r != OK || latency >= c.settings.SlowProbe {
@@ -52,7 +53,8 @@
 	s.successes++
 }
 
-// syncEjections notices which servers were ejected or came back.
+// syncEjections updates which servers are ejected. The evidence on a readmitted
+// server is dropped.
 func (c *Collector) syncEjections(now time.Duration, p *pool, row config.Permits) {
 	ejected := map[string]bool{}
 	for _, e := range row.Ejected {
@@ -69,8 +71,8 @@
 	}
 }
 
-// eject starts the wait. Without the doubling, a flapping server would be let
-// in every few seconds and fail some requests each time.
+// eject starts the wait before the first probe. Without the doubling, a flapping
+// server would be readmitted every few seconds and fail some requests each time.
 func (s *probeState) eject(now time.Duration, settings Settings) {
 	if s.ejected {
 		return
@@ -87,8 +89,8 @@
 
 func (s *probeState) readmit(now time.Duration) {
 	s.ejected = false
-	s.returned = true
-	s.returnedAt = now
+	s.readmitted = true
+	s.readmittedAt = now
 	s.successes = 0
 }
 
@@ -96,8 +98,8 @@
 	return s.ejected && s.successes >= settings.ProbesToReturn
 }
 
-// onProbation reports whether the server came back only lately. The longer
-// it had to wait, the longer it is on probation.
+// onProbation reports whether the server was readmitted recently. The longer its
+// wait before probing was, the longer the probation.
 func (s *probeState) onProbation(now time.Duration, settings Settings) bool {
-	return s.returned && now-s.returnedAt < max(settings.Probation, 2*s.probeDelay)
+	return s.readmitted && now-s.readmittedAt < max(settings.Probation, 2*s.probeDelay)
 }
--- a/health/result.go
+++ b/health/result.go
@@ -1,42 +1,43 @@
-// Package health judges backend servers by what callers' requests meet.
+// Package health assesses backend servers by the results of callers' requests
+// (passive outlier detection).
 //
-// An Observer keeps one instance's own evidence. It lowers a suspect server's
-// weight at once and locally. A Collector pools the exceptions that the
-// instances report for one service and proposes fleet-wide ejections, which
-// need a permit in the platform's table. Servers are compared with the other
-// servers of their service, so that neither a slow service, nor a workspace
-// that sends bad requests, nor an instance with a bad network condemns them.
+// An Observer keeps the evidence of one instance and lowers the weight of a suspect
+// server immediately and locally. A Collector aggregates the bad results that the
+// instances report for one service and proposes fleet-wide ejections, which need a
+// permit in the platform's table. Servers are compared with the other servers of
+// their service, so that a slow service, a workspace that sends bad requests or an
+// instance with a bad network doesn't get healthy servers ejected.
 //
-// Nothing here has a goroutine, a clock or input and output: now is the
-// caller's monotonic clock with any epoch.
+// The package starts no goroutines, reads no clock and does no I/O. The argument now
+// is the caller's monotonic clock with an arbitrary epoch.
 package health
 
 import "time"
 
-// Result is how one attempt at a backend server went.
+// Result is the result of one attempt at a backend server.
 type Result int
 
 const (
-	// OK is a whole answer to the right request.
+	// OK is a complete response with the id of the attempt.
 	OK Result = iota
-	// ServerError is a whole answer that reports the server's own failure.
+	// ServerError is a complete response that reports a failure of the server.
 	ServerError
-	// Timeout means that no answer came in time after the request was sent.
+	// Timeout means that no response arrived in time after the request was sent.
 	Timeout
-	// Incomplete is an answer that ended before its length.
+	// Incomplete is a response that ended before its declared length.
 	Incomplete
-	// Mismatch is an answer without the attempt's id, or with another one.
+	// Mismatch is a response without the attempt's id, or with another one.
 	Mismatch
-	// ConnectFailed means that no connection came about; nothing was sent.
+	// ConnectFailed means that no connection was established; nothing was sent.
 	ConnectFailed
-	// Shed is the server's refusal because of load; it didn't run.
+	// Shed is a refusal because of load; the request didn't run.
 	Shed
-	// NotRun is any other refusal by which the server says it didn't run.
+	// NotRun is any other refusal that says that the request didn't run.
 	NotRun
-	// Cancelled means that the attempt was given up for another's sake.
+	// Cancelled means that the attempt was cancelled in favour of another one.
 	Cancelled
-	// Late means that the attempt is still waiting after Latency, longer
-	// than nearly all others of its service. It isn't the attempt's end.
+	// Late means that the attempt is still in flight after Latency, longer than
+	// nearly all others of its service. It isn't the end of the attempt.
 	Late
 )
 
@@ -45,7 +46,7 @@
 	"connect failed", "shed", "not run", "cancelled", "late",
 }
 
-// String returns the result's name for logs and decision records.
+// String returns the name used in logs and decision records.
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
 		return "invalid"
@@ -53,7 +54,7 @@
 	return resultNames[r]
 }
 
-// ProvedNotRun reports whether the request certainly had no effect.
+// ProvedNotRun reports whether the request provably didn't run.
 func (r Result) ProvedNotRun() bool {
 	return r == ConnectFailed || r == Shed || r == NotRun
 }
@@ -68,16 +69,16 @@
 	}
 }
 
-// Observation is one attempt's result as an instance saw it.
+// Observation is the result of one attempt as observed by an instance.
 type Observation struct {
 	Service   string
 	Server    string
 	Workspace string
 	Result    Result
-	// Latency is from the first byte sent to the end of the answer; for Late
-	// and Timeout, how long the instance has waited.
+	// Latency is the time from the first byte sent to the end of the response;
+	// for Late and Timeout, the time that the instance has waited.
 	Latency time.Duration
-	// ReportedLate says that a Late observation of this attempt came before, so
-	// that a slow attempt isn't counted twice.
+	// ReportedLate says that a Late observation of this attempt has been made,
+	// so that a slow attempt isn't counted twice.
 	ReportedLate bool
 }
--- a/health/settings.go
+++ b/health/settings.go
@@ -2,62 +2,67 @@
 
 import "time"
 
-// Settings of the judgement. See DefaultSettings.
+// Settings configure an Observer and a Collector. See DefaultSettings.
 type Settings struct {
-	// DataCentre that the instance is in; it goes into reports.
+	// DataCentre is the data centre of the instance, which reports contain.
 	DataCentre string
 
-	// FailureShare and SickFailureShare are the shares of failed attempts
-	// between which the judgement tells a healthy server from a sick one.
+	// FailureShare and SickFailureShare are the expected shares of failed
+	// attempts at a healthy and at a sick server.
 	FailureShare     float64
 	SickFailureShare float64
-	// LateShare and SickLateShare are the same for late answers. LateShare
-	// also defines "late": later than all but this share of the answers.
+	// LateShare and SickLateShare are the same for late responses. LateShare
+	// also defines "late": slower than all but this share of the responses.
 	LateShare     float64
 	SickLateShare float64
 
-	// LocalMemory is the half-life of an instance's own evidence.
+	// LocalMemory is the half-life of the evidence of one instance.
 	LocalMemory time.Duration
-	// PooledMemory is the half-life of evidence at a collector.
+	// PooledMemory is the half-life of the evidence at a collector.
 	PooledMemory time.Duration
 
-	// EjectScore is the log-likelihood ratio that an ejection needs.
+	// EjectScore is the log-likelihood ratio from which a server is ejected.
 	EjectScore float64
-	// AdviseScore is the one from which a collector advises lower weights.
+	// AdviseScore is the log-likelihood ratio from which a collector advises
+	// instances to lower the weight of a server.
 	AdviseScore float64
 
-	// MinSlack is the least difference to the median that counts as late.
+	// MinSlack is the smallest excess over the median latency that counts as
+	// late.
 	MinSlack time.Duration
-	// InitialLate is "late" before there were enough answers to tell.
+	// InitialLate is the latency that counts as late until there are enough
+	// responses to estimate it.
 	InitialLate time.Duration
 
-	// ReportInterval is the least time between two reports on one service.
+	// ReportInterval is the shortest time between two reports on one service.
 	ReportInterval time.Duration
-	// ReportBytes is how many bytes of reports an instance sends a second.
+	// ReportBytes limits the reports of an instance, in bytes per second.
 	ReportBytes float64
 
-	// Relief is how long a slow server gets little load before it may be
+	// Relief is how long the load of a slow server is reduced before it may be
 	// ejected for slowness.
 	Relief time.Duration
-	// Settle is how long requests sent before the relief may still be slow.
+	// Settle is how long after the load was reduced responses to earlier requests
+	// may still be slow.
 	Settle time.Duration
 
-	// ProbeWait is how long a server stays ejected before it is probed.
+	// ProbeWait is the time from an ejection to the first probe.
 	ProbeWait time.Duration
-	// MaxProbeWait bounds the doubling for servers that flap.
+	// MaxProbeWait bounds the wait, which doubles for flapping servers.
 	MaxProbeWait time.Duration
 	// ProbeInterval is the time between two probes of one server.
 	ProbeInterval time.Duration
-	// ProbesToReturn is how many probes in a row must succeed.
+	// ProbesToReturn is the number of consecutive probes that must succeed
+	// before a server is readmitted.
 	ProbesToReturn int
 	// SlowProbe is the latency from which a probe counts as failed.
 	SlowProbe time.Duration
-	// Probation is how long a returned server is ejected again on less
-	// evidence, and with a doubled wait.
+	// Probation is how long after its readmission a server is ejected on less
+	// evidence and with a doubled ProbeWait.
 	Probation time.Duration
 }
 
-// DefaultSettings returns the settings used unless operators change them.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		FailureShare:     0.01,
@@ -83,21 +88,23 @@
 	}
 }
 
-// healthyLateShare is the share of late answers held for healthy. It is above
-// LateShare because late answers come in groups, when a queue is long.
+// healthyLateShare is the share of late responses that is normal for a healthy
+// server. It is above LateShare because late responses come in bursts, while a
+// queue is long.
 func (s Settings) healthyLateShare() float64 { return lateBurstFactor * s.LateShare }
 
 const (
 	lateBurstFactor = 4.0 / 3
-	// outlierFactor is by how much a server must stand out: bad attempts up
-	// to this many times the mean of the other servers don't count.
+	// outlierFactor is the multiple of the mean of the other servers up to which
+	// bad attempts at a server don't count.
 	outlierFactor = 2
-	// maxScore bounds how long a recovered server stays suspect.
+	// maxScore caps the score, to bound how long a recovered server stays
+	// suspect.
 	maxScore = 12
-	// pairSickShare is the share of bad attempts by which one workspace's
-	// requests at one server count as broken.
+	// pairSickShare is the expected share of bad attempts of one workspace at
+	// one server that fails this workspace.
 	pairSickShare = 0.5
-	// pairDiscount scales the score of one workspace at one server: there
-	// are many such pairs, so that chance finds one more easily.
+	// pairDiscount scales the score of one workspace at one server. With many
+	// such pairs, a false positive by chance is more likely.
 	pairDiscount = 0.75
 )
