--- a/health/example_test.go
+++ b/health/example_test.go
@@ -8,8 +8,8 @@
 	"foxtailspoke/health"
 )
 
-// One of three backend servers fails its requests. Its weight falls at once;
-// the others keep theirs.
+// One of three backend servers truncates its responses. Its weight is lowered at
+// once; the others keep theirs.
 func Example() {
 	o := health.NewObserver(health.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	servers := []string{"good-1", "good-2", "gray"}
--- a/health/main_test.go
+++ b/health/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the properties, so that CI repeats them.
+// TestMain fixes the seed of the property tests, so that CI runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
--- a/health/trial_policy_test.go
+++ b/health/trial_policy_test.go
@@ -11,18 +11,18 @@
 	"foxtailspoke/retry"
 )
 
-// policy is one instance's way to choose servers.
+// policy selects servers for one instance.
 type policy interface {
 	pick(now time.Duration, s *service, workspace string, tried []string) (string, bool)
 	started(service, server string)
 	ended(now time.Duration, ob health.Observation)
-	// avoids reports whether the instance hardly uses the server any more.
+	// avoids reports whether the instance sends the server few or no requests.
 	avoids(now time.Duration, s *service, server, workspace string) bool
-	lateAfter(service string) time.Duration
+	lateThreshold(service string) time.Duration
 	hedges(service string) bool
 }
 
-// roundRobin is the first baseline: each server in turn, no ejection.
+// roundRobin is the first baseline: round robin without ejections.
 type roundRobin struct{ next map[string]int }
 
 func (p *roundRobin) pick(now time.Duration, s *service, _ string, tried []string) (string, bool) {
@@ -39,63 +39,65 @@
 func (p *roundRobin) ended(time.Duration, health.Observation)             {}
 func (p *roundRobin) avoids(time.Duration, *service, string, string) bool { return false }
 func (p *roundRobin) hedges(string) bool                                  { return false }
-func (p *roundRobin) lateAfter(string) time.Duration                      { return 0 }
+func (p *roundRobin) lateThreshold(string) time.Duration                  { return 0 }
 
-// alone is the second baseline: each instance by itself leaves out a server
-// for 30 s after five errors in a row, as far as its floor allows.
-type alone struct {
+// localEjection is the second baseline: each instance ejects a server on its own for
+// localEjectionTime after localEjectionErrors consecutive errors. If all servers are
+// ejected, it uses them all.
+type localEjection struct {
 	roundRobin
-	row   map[string]int
-	until map[string]time.Duration
-	// ejections of servers, by id.
+	consecutiveErrors map[string]int
+	ejectedUntil      map[string]time.Duration
+	// ejections counts the ejections by server id.
 	ejections map[string]int
 }
 
 const (
-	aloneErrors = 5
-	aloneTime   = 30 * time.Second
+	localEjectionErrors = 5
+	localEjectionTime   = 30 * time.Second
 )
 
-func (p *alone) pick(now time.Duration, s *service, w string, tried []string) (string, bool) {
+func (p *localEjection) pick(now time.Duration, s *service, w string, tried []string) (string, bool) {
 	for range s.servers {
 		id, ok := p.roundRobin.pick(now, s, w, tried)
-		if !ok || now >= p.until[id] {
+		if !ok || now >= p.ejectedUntil[id] {
 			return id, ok
 		}
 	}
 	return p.roundRobin.pick(now, s, w, tried)
 }
 
-func (p *alone) ended(now time.Duration, ob health.Observation) {
+func (p *localEjection) ended(now time.Duration, ob health.Observation) {
 	if !ob.Result.Failed() {
-		p.row[ob.Server] = 0
+		p.consecutiveErrors[ob.Server] = 0
 		return
 	}
-	p.row[ob.Server]++
-	if p.row[ob.Server] >= aloneErrors && now >= p.until[ob.Server] {
-		p.row[ob.Server] = 0
-		p.until[ob.Server] = now + aloneTime
+	p.consecutiveErrors[ob.Server]++
+	if p.consecutiveErrors[ob.Server] >= localEjectionErrors && now >= p.ejectedUntil[ob.Server] {
+		p.consecutiveErrors[ob.Server] = 0
+		p.ejectedUntil[ob.Server] = now + localEjectionTime
 		p.ejections[ob.Server]++
 	}
 }
 
-func (p *alone) avoids(now time.Duration, _ *service, server, _ string) bool {
-	return now < p.until[server]
+func (p *localEjection) avoids(now time.Duration, _ *service, server, _ string) bool {
+	return now < p.ejectedUntil[server]
 }
 
-// ours is the policy under trial.
-type ours struct {
+// healthPolicy is the policy under test: health, balance and retry together.
+type healthPolicy struct {
 	observer *health.Observer
 	picker   *balance.Picker
-	// ejected is this instance's copy of the permits.
+	// ejected is this instance's copy of the permits: the ejected servers by
+	// service.
 	ejected map[string][]string
 }
 
-func (p *ours) pick(now time.Duration, s *service, workspace string, tried []string) (string, bool) {
-	return p.picker.Pick(now, s.name, p.view(now, s, workspace), balance.Options{Exclude: tried, AvoidSuspects: !s.idempotent})
+func (p *healthPolicy) pick(now time.Duration, s *service, workspace string, tried []string) (string, bool) {
+	return p.picker.Pick(now, s.name, p.serverList(now, s, workspace), balance.Options{Exclude: tried, AvoidSuspects: !s.idempotent})
 }
 
-func (p *ours) view(now time.Duration, s *service, workspace string) []balance.Server {
+func (p *healthPolicy) serverList(now time.Duration, s *service, workspace string) []balance.Server {
 	var inUse []string
 	list := make([]balance.Server, len(s.servers))
 	for i, sv := range s.servers {
@@ -114,17 +116,17 @@
 	return list
 }
 
-func (p *ours) started(service, server string) { p.picker.Started(service, server) }
+func (p *healthPolicy) started(service, server string) { p.picker.Started(service, server) }
 
-func (p *ours) ended(now time.Duration, ob health.Observation) {
+func (p *healthPolicy) ended(now time.Duration, ob health.Observation) {
 	p.observer.Observe(now, ob)
 	if ob.Result != health.Late {
 		p.picker.Ended(ob.Service, ob.Server)
 	}
 }
 
-func (p *ours) avoids(now time.Duration, s *service, server, workspace string) bool {
-	for _, sv := range p.view(now, s, workspace) {
+func (p *healthPolicy) avoids(now time.Duration, s *service, server, workspace string) bool {
+	for _, sv := range p.serverList(now, s, workspace) {
 		if sv.ID == server {
 			return sv.Ejected || sv.Weight < health.LowWeight
 		}
@@ -132,14 +134,16 @@
 	return true
 }
 
-func (p *ours) lateAfter(service string) time.Duration { return p.observer.LateThreshold(service) }
+func (p *healthPolicy) lateThreshold(service string) time.Duration {
+	return p.observer.LateThreshold(service)
+}
 
-func (p *ours) hedges(service string) bool {
+func (p *healthPolicy) hedges(service string) bool {
 	_, ok := p.observer.HedgeDelay(service)
 	return ok
 }
 
-func (p *ours) setEjected(s *service, row config.Permits) {
+func (p *healthPolicy) setEjected(s *service, row config.Permits) {
 	var ids, inUse []string
 	for _, e := range row.Ejected {
 		ids = append(ids, e.Server)
@@ -153,16 +157,16 @@
 	p.observer.SetServers(s.name, inUse)
 }
 
-// instance is an entry instance of the trial.
+// instance is a simulated entry instance.
 type instance struct {
-	index   int
-	policy  policy
-	budgets map[string]*retry.Budget
-	left    bool
-	leftAt  time.Duration
+	index       int
+	policy      policy
+	budgets     map[string]*retry.Budget
+	withdrawn   bool
+	withdrawnAt time.Duration
 }
 
-func newInstance(kind string, index, dataCentres int, services []*service, rng *rand.Rand) *instance {
+func newInstance(policyName string, index, dataCentres int, services []*service, rng *rand.Rand) *instance {
 	in := &instance{index: index, budgets: map[string]*retry.Budget{}}
 	for _, s := range services {
 		in.budgets[s.name] = retry.NewBudget(retry.DefaultSettings(), rng)
@@ -171,15 +175,15 @@
 	for _, s := range services {
 		turn.next[s.name] = rng.IntN(s.serviceSize.servers)
 	}
-	switch kind {
+	switch policyName {
 	case "round robin":
 		in.policy = &turn
-	case "each alone":
-		in.policy = &alone{roundRobin: turn, row: map[string]int{}, until: map[string]time.Duration{}, ejections: map[string]int{}}
+	case "local":
+		in.policy = &localEjection{roundRobin: turn, consecutiveErrors: map[string]int{}, ejectedUntil: map[string]time.Duration{}, ejections: map[string]int{}}
 	default:
 		settings := health.DefaultSettings()
 		settings.DataCentre = string(rune('A' + index%dataCentres))
-		in.policy = &ours{
+		in.policy = &healthPolicy{
 			observer: health.NewObserver(settings, rng),
 			picker:   balance.NewPicker(balance.DefaultSettings(), rng),
 			ejected:  map[string][]string{},
--- a/health/trial_loop_test.go
+++ b/health/trial_simulation_test.go
@@ -12,9 +12,9 @@
 	"foxtailspoke/retry"
 )
 
-// world runs one trial: a list of arrivals and answers from a seed, worked
-// off in one loop.
-type world struct {
+// simulation is a discrete-event simulation of one trial: arrivals and responses
+// that are generated from a seed and processed in one loop.
+type simulation struct {
 	deployment deployment
 	fault      *fault
 	rng        *rand.Rand
@@ -23,7 +23,7 @@
 	collector  *health.Collector
 	permits    map[string]config.Permits
 	events     events
-	order      int
+	nextOrder  int
 	outcome    outcome
 	until      time.Duration
 }
@@ -49,12 +49,12 @@
 	return x
 }
 
-func (w *world) at(t time.Duration, run func(time.Duration)) {
-	w.order++
-	heap.Push(&w.events, event{t, w.order, run})
+func (w *simulation) schedule(t time.Duration, run func(time.Duration)) {
+	w.nextOrder++
+	heap.Push(&w.events, event{t, w.nextOrder, run})
 }
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
 	service    *service
 	workspace  int
@@ -66,9 +66,9 @@
 	done       bool
 }
 
-func newWorld(d deployment, f *fault, kind string, seed uint64) *world {
+func newSimulation(d deployment, f *fault, policyName string, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{
+	w := &simulation{
 		deployment: d, fault: f, rng: rng, services: newServices(d),
 		collector: health.NewCollector(health.DefaultSettings()),
 		permits:   map[string]config.Permits{},
@@ -76,17 +76,17 @@
 	}
 	w.collector.SetFleetSize(d.instances, d.dataCentres)
 	for i := range d.instances {
-		w.instances = append(w.instances, newInstance(kind, i, d.dataCentres, w.services, rng))
+		w.instances = append(w.instances, newInstance(policyName, i, d.dataCentres, w.services, rng))
 	}
 	w.outcome = newOutcome()
 	return w
 }
 
-func (w *world) run() *outcome {
+func (w *simulation) run() *outcome {
 	for _, s := range w.services {
-		w.arrivals(s)
+		w.scheduleArrivals(s)
 	}
-	w.at(0, w.tick)
+	w.schedule(0, w.tick)
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
 		if e.at >= w.until {
@@ -94,27 +94,27 @@
 		}
 		e.run(e.at)
 	}
-	w.outcome.healthyEjectionsAlone(w)
+	w.outcome.countLocalEjections(w)
 	return &w.outcome
 }
 
-// arrivals schedules a service's next request, and itself again.
-func (w *world) arrivals(s *service) {
-	capacity := float64(s.serviceSize.servers*s.slots) / (1.13 * medianWork.Seconds())
-	gap := w.rng.ExpFloat64() / (s.use * capacity)
+// scheduleArrivals schedules the requests to a service as a Poisson process.
+func (w *simulation) scheduleArrivals(s *service) {
+	capacity := float64(s.serviceSize.servers*s.slots) / (1.13 * medianWorkTime.Seconds())
+	gap := w.rng.ExpFloat64() / (s.utilization * capacity)
 	next := time.Duration(gap * float64(time.Second))
 	var arrive func(time.Duration)
 	arrive = func(now time.Duration) {
-		r := &request{service: s, workspace: w.drawWorkspace(), arrived: now}
-		w.start(now, w.draw(now, r.workspace), r)
-		w.at(now+time.Duration(w.rng.ExpFloat64()/(s.use*capacity)*float64(time.Second)), arrive)
+		r := &request{service: s, workspace: w.pickWorkspace(), arrived: now}
+		w.start(now, w.pickInstance(now, r.workspace), r)
+		w.schedule(now+time.Duration(w.rng.ExpFloat64()/(s.utilization*capacity)*float64(time.Second)), arrive)
 	}
-	w.at(next, arrive)
+	w.schedule(next, arrive)
 }
 
-func (w *world) drawWorkspace() int {
+func (w *simulation) pickWorkspace() int {
 	x := w.rng.Float64()
-	for i, share := range shares {
+	for i, share := range workspaceShares {
 		if x -= share; x < 0 {
 			return i
 		}
@@ -122,9 +122,9 @@
 	return 0
 }
 
-// serving are the instances that a workspace's callers use: six for a small
-// workspace, half of the fleet for a large one.
-func (w *world) serving(workspace int) []*instance {
+// instancesFor returns the instances that a workspace's callers use: six for a
+// small workspace, half of the fleet for a large one.
+func (w *simulation) instancesFor(workspace int) []*instance {
 	n := 6
 	if workspace < 3 {
 		n = len(w.instances) / 2
@@ -136,44 +136,45 @@
 	return list
 }
 
-// draw is the instance that a caller uses. It hears from locate within
-// locateTime that an instance has left because of its own network.
-func (w *world) draw(now time.Duration, workspace int) *instance {
-	list := w.serving(workspace)
+// pickInstance returns the instance that a caller uses. Callers learn from locate
+// within locateDelay that an instance was withdrawn because of its own network.
+func (w *simulation) pickInstance(now time.Duration, workspace int) *instance {
+	list := w.instancesFor(workspace)
 	in := list[w.rng.IntN(len(list))]
-	for in.left && now-in.leftAt > locateTime {
+	for in.withdrawn && now-in.withdrawnAt > locateDelay {
 		in = list[w.rng.IntN(len(list))]
 	}
 	return in
 }
 
 const (
-	locateTime = 3 * time.Second
-	// awayTime is how long an instance with a bad network stays away.
-	awayTime = 20 * time.Second
+	locateDelay = 3 * time.Second
+	// withdrawalTime is how long an instance with a bad network is withdrawn.
+	withdrawalTime = 20 * time.Second
 )
 
-// leave takes an instance out of the addresses told, at most one at a time.
-func (w *world) leave(now time.Duration, in *instance) {
+// withdraw removes an instance from the addresses given to callers, at most one
+// at a time.
+func (w *simulation) withdraw(now time.Duration, in *instance) {
 	for _, other := range w.instances {
-		other.left = other.left && now-other.leftAt < awayTime
-		if other.left {
+		other.withdrawn = other.withdrawn && now-other.withdrawnAt < withdrawalTime
+		if other.withdrawn {
 			return
 		}
 	}
-	in.left, in.leftAt = true, now
-	w.outcome.left = append(w.outcome.left, in.index)
+	in.withdrawn, in.withdrawnAt = true, now
+	w.outcome.withdrawn = append(w.outcome.withdrawn, in.index)
 }
 
-func (w *world) start(now time.Duration, in *instance, r *request) {
+func (w *simulation) start(now time.Duration, in *instance, r *request) {
 	in.budgets[r.service.name].RecordRequest()
 	if !w.send(now, in, r) {
 		w.finish(now, r, false)
 	}
 }
 
-// send makes the next attempt.
-func (w *world) send(now time.Duration, in *instance, r *request) bool {
+// send starts the next attempt. It returns false if no server may be used.
+func (w *simulation) send(now time.Duration, in *instance, r *request) bool {
 	id, ok := in.policy.pick(now, r.service, strconv.Itoa(r.workspace), r.tried)
 	if !ok {
 		return false
@@ -186,16 +187,16 @@
 	in.policy.started(r.service.name, id)
 	a := w.attempt(now, s, r.workspace, in.index)
 	ob := health.Observation{Service: r.service.name, Server: id, Workspace: strconv.Itoa(r.workspace), Result: a.result, Latency: a.latency}
-	if late := in.policy.lateAfter(r.service.name); late > 0 && a.latency > late {
+	if late := in.policy.lateThreshold(r.service.name); late > 0 && a.latency > late {
 		ob.ReportedLate = true
-		w.at(now+late, func(now time.Duration) { w.late(now, in, r, ob, late) })
+		w.schedule(now+late, func(now time.Duration) { w.late(now, in, r, ob, late) })
 	}
-	w.at(now+a.latency, func(now time.Duration) { w.end(now, in, r, ob) })
+	w.schedule(now+a.latency, func(now time.Duration) { w.end(now, in, r, ob) })
 	return true
 }
 
-// late tells the policy of an attempt that is still out, and may hedge it.
-func (w *world) late(now time.Duration, in *instance, r *request, ob health.Observation, waited time.Duration) {
+// late reports an attempt that is still in flight to the policy, and may hedge it.
+func (w *simulation) late(now time.Duration, in *instance, r *request, ob health.Observation, waited time.Duration) {
 	if r.done {
 		return
 	}
@@ -210,14 +211,14 @@
 	}
 }
 
-func (w *world) state(r *request, result health.Result) retry.Attempt {
+func (w *simulation) state(r *request, result health.Result) retry.Attempt {
 	return retry.Attempt{
 		Result: result, Idempotent: r.service.idempotent, AttemptCount: r.attempts, MayHaveRun: r.mayHaveRun,
 		InFlight: r.running, Deadline: r.arrived + 2*timeout, Untried: len(r.service.servers) - len(r.tried), UntriedHasSlot: true,
 	}
 }
 
-func (w *world) end(now time.Duration, in *instance, r *request, ob health.Observation) {
+func (w *simulation) end(now time.Duration, in *instance, r *request, ob health.Observation) {
 	if r.done {
 		ob.Result = health.Cancelled
 	}
@@ -240,11 +241,11 @@
 	}
 }
 
-func (w *world) finish(now time.Duration, r *request, ok bool) {
+func (w *simulation) finish(now time.Duration, r *request, ok bool) {
 	r.done = true
 	if w.fault.service == w.serviceIndex(r.service) && r.arrived >= faultStart && r.arrived < faultEnd {
-		w.outcome.served(r.workspace, now-r.arrived, ok)
+		w.outcome.recordRequest(r.workspace, now-r.arrived, ok)
 	}
 }
 
-func (w *world) serviceIndex(s *service) int { return slices.Index(w.services, s) }
+func (w *simulation) serviceIndex(s *service) int { return slices.Index(w.services, s) }
--- a/health/trial_test.go
+++ b/health/trial_test.go
@@ -15,14 +15,16 @@
 	"foxtailspoke/config"
 )
 
-// outcome is what a trial measured.
+// outcome holds the measurements of a trial.
 type outcome struct {
-	// avoided is when most instances hardly used the sick servers any more.
+	// avoided is the time from the start of the fault until most instances
+	// avoided all sick servers.
 	avoided time.Duration
-	// permitted is when the permit for the last sick server was written.
+	// permitted is the time from the start of the fault until the permits
+	// ejected as many servers as are sick.
 	permitted time.Duration
-	// falseEjections counts ejections of healthy servers: by permit, or by
-	// each instance for the baseline.
+	// falseEjections counts ejections of healthy servers: by permit, or by each
+	// instance for the baseline policy "local".
 	falseEjections int
 	ejections      int
 	latencies      [][]time.Duration
@@ -30,8 +32,8 @@
 	attempts       int
 	reports        int
 	reportBytes    int
-	// left are the instances that left because of their own network.
-	left []int
+	// withdrawn lists the instances withdrawn because of their own network.
+	withdrawn []int
 }
 
 const never = time.Duration(-1)
@@ -39,18 +41,18 @@
 func newOutcome() outcome {
 	return outcome{
 		avoided: never, permitted: never,
-		latencies: make([][]time.Duration, len(shares)), failed: make([]int, len(shares)),
+		latencies: make([][]time.Duration, len(workspaceShares)), failed: make([]int, len(workspaceShares)),
 	}
 }
 
-func (o *outcome) served(workspace int, latency time.Duration, ok bool) {
+func (o *outcome) recordRequest(workspace int, latency time.Duration, ok bool) {
 	o.latencies[workspace] = append(o.latencies[workspace], latency)
 	if !ok {
 		o.failed[workspace]++
 	}
 }
 
-func (o *outcome) look(now time.Duration, w *world) {
+func (o *outcome) recordAvoided(now time.Duration, w *simulation) {
 	if o.avoided != never || !w.fault.active(now) || len(w.fault.sick) == 0 {
 		return
 	}
@@ -61,7 +63,7 @@
 	}
 	instances := w.instances
 	if w.fault.workspace >= 0 {
-		instances = w.serving(w.fault.workspace)
+		instances = w.instancesFor(w.fault.workspace)
 	}
 	for i := range w.fault.sick {
 		n := 0
@@ -77,7 +79,7 @@
 	o.avoided = now - faultStart
 }
 
-func (o *outcome) permitsWritten(now time.Duration, w *world, s *service, before, after config.Permits) {
+func (o *outcome) recordPermits(now time.Duration, w *simulation, s *service, before, after config.Permits) {
 	for _, e := range after.Ejected {
 		if slices.ContainsFunc(before.Ejected, func(b config.Ejection) bool { return b.Server == e.Server }) {
 			continue
@@ -93,9 +95,9 @@
 	}
 }
 
-func (o *outcome) healthyEjectionsAlone(w *world) {
+func (o *outcome) countLocalEjections(w *simulation) {
 	for _, in := range w.instances {
-		p, ok := in.policy.(*alone)
+		p, ok := in.policy.(*localEjection)
 		if !ok {
 			return
 		}
@@ -109,8 +111,9 @@
 	}
 }
 
-// worst returns the lowest success share and the highest p99 of a workspace.
-func (o *outcome) worst() (success float64, p99 time.Duration) {
+// worstWorkspace returns the lowest success share and the highest 99th percentile
+// latency of any workspace.
+func (o *outcome) worstWorkspace() (success float64, p99 time.Duration) {
 	success = 1
 	for i, list := range o.latencies {
 		if len(list) == 0 {
@@ -132,8 +135,8 @@
 	return float64(failed) / float64(max(1, n))
 }
 
-// row sums up several seeds.
-type row struct {
+// summary aggregates the trials of several seeds.
+type summary struct {
 	avoided, permitted []time.Duration
 	falseEjections     int
 	ejections          int
@@ -141,20 +144,20 @@
 	p99                time.Duration
 	failed             float64
 	bytesPerSecond     float64
-	// leaves counts the instances that left because of their own network.
-	leaves int
+	// withdrawals counts the instances withdrawn because of their own network.
+	withdrawals int
 }
 
-func trial(d deployment, f func() *fault, kind string, seeds int) row {
-	r := row{success: 1}
+func runTrials(d deployment, f func() *fault, policyName string, seeds int) summary {
+	r := summary{success: 1}
 	for seed := range seeds {
-		o := newWorld(d, f(), kind, uint64(seed+1)).run()
-		success, p99 := o.worst()
+		o := newSimulation(d, f(), policyName, uint64(seed+1)).run()
+		success, p99 := o.worstWorkspace()
 		r.avoided = append(r.avoided, o.avoided)
 		r.permitted = append(r.permitted, o.permitted)
 		r.falseEjections += o.falseEjections
 		r.ejections += o.ejections
-		r.leaves += len(o.left)
+		r.withdrawals += len(o.withdrawn)
 		r.success = min(r.success, success)
 		r.p99 = max(r.p99, p99)
 		r.failed += o.failedShare() / float64(seeds)
@@ -163,8 +166,9 @@
 	return r
 }
 
-// times formats median/worst; a fault that was never noticed is the worst.
-func times(list []time.Duration) string {
+// formatTimes formats median/worst. The worst value is never, for a fault that
+// wasn't detected.
+func formatTimes(list []time.Duration) string {
 	sorted := slices.Clone(list)
 	slices.SortFunc(sorted, func(a, b time.Duration) int { return int(uint64(a)>>1) - int(uint64(b)>>1) })
 	show := func(d time.Duration) string {
@@ -176,46 +180,46 @@
 	return show(sorted[len(sorted)/2]) + "/" + show(sorted[len(sorted)-1])
 }
 
-func (r row) String() string {
-	return fmt.Sprintf("%12s %12s %4d/%-4d %8.2f %8d %8.3f %6.0f %4d", times(r.avoided), times(r.permitted),
-		r.falseEjections, r.ejections, 100*r.success, r.p99.Milliseconds(), 100*r.failed, r.bytesPerSecond, r.leaves)
+func (r summary) String() string {
+	return fmt.Sprintf("%12s %12s %4d/%-4d %8.2f %8d %8.3f %6.0f %4d", formatTimes(r.avoided), formatTimes(r.permitted),
+		r.falseEjections, r.ejections, 100*r.success, r.p99.Milliseconds(), 100*r.failed, r.bytesPerSecond, r.withdrawals)
 }
 
-var kinds = []string{"ours", "each alone", "round robin"}
+var policies = []string{"health", "local", "round robin"}
 
-var printTrial = flag.Bool("trial", false, "print the table of the trial")
+var printTrial = flag.Bool("trial", false, "run the trials of all faults and print the table of results")
 
-// TestTrial prints the table of the measures that users judge by. It is a
-// measurement that takes minutes; TestSmallTrial is its part in CI.
+// TestTrial prints a table of the results for each fault and policy. It is a
+// measurement that takes minutes; TestSmallTrial runs a part of it in CI.
 func TestTrial(t *testing.T) {
 	if !*printTrial {
-		t.Skip("a measurement: go test -run 'TestTrial$' -v ./health -trial")
+		t.Skip("measurement that takes minutes; to run it: go test -run 'TestTrial$' -v ./health -trial")
 	}
 	const seeds = 5
 	for _, d := range []deployment{dimaculangan, kervan} {
 		for service := range d.services {
-			rows := table(d, service, seeds)
-			t.Logf("%s, %s, %d seeds; avoided s, permit s (median/worst); false/all ejections; worst workspace ok %%, p99 ms; failed %%; bytes/s/instance; instances that left\n%s",
+			rows := trialTable(d, service, seeds)
+			t.Logf("%s, %s, %d seeds; s to avoidance, s to permit (median/worst); false/all ejections; worst workspace: success %%, p99 ms; failed %%; report bytes/s/instance; withdrawn instances\n%s",
 				d.name, d.services[service].name, seeds, strings.Join(rows, "\n"))
 		}
 	}
 }
 
-const workers = 4
+const trialWorkers = 4
 
-func table(d deployment, service, seeds int) []string {
+func trialTable(d deployment, service, seeds int) []string {
 	list := faults(service, d.dataCentres)
-	rows := make([]string, len(list)*len(kinds))
+	rows := make([]string, len(list)*len(policies))
 	var wg sync.WaitGroup
-	slot := make(chan struct{}, workers)
+	slot := make(chan struct{}, trialWorkers)
 	for i := range rows {
 		wg.Add(1)
 		slot <- struct{}{}
 		go func() {
 			defer wg.Done()
-			f, kind := list[i/len(kinds)], kinds[i%len(kinds)]
-			r := trial(d, func() *fault { return faults(service, d.dataCentres)[i/len(kinds)] }, kind, seeds)
-			rows[i] = fmt.Sprintf("%-36s %-12s %s", f.name, kind, r)
+			f, policyName := list[i/len(policies)], policies[i%len(policies)]
+			r := runTrials(d, func() *fault { return faults(service, d.dataCentres)[i/len(policies)] }, policyName, seeds)
+			rows[i] = fmt.Sprintf("%-36s %-12s %s", f.name, policyName, r)
 			<-slot
 		}()
 	}
@@ -225,42 +229,42 @@
 
 const smallTrialEnd = faultStart + 10*time.Second
 
-// The small trial in CI: one seed, the measures that users judge by, against
-// the baselines. A server of the catalogue sends half answers, or two fail,
-// or one workspace's requests are bad, or one data centre is cut off from one
-// server one way.
+// Compares the health policy with the baselines on one seed: one server of the
+// catalogue truncates responses, two servers fail, one workspace sends bad requests,
+// one instance has a bad network, or one data centre gets no responses from one
+// server. Sick servers must be avoided and ejected in time, healthy ones not.
 func TestSmallTrial(t *testing.T) {
 	list := faults(0, dimaculangan.dataCentres)
-	run := func(name, kind string) *outcome {
+	run := func(name, policyName string) *outcome {
 		i := slices.IndexFunc(list, func(f *fault) bool { return f.name == name })
-		w := newWorld(dimaculangan, list[i], kind, 1)
+		w := newSimulation(dimaculangan, list[i], policyName, 1)
 		w.until = smallTrialEnd
 		return w.run()
 	}
-	for _, name := range []string{"half answers 1 in 5", "errors, two servers"} {
-		o := run(name, "ours")
+	for _, name := range []string{"1 in 5 responses truncated", "errors, two servers"} {
+		o := run(name, "health")
 		must.Between(t, 0, o.avoided, 3*time.Second, must.Sprint(name))
 		must.Between(t, 0, o.permitted, 5*time.Second, must.Sprint(name))
 		must.Zero(t, o.falseEjections, must.Sprint(name))
-		success, _ := o.worst()
+		success, _ := o.worstWorkspace()
 		must.GreaterEq(t, 0.995, success, must.Sprint(name))
 	}
-	alone := run("errors, two servers", "each alone")
-	must.Greater(t, 3*time.Second, alone.avoided)
-	must.Eq(t, []int{3}, run("one instance's bad network", "ours").left)
+	local := run("errors, two servers", "local")
+	must.Greater(t, 3*time.Second, local.avoided)
+	must.Eq(t, []int{3}, run("one instance's bad network", "health").withdrawn)
 	for _, name := range []string{"one workspace's bad requests", "one data centre cut from one server"} {
-		must.Zero(t, run(name, "ours").ejections, must.Sprint(name))
-		must.SliceEmpty(t, run(name, "ours").left, must.Sprint(name))
-		must.Positive(t, run(name, "each alone").falseEjections, must.Sprint(name))
+		must.Zero(t, run(name, "health").ejections, must.Sprint(name))
+		must.SliceEmpty(t, run(name, "health").withdrawn, must.Sprint(name))
+		must.Positive(t, run(name, "local").falseEjections, must.Sprint(name))
 	}
 }
 
-// The same seed gives the same history, to the nanosecond: a recorded trace
-// can be replayed.
+// The same seed must give the same results to the nanosecond, so that a recorded
+// trace can be replayed.
 func TestTrialRepeats(t *testing.T) {
 	f := faults(0, kervan.dataCentres)[1]
 	run := func() string {
-		w := newWorld(kervan, f, "ours", 1)
+		w := newSimulation(kervan, f, "health", 1)
 		w.until = faultStart + 5*time.Second
 		return fmt.Sprint(*w.run())
 	}
