--- a/membership/call.go
+++ b/membership/call.go
@@ -87,7 +87,7 @@
 	table, witnesses := m.ages(now)
 	return &Pulled{
 		Changes:    m.changesSince(p.Since),
-		List:       m.dir.since(p.ListSince),
+		List:       m.dir.changesSince(p.ListSince),
 		TableAge:   table,
 		WitnessAge: witnesses,
 	}
--- a/membership/cost_test.go
+++ b/membership/cost_test.go
@@ -10,11 +10,11 @@
 	"foxtailspoke/storage"
 )
 
-// budget is the most that one instance may send and receive for the fleet's
+// maxBytesPerSecond is the most that one instance may send and receive for the fleet's
 // own needs, in bytes a second.
-const budget = 8 << 10
+const maxBytesPerSecond = 8 << 10
 
-var large = flag.Bool("cost.large", false, "measure fleets of 2000 instances as well")
+var measureLargeFleets = flag.Bool("cost.large", false, "measure fleets of 2000 instances as well")
 
 // The cost of doing nothing: what the fleet exchanges while no row changes,
 // with the table in reach and without. Bytes are those of the messages in
@@ -24,7 +24,7 @@
 	const measured = 10 * time.Second
 	type fleetSize struct{ nodes, centres int }
 	sizes := []fleetSize{{40, 4}, {400, 4}}
-	if *large {
+	if *measureLargeFleets {
 		sizes = append(sizes, fleetSize{2000, 4}, fleetSize{2000, 17})
 	}
 	for _, size := range sizes {
@@ -44,7 +44,7 @@
 			t.Logf("%d instances in %d data centres, platform away %v: %d reads/s, %d calls/s, %d bytes/s each, at most %d",
 				size.nodes, size.centres, away, (s.reads-reads)/seconds, (s.calls-calls)/seconds,
 				total/seconds/size.nodes, most/seconds)
-			must.Less(t, budget, most/seconds)
+			must.Less(t, maxBytesPerSecond, most/seconds)
 			must.Zero(t, s.nodeStates()[CutOff])
 		}
 	}
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -14,36 +14,36 @@
 type Directory struct {
 	set     Settings
 	version uint64
-	// base is the version of the last full list, or the last that was
+	// oldestDelta is the version of the last full list, or the last that was
 	// forgotten in part. What went away before it isn't known any more, so
 	// that older callers need a full list.
-	base      uint64
-	instances map[string]listed
-
-	entries     []storage.Instance
-	entryIDs    []string
-	byService   map[string][]storage.Instance
-	dataCentres []string
-	entryIDsByDataCentre    map[string][]string
-	watchers    map[string][]string
-	collectors  map[string]string
-	witnesses   []string // all live entries in the order of the witness role
-	// strings has the names that many instances share.
-	strings map[string]string
+	oldestDelta uint64
+	instances   map[string]instanceRecord
+
+	entries              []storage.Instance
+	entryIDs             []string
+	serversByService     map[string][]storage.Instance
+	dataCentres          []string
+	entryIDsByDataCentre map[string][]string
+	watchers             map[string][]string
+	collectors           map[string]string
+	witnesses            []string // all live entries in the order of the witness role
+	// interned has the names that many instances share.
+	interned map[string]string
 	// selfIsWatcher says that the instance itself is a watcher.
 	selfIsWatcher bool
 }
 
-type listed struct {
+type instanceRecord struct {
 	storage.Instance
 	// changed is the version of the changes that brought it.
 	changed uint64
 }
 
 func newDirectory(s Settings) *Directory {
-	d := &Directory{set: s, instances: map[string]listed{}, collectors: map[string]string{}, strings: map[string]string{}}
-	d.index()
-	d.followEntries(nil)
+	d := &Directory{set: s, instances: map[string]instanceRecord{}, collectors: map[string]string{}, interned: map[string]string{}}
+	d.rebuildIndex()
+	d.updateEntryRoles(nil)
 	return d
 }
 
@@ -61,7 +61,7 @@
 
 // Servers returns the backend servers of a service that haven't ended, by
 // id. Those with State Leaving take no new work.
-func (d *Directory) Servers(service string) []storage.Instance { return d.byService[service] }
+func (d *Directory) Servers(service string) []storage.Instance { return d.serversByService[service] }
 
 // DataCentres returns the data centres with live entry instances, sorted.
 func (d *Directory) DataCentres() []string { return d.dataCentres }
@@ -73,60 +73,60 @@
 		return false
 	}
 	if c.Full {
-		d.instances = make(map[string]listed, len(c.Changed))
-		d.base = c.Version
+		d.instances = make(map[string]instanceRecord, len(c.Changed))
+		d.oldestDelta = c.Version
 	}
 	before := d.entryIDs
 	for _, i := range c.Changed {
 		former := d.instances[i.ID].Instance
-		d.instances[i.ID] = listed{Instance: d.shared(i), changed: c.Version}
+		d.instances[i.ID] = instanceRecord{Instance: d.internStrings(i), changed: c.Version}
 		if !c.Full {
 			d.removeFromIndex(former)
 			d.addToIndex(d.instances[i.ID].Instance)
 		}
 	}
 	d.version = c.Version
-	d.forgetEnded()
+	d.pruneEnded()
 	if c.Full {
-		d.index()
+		d.rebuildIndex()
 	}
-	d.followEntries(before)
+	d.updateEntryRoles(before)
 	return true
 }
 
-// keptEnded is how many ended instances a directory remembers. Instances
+// maxEndedInstances is how many ended instances a directory remembers. Instances
 // are replaced all the time; without a bound the list would grow for months.
-const keptEnded = 1000
+const maxEndedInstances = 1000
 
-// forgetEnded drops the oldest half of the ended instances when there are
+// pruneEnded drops the oldest half of the ended instances when there are
 // too many. Others that are older than what was dropped get the full list,
 // because a delta couldn't tell them what ended.
-func (d *Directory) forgetEnded() {
-	var ended []listed
+func (d *Directory) pruneEnded() {
+	var ended []instanceRecord
 	for _, i := range d.instances {
 		if i.State == storage.Ended {
 			ended = append(ended, i)
 		}
 	}
-	if len(ended) <= keptEnded {
+	if len(ended) <= maxEndedInstances {
 		return
 	}
-	slices.SortFunc(ended, func(a, b listed) int {
+	slices.SortFunc(ended, func(a, b instanceRecord) int {
 		return cmp.Or(cmp.Compare(a.changed, b.changed), cmp.Compare(a.ID, b.ID))
 	})
-	for _, i := range ended[:len(ended)-keptEnded/2] {
+	for _, i := range ended[:len(ended)-maxEndedInstances/2] {
 		delete(d.instances, i.ID)
-		d.base = max(d.base, i.changed)
+		d.oldestDelta = max(d.oldestDelta, i.changed)
 	}
 }
 
-// since returns what changed after a version, for another instance.
-func (d *Directory) since(version uint64) storage.InstanceChanges {
+// changesSince returns what changed after a version, for another instance.
+func (d *Directory) changesSince(version uint64) storage.InstanceChanges {
 	c := storage.InstanceChanges{Version: d.version}
 	if version >= d.version {
 		return c
 	}
-	c.Full = version < d.base
+	c.Full = version < d.oldestDelta
 	var ids []string
 	for id, i := range d.instances {
 		if c.Full || i.changed > version {
@@ -142,10 +142,10 @@
 
 // index works the roles out anew. Ids are sorted and not instances, because
 // a list of some thousands changes every few seconds.
-// shared returns the instance with those of its strings that many instances
+// internStrings returns the instance with those of its strings that many instances
 // have in common held once. Decoding makes a copy of each for every instance;
 // at 26,000 instances these take megabytes.
-func (d *Directory) shared(i storage.Instance) storage.Instance {
+func (d *Directory) internStrings(i storage.Instance) storage.Instance {
 	i.Kind = storage.Kind(d.intern(string(i.Kind)))
 	i.State = storage.State(d.intern(string(i.State)))
 	i.Service = d.intern(i.Service)
@@ -155,26 +155,26 @@
 }
 
 func (d *Directory) intern(s string) string {
-	if known, ok := d.strings[s]; ok {
+	if known, ok := d.interned[s]; ok {
 		return known
 	}
-	d.strings[s] = s
+	d.interned[s] = s
 	return s
 }
 
-// index makes the index from nothing.
-func (d *Directory) index() {
+// rebuildIndex makes the rebuildIndex from nothing.
+func (d *Directory) rebuildIndex() {
 	d.entries = nil
 	d.entryIDs = nil
-	d.byService = map[string][]storage.Instance{}
+	d.serversByService = map[string][]storage.Instance{}
 	d.entryIDsByDataCentre = map[string][]string{}
 	for _, id := range sortedKeys(d.instances) {
-		d.indexInstance(d.instances[id].Instance)
+		d.appendToIndex(d.instances[id].Instance)
 	}
 }
 
-// followEntries brings up to date what depends on the live entry instances.
-func (d *Directory) followEntries(before []string) {
+// updateEntryRoles brings up to date what depends on the live entry instances.
+func (d *Directory) updateEntryRoles(before []string) {
 	d.watchers = map[string][]string{}
 	d.witnesses = nil
 	d.followCollectors(before)
@@ -195,9 +195,9 @@
 		at, _ = slices.BinarySearch(ids, i.ID)
 		d.entryIDsByDataCentre[i.DataCentre] = slices.Insert(slices.Clone(ids), at, i.ID)
 	case isServer(i):
-		servers := d.byService[i.Service]
+		servers := d.serversByService[i.Service]
 		at, _ := slices.BinarySearchFunc(servers, i, compareInstances)
-		d.byService[i.Service] = slices.Insert(slices.Clone(servers), at, i)
+		d.serversByService[i.Service] = slices.Insert(slices.Clone(servers), at, i)
 	}
 }
 
@@ -212,7 +212,7 @@
 			delete(d.entryIDsByDataCentre, i.DataCentre)
 		}
 	case isServer(i):
-		d.byService[i.Service] = slices.DeleteFunc(slices.Clone(d.byService[i.Service]), same)
+		d.serversByService[i.Service] = slices.DeleteFunc(slices.Clone(d.serversByService[i.Service]), same)
 	}
 }
 
@@ -226,14 +226,14 @@
 	return i.Kind == storage.BackendServer && i.State != storage.Ended
 }
 
-func (d *Directory) indexInstance(i storage.Instance) {
+func (d *Directory) appendToIndex(i storage.Instance) {
 	switch {
 	case isLiveEntry(i):
 		d.entries = append(d.entries, i)
 		d.entryIDs = append(d.entryIDs, i.ID)
 		d.entryIDsByDataCentre[i.DataCentre] = append(d.entryIDsByDataCentre[i.DataCentre], i.ID)
 	case isServer(i):
-		d.byService[i.Service] = append(d.byService[i.Service], i)
+		d.serversByService[i.Service] = append(d.serversByService[i.Service], i)
 	}
 }
 
--- a/membership/alone.go
+++ b/membership/fallback.go
@@ -14,12 +14,12 @@
 	failures int
 }
 
-// aloneAfter is the share of Fresh, in per cent, after which a proof is so old
+// fallbackAgePercent is the share of Fresh, in per cent, after which a proof is so old
 // that the instance tries by itself.
-const aloneAfter = 85
+const fallbackAgePercent = 85
 
-// longestAlone bounds the time between attempts.
-const longestAlone = 16 * time.Second
+// maxFallbackInterval bounds the time between attempts.
+const maxFallbackInterval = 16 * time.Second
 
 // tickFallback reads the table, the list, and asks the witnesses, if pulls give
 // no proof. The attempts are few and spread: if every instance tried as
@@ -33,7 +33,7 @@
 		m.fallback.next = old
 		return nil
 	}
-	m.fallback.next = now + m.aloneGap()
+	m.fallback.next = now + m.fallbackInterval()
 	m.fallback.failures++
 	m.table.wanted = m.table.wanted || !m.reads()
 	m.list.wanted = m.list.wanted || !m.isWatcher()
@@ -52,14 +52,14 @@
 	if !p.held {
 		return 0
 	}
-	return p.start + m.set.Fresh*aloneAfter/100
+	return p.start + m.set.Fresh*fallbackAgePercent/100
 }
 
-// aloneGap returns the time to the next attempt: longer for a larger fleet
+// fallbackInterval returns the time to the next attempt: longer for a larger fleet
 // and after every failure, and never the same for two instances.
-func (m *Member) aloneGap() time.Duration {
+func (m *Member) fallbackInterval() time.Duration {
 	gap := time.Duration(len(m.dir.entryIDs)) * time.Second / time.Duration(m.set.SelfReadsPerSecond)
 	gap = max(gap, m.set.PollEvery) << min(m.fallback.failures, maxBackoffDoublings)
-	gap = min(gap, longestAlone)
+	gap = min(gap, maxFallbackInterval)
 	return gap + time.Duration(m.rng.Int64N(int64(gap)))
 }
--- a/membership/force.go
+++ b/membership/in_force.go
@@ -15,23 +15,23 @@
 	// known is the highest revision that each witness said it knows. A
 	// witness never forgets, so neither does this.
 	known map[string]storage.Revision
-	// takings are the revisions that a majority knew, ascending.
-	takings []taking
+	// majorities are the revisions that a majority knew, ascending.
+	majorities []majorityRecord
 	// revision is the highest revision in force.
 	revision storage.Revision
 	// next is when to inform again the witnesses that don't know.
 	next time.Duration
 }
 
-// taking is a revision that a majority of the witnesses knew at a time. Its
+// majorityRecord is a revision that a majority of the witnesses knew at a time. Its
 // end counts for this revision and lower ones, never for a later one: an
 // instance that gets a part, loses it and gets it again waits again.
-type taking struct {
+type majorityRecord struct {
 	revision storage.Revision
 	at       time.Duration
 }
 
-func newForce() inForceTracker {
+func newInForceTracker() inForceTracker {
 	return inForceTracker{known: map[string]storage.Revision{}}
 }
 
@@ -41,8 +41,8 @@
 
 // majorityRevision is the highest revision that a majority is known to know.
 func (f *inForceTracker) majorityRevision() storage.Revision {
-	if n := len(f.takings); n > 0 {
-		return f.takings[n-1].revision
+	if n := len(f.majorities); n > 0 {
+		return f.majorities[n-1].revision
 	}
 	return f.revision
 }
@@ -63,7 +63,7 @@
 // InForce says whether nobody acts on anything older than a revision any
 // more. It becomes true only after Require, or a later one's.
 func (m *Member) InForce(now time.Duration, rev storage.Revision) bool {
-	m.settleForce(now)
+	m.advanceInForce(now)
 	return m.rules.covers(m.inForce.revision, rev)
 }
 
@@ -76,27 +76,27 @@
 	}
 	var missing []string
 	for _, id := range witnessIDs(m.log.Witnesses()) {
-		if !m.knows(id, rev) {
+		if !m.witnessKnows(id, rev) {
 			missing = append(missing, id)
 		}
 	}
 	return missing
 }
 
-func (m *Member) settleForce(now time.Duration) {
-	for len(m.inForce.takings) > 0 && now >= m.inForce.takings[0].at+m.rules.wait {
-		m.inForce.revision = m.inForce.takings[0].revision
-		m.inForce.takings = m.inForce.takings[1:]
+func (m *Member) advanceInForce(now time.Duration) {
+	for len(m.inForce.majorities) > 0 && now >= m.inForce.majorities[0].at+m.rules.wait {
+		m.inForce.revision = m.inForce.majorities[0].revision
+		m.inForce.majorities = m.inForce.majorities[1:]
 	}
 }
 
-// knows says whether an instance can't answer any more that it knows nothing
+// witnessKnows says whether an instance can't answer any more that it witnessKnows nothing
 // as new as a revision.
-func (m *Member) knows(id string, rev storage.Revision) bool {
+func (m *Member) witnessKnows(id string, rev storage.Revision) bool {
 	if id == m.set.Self {
 		return m.log.Revision() >= rev
 	}
-	return m.inForce.known[id] >= rev || m.ended(id)
+	return m.inForce.known[id] >= rev || m.hasEnded(id)
 }
 
 // updateMajority notes the highest revision that a majority knows by now. Only
@@ -107,21 +107,21 @@
 	if m.inForce.target == 0 || m.inForce.majorityRevision() >= own {
 		return
 	}
-	for _, rev := range m.candidates(own) {
+	for _, rev := range m.candidateRevisions(own) {
 		if rev <= m.inForce.majorityRevision() {
 			return
 		}
-		knows := func(id string) bool { return m.knows(id, rev) }
+		knows := func(id string) bool { return m.witnessKnows(id, rev) }
 		if m.rules.known(m.log.Witnesses(), knows) {
-			m.inForce.takings = append(m.inForce.takings, taking{revision: rev, at: now})
+			m.inForce.majorities = append(m.inForce.majorities, majorityRecord{revision: rev, at: now})
 			return
 		}
 	}
 }
 
-// candidates returns the revisions at which the count of witnesses that
+// candidateRevisions returns the revisions at which the count of witnesses that
 // know can change, up to the replica's own, highest first.
-func (m *Member) candidates(own storage.Revision) []storage.Revision {
+func (m *Member) candidateRevisions(own storage.Revision) []storage.Revision {
 	revisions := []storage.Revision{own}
 	for _, id := range witnessIDs(m.log.Witnesses()) {
 		revisions = append(revisions, min(own, m.inForce.known[id]))
@@ -131,7 +131,7 @@
 	return slices.Compact(revisions)
 }
 
-func (m *Member) tickForce(now time.Duration) []effect.Effect {
+func (m *Member) tickInForce(now time.Duration) []effect.Effect {
 	if m.inForce.majorityRevision() >= m.inForce.target || now < m.inForce.next {
 		return nil
 	}
@@ -140,13 +140,13 @@
 		m.table.wanted = true
 		return m.tickTable(now)
 	}
-	return m.inform(now)
+	return m.informWitnesses(now)
 }
 
-func (m *Member) inform(now time.Duration) []effect.Effect {
+func (m *Member) informWitnesses(now time.Duration) []effect.Effect {
 	var out []effect.Effect
 	for _, id := range witnessIDs(m.log.Witnesses()) {
-		if m.knows(id, m.inForce.target) {
+		if m.witnessKnows(id, m.inForce.target) {
 			continue
 		}
 		known := m.inForce.known[id]
@@ -159,19 +159,19 @@
 	return out
 }
 
-func (m *Member) wakeForce() time.Duration {
+func (m *Member) wakeInForce() time.Duration {
 	next := never
 	if m.inForce.majorityRevision() < m.inForce.target {
 		next = m.inForce.next
 	}
-	if len(m.inForce.takings) > 0 {
-		next = min(next, m.inForce.takings[0].at+m.rules.wait)
+	if len(m.inForce.majorities) > 0 {
+		next = min(next, m.inForce.majorities[0].at+m.rules.wait)
 	}
 	return next
 }
 
-// ended says that an instance will never answer again.
-func (m *Member) ended(id string) bool {
+// hasEnded says that an instance will never answer again.
+func (m *Member) hasEnded(id string) bool {
 	i, ok := m.dir.Instance(id)
 	return ok && i.State == storage.Ended
 }
--- a/membership/force_bench_test.go
+++ b/membership/in_force_bench_test.go
@@ -20,7 +20,7 @@
 			for range b.N {
 				s := boot(5, Settings{}, nodes, min(17, nodes/10))
 				for i := range 10 {
-					inForce, last := s.change(s.nodes[i*nodes/10])
+					inForce, last := s.measureRevocation(s.nodes[i*nodes/10])
 					worst = max(worst, inForce)
 					spread = max(spread, last)
 				}
@@ -31,9 +31,9 @@
 	}
 }
 
-// change withdraws a key at an instance, and returns when that is in force
+// measureRevocation withdraws a key at an instance, and returns when that is in force
 // and when every instance has it.
-func (s *sim) change(writer *simNode) (inForce, last time.Duration) {
+func (s *sim) measureRevocation(writer *simNode) (inForce, last time.Duration) {
 	r := s.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: config.KeyPrefix + "x"}}})
 	rev := r.Revisions[storage.Control]
 	written := s.now
@@ -43,14 +43,14 @@
 		if inForce == 0 && writer.m.InForce(writer.clock(s.now), rev) {
 			inForce = s.now - written
 		}
-		if last == 0 && s.allHave(rev) {
+		if last == 0 && s.allReplicasAt(rev) {
 			last = s.now - written
 		}
 	}
 	return inForce, last
 }
 
-func (s *sim) allHave(rev storage.Revision) bool {
+func (s *sim) allReplicasAt(rev storage.Revision) bool {
 	for _, n := range s.nodes {
 		if !n.dead && n.log.Revision() < rev {
 			return false
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -115,7 +115,7 @@
 func TestReturnWithoutStampede(t *testing.T) {
 	t.Parallel()
 	nodes := 400
-	if *large {
+	if *measureLargeFleets {
 		nodes = 2000
 	}
 	s := boot(4, Settings{}, nodes, 4)
@@ -128,7 +128,7 @@
 	s.run(s.now + 20*time.Second)
 	must.Eq(t, map[State]int{CutOff: nodes - 4}, s.nodeStates())
 	perSecond := slices.Max(slices.Collect(maps.Values(s.sent))) / 20
-	must.Less(t, budget, perSecond)
+	must.Less(t, maxBytesPerSecond, perSecond)
 	s.away = false
 	most, back := 0, time.Duration(0)
 	returned := s.now
--- a/membership/member.go
+++ b/membership/member.go
@@ -61,11 +61,11 @@
 	list   reading
 	// listReceivedAt is when the list last came, by a read or with a pull.
 	listReceivedAt time.Duration
-	pull      pulling
-	round     round
-	inForce     inForceTracker
-	seats     seats
-	fallback     fallback
+	pull           pulling
+	round          round
+	inForce        inForceTracker
+	seats          seats
+	fallback       fallback
 
 	leaving bool
 }
@@ -75,13 +75,13 @@
 func New(s Settings, log Log, rng *rand.Rand) *Member {
 	s = s.withDefaults()
 	return &Member{
-		set:   s,
-		log:   log,
-		rng:   rng,
-		rules: defaultRules(s),
-		dir:   newDirectory(s),
-		calls: map[uint64]call{},
-		inForce: newForce(),
+		set:     s,
+		log:     log,
+		rng:     rng,
+		rules:   defaultRules(s),
+		dir:     newDirectory(s),
+		calls:   map[uint64]call{},
+		inForce: newInForceTracker(),
 	}
 }
 
@@ -98,14 +98,14 @@
 // Tick does what is due. Call it at NextWake or earlier.
 func (m *Member) Tick(now time.Duration) []effect.Effect {
 	m.expireCalls(now)
-	m.settleForce(now)
+	m.advanceInForce(now)
 	var out []effect.Effect
 	out = append(out, m.tickTable(now)...)
 	out = append(out, m.tickList(now)...)
 	out = append(out, m.tickPull(now)...)
 	out = append(out, m.tickRound(now)...)
 	out = append(out, m.tickFallback(now)...)
-	out = append(out, m.tickForce(now)...)
+	out = append(out, m.tickInForce(now)...)
 	out = append(out, m.tickSeats(now)...)
 	return out
 }
@@ -118,7 +118,7 @@
 		next = min(next, c.sent+m.set.CallTimeout)
 	}
 	next = min(next, m.wakeTable(), m.wakeList(), m.pullAt(), m.wakeRound())
-	return min(next, m.wakeForce(), m.wakeSeats())
+	return min(next, m.wakeInForce(), m.wakeSeats())
 }
 
 // Leave begins a planned stop: the Member gives up its seat as a witness.
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -59,7 +59,7 @@
 // A caller uses a key that was withdrawn at revision 7. The relay began with
 // a full read at 10 and has no trace of the key; the puller stands at 5. A
 // delta would leave the key working at the puller.
-func TestPullAcrossAFullReadDropsWhatWasDeleted(t *testing.T) {
+func TestPullAcrossFullReadRemovesDeletedRows(t *testing.T) {
 	relay, _ := newMember(members("b"))
 	m, log := newMember(members("b"))
 	*log = *config.NewReplica()
@@ -73,7 +73,7 @@
 
 // What a proof is worth: its age counts from the start of its exchange, and
 // the relay's age comes on top.
-func TestProofs(t *testing.T) {
+func TestProofAge(t *testing.T) {
 	read := func(m *Member, sent, answered time.Duration, rev storage.Revision) {
 		m.table.id, m.table.sent = 99, sent
 		m.ReadDone(answered, 99, storage.Changes{Revision: rev}, true)
@@ -123,7 +123,7 @@
 }
 
 // Which answers make a round a proof.
-func TestRounds(t *testing.T) {
+func TestRoundProof(t *testing.T) {
 	three := members("b", "c", "d")
 	changing := config.Witnesses{Members: []string{"b", "c", "e"}, Previous: []string{"b", "c", "d"}}
 	type answer struct {
@@ -162,7 +162,7 @@
 
 // A witness knows a newer revision: the round waits until it was pulled from
 // there, and is a proof for it then.
-func TestRoundFetchesTheNewerRevision(t *testing.T) {
+func TestRoundFetchesNewerRevision(t *testing.T) {
 	m, log := newMember(members("b", "c", "d"))
 	ids := callsTo(m.startRound(100*ms), false)
 	m.CallDone(110*ms, ids["c"], witnessed(10, true), true)
@@ -200,7 +200,7 @@
 // The outcome of an own write is a revision that the replica lacks: the
 // witnesses are asked only when it is there, because only then the list of
 // those who must know is.
-func TestRequireReadsFirst(t *testing.T) {
+func TestRequireReadsTableBeforeAskingWitnesses(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
 	m.prove(&m.byTable, 100*ms)
 	effects := m.Require(100*ms, 11)
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	modelNodes   = 7
-	modelCentres = 3
-	modelTime    = 60 * time.Second
+	modelNodes       = 7
+	modelDataCentres = 3
+	modelTime        = 60 * time.Second
 	// checkEvery is finer than any window that a fault opens by the passing
 	// of time alone, apart from the millisecond that Wait adds.
 	checkEvery = 5 * time.Millisecond
@@ -28,45 +28,45 @@
 	return Settings{WatchersPerDataCentre: 1, WitnessCount: 5, DriftPPM: 150_000, SeatStagger: 200 * time.Millisecond}
 }
 
-// history runs one seed: long group cuts with the present holder on the cut
+// faultHistory runs one seed: long group cuts with the present holder on the cut
 // side, the table seen by one side, freezes, restarts, planned stops, while
 // the shard moves from holder to holder.
-type history struct {
+type faultHistory struct {
 	*sim
 	faults      *rand.Rand
 	incarnation int
 	cuts        int
 }
 
-func newHistory(seed uint64, mutate func(*sim)) *history {
-	h := &history{sim: newSim(seed, modelSettings(), modelNodes, modelCentres), faults: rand.New(rand.NewPCG(seed, 3))}
+func newHistory(seed uint64, mutate func(*sim)) *faultHistory {
+	h := &faultHistory{sim: newSim(seed, modelSettings(), modelNodes, modelDataCentres), faults: rand.New(rand.NewPCG(seed, 3))}
 	mutate(h.sim)
-	h.startAll(modelCentres)
-	h.afterAny = h.askForce
+	h.startAll(modelDataCentres)
+	h.afterAny = h.requireInForce
 	h.repeat(checkEvery, func() time.Duration { return checkEvery }, h.check)
-	h.repeat(2*time.Second, h.between(800, 6000), func() { h.take(h.anyTaker()) })
-	h.repeat(6*time.Second, h.between(3500, 9000), h.cutGroup)
+	h.repeat(2*time.Second, h.between(800, 6000), func() { h.take(h.anyClaimant()) })
+	h.repeat(6*time.Second, h.between(3500, 9000), h.partitionGroup)
 	h.repeat(5*time.Second, h.between(2000, 8000), h.freeze)
 	h.repeat(9*time.Second, h.between(3000, 15000), h.restart)
 	h.repeat(10*time.Second, h.between(4000, 15000), func() { h.leave(h.anyNode()) })
 	return h
 }
 
-func (h *history) repeat(first time.Duration, gap func() time.Duration, do func()) {
+func (h *faultHistory) repeat(first time.Duration, gap func() time.Duration, do func()) {
 	h.after(first, func() {
 		do()
 		h.repeat(gap(), gap, do)
 	})
 }
 
-func (h *history) between(low, high int) func() time.Duration {
+func (h *faultHistory) between(low, high int) func() time.Duration {
 	return func() time.Duration { return time.Duration(low+h.faults.IntN(high-low)) * time.Millisecond }
 }
 
-func (h *history) anyNode() *simNode { return h.nodes[h.faults.IntN(modelNodes)] }
+func (h *faultHistory) anyNode() *simNode { return h.nodes[h.faults.IntN(modelNodes)] }
 
-// anyTaker prefers a node that sees the table.
-func (h *history) anyTaker() *simNode {
+// anyClaimant prefers a node that sees the table.
+func (h *faultHistory) anyClaimant() *simNode {
 	n := h.anyNode()
 	for range 5 {
 		if !h.lost(n) {
@@ -77,8 +77,8 @@
 	return n
 }
 
-// farTaker prefers a node outside a group that sees the table.
-func (h *history) farTaker(side map[int]bool) *simNode {
+// claimantOutside prefers a node outside a group that sees the table.
+func (h *faultHistory) claimantOutside(side map[int]bool) *simNode {
 	for _, slot := range h.faults.Perm(modelNodes) {
 		if n := h.nodes[slot]; !side[slot] && !h.lost(n) {
 			return n
@@ -88,7 +88,7 @@
 }
 
 // holder returns the node that the table names, or any.
-func (h *history) holder() *simNode {
+func (h *faultHistory) holder() *simNode {
 	if holders := h.table.Shard("s").Holders; len(holders) == 1 {
 		if n := h.byID(holders[0].Instance); n != nil {
 			return n
@@ -97,9 +97,9 @@
 	return h.anyNode()
 }
 
-// askForce lets every holder ask for its row to be in force, also when it
+// requireInForce lets every holder ask for its row to be in force, also when it
 // learnt of its own write only by a later read.
-func (h *history) askForce() {
+func (h *faultHistory) requireInForce() {
 	for _, n := range h.nodes {
 		rev, holds := n.holds()
 		if holds && rev > n.m.inForce.target {
@@ -108,12 +108,12 @@
 	}
 }
 
-// cutGroup cuts a group with the holder from the others for a long time,
+// partitionGroup cuts a group with the holder from the others for a long time,
 // one way or both, with the table on the far side, on the near one, on
 // both or on none. Somebody who sees the table takes the shard just then,
 // while the proofs on the cut side are young.
-func (h *history) cutGroup() {
-	side := h.chooseSide()
+func (h *faultHistory) partitionGroup() {
+	side := h.choosePartition()
 	out, in := h.faults.IntN(3) > 0, h.faults.IntN(3) > 0
 	for a := range modelNodes {
 		for b := range modelNodes {
@@ -131,16 +131,16 @@
 	h.away = seesTable == 6
 	h.snapshot()
 	for range 3 {
-		h.after(time.Duration(h.faults.IntN(100))*time.Millisecond, func() { h.take(h.farTaker(side)) })
+		h.after(time.Duration(h.faults.IntN(100))*time.Millisecond, func() { h.take(h.claimantOutside(side)) })
 	}
 	h.cuts++
 	cut := h.cuts
 	h.after(h.between(2500, 8000)(), func() { h.heal(cut) })
 }
 
-// chooseSide returns the holder with some others, or else a majority of the
+// choosePartition returns the holder with some others, or else a majority of the
 // witnesses, of which one is about to leave: the far side changes the list.
-func (h *history) chooseSide() map[int]bool {
+func (h *faultHistory) choosePartition() map[int]bool {
 	side := map[int]bool{h.holder().slot: true}
 	if h.faults.IntN(3) > 0 {
 		for want := 1 + h.faults.IntN(4); len(side) < want; {
@@ -163,7 +163,7 @@
 	return side
 }
 
-func (h *history) heal(cut int) {
+func (h *faultHistory) heal(cut int) {
 	if cut != h.cuts {
 		return
 	}
@@ -176,7 +176,7 @@
 
 // freeze stops a node for longer than any timeout. It begins just when the
 // node sent something, so that the answer waits for it.
-func (h *history) freeze() {
+func (h *faultHistory) freeze() {
 	n := h.holder()
 	if h.faults.IntN(2) == 0 {
 		n = h.anyNode()
@@ -184,17 +184,17 @@
 	n.freezeNext = h.between(300, 8000)()
 }
 
-func (h *history) restart() { h.replace(h.anyNode()) }
+func (h *faultHistory) restart() { h.replace(h.anyNode()) }
 
 // replace ends a node and starts it anew under a new id. The platform's list
 // follows later.
-func (h *history) replace(n *simNode) {
+func (h *faultHistory) replace(n *simNode) {
 	if n.dead {
 		return
 	}
 	n.dead = true
 	h.incarnation++
-	started := h.start(n.slot, h.incarnation, modelCentres)
+	started := h.start(n.slot, h.incarnation, modelDataCentres)
 	h.after(h.between(100, 3000)(), func() {
 		ended, _ := h.list.Instance(n.id)
 		ended.State = storage.Ended
@@ -203,7 +203,7 @@
 }
 
 // leave is a planned stop: the list shows it, the node goes on for a while.
-func (h *history) leave(n *simNode) {
+func (h *faultHistory) leave(n *simNode) {
 	leaving, ok := h.list.Instance(n.id)
 	if !ok || leaving.State != storage.Live {
 		return
@@ -214,22 +214,22 @@
 	h.after(h.between(2000, 12000)(), func() { h.replace(n) })
 }
 
-func runHistory(seed uint64, mutate func(*sim)) *history {
+func runHistory(seed uint64, mutate func(*sim)) *faultHistory {
 	h := newHistory(seed, mutate)
 	h.run(modelTime)
 	return h
 }
 
 var (
-	modelSeeds   = flag.Uint64("model.seeds", 40, "histories of the model test")
-	countMutants = flag.Bool("model.count", false, "count the red seeds of every mutant")
+	modelSeeds          = flag.Uint64("model.seeds", 40, "histories of the model test")
+	countMutantFailures = flag.Bool("model.count", false, "count the red seeds of every mutant")
 )
 
 // Two instances spend the same part, or one acts on a key that was already
 // taken away everywhere: the cut side must run out of proofs before the other
 // side begins to act. Every seed is a different order of cuts, freezes,
 // restarts, planned stops and lost answers.
-func TestModelNobodyActsOnWhatWasTakenAway(t *testing.T) {
+func TestModelNoInstanceActsOnRevokedState(t *testing.T) {
 	const lanes = 4
 	for lane := range uint64(lanes) {
 		t.Run(fmt.Sprintf("lane %d", lane), func(t *testing.T) {
--- a/membership/mutant_test.go
+++ b/membership/mutant_test.go
@@ -13,7 +13,7 @@
 // Each rule that confirmed age rests on is needed: without it, the model
 // finds an instance that acts on what was taken away. A mutant that stays
 // green would mean that the faults are too mild to prove anything.
-func TestModelMutantsAreFound(t *testing.T) {
+func TestModelDetectsMutants(t *testing.T) {
 	// The rarest mutant is red at firstSeed, which saves the time of the
 	// histories before it.
 	const firstSeed, seeds = 29, 150
@@ -62,7 +62,7 @@
 					first, example = seed, h.failures[0]
 				}
 				red++
-				if !*countMutants {
+				if !*countMutantFailures {
 					break
 				}
 			}
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -58,9 +58,9 @@
 	must.False(t, d.apply(storage.InstanceChanges{Version: 2}))
 	must.Len(t, 399, d.Entries())
 	must.Len(t, 1, d.Servers("s"))
-	must.Len(t, 2, d.since(1).Changed)
-	must.True(t, d.since(0).Full)
-	must.Len(t, 401, d.since(0).Changed)
+	must.Len(t, 2, d.changesSince(1).Changed)
+	must.True(t, d.changesSince(0).Full)
+	must.Len(t, 401, d.changesSince(0).Changed)
 
 	// Too many ended ones: the oldest go, and whoever lacks that gets all.
 	for version, n := range []int{3: 600, 4: 500} {
@@ -70,7 +70,7 @@
 		}
 		d.apply(storage.InstanceChanges{Version: uint64(version), Changed: ended})
 	}
-	must.Len(t, 401+keptEnded/2, d.since(0).Changed)
-	must.True(t, d.since(2).Full)
-	must.False(t, d.since(3).Full)
+	must.Len(t, 401+maxEndedInstances/2, d.changesSince(0).Changed)
+	must.True(t, d.changesSince(2).Full)
+	must.False(t, d.changesSince(3).Full)
 }
--- a/membership/sim_platform_test.go
+++ b/membership/sim_platform_test.go
@@ -41,7 +41,7 @@
 	s.reads++
 	s.after(2*s.latency(), func() {
 		ok := !s.lost(n) && !s.deaf[n.slot]
-		c := s.list.since(r.Since)
+		c := s.list.changesSince(r.Since)
 		s.step(n, func(now time.Duration) []effect.Effect { return n.m.InstancesDone(now, r.ID, c, ok) })
 	})
 }
