--- a/entry/operators/operators.go
+++ b/entry/operators/operators.go
@@ -126,9 +126,9 @@
 
 func source(state membership.State) oas.ConfirmationSource {
 	switch state {
-	case membership.ByTable:
+	case membership.ConfirmedByTable:
 		return oas.ConfirmationSourceTable
-	case membership.ByWitnesses:
+	case membership.ConfirmedByWitnesses:
 		return oas.ConfirmationSourceWitnesses
 	default:
 		return oas.ConfirmationSourceNone
--- a/membership/cost_test.go
+++ b/membership/cost_test.go
@@ -57,7 +57,7 @@
 	m := s.nodes[0].m
 	now := s.nodes[0].clock(s.now)
 	for b.Loop() {
-		m.Confirmed(now)
+		m.Confirmation(now)
 		m.InForce(now, 1)
 		m.NextWake()
 	}
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -18,16 +18,16 @@
 	m := membership.New(membership.Settings{Self: "a", DataCentre: "luzon-1", Fresh: 2 * time.Second},
 		config.NewReplica(), rand.New(rand.NewPCG(1, 2)))
 	start := time.Second
-	fmt.Println(m.Confirmed(start).State == membership.CutOff)
+	fmt.Println(m.Confirmation(start).State == membership.CutOff)
 	for _, e := range m.Tick(start) {
 		if read, ok := e.(effect.ReadTable); ok {
 			// The driver reads the table; its answer takes 300 ms.
 			m.ReadDone(start+300*time.Millisecond, read.ID, storage.Changes{Revision: 7}, true)
 		}
 	}
-	c := m.Confirmed(start + 300*time.Millisecond)
-	fmt.Println(c.State == membership.ByTable, c.Revision, c.Age)
-	fmt.Println(m.Confirmed(start+2100*time.Millisecond).State == membership.CutOff)
+	c := m.Confirmation(start + 300*time.Millisecond)
+	fmt.Println(c.State == membership.ConfirmedByTable, c.Revision, c.Age)
+	fmt.Println(m.Confirmation(start+2100*time.Millisecond).State == membership.CutOff)
 	// Output:
 	// true
 	// true 7 300ms
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -27,7 +27,7 @@
 	states := map[State]int{}
 	for _, n := range s.nodes {
 		if !n.dead {
-			states[n.m.Confirmed(n.clock(s.now)).State]++
+			states[n.m.Confirmation(n.clock(s.now)).State]++
 		}
 	}
 	return states
@@ -58,11 +58,11 @@
 	s.run(s.now + 5*time.Second)
 	for range 2 * 60 * 6 {
 		s.run(s.now + 10*time.Second)
-		must.Eq(t, map[State]int{ByWitnesses: 5}, s.nodeStates())
+		must.Eq(t, map[State]int{ConfirmedByWitnesses: 5}, s.nodeStates())
 	}
 	s.away = false
 	s.run(s.now + 3*time.Second)
-	must.Eq(t, map[State]int{ByTable: 5}, s.nodeStates())
+	must.Eq(t, map[State]int{ConfirmedByTable: 5}, s.nodeStates())
 }
 
 // Two instances are cut off from everything while the rest goes on. Within
@@ -78,11 +78,11 @@
 		}
 	}
 	s.run(s.now + DefaultFresh*1001/1000)
-	must.Eq(t, map[State]int{CutOff: 2, ByTable: 38}, s.nodeStates())
+	must.Eq(t, map[State]int{CutOff: 2, ConfirmedByTable: 38}, s.nodeStates())
 	clear(s.cut)
 	clear(s.unseen)
 	s.run(s.now + time.Minute)
-	must.Eq(t, map[State]int{ByTable: 40}, s.nodeStates())
+	must.Eq(t, map[State]int{ConfirmedByTable: 40}, s.nodeStates())
 }
 
 // All watchers of a data centre end at once, and the list doesn't show it
@@ -106,7 +106,7 @@
 	must.Less(t, 10*7, cutOff) // below one second for each of the 7 left there
 	// Three watchers less read; nobody else reads in their place.
 	must.Less(t, healthy-2*3*30, reads)
-	must.Eq(t, map[State]int{ByTable: 37}, s.nodeStates())
+	must.Eq(t, map[State]int{ConfirmedByTable: 37}, s.nodeStates())
 }
 
 // The platform is away, and so is a majority of the witnesses: every
@@ -136,7 +136,7 @@
 		before := s.reads
 		s.run(s.now + 100*time.Millisecond)
 		most = max(most, s.reads-before)
-		if back == 0 && s.nodeStates()[ByTable] == nodes-4 {
+		if back == 0 && s.nodeStates()[ConfirmedByTable] == nodes-4 {
 			back = s.now - returned
 		}
 	}
@@ -214,7 +214,7 @@
 	s.run(s.now + 5*time.Second)
 	for range 100 {
 		s.run(s.now + 100*time.Millisecond)
-		must.Eq(t, ByTable, n.m.Confirmed(n.clock(s.now)).State)
+		must.Eq(t, ConfirmedByTable, n.m.Confirmation(n.clock(s.now)).State)
 	}
 }
 
@@ -262,7 +262,7 @@
 	s.away = true
 	s.run(s.now + 10*time.Second)
 	for _, n := range s.nodes[:3] {
-		must.Eq(t, ByWitnesses, n.m.Confirmed(n.clock(s.now)).State)
+		must.Eq(t, ConfirmedByWitnesses, n.m.Confirmation(n.clock(s.now)).State)
 	}
 }
 
@@ -271,10 +271,10 @@
 	t.Parallel()
 	for n := 1; n <= 3; n++ {
 		s := boot(12, Settings{}, n, 2)
-		must.Eq(t, map[State]int{ByTable: n}, s.nodeStates())
+		must.Eq(t, map[State]int{ConfirmedByTable: n}, s.nodeStates())
 		s.away = true
 		s.run(s.now + time.Minute)
-		must.Eq(t, map[State]int{ByWitnesses: n}, s.nodeStates())
+		must.Eq(t, map[State]int{ConfirmedByWitnesses: n}, s.nodeStates())
 	}
 }
 
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -88,18 +88,18 @@
 		do   func(*Member)
 		want Confirmation // at one second
 	}{
-		{"read", func(m *Member) { read(m, 100*ms, 300*ms, 10) }, Confirmation{State: ByTable, Age: 900 * ms}},
-		{"newer read", func(m *Member) { read(m, 100*ms, 300*ms, 11) }, Confirmation{State: ByTable, Age: 900 * ms, Revision: 11}},
+		{"read", func(m *Member) { read(m, 100*ms, 300*ms, 10) }, Confirmation{State: ConfirmedByTable, Age: 900 * ms}},
+		{"newer read", func(m *Member) { read(m, 100*ms, 300*ms, 11) }, Confirmation{State: ConfirmedByTable, Age: 900 * ms, Revision: 11}},
 		{"read of a table that went back", func(m *Member) { read(m, 100*ms, 300*ms, 9) }, Confirmation{}},
 		{"late read", func(m *Member) {
 			m.ReadDone(300*ms, 98, storage.Changes{Revision: 11}, true)
 		}, Confirmation{Revision: 11}},
 		{"relayed", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: same, TableAge: 500 * ms})
-		}, Confirmation{State: ByTable, Age: 1400 * ms}},
+		}, Confirmation{State: ConfirmedByTable, Age: 1400 * ms}},
 		{"relayed by a lower replica", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: storage.Changes{Revision: 9}, WitnessAge: 500 * ms})
-		}, Confirmation{State: ByWitnesses, Age: 1400 * ms}},
+		}, Confirmation{State: ConfirmedByWitnesses, Age: 1400 * ms}},
 		{"relayed too old", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: same, TableAge: 1200 * ms})
 		}, Confirmation{}},
@@ -109,15 +109,15 @@
 		{"younger by witnesses", func(m *Member) {
 			read(m, 100*ms, 300*ms, 10)
 			pull(m, 600*ms, 700*ms, Pulled{Changes: same, WitnessAge: 100 * ms})
-		}, Confirmation{State: ByTable, Age: 500 * ms}},
+		}, Confirmation{State: ConfirmedByTable, Age: 500 * ms}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, _ := newMember(members("b"))
 			c.do(m)
 			want := c.want
 			want.Revision = max(want.Revision, 10)
-			must.Eq(t, want, m.Confirmed(time.Second))
-			must.Eq(t, CutOff, m.Confirmed(3*time.Second).State)
+			must.Eq(t, want, m.Confirmation(time.Second))
+			must.Eq(t, CutOff, m.Confirmation(3*time.Second).State)
 		})
 	}
 }
@@ -153,9 +153,9 @@
 			}
 			want := Confirmation{Revision: 10}
 			if c.proved {
-				want.State, want.Age = ByWitnesses, 900*ms
+				want.State, want.Age = ConfirmedByWitnesses, 900*ms
 			}
-			must.Eq(t, want, m.Confirmed(time.Second))
+			must.Eq(t, want, m.Confirmation(time.Second))
 		})
 	}
 }
@@ -167,10 +167,10 @@
 	ids := callsTo(m.startRound(100*ms), false)
 	m.CallDone(110*ms, ids["c"], witnessed(10, true), true)
 	fetched := callsTo(m.CallDone(120*ms, ids["b"], witnessed(11, true), true), true)
-	must.Eq(t, CutOff, m.Confirmed(130*ms).State)
+	must.Eq(t, CutOff, m.Confirmation(130*ms).State)
 	m.CallDone(130*ms, fetched["b"], Reply{Pull: &Pulled{Changes: storage.Changes{Revision: 11}}}, true)
 	must.Eq(t, storage.Revision(11), log.Revision())
-	must.Eq(t, Confirmation{State: ByWitnesses, Age: 900 * ms, Revision: 11}, m.Confirmed(time.Second))
+	must.Eq(t, Confirmation{State: ConfirmedByWitnesses, Age: 900 * ms, Revision: 11}, m.Confirmation(time.Second))
 }
 
 // When a revision is in force: after a majority was heard to know it, the
@@ -178,7 +178,7 @@
 // end of one taking says nothing of the next.
 func TestInForce(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
-	wait := m.set.Wait()
+	wait := m.set.InForceDelay()
 	ids := callsTo(m.Require(100*ms, 10), false)
 	must.SliceContainsAll(t, []string{"b", "c", "d"}, m.Missing(10))
 	m.CallDone(110*ms, ids["b"], witnessed(10, true), true)
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -249,7 +249,7 @@
 				revisions, inForce, acted, states)
 			// A model in which nobody acts would prove nothing.
 			must.Positive(t, acted)
-			must.Positive(t, states[ByWitnesses])
+			must.Positive(t, states[ConfirmedByWitnesses])
 			must.Positive(t, states[CutOff])
 			must.Greater(t, revisions*8/10, inForce)
 		})
--- a/membership/proof.go
+++ b/membership/proof.go
@@ -13,19 +13,19 @@
 	// CutOff means that there is no proof within Fresh. The instance refuses
 	// work as not run.
 	CutOff State = iota
-	// ByWitnesses means that the table can't be reached and the witnesses
+	// ConfirmedByWitnesses means that the table can't be reached and the witnesses
 	// know of nothing newer. The instance keeps serving.
-	ByWitnesses
-	// ByTable means that a read of the table is the proof.
-	ByTable
+	ConfirmedByWitnesses
+	// ConfirmedByTable means that a read of the table is the proof.
+	ConfirmedByTable
 )
 
 // String returns the state's name for logs.
 func (s State) String() string {
 	switch s {
-	case ByTable:
+	case ConfirmedByTable:
 		return "confirmed by the table"
-	case ByWitnesses:
+	case ConfirmedByWitnesses:
 		return "confirmed by witnesses"
 	default:
 		return "cut off"
@@ -64,16 +64,16 @@
 	return age
 }
 
-// Confirmed returns how the instance's revision is confirmed now. Ask again
+// Confirmation returns how the instance's revision is confirmed now. Ask again
 // for each decision: a process that was frozen learns it here.
-func (m *Member) Confirmed(now time.Duration) Confirmation {
+func (m *Member) Confirmation(now time.Duration) Confirmation {
 	c := Confirmation{Revision: m.log.Revision()}
 	table, witnesses := m.ages(now)
 	switch {
 	case table > 0:
-		c.State, c.Age = ByTable, table
+		c.State, c.Age = ConfirmedByTable, table
 	case witnesses > 0:
-		c.State, c.Age = ByWitnesses, witnesses
+		c.State, c.Age = ConfirmedByWitnesses, witnesses
 	}
 	if witnesses > 0 {
 		c.Age = min(c.Age, witnesses)
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -19,8 +19,8 @@
 	return ranked
 }
 
-// First returns the best id for a key; empty if there is none.
-func First(key string, ids []string) string {
+// TopRanked returns the best id for a key; empty if there is none.
+func TopRanked(key string, ids []string) string {
 	var best scoredID
 	for _, id := range ids {
 		s := scoredID{id: id, score: score(key, id)}
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -19,7 +19,7 @@
 		key := rapid.String().Draw(t, "key")
 		gone := rapid.SampledFrom(ids).Draw(t, "gone")
 		ranked := Rank(key, ids)
-		must.Eq(t, ranked[0], First(key, ids))
+		must.Eq(t, ranked[0], TopRanked(key, ids))
 		must.Eq(t, slices.Index(ranked, gone), position(key, gone, ids))
 		must.Eq(t, remove(ranked, gone), Rank(key, remove(ids, gone)))
 	})
--- a/membership/roles.go
+++ b/membership/roles.go
@@ -45,7 +45,7 @@
 func (d *Directory) Collector(service string) string {
 	collector, ok := d.collectors[service]
 	if !ok {
-		collector = First(collectorKey+service, d.entryIDs)
+		collector = TopRanked(collectorKey+service, d.entryIDs)
 		d.collectors[service] = collector
 	}
 	return collector
@@ -62,7 +62,7 @@
 			delete(d.collectors, service)
 			continue
 		}
-		d.collectors[service] = First(collectorKey+service, append(came, collector))
+		d.collectors[service] = TopRanked(collectorKey+service, append(came, collector))
 	}
 }
 
--- a/membership/rules.go
+++ b/membership/rules.go
@@ -30,7 +30,7 @@
 func defaultRules(s Settings) rules {
 	return rules{
 		proofStart: func(sent, _ time.Duration) time.Duration { return sent },
-		wait:       s.Wait(),
+		wait:       s.InForceDelay(),
 		answered:   jointMajority,
 		known:      jointMajority,
 		mayDrop:    func(known, row storage.Revision) bool { return known >= row },
--- a/membership/seats.go
+++ b/membership/seats.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	seen := m.table.failures == 0 && m.table.answered >= m.seats.ended
-	return seen && m.Confirmed(now).State == ByTable && len(m.dir.entryIDs) > 0
+	return seen && m.Confirmation(now).State == ConfirmedByTable && len(m.dir.entryIDs) > 0
 }
 
 // seatTurn says whether the need for a change has stood for so long that
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -62,10 +62,10 @@
 	DefaultSeatStagger           = time.Second
 )
 
-// Wait is how long after a majority of the witnesses knew a revision it is
+// InForceDelay is how long after a majority of the witnesses knew a revision it is
 // in force. The holder of an old proof may count Fresh on a slow clock while
 // the one who waits counts on a fast one.
-func (s Settings) Wait() time.Duration {
+func (s Settings) InForceDelay() time.Duration {
 	const million = 1_000_000
 	slow, fast := int64(million-s.DriftPPM), int64(million+s.DriftPPM)
 	return time.Duration(int64(s.Fresh)*fast/slow) + time.Millisecond
--- a/membership/sim_holder_test.go
+++ b/membership/sim_holder_test.go
@@ -40,7 +40,7 @@
 // acts says whether the node spends the shard's parts now.
 func (n *simNode) acts(now time.Duration) bool {
 	rev, holds := n.holds()
-	return holds && n.m.Confirmed(now).State != CutOff && n.m.InForce(now, rev)
+	return holds && n.m.Confirmation(now).State != CutOff && n.m.InForce(now, rev)
 }
 
 // check notes a violation of what must always hold.
@@ -70,7 +70,7 @@
 		if n == nil || n.dead || s.now < n.frozen {
 			continue
 		}
-		c := n.m.Confirmed(n.clock(s.now))
+		c := n.m.Confirmation(n.clock(s.now))
 		s.states[c.State]++
 		if c.State != CutOff && c.Revision < s.inForce {
 			s.fail("%s acts on revision %d (%v, age %v) while %d is in force", n.id, c.Revision, c.State, c.Age, s.inForce)
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -74,7 +74,7 @@
 // until returns the time up to which what this instance knows now is
 // confirmed; a time that is past if it isn't confirmed at all.
 func (n *Node) until() time.Duration {
-	c := n.member.Confirmed(n.now)
+	c := n.member.Confirmation(n.now)
 	if c.State == membership.CutOff {
 		return n.now - 1
 	}
--- a/node/claims.go
+++ b/node/claims.go
@@ -99,11 +99,11 @@
 // lookForOldClaims reads one slice of the claims table now and then, if this
 // instance is the one that does so.
 func (n *Node) lookForOldClaims() {
-	if n.now < n.pruning.next || n.member.Confirmed(n.now).State != membership.ByTable {
+	if n.now < n.pruning.next || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
 	}
 	n.pruning.next = n.now + pruneEvery
-	if membership.First("claim-pruner", n.entryIDs()) != n.settings.Self.ID {
+	if membership.TopRanked("claim-pruner", n.entryIDs()) != n.settings.Self.ID {
 		return
 	}
 	prefix := fmt.Sprintf("%s%02x", claim.RowPrefix, n.pruning.slice)
@@ -125,7 +125,7 @@
 // the table didn't answer. One that took effect late is deleted: it would make
 // every instance say "in progress" of an operation that nobody runs.
 func (n *Node) lookForAbandonedClaims() {
-	if n.now < n.pruning.sweepAt || n.member.Confirmed(n.now).State != membership.ByTable {
+	if n.now < n.pruning.sweepAt || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
 	}
 	n.pruning.sweepAt = n.now + sweepEvery
--- a/node/locate.go
+++ b/node/locate.go
@@ -80,7 +80,7 @@
 func (n *Node) Serving(now time.Duration) (decision.Rule, bool) {
 	n.now = max(n.now, now)
 	switch {
-	case n.member.Confirmed(n.now).State == membership.CutOff:
+	case n.member.Confirmation(n.now).State == membership.CutOff:
 		return decision.RuleCutOff, false
 	case n.leaving:
 		return decision.RuleInstanceLeaving, false
--- a/node/node.go
+++ b/node/node.go
@@ -248,7 +248,7 @@
 }
 
 func (n *Node) noticeState() {
-	c := n.member.Confirmed(n.now)
+	c := n.member.Confirmation(n.now)
 	if c.State != membership.CutOff {
 		n.freshUntil = n.now - c.Age + n.member.Settings().Fresh
 	}
--- a/node/request.go
+++ b/node/request.go
@@ -117,7 +117,7 @@
 
 // identify finds the workspace of a key.
 func (n *Node) identify(key config.KeyHash, has bool, f *decision.Figures) (decision.Rule, config.Workspace) {
-	c := n.member.Confirmed(n.now)
+	c := n.member.Confirmation(n.now)
 	f.Revision = uint64(c.Revision)
 	if c.State == membership.CutOff {
 		f.AgeLimit = n.member.Settings().Fresh
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -122,7 +122,7 @@
 	for range 3 {
 		f.run(time.Hour)
 		for _, name := range f.names {
-			must.Eq(t, membership.ByWitnesses, f.nodes[name].node.member.Confirmed(f.nodes[name].local(f.now)).State)
+			must.Eq(t, membership.ConfirmedByWitnesses, f.nodes[name].node.member.Confirmation(f.nodes[name].local(f.now)).State)
 			operation := f.operationKey(name, key)
 			id := f.arrive(f.names[0], key, post(operation))
 			f.run(time.Second)
--- a/node/servers.go
+++ b/node/servers.go
@@ -135,7 +135,7 @@
 		if n.member.Live().Collector(service) != n.settings.Self.ID || n.leaving {
 			continue
 		}
-		if n.member.Confirmed(n.now).State == membership.ByTable {
+		if n.member.Confirmation(n.now).State == membership.ConfirmedByTable {
 			n.propose(service)
 		}
 		n.probe(service)
--- a/node/shards.go
+++ b/node/shards.go
@@ -104,7 +104,7 @@
 		revision:    row.Revision,
 		row:         shard,
 		former:      seen.row,
-		formerUntil: n.now + n.member.Settings().Wait(),
+		formerUntil: n.now + n.member.Settings().InForceDelay(),
 	}
 	held := n.shards.held[name]
 	if held == nil && len(quota.Pending(shard, n.settings.Self.ID)) == 0 {
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -34,7 +34,7 @@
 			listed = true
 			continue
 		}
-		if membership.First(key, []string{e.ID, n.settings.Self.ID}) == e.ID {
+		if membership.TopRanked(key, []string{e.ID, n.settings.Self.ID}) == e.ID {
 			before++
 		}
 		if before >= inLine {
@@ -46,7 +46,7 @@
 
 // planShards writes at most one row that should be different.
 func (n *Node) planShards() {
-	if n.member.Confirmed(n.now).State != membership.ByTable || n.shards.writing || n.now < n.shards.writeAt {
+	if n.member.Confirmation(n.now).State != membership.ConfirmedByTable || n.shards.writing || n.now < n.shards.writeAt {
 		return
 	}
 	n.shards.more = false
--- a/node/status.go
+++ b/node/status.go
@@ -83,7 +83,7 @@
 	n.now = max(n.now, now)
 	s := Status{
 		Instance:     n.settings.Self,
-		Confirmation: n.member.Confirmed(n.now),
+		Confirmation: n.member.Confirmation(n.now),
 		Fresh:        n.member.Settings().Fresh,
 		Lists:        n.replica.Lists(),
 		Entries:      slices.Clone(n.member.Live().Entries()),
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -104,7 +104,7 @@
 // whose configuration isn't confirmed gives nothing: its parts may be
 // somebody else's by now.
 func (n *Node) give(a quota.Ask) (quota.Transfer, bool) {
-	if n.member.Confirmed(n.now).State == membership.CutOff {
+	if n.member.Confirmation(n.now).State == membership.CutOff {
 		return quota.Transfer{}, false
 	}
 	limit, ok := n.replica.Limit(a.Bucket.Workspace, a.Bucket.Service)
--- a/node/unadvertised.go
+++ b/node/unadvertised.go
@@ -82,7 +82,7 @@
 }
 
 func (n *Node) writeUnadvertised(ids []string) {
-	if n.unadvertised.writing || n.member.Confirmed(n.now).State != membership.ByTable {
+	if n.unadvertised.writing || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
 	}
 	value, err := json.Marshal(config.Unadvertised{Instances: ids})
