--- a/membership/alone.go
+++ b/membership/alone.go
@@ -35,8 +35,8 @@
 	}
 	m.alone.next = now + m.aloneGap()
 	m.alone.failures++
-	m.table.wanted = m.table.wanted || !m.reads()
-	m.list.wanted = m.list.wanted || !m.watches()
+	m.table.requested = m.table.requested || !m.readsTableRegularly()
+	m.list.requested = m.list.requested || !m.watches()
 	out := m.tickTable(now)
 	out = append(out, m.tickList(now)...)
 	if m.round.open && now-m.round.start < m.set.CallTimeout {
@@ -48,7 +48,7 @@
 // oldAt returns when the youngest proof is so old that a healthy instance
 // would have a younger one.
 func (m *Member) oldAt() time.Duration {
-	p := m.youngest()
+	p := m.youngestProof()
 	if !p.held {
 		return 0
 	}
--- a/membership/call.go
+++ b/membership/call.go
@@ -48,9 +48,9 @@
 	delete(m.calls, id)
 	switch {
 	case ok && c.kind != witnessCall && reply.Pull != nil:
-		return m.pulled(now, c, *reply.Pull)
+		return m.handlePulled(now, c, *reply.Pull)
 	case ok && c.kind == witnessCall && reply.Witness != nil:
-		return m.witnessed(now, c, *reply.Witness)
+		return m.handleWitnessed(now, c, *reply.Witness)
 	}
 	m.callFailed(now, c)
 	return m.Tick(now)
@@ -84,7 +84,7 @@
 }
 
 func (m *Member) answerPull(now time.Duration, p Pull) *Pulled {
-	table, witnesses := m.ages(now)
+	table, witnesses := m.proofAges(now)
 	return &Pulled{
 		Changes:    m.changesSince(p.Since),
 		List:       m.dir.since(p.ListSince),
@@ -106,8 +106,8 @@
 // hurry makes the next read or pull come soon, after word of a revision
 // that the replica lacks.
 func (m *Member) hurry(now time.Duration) {
-	m.pull.next = min(m.pull.next, max(now, m.pull.last+hurryGap))
-	if m.reads() {
+	m.pull.next = min(m.pull.next, max(now, m.pull.lastSent+hurryGap))
+	if m.readsTableRegularly() {
 		m.table.next = min(m.table.next, max(now, m.table.sent+hurryGap))
 	}
 }
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -177,7 +177,7 @@
 func (d *Directory) followEntries(before []string) {
 	d.watchers = map[string][]string{}
 	d.witnesses = nil
-	d.followCollectors(before)
+	d.updateCollectors(before)
 	d.dataCentres = sortedKeys(d.byCentre)
 	d.selfWatches = d.isWatcher(d.set.Self)
 }
--- a/membership/force.go
+++ b/membership/force.go
@@ -64,7 +64,7 @@
 // more. It becomes true only after Require, or a later one's.
 func (m *Member) InForce(now time.Duration, rev storage.Revision) bool {
 	m.settleForce(now)
-	return m.rules.covers(m.force.reached, rev)
+	return m.rules.isInForce(m.force.reached, rev)
 }
 
 // Missing returns the witnesses that a revision waits for: those that
@@ -75,7 +75,7 @@
 		return nil
 	}
 	var missing []string
-	for _, id := range witnessIDs(m.log.Witnesses()) {
+	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		if !m.knows(id, rev) {
 			missing = append(missing, id)
 		}
@@ -84,7 +84,7 @@
 }
 
 func (m *Member) settleForce(now time.Duration) {
-	for len(m.force.takings) > 0 && now >= m.force.takings[0].at+m.rules.wait {
+	for len(m.force.takings) > 0 && now >= m.force.takings[0].at+m.rules.inForceDelay {
 		m.force.reached = m.force.takings[0].revision
 		m.force.takings = m.force.takings[1:]
 	}
@@ -112,7 +112,7 @@
 			return
 		}
 		knows := func(id string) bool { return m.knows(id, rev) }
-		if m.rules.known(m.log.Witnesses(), knows) {
+		if m.rules.knownByQuorum(m.log.Witnesses(), knows) {
 			m.force.takings = append(m.force.takings, taking{revision: rev, at: now})
 			return
 		}
@@ -123,7 +123,7 @@
 // know can change, up to the replica's own, highest first.
 func (m *Member) candidates(own storage.Revision) []storage.Revision {
 	revisions := []storage.Revision{own}
-	for _, id := range witnessIDs(m.log.Witnesses()) {
+	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		revisions = append(revisions, min(own, m.force.known[id]))
 	}
 	slices.Sort(revisions)
@@ -137,7 +137,7 @@
 	}
 	m.force.next = now + m.set.CallTimeout
 	if m.log.Revision() < m.force.target {
-		m.table.wanted = true
+		m.table.requested = true
 		return m.tickTable(now)
 	}
 	return m.inform(now)
@@ -145,16 +145,16 @@
 
 func (m *Member) inform(now time.Duration) []effect.Effect {
 	var out []effect.Effect
-	for _, id := range witnessIDs(m.log.Witnesses()) {
+	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		if m.knows(id, m.force.target) {
 			continue
 		}
 		known := m.force.known[id]
 		if known == 0 {
-			out = append(out, m.ask(now, id, 0, nil, 0))
+			out = append(out, m.callWitness(now, id, 0, nil, 0))
 			continue
 		}
-		out = append(out, m.ask(now, id, 0, m.offer(known), known))
+		out = append(out, m.callWitness(now, id, 0, m.offer(known), known))
 	}
 	return out
 }
@@ -165,7 +165,7 @@
 		next = m.force.next
 	}
 	if len(m.force.takings) > 0 {
-		next = min(next, m.force.takings[0].at+m.rules.wait)
+		next = min(next, m.force.takings[0].at+m.rules.inForceDelay)
 	}
 	return next
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -57,14 +57,14 @@
 
 	lastID uint64
 	calls  map[uint64]call
-	table  reading
-	list   reading
+	table  readState
+	list   readState
 	// listHeard is when the list last came, by a read or with a pull.
 	listHeard time.Duration
-	pull      pulling
-	round     round
+	pull      pullState
+	round     roundState
 	force     force
-	seats     seats
+	seats     witnessSetState
 	alone     alone
 
 	leaving bool
@@ -106,7 +106,7 @@
 	out = append(out, m.tickRound(now)...)
 	out = append(out, m.tickAlone(now)...)
 	out = append(out, m.tickForce(now)...)
-	out = append(out, m.tickSeats(now)...)
+	out = append(out, m.tickWitnessSet(now)...)
 	return out
 }
 
@@ -117,8 +117,8 @@
 	for _, c := range m.calls {
 		next = min(next, c.sent+m.set.CallTimeout)
 	}
-	next = min(next, m.wakeTable(), m.wakeList(), m.pullAt(), m.wakeRound())
-	return min(next, m.wakeForce(), m.wakeSeats())
+	next = min(next, m.wakeTable(), m.wakeList(), m.nextPullTime(), m.wakeRound())
+	return min(next, m.wakeForce(), m.wakeWitnessSet())
 }
 
 // Leave begins a planned stop: the Member gives up its seat as a witness.
@@ -126,12 +126,12 @@
 func (m *Member) Leave(now time.Duration) []effect.Effect {
 	m.leaving = true
 	m.seats.next = now
-	return m.tickSeats(now)
+	return m.tickWitnessSet(now)
 }
 
 // Seated says whether the instance is a witness as far as it knows.
 func (m *Member) Seated() bool {
-	return seated(m.log.Witnesses(), m.set.Self)
+	return isWitness(m.log.Witnesses(), m.set.Self)
 }
 
 // apply takes changes of the table from anywhere.
@@ -145,7 +145,7 @@
 	if c.Full {
 		m.base = c.Revision
 	}
-	m.settleRound(now)
+	m.completeRound(now)
 	m.countKnown(now)
 }
 
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -65,7 +65,7 @@
 	*log = *config.NewReplica()
 	log.Apply(full(5, row("plan/p", 5, config.Plan{})))
 	reply := relay.Handle(0, "a", Request{Pull: &Pull{Since: 5}})
-	m.pulled(0, call{}, *reply.Pull)
+	m.handlePulled(0, call{}, *reply.Pull)
 	must.Eq(t, storage.Revision(10), log.Revision())
 	_, found := log.Row("plan/p")
 	must.False(t, found)
--- a/membership/mutant_test.go
+++ b/membership/mutant_test.go
@@ -30,22 +30,22 @@
 		{"age counted from the answer", withRules(func(r *rules) {
 			r.proofStart = func(_, answered time.Duration) time.Duration { return answered }
 		})},
-		{"wait shortened by a fifth", withRules(func(r *rules) { r.wait = r.wait * 4 / 5 })},
-		{"wait without the clocks' error", withRules(func(r *rules) { r.wait = DefaultFresh })},
+		{"wait shortened by a fifth", withRules(func(r *rules) { r.inForceDelay = r.inForceDelay * 4 / 5 })},
+		{"wait without the clocks' error", withRules(func(r *rules) { r.inForceDelay = DefaultFresh })},
 		{"no witness counted for a change", withRules(func(r *rules) {
-			r.known = func(config.Witnesses, func(string) bool) bool { return true }
+			r.knownByQuorum = func(config.Witnesses, func(string) bool) bool { return true }
 		})},
 		{"no witness counted for a round", withRules(func(r *rules) {
-			r.answered = func(config.Witnesses, func(string) bool) bool { return true }
+			r.answeredByQuorum = func(config.Witnesses, func(string) bool) bool { return true }
 		})},
 		{"list changed without the joint count", withRules(func(r *rules) {
-			r.answered, r.known = onlyMembers, onlyMembers
+			r.answeredByQuorum, r.knownByQuorum = onlyMembers, onlyMembers
 		})},
 		{"list before dropped at once", withRules(func(r *rules) {
-			r.mayDrop = func(_, _ storage.Revision) bool { return true }
+			r.canDropPrevious = func(_, _ storage.Revision) bool { return true }
 		})},
 		{"earlier taking counted for a later one", withRules(func(r *rules) {
-			r.covers = func(inForce, _ storage.Revision) bool { return inForce > 0 }
+			r.isInForce = func(inForce, _ storage.Revision) bool { return inForce > 0 }
 		})},
 		{"old copy of the table accepted as a read", func(s *sim) { s.oldCopies = true }},
 	} {
--- a/membership/proof.go
+++ b/membership/proof.go
@@ -68,7 +68,7 @@
 // for each decision: a process that was frozen learns it here.
 func (m *Member) Confirmation(now time.Duration) Confirmation {
 	c := Confirmation{Revision: m.log.Revision()}
-	table, witnesses := m.ages(now)
+	table, witnesses := m.proofAges(now)
 	switch {
 	case table > 0:
 		c.State, c.Age = ConfirmedByTable, table
@@ -81,7 +81,7 @@
 	return c
 }
 
-func (m *Member) ages(now time.Duration) (table, witnesses time.Duration) {
+func (m *Member) proofAges(now time.Duration) (table, witnesses time.Duration) {
 	return m.byTable.age(now, m.set.Fresh), m.byWitnesses.age(now, m.set.Fresh)
 }
 
@@ -91,8 +91,8 @@
 	m.alone.failures = 0
 }
 
-// youngest returns the younger proof of the two kinds.
-func (m *Member) youngest() proof {
+// youngestProof returns the younger proof of the two kinds.
+func (m *Member) youngestProof() proof {
 	p := m.byTable
 	if m.byWitnesses.held {
 		p.add(m.byWitnesses.start)
--- a/membership/pull.go
+++ b/membership/pull.go
@@ -8,16 +8,16 @@
 	"foxtailspoke/effect"
 )
 
-// pulling is the state of the pulls from other instances, one at a time.
-type pulling struct {
+// pullState is the state of the pulls from other instances, one at a time.
+type pullState struct {
 	// from is the watcher that answered last; empty after it failed.
 	from string
 	// homeAt is when to try the own data centre again, while from is in
 	// another; homeTries counts those.
 	homeAt    time.Duration
 	homeTries int
-	// last is when the last pull was sent, next when the next is due.
-	last, next time.Duration
+	// lastSent is when the lastSent pull was sent, next when the next is due.
+	lastSent, next time.Duration
 	// inFlight is set while a regular pull has no answer.
 	inFlight bool
 	// failures counts the pulls without a proof since the last with one.
@@ -37,9 +37,9 @@
 // again.
 const homeEvery = 10 * time.Second
 
-// pullAt returns when the next pull is due. A watcher proves for itself, and
+// nextPullTime returns when the next pull is due. A watcher proves for itself, and
 // pulls only when it reaches neither the table nor the witnesses.
-func (m *Member) pullAt() time.Duration {
+func (m *Member) nextPullTime() time.Duration {
 	switch {
 	case m.pull.inFlight || (m.dir.version == 0 && len(m.set.Seeds) == 0):
 		return never
@@ -57,7 +57,7 @@
 func SeedAddress(to string) (string, bool) { return strings.CutPrefix(to, seedPrefix) }
 
 func (m *Member) tickPull(now time.Duration) []effect.Effect {
-	if now < m.pullAt() {
+	if now < m.nextPullTime() {
 		return nil
 	}
 	to := m.pullTarget(now)
@@ -66,7 +66,7 @@
 		return nil
 	}
 	m.pull.inFlight = true
-	m.pull.last = now
+	m.pull.lastSent = now
 	m.pull.next = now + m.jitter(m.set.PullEvery)
 	return []effect.Effect{m.sendPull(now, regularPull, to)}
 }
@@ -118,7 +118,7 @@
 	return to
 }
 
-func (m *Member) pulled(now time.Duration, c call, p Pulled) []effect.Effect {
+func (m *Member) handlePulled(now time.Duration, c call, p Pulled) []effect.Effect {
 	m.apply(now, p.Changes)
 	m.applyList(now, p.List)
 	start := m.rules.proofStart(c.sent, now)
--- a/membership/read.go
+++ b/membership/read.go
@@ -11,27 +11,27 @@
 // never is later than any time that a clock shows.
 const never = time.Duration(math.MaxInt64)
 
-// reading is the state of the reads of the table or of the instance list:
+// readState is the state of the reads of the table or of the instance list:
 // at most one at a time.
-type reading struct {
+type readState struct {
 	// id of the read in flight; 0 if there is none.
 	id uint64
-	// begun says that there was a read; sent is when the last one started.
-	begun bool
-	sent  time.Duration
+	// started says that there was a read; sent is when the last one started.
+	started bool
+	sent    time.Duration
 	// next is when the next read is due for a regular reader.
 	next time.Duration
-	// wanted asks for one read also from an instance that isn't a regular
+	// requested asks for one read also from an instance that isn't a regular
 	// reader, or before the next is due.
-	wanted bool
+	requested bool
 	// failures counts the reads without an answer since the last answer.
 	failures int
 	// answered is when the last read that was answered started.
 	answered time.Duration
 }
 
-// reads says whether the instance reads the table regularly.
-func (m *Member) reads() bool { return m.watches() || m.Seated() }
+// readsTableRegularly says whether the instance readsTableRegularly the table regularly.
+func (m *Member) readsTableRegularly() bool { return m.watches() || m.Seated() }
 
 // tableAway says whether the last read of the table had no answer or has
 // been without one for long. A watcher then asks the witnesses. Waiting for
@@ -46,7 +46,7 @@
 
 func (m *Member) tickTable(now time.Duration) []effect.Effect {
 	m.expireRead(now, &m.table)
-	due := m.reads() && now >= m.table.next
+	due := m.readsTableRegularly() && now >= m.table.next
 	if m.table.id != 0 || !(due || m.wantedDue(now, &m.table)) {
 		return nil
 	}
@@ -85,7 +85,7 @@
 		return max(m.list.next, m.list.sent+m.set.ListEvery<<min(m.list.failures, maxListDoublings))
 	}
 	due := max(m.list.next, m.listHeard+listPatience*m.set.ListEvery)
-	if p := m.youngest(); !p.held || due >= p.start+m.set.Fresh {
+	if p := m.youngestProof(); !p.held || due >= p.start+m.set.Fresh {
 		return never
 	}
 	return due
@@ -95,22 +95,22 @@
 // no list yet, while they fail.
 const maxListDoublings = 3
 
-func (m *Member) begin(now time.Duration, r *reading, every time.Duration) {
+func (m *Member) begin(now time.Duration, r *readState, every time.Duration) {
 	r.id = m.nextID()
-	r.begun = true
+	r.started = true
 	r.sent = now
 	r.next = now + m.jitter(every)
-	r.wanted = false
+	r.requested = false
 	m.count.Reads++
 }
 
-func (m *Member) wantedDue(now time.Duration, r *reading) bool {
-	return r.wanted && now >= r.wantedAt()
+func (m *Member) wantedDue(now time.Duration, r *readState) bool {
+	return r.requested && now >= r.wantedAt()
 }
 
 // wantedAt keeps reads on demand apart, further with every failure.
-func (r *reading) wantedAt() time.Duration {
-	if !r.begun {
+func (r *readState) wantedAt() time.Duration {
+	if !r.started {
 		return 0
 	}
 	return r.sent + hurryGap<<min(r.failures, maxBackoffDoublings)
@@ -118,20 +118,20 @@
 
 const maxBackoffDoublings = 6
 
-func (m *Member) expireRead(now time.Duration, r *reading) {
+func (m *Member) expireRead(now time.Duration, r *readState) {
 	if r.id != 0 && now-r.sent >= m.set.ReadTimeout {
 		r.id = 0
 		r.failures++
 	}
 }
 
-func (r *reading) wake(regular bool, timeout time.Duration) time.Duration {
+func (r *readState) wake(regular bool, timeout time.Duration) time.Duration {
 	switch {
 	case r.id != 0:
 		return r.sent + timeout
-	case r.wanted && regular:
+	case r.requested && regular:
 		return min(r.next, r.wantedAt())
-	case r.wanted:
+	case r.requested:
 		return r.wantedAt()
 	case regular:
 		return r.next
@@ -140,7 +140,7 @@
 }
 
 func (m *Member) wakeTable() time.Duration {
-	return m.table.wake(m.reads(), m.set.ReadTimeout)
+	return m.table.wake(m.readsTableRegularly(), m.set.ReadTimeout)
 }
 
 func (m *Member) wakeList() time.Duration {
--- a/membership/roles.go
+++ b/membership/roles.go
@@ -51,10 +51,10 @@
 	return collector
 }
 
-// followCollectors keeps the collectors that are known right after entry
+// updateCollectors keeps the collectors that are known right after entry
 // instances came or went. Ranking all instances anew for every service would
 // stop a node with 2,000 instances and 560 services for 60 ms at each change.
-func (d *Directory) followCollectors(before []string) {
+func (d *Directory) updateCollectors(before []string) {
 	came := slices.Clip(without(d.entryIDs, before))
 	went := without(before, d.entryIDs)
 	for service, collector := range d.collectors {
@@ -96,8 +96,8 @@
 	return chosen[:min(count, len(chosen))]
 }
 
-// witnessRank returns the live entry instances, best witness first.
-func (d *Directory) witnessRank() []string {
+// rankedWitnesses returns the live entry instances, best witness first.
+func (d *Directory) rankedWitnesses() []string {
 	if d.witnesses == nil {
 		d.witnesses = Rank(witnessKey, d.entryIDs)
 	}
--- a/membership/round.go
+++ b/membership/round.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/storage"
 )
 
-// round is the last round to the witnesses.
-type round struct {
+// roundState is the last roundState to the witnesses.
+type roundState struct {
 	number uint64
 	start  time.Duration
 	// next is when a watcher starts the next round while the table is away.
@@ -55,29 +55,29 @@
 	m.round.answers = map[string]Witnessed{}
 	m.round.fetched = map[string]bool{}
 	var out []effect.Effect
-	for _, id := range witnessIDs(w) {
+	for _, id := range currentAndPrevious(w) {
 		if id != m.set.Self {
-			out = append(out, m.ask(now, id, m.round.number, nil, 0))
+			out = append(out, m.callWitness(now, id, m.round.number, nil, 0))
 		}
 	}
-	m.settleRound(now)
+	m.completeRound(now)
 	return out
 }
 
-func (m *Member) ask(now time.Duration, to string, round uint64, offer *storage.Changes, since storage.Revision) effect.Effect {
+func (m *Member) callWitness(now time.Duration, to string, round uint64, offer *storage.Changes, since storage.Revision) effect.Effect {
 	w := &Witness{Revision: m.log.Revision(), Offer: offer, Since: since}
 	return m.send(now, call{kind: witnessCall, to: to, round: round}, Request{Witness: w})
 }
 
-// witnessed takes a witness's answer: into the open round if it belongs to
+// handleWitnessed takes a witness's answer: into the open round if it belongs to
 // it, and into what is known of that witness in any case.
-func (m *Member) witnessed(now time.Duration, c call, w Witnessed) []effect.Effect {
+func (m *Member) handleWitnessed(now time.Duration, c call, w Witnessed) []effect.Effect {
 	m.force.learn(c.to, w.Revision)
 	m.countKnown(now)
 	var out []effect.Effect
 	if c.round == m.round.number && m.round.open {
 		m.round.answers[c.to] = w
-		m.settleRound(now)
+		m.completeRound(now)
 		out = append(out, m.fetchFrom(now, c.to, w)...)
 	}
 	out = append(out, m.offerTo(now, c, w)...)
@@ -97,19 +97,19 @@
 // waits for it, or because it doesn't know of its seat.
 func (m *Member) offerTo(now time.Duration, c call, w Witnessed) []effect.Effect {
 	own := m.log.Revision()
-	if w.Revision >= own || !seated(m.log.Witnesses(), c.to) {
+	if w.Revision >= own || !isWitness(m.log.Witnesses(), c.to) {
 		return nil
 	}
 	if w.Seated && w.Revision >= m.force.target {
 		return nil
 	}
-	return []effect.Effect{m.ask(now, c.to, c.round, m.offer(w.Revision), w.Revision)}
+	return []effect.Effect{m.callWitness(now, c.to, c.round, m.offer(w.Revision), w.Revision)}
 }
 
-// settleRound ends the open round with a proof if a majority answered and
+// completeRound ends the open round with a proof if a majority answered and
 // nobody knows a newer revision. The replica may have caught up meanwhile;
 // then its present list of witnesses counts.
-func (m *Member) settleRound(now time.Duration) {
+func (m *Member) completeRound(now time.Duration) {
 	if !m.round.open {
 		return
 	}
@@ -122,7 +122,7 @@
 	answered := func(id string) bool {
 		return id == m.set.Self || m.round.answers[id].Seated
 	}
-	if !m.rules.answered(m.log.Witnesses(), answered) {
+	if !m.rules.answeredByQuorum(m.log.Witnesses(), answered) {
 		return
 	}
 	m.round.open = false
@@ -130,8 +130,8 @@
 	m.prove(&m.byWitnesses, m.rules.proofStart(m.round.start, now))
 }
 
-// witnessIDs returns everyone who counts.
-func witnessIDs(w config.Witnesses) []string {
+// currentAndPrevious returns everyone who counts.
+func currentAndPrevious(w config.Witnesses) []string {
 	ids := slices.Clone(w.Members)
 	for _, id := range w.Previous {
 		if !slices.Contains(w.Members, id) {
@@ -141,6 +141,6 @@
 	return ids
 }
 
-func seated(w config.Witnesses, id string) bool {
+func isWitness(w config.Witnesses, id string) bool {
 	return slices.Contains(w.Members, id) || slices.Contains(w.Previous, id)
 }
--- a/membership/rules.go
+++ b/membership/rules.go
@@ -14,27 +14,27 @@
 	// proofStart returns from when a proof counts, of an exchange that was
 	// sent and answered at these times.
 	proofStart func(sent, answered time.Duration) time.Duration
-	// wait is how long after a majority knew a revision it is in force.
-	wait time.Duration
-	// answered says whether the instances that answered a round are enough.
-	answered func(config.Witnesses, func(id string) bool) bool
-	// known says whether the instances that know a revision are enough.
-	known func(config.Witnesses, func(id string) bool) bool
-	// mayDrop says whether the list before may go, when a majority knows
+	// inForceDelay is how long after a majority knew a revision it is in force.
+	inForceDelay time.Duration
+	// answeredByQuorum says whether the instances that answeredByQuorum a round are enough.
+	answeredByQuorum func(config.Witnesses, func(id string) bool) bool
+	// knownByQuorum says whether the instances that know a revision are enough.
+	knownByQuorum func(config.Witnesses, func(id string) bool) bool
+	// canDropPrevious says whether the list before may go, when a majority knows
 	// revision known and the row that changed the list is at revision row.
-	mayDrop func(known, row storage.Revision) bool
-	// covers says whether a revision being in force puts another in force.
-	covers func(inForce, revision storage.Revision) bool
+	canDropPrevious func(known, row storage.Revision) bool
+	// isInForce says whether a revision being in force puts another in force.
+	isInForce func(inForce, revision storage.Revision) bool
 }
 
 func defaultRules(s Settings) rules {
 	return rules{
-		proofStart: func(sent, _ time.Duration) time.Duration { return sent },
-		wait:       s.InForceDelay(),
-		answered:   jointMajority,
-		known:      jointMajority,
-		mayDrop:    func(known, row storage.Revision) bool { return known >= row },
-		covers:     func(inForce, revision storage.Revision) bool { return revision <= inForce },
+		proofStart:       func(sent, _ time.Duration) time.Duration { return sent },
+		inForceDelay:     s.InForceDelay(),
+		answeredByQuorum: jointMajority,
+		knownByQuorum:    jointMajority,
+		canDropPrevious:  func(known, row storage.Revision) bool { return known >= row },
+		isInForce:        func(inForce, revision storage.Revision) bool { return revision <= inForce },
 	}
 }
 
--- a/membership/seats.go
+++ b/membership/seats.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/storage"
 )
 
-// seats is the state of the instance's care for the list of witnesses.
-type seats struct {
+// witnessSetState is the state of the instance's care for the list of witnesses.
+type witnessSetState struct {
 	// id of the write in flight; 0 if there is none.
 	id uint64
 	// sent is when the last write was sent, ended when it ended.
@@ -33,10 +33,10 @@
 // condition on the row's revision makes sure that it counts at most once.
 const writeTimeout = 2 * time.Second
 
-// tickSeats changes the list of witnesses by one step if it needs it. Every
+// tickWitnessSet changes the list of witnesses by one step if it needs it. Every
 // watcher would do so; the ones further back in the rank wait longer, so
 // that as a rule one of them writes.
-func (m *Member) tickSeats(now time.Duration) []effect.Effect {
+func (m *Member) tickWitnessSet(now time.Duration) []effect.Effect {
 	if m.seats.id != 0 && now-m.seats.sent >= writeTimeout {
 		m.seats.id, m.seats.ended = 0, now
 	}
@@ -104,7 +104,7 @@
 		return config.Witnesses{Members: chosen}, false, len(chosen) > 0
 	}
 	if len(w.Previous) > 0 {
-		drop := m.rules.mayDrop(m.force.covered(), row)
+		drop := m.rules.canDropPrevious(m.force.covered(), row)
 		return config.Witnesses{Members: w.Members}, !drop, true
 	}
 	members, changed := m.improveSeats(w.Members)
@@ -164,7 +164,7 @@
 func (m *Member) chooseWitnesses(kept []string, count int) []string {
 	chosen := slices.Clone(kept)
 	seats := m.seatsByCentre(kept)
-	ranked := m.dir.witnessRank()
+	ranked := m.dir.rankedWitnesses()
 	for len(chosen) < count {
 		best, fewest := "", 0
 		for _, id := range ranked {
@@ -218,12 +218,12 @@
 func (m *Member) WriteDone(now time.Duration, id uint64, _ storage.WriteResult) []effect.Effect {
 	if id == m.seats.id {
 		m.seats.id, m.seats.ended = 0, now
-		m.table.wanted = true
+		m.table.requested = true
 	}
 	return m.Tick(now)
 }
 
-func (m *Member) wakeSeats() time.Duration {
+func (m *Member) wakeWitnessSet() time.Duration {
 	if m.seats.id != 0 {
 		return m.seats.sent + writeTimeout
 	}
