--- a/membership/cost_test.go
+++ b/membership/cost_test.go
@@ -28,9 +28,9 @@
 		sizes = append(sizes, fleetSize{2000, 4}, fleetSize{2000, 17})
 	}
 	for _, size := range sizes {
-		s := boot(7, Settings{}, size.nodes, size.centres)
+		s := startFleet(7, Settings{}, size.nodes, size.centres)
 		for _, away := range []bool{false, true} {
-			s.away = away
+			s.platformDown = away
 			s.run(s.now + 3*time.Second)
 			clear(s.sent)
 			reads, calls := s.reads, s.calls
@@ -53,7 +53,7 @@
 // BenchmarkWake is one look at an instance in a large fleet: what its owner
 // pays per event of any kind.
 func BenchmarkWake(b *testing.B) {
-	s := boot(8, Settings{}, 400, 4)
+	s := startFleet(8, Settings{}, 400, 4)
 	m := s.nodes[0].m
 	now := s.nodes[0].clock(s.now)
 	for b.Loop() {
@@ -67,7 +67,7 @@
 // instances, as every instance of the fleet takes it.
 func BenchmarkListChange(b *testing.B) {
 	d := newDirectory(Settings{Self: "i0000"}.withDefaults())
-	d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: fleet(2000, 17)})
+	d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: entryInstances(2000, 17)})
 	for b.Loop() {
 		d.apply(storage.InstanceChanges{Version: d.version + 1, Changed: []storage.Instance{entryInstance("x", "dc1")}})
 	}
--- a/membership/force_bench_test.go
+++ b/membership/force_bench_test.go
@@ -18,7 +18,7 @@
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
 			var worst, spread time.Duration
 			for range b.N {
-				s := boot(5, Settings{}, nodes, min(17, nodes/10))
+				s := startFleet(5, Settings{}, nodes, min(17, nodes/10))
 				for i := range 10 {
 					inForce, last := s.change(s.nodes[i*nodes/10])
 					worst = max(worst, inForce)
@@ -37,7 +37,7 @@
 	r := s.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: config.KeyPrefix + "x"}}})
 	rev := r.Revisions[storage.Control]
 	written := s.now
-	s.step(writer, func(now time.Duration) []effect.Effect { return writer.m.Require(now, rev) })
+	s.deliver(writer, func(now time.Duration) []effect.Effect { return writer.m.Require(now, rev) })
 	for inForce == 0 || last == 0 {
 		s.run(s.now + 10*time.Millisecond)
 		if inForce == 0 && writer.m.InForce(writer.clock(s.now), rev) {
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -12,8 +12,8 @@
 	"foxtailspoke/storage"
 )
 
-// boot starts a healthy fleet and lets it choose its witnesses.
-func boot(seed uint64, set Settings, n, centres int) *sim {
+// startFleet starts a healthy fleet and lets it choose its witnesses.
+func startFleet(seed uint64, set Settings, n, centres int) *sim {
 	s := newSim(seed, set, n, centres)
 	for slot := range n {
 		s.after(time.Duration(slot)*5*time.Second/time.Duration(n), func() { s.start(slot, 0, centres) })
@@ -36,7 +36,7 @@
 func (s *sim) witnessNodes() []*simNode {
 	var nodes []*simNode
 	for _, id := range s.table.Witnesses().Members {
-		if n := s.byID(id); n != nil {
+		if n := s.liveNode(id); n != nil {
 			nodes = append(nodes, n)
 		}
 	}
@@ -48,10 +48,10 @@
 // because every instance still hears from a majority of the witnesses.
 func TestPlatformAwayForHours(t *testing.T) {
 	t.Parallel()
-	s := boot(1, Settings{WatchersPerDataCentre: 1, WitnessCount: 5}, 7, 3)
+	s := startFleet(1, Settings{WatchersPerDataCentre: 1, WitnessCount: 5}, 7, 3)
 	must.Len(t, 5, s.table.Witnesses().Members)
 	s.encoder = nil
-	s.away = true
+	s.platformDown = true
 	for _, n := range s.witnessNodes()[:2] {
 		n.dead = true
 	}
@@ -60,7 +60,7 @@
 		s.run(s.now + 10*time.Second)
 		must.Eq(t, map[State]int{ConfirmedByWitnesses: 5}, s.nodeStates())
 	}
-	s.away = false
+	s.platformDown = false
 	s.run(s.now + 3*time.Second)
 	must.Eq(t, map[State]int{ConfirmedByTable: 5}, s.nodeStates())
 }
@@ -69,18 +69,18 @@
 // Fresh of the cut they must refuse, and after it they serve again.
 func TestCutOffWithinFresh(t *testing.T) {
 	t.Parallel()
-	s := boot(2, Settings{}, 40, 4)
+	s := startFleet(2, Settings{}, 40, 4)
 	isolated := []*simNode{s.nodes[3], s.witnessNodes()[0]}
 	for _, n := range isolated {
-		s.unseen[n.slot] = true
+		s.tableUnreachable[n.slot] = true
 		for slot := range s.nodes {
-			s.cut[[2]int{n.slot, slot}] = true
+			s.cutLinks[[2]int{n.slot, slot}] = true
 		}
 	}
 	s.run(s.now + DefaultFresh*1001/1000)
 	must.Eq(t, map[State]int{CutOff: 2, ConfirmedByTable: 38}, s.nodeStates())
-	clear(s.cut)
-	clear(s.unseen)
+	clear(s.cutLinks)
+	clear(s.tableUnreachable)
 	s.run(s.now + time.Minute)
 	must.Eq(t, map[State]int{ConfirmedByTable: 40}, s.nodeStates())
 }
@@ -89,12 +89,12 @@
 // for a while. The others there pull from elsewhere, without a gap.
 func TestWatchersOfADataCentreGone(t *testing.T) {
 	t.Parallel()
-	s := boot(3, Settings{}, 40, 4)
+	s := startFleet(3, Settings{}, 40, 4)
 	healthy := s.reads
 	s.run(s.now + 30*time.Second)
 	healthy = s.reads - healthy
 	for _, id := range s.list.Watchers("dc1") {
-		s.byID(id).dead = true
+		s.liveNode(id).dead = true
 	}
 	reads, cutOff := s.reads, 0
 	for range 300 {
@@ -118,8 +118,8 @@
 	if *large {
 		nodes = 2000
 	}
-	s := boot(4, Settings{}, nodes, 4)
-	s.away = true
+	s := startFleet(4, Settings{}, nodes, 4)
+	s.platformDown = true
 	for _, n := range s.witnessNodes()[:4] {
 		n.dead = true
 	}
@@ -129,7 +129,7 @@
 	must.Eq(t, map[State]int{CutOff: nodes - 4}, s.nodeStates())
 	perSecond := slices.Max(slices.Collect(maps.Values(s.sent))) / 20
 	must.Less(t, budget, perSecond)
-	s.away = false
+	s.platformDown = false
 	most, back := 0, time.Duration(0)
 	returned := s.now
 	for range 100 {
@@ -150,14 +150,14 @@
 // seconds of its write, and every instance has it well before.
 func TestChangeInForceWithinThreeSeconds(t *testing.T) {
 	t.Parallel()
-	s := boot(5, Settings{}, 40, 4)
+	s := startFleet(5, Settings{}, 40, 4)
 	var worst, spread time.Duration
 	for i := range 20 {
 		writer := s.nodes[i]
 		r := s.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: "key/x"}}})
 		rev := r.Revisions[storage.Control]
 		written := s.now
-		s.step(writer, func(now time.Duration) []effect.Effect { return writer.m.Require(now, rev) })
+		s.deliver(writer, func(now time.Duration) []effect.Effect { return writer.m.Require(now, rev) })
 		lags := func(n *simNode) bool { return n.log.Revision() < rev }
 		for !writer.m.InForce(writer.clock(s.now), rev) {
 			s.run(s.now + 10*time.Millisecond)
@@ -176,11 +176,11 @@
 // time, spread over the data centres; a planned stop gives its seat up.
 func TestSeatsFollowTheInstances(t *testing.T) {
 	t.Parallel()
-	s := boot(6, Settings{}, 40, 4)
+	s := startFleet(6, Settings{}, 40, 4)
 	first := s.witnessNodes()
 	must.Len(t, 7, first)
 	leaver := first[0]
-	s.step(leaver, leaver.m.Leave)
+	s.deliver(leaver, leaver.m.Leave)
 	s.run(s.now + 2*time.Second)
 	must.False(t, leaver.m.Seated())
 
@@ -204,12 +204,12 @@
 // watcher. It must pull from there like everybody else.
 func TestWatcherThatCantProvePulls(t *testing.T) {
 	t.Parallel()
-	s := boot(9, Settings{}, 40, 4)
-	n := s.byID(s.list.Watchers("dc0")[0])
-	helper := s.byID(s.list.Watchers("dc0")[1])
-	s.unseen[n.slot] = true
+	s := startFleet(9, Settings{}, 40, 4)
+	n := s.liveNode(s.list.Watchers("dc0")[0])
+	helper := s.liveNode(s.list.Watchers("dc0")[1])
+	s.tableUnreachable[n.slot] = true
 	for slot := range s.nodes {
-		s.cut[[2]int{n.slot, slot}] = slot != helper.slot
+		s.cutLinks[[2]int{n.slot, slot}] = slot != helper.slot
 	}
 	s.run(s.now + 5*time.Second)
 	for range 100 {
@@ -223,7 +223,7 @@
 // a change in force without an operator.
 func TestWholeFleetReplaced(t *testing.T) {
 	t.Parallel()
-	s := boot(10, Settings{}, 12, 3)
+	s := startFleet(10, Settings{}, 12, 3)
 	for slot, n := range s.nodes {
 		n.dead = true
 		ended, _ := s.list.Instance(n.id)
@@ -233,7 +233,7 @@
 	}
 	replaced, n := s.now, s.nodes[0]
 	rev := s.commit(storage.Txn{}).Revisions[storage.Control]
-	s.step(n, func(now time.Duration) []effect.Effect { return n.m.Require(now, rev) })
+	s.deliver(n, func(now time.Duration) []effect.Effect { return n.m.Require(now, rev) })
 	for !n.m.InForce(n.clock(s.now), rev) && s.now < replaced+time.Minute {
 		s.run(s.now + 10*time.Millisecond)
 	}
@@ -250,7 +250,7 @@
 // it: three of seven seats would be no majority once the platform is away.
 func TestSeatsShrinkWithTheFleet(t *testing.T) {
 	t.Parallel()
-	s := boot(11, Settings{}, 9, 3)
+	s := startFleet(11, Settings{}, 9, 3)
 	for _, n := range s.nodes[3:] {
 		n.dead = true
 		ended, _ := s.list.Instance(n.id)
@@ -259,7 +259,7 @@
 	}
 	s.run(s.now + 30*time.Second)
 	must.Len(t, 3, s.table.Witnesses().Members)
-	s.away = true
+	s.platformDown = true
 	s.run(s.now + 10*time.Second)
 	for _, n := range s.nodes[:3] {
 		must.Eq(t, ConfirmedByWitnesses, n.m.Confirmation(n.clock(s.now)).State)
@@ -270,9 +270,9 @@
 func TestSmallFleets(t *testing.T) {
 	t.Parallel()
 	for n := 1; n <= 3; n++ {
-		s := boot(12, Settings{}, n, 2)
+		s := startFleet(12, Settings{}, n, 2)
 		must.Eq(t, map[State]int{ConfirmedByTable: n}, s.nodeStates())
-		s.away = true
+		s.platformDown = true
 		s.run(s.now + time.Minute)
 		must.Eq(t, map[State]int{ConfirmedByWitnesses: n}, s.nodeStates())
 	}
@@ -284,12 +284,12 @@
 // all of them turn to the platform themselves.
 func TestNoGapWhenThePlatformTurns(t *testing.T) {
 	t.Parallel()
-	s := boot(13, Settings{}, 400, 4)
+	s := startFleet(13, Settings{}, 400, 4)
 	for turn := range 6 {
-		s.away = turn%3 == 0
-		s.slow = 0
+		s.platformDown = turn%3 == 0
+		s.tableDelay = 0
 		if turn%3 == 1 {
-			s.slow = 700 * time.Millisecond
+			s.tableDelay = 700 * time.Millisecond
 		}
 		cutOff, reads := 0, s.reads
 		for range 160 {
@@ -297,7 +297,7 @@
 			cutOff += s.nodeStates()[CutOff]
 		}
 		perSecond := (s.reads - reads) / 8
-		t.Logf("away %v, slow %v: %d reads/s, %d ms of one instance cut off", s.away, s.slow, perSecond, cutOff*50)
+		t.Logf("away %v, slow %v: %d reads/s, %d ms of one instance cut off", s.platformDown, s.tableDelay, perSecond, cutOff*50)
 		must.Zero(t, cutOff)
 		must.Less(t, 60, perSecond)
 	}
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -42,9 +42,9 @@
 	h := &history{sim: newSim(seed, modelSettings(), modelNodes, modelCentres), faults: rand.New(rand.NewPCG(seed, 3))}
 	mutate(h.sim)
 	h.startAll(modelCentres)
-	h.afterAny = h.askForce
-	h.repeat(checkEvery, func() time.Duration { return checkEvery }, h.check)
-	h.repeat(2*time.Second, h.between(800, 6000), func() { h.take(h.anyTaker()) })
+	h.afterEvent = h.askForce
+	h.repeat(checkEvery, func() time.Duration { return checkEvery }, h.checkInvariants)
+	h.repeat(2*time.Second, h.between(800, 6000), func() { h.tryToHold(h.anyTaker()) })
 	h.repeat(6*time.Second, h.between(3500, 9000), h.cutGroup)
 	h.repeat(5*time.Second, h.between(2000, 8000), h.freeze)
 	h.repeat(9*time.Second, h.between(3000, 15000), h.restart)
@@ -69,7 +69,7 @@
 func (h *history) anyTaker() *simNode {
 	n := h.anyNode()
 	for range 5 {
-		if !h.lost(n) {
+		if !h.cannotReachTable(n) {
 			break
 		}
 		n = h.anyNode()
@@ -80,7 +80,7 @@
 // farTaker prefers a node outside a group that sees the table.
 func (h *history) farTaker(side map[int]bool) *simNode {
 	for _, slot := range h.faults.Perm(modelNodes) {
-		if n := h.nodes[slot]; !side[slot] && !h.lost(n) {
+		if n := h.nodes[slot]; !side[slot] && !h.cannotReachTable(n) {
 			return n
 		}
 	}
@@ -90,7 +90,7 @@
 // holder returns the node that the table names, or any.
 func (h *history) holder() *simNode {
 	if holders := h.table.Shard("s").Holders; len(holders) == 1 {
-		if n := h.byID(holders[0].Instance); n != nil {
+		if n := h.liveNode(holders[0].Instance); n != nil {
 			return n
 		}
 	}
@@ -103,7 +103,7 @@
 	for _, n := range h.nodes {
 		rev, holds := n.holds()
 		if holds && rev > n.m.force.target {
-			h.step(n, func(now time.Duration) []effect.Effect { return n.m.Require(now, rev) })
+			h.deliver(n, func(now time.Duration) []effect.Effect { return n.m.Require(now, rev) })
 		}
 	}
 }
@@ -117,21 +117,21 @@
 	out, in := h.faults.IntN(3) > 0, h.faults.IntN(3) > 0
 	for a := range modelNodes {
 		for b := range modelNodes {
-			h.cut[[2]int{a, b}] = side[a] != side[b] && ((out && side[a]) || (in && side[b]))
+			h.cutLinks[[2]int{a, b}] = side[a] != side[b] && ((out && side[a]) || (in && side[b]))
 		}
 	}
 	seesTable := h.faults.IntN(8) // below 5: only the far side
 	deaf := h.faults.IntN(3) == 0
-	clear(h.unseen)
-	clear(h.deaf)
+	clear(h.tableUnreachable)
+	clear(h.answersLost)
 	for slot := range modelNodes {
 		blind := (side[slot] && seesTable < 5) || (!side[slot] && seesTable == 5)
-		h.unseen[slot], h.deaf[slot] = blind && !deaf, blind && deaf
+		h.tableUnreachable[slot], h.answersLost[slot] = blind && !deaf, blind && deaf
 	}
-	h.away = seesTable == 6
-	h.snapshot()
+	h.platformDown = seesTable == 6
+	h.saveStaleTable()
 	for range 3 {
-		h.after(time.Duration(h.faults.IntN(100))*time.Millisecond, func() { h.take(h.farTaker(side)) })
+		h.after(time.Duration(h.faults.IntN(100))*time.Millisecond, func() { h.tryToHold(h.farTaker(side)) })
 	}
 	h.cuts++
 	cut := h.cuts
@@ -151,7 +151,7 @@
 	members := h.table.Witnesses().Members
 	clear(side)
 	for _, i := range h.faults.Perm(len(members)) {
-		n := h.byID(members[i])
+		n := h.liveNode(members[i])
 		if n == nil || len(side) > len(members)/2 {
 			continue
 		}
@@ -167,11 +167,11 @@
 	if cut != h.cuts {
 		return
 	}
-	clear(h.cut)
-	clear(h.unseen)
-	clear(h.deaf)
-	h.away = false
-	h.old = nil
+	clear(h.cutLinks)
+	clear(h.tableUnreachable)
+	clear(h.answersLost)
+	h.platformDown = false
+	h.staleTable = nil
 }
 
 // freeze stops a node for longer than any timeout. It begins just when the
@@ -181,7 +181,7 @@
 	if h.faults.IntN(2) == 0 {
 		n = h.anyNode()
 	}
-	n.freezeNext = h.between(300, 8000)()
+	n.nextFreeze = h.between(300, 8000)()
 }
 
 func (h *history) restart() { h.replace(h.anyNode()) }
@@ -210,7 +210,7 @@
 	}
 	leaving.State = storage.Leaving
 	h.announce(leaving)
-	h.step(n, n.m.Leave)
+	h.deliver(n, n.m.Leave)
 	h.after(h.between(2000, 12000)(), func() { h.replace(n) })
 }
 
@@ -241,7 +241,7 @@
 				for state, n := range h.states {
 					states[state] += n
 				}
-				acted += h.acted
+				acted += h.actingChecks
 				revisions += h.table.Revision()
 				inForce += h.inForce
 			}
--- a/membership/mutant_test.go
+++ b/membership/mutant_test.go
@@ -47,7 +47,7 @@
 		{"earlier taking counted for a later one", withRules(func(r *rules) {
 			r.isInForce = func(inForce, _ storage.Revision) bool { return inForce > 0 }
 		})},
-		{"old copy of the table accepted as a read", func(s *sim) { s.oldCopies = true }},
+		{"old copy of the table accepted as a read", func(s *sim) { s.serveStaleTable = true }},
 	} {
 		t.Run(mutant.name, func(t *testing.T) {
 			t.Parallel()
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -29,7 +29,7 @@
 	return storage.Instance{ID: id, Kind: storage.Entry, DataCentre: centre, State: storage.Live}
 }
 
-func fleet(n, centres int) []storage.Instance {
+func entryInstances(n, centres int) []storage.Instance {
 	var all []storage.Instance
 	for i := range n {
 		all = append(all, entryInstance(fmt.Sprintf("i%04d", i), fmt.Sprintf("dc%d", i%centres)))
@@ -39,7 +39,7 @@
 
 func TestDirectoryRoles(t *testing.T) {
 	d := newDirectory(Settings{}.withDefaults())
-	must.True(t, d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: fleet(400, 4)}))
+	must.True(t, d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: entryInstances(400, 4)}))
 	must.Len(t, 3, d.Watchers("dc0"))
 	must.Eq(t, Rank(collectorKey+"s", d.entryIDs)[0], d.Collector("s"))
 	centres := map[string]bool{}
@@ -64,7 +64,7 @@
 
 	// Too many ended ones: the oldest go, and whoever lacks that gets all.
 	for version, n := range []int{3: 600, 4: 500} {
-		ended := fleet(n, 1)
+		ended := entryInstances(n, 1)
 		for i := range ended {
 			ended[i].ID, ended[i].State = fmt.Sprintf("%d-%d", version, i), storage.Ended
 		}
--- a/membership/sim_holder_test.go
+++ b/membership/sim_holder_test.go
@@ -12,9 +12,9 @@
 
 const shardRow = config.ShardPrefix + "s"
 
-// take lets a node try to become the only holder of the shard.
-func (s *sim) take(n *simNode) {
-	s.step(n, func(time.Duration) []effect.Effect {
+// tryToHold lets a node try to become the only holder of the shard.
+func (s *sim) tryToHold(n *simNode) {
+	s.deliver(n, func(time.Duration) []effect.Effect {
 		row, _ := n.log.Row(shardRow)
 		value, _ := json.Marshal(config.Shard{Holders: []config.Holder{{Instance: n.id, Parts: config.PartsPerShard}}})
 		s.write(n, storage.Txn{
@@ -43,11 +43,11 @@
 	return holds && n.m.Confirmation(now).State != CutOff && n.m.InForce(now, rev)
 }
 
-// check notes a violation of what must always hold.
-func (s *sim) check() {
+// checkInvariants notes a violation of what must always hold.
+func (s *sim) checkInvariants() {
 	var acting []string
 	for _, n := range s.nodes {
-		if n == nil || n.dead || s.now < n.frozen {
+		if n == nil || n.dead || s.now < n.frozenUntil {
 			continue
 		}
 		now := n.clock(s.now)
@@ -62,12 +62,12 @@
 		}
 		n.revision = n.log.Revision()
 	}
-	s.acted += min(len(acting), 1)
+	s.actingChecks += min(len(acting), 1)
 	if len(acting) > 1 {
 		s.fail("two holders act: %v", acting)
 	}
 	for _, n := range s.nodes {
-		if n == nil || n.dead || s.now < n.frozen {
+		if n == nil || n.dead || s.now < n.frozenUntil {
 			continue
 		}
 		c := n.m.Confirmation(n.clock(s.now))
--- a/membership/sim_platform_test.go
+++ b/membership/sim_platform_test.go
@@ -8,31 +8,31 @@
 	"foxtailspoke/storage"
 )
 
-func (s *sim) lost(n *simNode) bool { return s.away || s.unseen[n.slot] }
+func (s *sim) cannotReachTable(n *simNode) bool { return s.platformDown || s.tableUnreachable[n.slot] }
 
 func (s *sim) readTable(n *simNode, r effect.ReadTable) {
 	s.reads++
 	fail := func() {
-		s.step(n, func(now time.Duration) []effect.Effect {
+		s.deliver(n, func(now time.Duration) []effect.Effect {
 			return n.m.ReadDone(now, r.ID, storage.Changes{}, false)
 		})
 	}
-	if s.lost(n) && !s.oldCopies {
+	if s.cannotReachTable(n) && !s.serveStaleTable {
 		s.after(time.Duration(s.rng.IntN(900))*time.Millisecond, fail)
 		return
 	}
 	s.after(s.latency(), func() {
 		from := s.table
-		if s.lost(n) && s.old != nil {
-			from = s.old
+		if s.cannotReachTable(n) && s.staleTable != nil {
+			from = s.staleTable
 		}
 		c := from.Since(r.Read.Since)
-		if s.deaf[n.slot] {
+		if s.answersLost[n.slot] {
 			s.after(900*time.Millisecond, fail)
 			return
 		}
-		s.after(s.latency()+s.slow, func() {
-			s.step(n, func(now time.Duration) []effect.Effect { return n.m.ReadDone(now, r.ID, c, true) })
+		s.after(s.latency()+s.tableDelay, func() {
+			s.deliver(n, func(now time.Duration) []effect.Effect { return n.m.ReadDone(now, r.ID, c, true) })
 		})
 	})
 }
@@ -40,9 +40,9 @@
 func (s *sim) readList(n *simNode, r effect.ReadInstances) {
 	s.reads++
 	s.after(2*s.latency(), func() {
-		ok := !s.lost(n) && !s.deaf[n.slot]
+		ok := !s.cannotReachTable(n) && !s.answersLost[n.slot]
 		c := s.list.since(r.Since)
-		s.step(n, func(now time.Duration) []effect.Effect { return n.m.InstancesDone(now, r.ID, c, ok) })
+		s.deliver(n, func(now time.Duration) []effect.Effect { return n.m.InstancesDone(now, r.ID, c, ok) })
 	})
 }
 
@@ -51,10 +51,10 @@
 func (s *sim) write(n *simNode, t storage.Txn, done func(time.Duration, storage.WriteResult) []effect.Effect) {
 	answer := func(d time.Duration, r storage.WriteResult) {
 		s.after(d, func() {
-			s.step(n, func(now time.Duration) []effect.Effect { return done(now, r) })
+			s.deliver(n, func(now time.Duration) []effect.Effect { return done(now, r) })
 		})
 	}
-	if s.lost(n) {
+	if s.cannotReachTable(n) {
 		answer(900*time.Millisecond, storage.WriteResult{})
 		return
 	}
@@ -64,7 +64,7 @@
 	}
 	s.after(delay, func() {
 		r := s.commit(t)
-		if s.deaf[n.slot] || s.rng.IntN(5) == 0 {
+		if s.answersLost[n.slot] || s.rng.IntN(5) == 0 {
 			answer(900*time.Millisecond, storage.WriteResult{})
 			return
 		}
@@ -90,8 +90,8 @@
 	}
 }
 
-// snapshot keeps a copy of the table as it is now, for old-copy reads.
-func (s *sim) snapshot() {
-	s.old = config.NewReplica()
-	s.old.Apply(s.table.Since(0))
+// saveStaleTable keeps a copy of the table as it is now, for old-copy reads.
+func (s *sim) saveStaleTable() {
+	s.staleTable = config.NewReplica()
+	s.staleTable.Apply(s.table.Since(0))
 }
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -23,43 +23,43 @@
 	set   Settings
 	rules func(*rules)
 
-	nodes []*simNode // one per slot; a restart replaces it
-	cut   map[[2]int]bool
-	// unseen are the slots that don't reach the table; deaf are those that
+	nodes    []*simNode // one per slot; a restart replaces it
+	cutLinks map[[2]int]bool
+	// tableUnreachable are the slots that don't reach the table; answersLost are those that
 	// reach it without hearing its answers.
-	unseen, deaf map[int]bool
-	away         bool
-	slow         time.Duration // added to every read of the table
+	tableUnreachable, answersLost map[int]bool
+	platformDown                  bool
+	tableDelay                    time.Duration // added to every read of the table
 	// staleFrom serves unseen slots an old copy of the table (mutant).
-	oldCopies bool
-	old       *config.Replica
+	serveStaleTable bool
+	staleTable      *config.Replica
 
-	table    *config.Replica
-	writes   map[string]storage.Revision
-	list     *Directory
-	inForce  storage.Revision
-	reads    int
-	calls    int
-	sent     map[string]int // bytes sent and received, by instance
-	encoder  *gob.Encoder
-	encoded  int
-	failures []string
-	acted    int           // checks that found a holder acting
-	states   map[State]int // checks of one node, by state
-	afterAny func()
+	table        *config.Replica
+	writes       map[string]storage.Revision
+	list         *Directory
+	inForce      storage.Revision
+	reads        int
+	calls        int
+	sent         map[string]int // bytes sent and received, by instance
+	encoder      *gob.Encoder
+	encoded      int
+	failures     []string
+	actingChecks int           // checks that found a holder acting
+	states       map[State]int // checks of one node, by state
+	afterEvent   func()
 }
 
 type simNode struct {
-	id         string
-	slot       int
-	m          *Member
-	log        *config.Replica
-	rate       float64
-	frozen     time.Duration
-	freezeNext time.Duration
-	wakeAt     time.Duration
-	dead       bool
-	revision   storage.Revision
+	id          string
+	slot        int
+	m           *Member
+	log         *config.Replica
+	rate        float64
+	frozenUntil time.Duration
+	nextFreeze  time.Duration
+	wakeAt      time.Duration
+	dead        bool
+	revision    storage.Revision
 }
 
 type event struct {
@@ -86,7 +86,7 @@
 func newSim(seed uint64, set Settings, nodes, centres int) *sim {
 	s := &sim{
 		rng: rand.New(rand.NewPCG(seed, 1)), set: set, rules: func(*rules) {},
-		cut: map[[2]int]bool{}, unseen: map[int]bool{}, deaf: map[int]bool{},
+		cutLinks: map[[2]int]bool{}, tableUnreachable: map[int]bool{}, answersLost: map[int]bool{},
 		table: config.NewReplica(), writes: map[string]storage.Revision{}, sent: map[string]int{}, states: map[State]int{},
 		list: newDirectory(set.withDefaults()), nodes: make([]*simNode, nodes), now: time.Second,
 	}
@@ -102,7 +102,7 @@
 }
 
 func fleetOf(n, centres int) []storage.Instance {
-	all := fleet(n, centres)
+	all := entryInstances(n, centres)
 	for i := range all {
 		all[i].ID = nodeID(i, 0)
 		all[i].PeerAddress = fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
@@ -128,7 +128,7 @@
 	n.m = New(set, n.log, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))
 	s.rules(&n.m.rules)
 	s.nodes[slot] = n
-	s.step(n, func(now time.Duration) []effect.Effect { return n.m.Tick(now) })
+	s.deliver(n, func(now time.Duration) []effect.Effect { return n.m.Tick(now) })
 	return n
 }
 
@@ -157,26 +157,26 @@
 		e := heap.Pop(&s.queue).(event)
 		s.now = max(s.now, e.at)
 		e.do()
-		if s.afterAny != nil {
-			s.afterAny()
+		if s.afterEvent != nil {
+			s.afterEvent()
 		}
 	}
 	s.now = max(s.now, until)
 }
 
-// step hands a node one event, after its freeze if it is frozen.
-func (s *sim) step(n *simNode, do func(now time.Duration) []effect.Effect) {
+// deliver hands a node one event, after its freeze if it is frozen.
+func (s *sim) deliver(n *simNode, do func(now time.Duration) []effect.Effect) {
 	if n.dead {
 		return
 	}
-	if s.now < n.frozen {
-		s.after(n.frozen-s.now, func() { s.step(n, do) })
+	if s.now < n.frozenUntil {
+		s.after(n.frozenUntil-s.now, func() { s.deliver(n, do) })
 		return
 	}
 	effects := do(n.clock(s.now))
 	s.carryOut(n, effects)
-	if n.freezeNext > 0 && len(effects) > 0 {
-		n.frozen, n.freezeNext = s.now+n.freezeNext, 0
+	if n.nextFreeze > 0 && len(effects) > 0 {
+		n.frozenUntil, n.nextFreeze = s.now+n.nextFreeze, 0
 	}
 	s.schedule(n)
 }
@@ -190,7 +190,7 @@
 	s.after(at-s.now, func() {
 		if n.wakeAt == at {
 			n.wakeAt = never
-			s.step(n, func(now time.Duration) []effect.Effect {
+			s.deliver(n, func(now time.Duration) []effect.Effect {
 				effects := n.m.Tick(now)
 				if n.m.NextWake() <= now {
 					panic("a Tick left something to do at once")
@@ -228,23 +228,23 @@
 func (s *sim) call(n *simNode, c effect.Call) {
 	timeout := s.set.withDefaults().CallTimeout
 	s.after(timeout, func() {
-		s.step(n, func(now time.Duration) []effect.Effect { return n.m.CallDone(now, c.ID, Reply{}, false) })
+		s.deliver(n, func(now time.Duration) []effect.Effect { return n.m.CallDone(now, c.ID, Reply{}, false) })
 	})
-	to := s.byID(c.To)
+	to := s.liveNode(c.To)
 	s.calls++
 	s.count(n.id, c.To, c.Request)
-	if to == nil || s.cut[[2]int{n.slot, to.slot}] {
+	if to == nil || s.cutLinks[[2]int{n.slot, to.slot}] {
 		return
 	}
 	s.after(s.latency(), func() {
-		s.step(to, func(now time.Duration) []effect.Effect {
+		s.deliver(to, func(now time.Duration) []effect.Effect {
 			reply := to.m.Handle(now, n.id, c.Request.(Request))
 			s.count(to.id, n.id, reply)
-			if s.cut[[2]int{to.slot, n.slot}] {
+			if s.cutLinks[[2]int{to.slot, n.slot}] {
 				return nil
 			}
 			s.after(s.latency(), func() {
-				s.step(n, func(now time.Duration) []effect.Effect { return n.m.CallDone(now, c.ID, reply, true) })
+				s.deliver(n, func(now time.Duration) []effect.Effect { return n.m.CallDone(now, c.ID, reply, true) })
 			})
 			return nil
 		})
@@ -263,7 +263,7 @@
 	s.sent[to] += s.encoded - before
 }
 
-func (s *sim) byID(id string) *simNode {
+func (s *sim) liveNode(id string) *simNode {
 	for _, n := range s.nodesAt(id) {
 		if n != nil && n.id == id && !n.dead {
 			return n
