--- a/health/trial_loop_test.go
+++ b/health/trial_loop_test.go
@@ -166,7 +166,7 @@
 }
 
 func (w *world) start(now time.Duration, in *instance, r *request) {
-	in.budgets[r.service.name].Request()
+	in.budgets[r.service.name].RecordRequest()
 	if !w.send(now, in, r) {
 		w.finish(now, r, false)
 	}
@@ -187,7 +187,7 @@
 	a := w.attempt(now, s, r.workspace, in.index)
 	ob := health.Observation{Service: r.service.name, Server: id, Workspace: strconv.Itoa(r.workspace), Result: a.result, Latency: a.latency}
 	if late := in.policy.lateAfter(r.service.name); late > 0 && a.latency > late {
-		ob.WasLate = true
+		ob.ReportedLate = true
 		w.at(now+late, func(now time.Duration) { w.late(now, in, r, ob, late) })
 	}
 	w.at(now+a.latency, func(now time.Duration) { w.end(now, in, r, ob) })
@@ -199,7 +199,7 @@
 	if r.done {
 		return
 	}
-	ob.Result, ob.Latency, ob.WasLate = health.Late, waited, false
+	ob.Result, ob.Latency, ob.ReportedLate = health.Late, waited, false
 	in.policy.ended(now, ob)
 	if !in.policy.hedges(r.service.name) {
 		return
@@ -212,8 +212,8 @@
 
 func (w *world) state(r *request, result health.Result) retry.Attempt {
 	return retry.Attempt{
-		Result: result, Idempotent: r.service.idempotent, Number: r.attempts, MayHaveRun: r.mayHaveRun,
-		Running: r.running, Deadline: r.arrived + 2*timeout, Others: len(r.service.servers) - len(r.tried), Room: true,
+		Result: result, Idempotent: r.service.idempotent, AttemptCount: r.attempts, MayHaveRun: r.mayHaveRun,
+		InFlight: r.running, Deadline: r.arrived + 2*timeout, Untried: len(r.service.servers) - len(r.tried), UntriedHasSlot: true,
 	}
 }
 
--- a/health/trial_policy_test.go
+++ b/health/trial_policy_test.go
@@ -92,7 +92,7 @@
 }
 
 func (p *ours) pick(now time.Duration, s *service, workspace string, tried []string) (string, bool) {
-	return p.picker.Pick(now, s.name, p.view(now, s, workspace), balance.Options{Exclude: tried, Careful: !s.idempotent})
+	return p.picker.Pick(now, s.name, p.view(now, s, workspace), balance.Options{Exclude: tried, AvoidSuspects: !s.idempotent})
 }
 
 func (p *ours) view(now time.Duration, s *service, workspace string) []balance.Server {
@@ -132,10 +132,10 @@
 	return true
 }
 
-func (p *ours) lateAfter(service string) time.Duration { return p.observer.LateAfter(service) }
+func (p *ours) lateAfter(service string) time.Duration { return p.observer.LateThreshold(service) }
 
 func (p *ours) hedges(service string) bool {
-	_, ok := p.observer.HedgeAfter(service)
+	_, ok := p.observer.HedgeDelay(service)
 	return ok
 }
 
--- a/health/weights.go
+++ b/health/weights.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return 1
 	}
-	w := weightOf(o.suspicion(now, v, server, workspace))
+	w := weightOf(o.suspicionScore(now, v, server, workspace))
 	if at, ok := v.shed[server]; ok && now-at < shedMemory && !v.slow() {
 		w = min(w, shedWeight+(1-shedWeight)*(now-at).Seconds()/shedMemory.Seconds())
 	}
@@ -52,9 +52,9 @@
 // Without the floor, an instance that suspects many servers, rightly or not,
 // would send everything to a few, which then fail under load as well.
 func (o *Observer) Weights(now time.Duration, service, workspace string, servers []string, floor int) []float64 {
-	v := o.view(service)
-	v.failed.servers = len(servers)
-	v.late.servers = len(servers)
+	v := o.service(service)
+	v.failed.serverCount = len(servers)
+	v.late.serverCount = len(servers)
 	weights := make([]float64, len(servers))
 	for i, s := range servers {
 		weights[i] = o.Weight(now, service, s, workspace)
@@ -81,8 +81,8 @@
 	return weights
 }
 
-// suspicion is the highest score against a server, for a workspace if given.
-func (o *Observer) suspicion(now time.Duration, v *serviceView, server, workspace string) float64 {
+// suspicionScore is the highest score against a server, for a workspace if given.
+func (o *Observer) suspicionScore(now time.Duration, v *serviceEvidence, server, workspace string) float64 {
 	s := v.failed.score(now, server)
 	if !v.slow() {
 		// While the whole service is slow, lateness tells servers apart badly,
@@ -112,7 +112,7 @@
 // ApplyAdvice takes a collector's answer to a report. It replaces the one before
 // and only lowers weights, for a few seconds.
 func (o *Observer) ApplyAdvice(now time.Duration, service string, suspects []Suspect) {
-	v := o.view(service)
+	v := o.service(service)
 	clear(v.advice)
 	for _, s := range suspects {
 		v.advice[s.Server] = s
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -29,7 +29,7 @@
 
 // begin sends the request for the first time.
 func (n *Node) begin(r *request) {
-	n.budget(r.service.Name).Request()
+	n.budget(r.service.Name).RecordRequest()
 	switch {
 	case r.gone:
 		record := n.record(r, decision.RuleCallerGone)
@@ -48,17 +48,17 @@
 // send starts an attempt at a backend server that wasn't tried yet.
 func (n *Node) send(r *request) bool {
 	servers := n.servers(r)
-	o := balance.Options{Exclude: r.tried, Careful: !r.idempotent}
+	o := balance.Options{Exclude: r.tried, AvoidSuspects: !r.idempotent}
 	id, ok := n.picker.Pick(n.now, r.service.Name, servers, o)
 	if !ok {
 		return false
 	}
-	server, _ := n.member.Live().Instance(id)
+	server, _ := n.member.Directory().Instance(id)
 	a := n.newAttempt(r, server)
 	r.tried = append(r.tried, id)
 	r.server = id
 	n.picker.Started(r.service.Name, id)
-	n.timers.add(n.now+n.observer.LateAfter(r.service.Name), func() { n.late(a) })
+	n.timers.add(n.now+n.observer.LateThreshold(r.service.Name), func() { n.late(a) })
 	n.emit(StartAttempt{
 		Request:   r.arrived.Request,
 		Attempt:   a.id,
@@ -154,14 +154,14 @@
 		others = 0
 	}
 	return retry.Attempt{
-		Result:     e.Result,
-		Idempotent: r.idempotent,
-		Number:     len(r.tried),
-		MayHaveRun: r.mayHaveRun,
-		Running:    len(r.running),
-		Deadline:   r.deadline,
-		Others:     others,
-		Room:       room,
+		Result:         e.Result,
+		Idempotent:     r.idempotent,
+		AttemptCount:   len(r.tried),
+		MayHaveRun:     r.mayHaveRun,
+		InFlight:       len(r.running),
+		Deadline:       r.deadline,
+		Untried:        others,
+		UntriedHasSlot: room,
 	}
 }
 
@@ -185,7 +185,7 @@
 	case e.Result == health.Shed:
 		rule = decision.RuleShed
 	}
-	r.figures.Servers = len(n.member.Live().Servers(r.service.Name))
+	r.figures.Servers = len(n.member.Directory().Servers(r.service.Name))
 	r.figures.Usable, _ = n.others(r)
 	n.refuse(r, rule, max(d.RetryAfter, e.RetryAfter))
 }
@@ -251,7 +251,7 @@
 	}
 	a.late = true
 	n.observer.Observe(n.now, n.observation(a, health.Late, n.now-a.started))
-	after, may := n.observer.HedgeAfter(a.request.service.Name)
+	after, may := n.observer.HedgeDelay(a.request.service.Name)
 	if !may {
 		return
 	}
@@ -291,12 +291,12 @@
 
 func (n *Node) observation(a *attempt, result health.Result, latency time.Duration) health.Observation {
 	return health.Observation{
-		Service:   a.request.service.Name,
-		Server:    a.server.ID,
-		Workspace: a.request.workspace.Name,
-		Result:    result,
-		Latency:   latency,
-		WasLate:   a.late,
+		Service:      a.request.service.Name,
+		Server:       a.server.ID,
+		Workspace:    a.request.workspace.Name,
+		Result:       result,
+		Latency:      latency,
+		ReportedLate: a.late,
 	}
 }
 
