--- a/edge/retry_budget.go
+++ b/edge/retry_budget.go
@@ -8,10 +8,10 @@
 )
 
 // sharedRetryBudget returns the retry budget of a service, which the fleet shares.
-func (s *state) sharedRetryBudget(service string) *retry.Shared {
+func (s *state) sharedRetryBudget(service string) *retry.FleetBudget {
 	r, ok := s.budgets[service]
 	if !ok {
-		r = retry.NewShared(retryAfterShort, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		r = retry.NewFleetBudget(retryAfterShort, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		s.budgets[service] = r
 	}
 	return r
@@ -25,9 +25,9 @@
 }
 
 // retryBound returns this instance's share of the platform's bound on retries.
-func (e *Edge) retryBound() retry.Bound {
+func (e *Edge) retryBound() retry.Limit {
 	b := e.settings.Bounds
-	return retry.Bound{Ratio: b.RetryRatio, Slack: b.RetrySlack, Heard: e.state.usage.RateShare}
+	return retry.Limit{Ratio: b.RetryRatio, Slack: b.RetrySlack, Coverage: e.state.usage.RateShare}
 }
 
 // retryBudget returns the remaining retry budget of a service.
@@ -38,5 +38,5 @@
 // hasRetryBudget reports whether the budget allows requests that probe uncertain
 // servers, since a failed one needs a retry.
 func (e *Edge) hasRetryBudget(service string) bool {
-	return e.state.sharedRetryBudget(service).Room(e.retryBound(), e.now())
+	return e.state.sharedRetryBudget(service).MayProbe(e.retryBound(), e.now())
 }
--- a/health/collector.go
+++ b/health/collector.go
@@ -57,7 +57,7 @@
 	unwellAt time.Duration
 	// advised is when which instance was advised to lower the weight.
 	advised map[string]time.Duration
-	probing probing
+	probing probeState
 }
 
 // reporterMemory is how long a reporter counts as one.
@@ -135,7 +135,7 @@
 		s := c.settings
 		p = &pool{
 			failed:    newOutcomeStats(s.FailureShare, s.SickFailureShare, s.PooledMemory),
-			late:      newOutcomeStats(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
+			late:      newOutcomeStats(s.healthyLateShare(), s.SickLateShare, s.PooledMemory),
 			reporters: map[string]*reporter{},
 			servers:   map[string]*serverState{},
 		}
@@ -160,7 +160,7 @@
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setBaseline(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
+		p.late.setBaseline(p.usualLateShare(), c.settings.healthyLateShare(), c.settings.SickLateShare)
 		p.advised = c.advise(now, p)
 	}
 	for _, s := range p.advised {
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -177,7 +177,7 @@
 func (d *Directory) updateEntryRoles(before []string) {
 	d.watchers = map[string][]string{}
 	d.witnesses = nil
-	d.followCollectors(before)
+	d.updateCollectors(before)
 	d.dataCentres = sortedKeys(d.entryIDsByDataCentre)
 	d.selfIsWatcher = d.isWatcher(d.set.Self)
 }
--- a/membership/fallback.go
+++ b/membership/fallback.go
@@ -35,8 +35,8 @@
 	}
 	m.fallback.next = now + m.fallbackInterval()
 	m.fallback.failures++
-	m.table.wanted = m.table.wanted || !m.reads()
-	m.list.wanted = m.list.wanted || !m.isWatcher()
+	m.table.requested = m.table.requested || !m.readsTableRegularly()
+	m.list.requested = m.list.requested || !m.isWatcher()
 	out := m.tickTable(now)
 	out = append(out, m.tickList(now)...)
 	if m.round.open && now-m.round.start < m.set.CallTimeout {
@@ -48,7 +48,7 @@
 // proofOverdueAt returns when the youngest proof is so old that a healthy instance
 // would have a younger one.
 func (m *Member) proofOverdueAt() time.Duration {
-	p := m.youngest()
+	p := m.youngestProof()
 	if !p.held {
 		return 0
 	}
--- a/membership/in_force.go
+++ b/membership/in_force.go
@@ -64,7 +64,7 @@
 // more. It becomes true only after Require, or a later one's.
 func (m *Member) InForce(now time.Duration, rev storage.Revision) bool {
 	m.advanceInForce(now)
-	return m.rules.covers(m.inForce.revision, rev)
+	return m.rules.isInForce(m.inForce.revision, rev)
 }
 
 // PendingWitnesses returns the witnesses that a revision waits for: those that
@@ -75,7 +75,7 @@
 		return nil
 	}
 	var missing []string
-	for _, id := range witnessIDs(m.log.Witnesses()) {
+	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		if !m.witnessKnows(id, rev) {
 			missing = append(missing, id)
 		}
@@ -84,7 +84,7 @@
 }
 
 func (m *Member) advanceInForce(now time.Duration) {
-	for len(m.inForce.majorities) > 0 && now >= m.inForce.majorities[0].at+m.rules.wait {
+	for len(m.inForce.majorities) > 0 && now >= m.inForce.majorities[0].at+m.rules.inForceDelay {
 		m.inForce.revision = m.inForce.majorities[0].revision
 		m.inForce.majorities = m.inForce.majorities[1:]
 	}
@@ -112,7 +112,7 @@
 			return
 		}
 		knows := func(id string) bool { return m.witnessKnows(id, rev) }
-		if m.rules.known(m.log.Witnesses(), knows) {
+		if m.rules.knownByQuorum(m.log.Witnesses(), knows) {
 			m.inForce.majorities = append(m.inForce.majorities, majorityRecord{revision: rev, at: now})
 			return
 		}
@@ -123,7 +123,7 @@
 // know can change, up to the replica's own, highest first.
 func (m *Member) candidateRevisions(own storage.Revision) []storage.Revision {
 	revisions := []storage.Revision{own}
-	for _, id := range witnessIDs(m.log.Witnesses()) {
+	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		revisions = append(revisions, min(own, m.inForce.known[id]))
 	}
 	slices.Sort(revisions)
@@ -137,7 +137,7 @@
 	}
 	m.inForce.next = now + m.set.CallTimeout
 	if m.log.Revision() < m.inForce.target {
-		m.table.wanted = true
+		m.table.requested = true
 		return m.tickTable(now)
 	}
 	return m.informWitnesses(now)
@@ -145,16 +145,16 @@
 
 func (m *Member) informWitnesses(now time.Duration) []effect.Effect {
 	var out []effect.Effect
-	for _, id := range witnessIDs(m.log.Witnesses()) {
+	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		if m.witnessKnows(id, m.inForce.target) {
 			continue
 		}
 		known := m.inForce.known[id]
 		if known == 0 {
-			out = append(out, m.ask(now, id, 0, nil, 0))
+			out = append(out, m.callWitness(now, id, 0, nil, 0))
 			continue
 		}
-		out = append(out, m.ask(now, id, 0, m.offerChanges(known), known))
+		out = append(out, m.callWitness(now, id, 0, m.offerChanges(known), known))
 	}
 	return out
 }
@@ -165,7 +165,7 @@
 		next = m.inForce.next
 	}
 	if len(m.inForce.majorities) > 0 {
-		next = min(next, m.inForce.majorities[0].at+m.rules.wait)
+		next = min(next, m.inForce.majorities[0].at+m.rules.inForceDelay)
 	}
 	return next
 }
--- a/membership/sim_holder_test.go
+++ b/membership/sim_holder_test.go
@@ -12,9 +12,9 @@
 
 const shardRow = config.ShardPrefix + "s"
 
-// take lets a node try to become the only holder of the shard.
-func (s *sim) take(n *simNode) {
-	s.step(n, func(time.Duration) []effect.Effect {
+// tryToHold lets a node try to become the only holder of the shard.
+func (s *sim) tryToHold(n *simNode) {
+	s.deliver(n, func(time.Duration) []effect.Effect {
 		row, _ := n.log.Row(shardRow)
 		value, _ := json.Marshal(config.Shard{Holders: []config.Holder{{Instance: n.id, Parts: config.PartsPerShard}}})
 		s.write(n, storage.Txn{
@@ -40,14 +40,14 @@
 // acts says whether the node spends the shard's parts now.
 func (n *simNode) acts(now time.Duration) bool {
 	rev, holds := n.holds()
-	return holds && n.m.Confirmed(now).State != CutOff && n.m.InForce(now, rev)
+	return holds && n.m.Confirmation(now).State != CutOff && n.m.InForce(now, rev)
 }
 
-// check notes a violation of what must always hold.
-func (s *sim) check() {
+// checkInvariants notes a violation of what must always hold.
+func (s *sim) checkInvariants() {
 	var acting []string
 	for _, n := range s.nodes {
-		if n == nil || n.dead || s.now < n.frozen {
+		if n == nil || n.dead || s.now < n.frozenUntil {
 			continue
 		}
 		now := n.clock(s.now)
@@ -62,15 +62,15 @@
 		}
 		n.revision = n.log.Revision()
 	}
-	s.acted += min(len(acting), 1)
+	s.actingChecks += min(len(acting), 1)
 	if len(acting) > 1 {
 		s.fail("two holders act: %v", acting)
 	}
 	for _, n := range s.nodes {
-		if n == nil || n.dead || s.now < n.frozen {
+		if n == nil || n.dead || s.now < n.frozenUntil {
 			continue
 		}
-		c := n.m.Confirmed(n.clock(s.now))
+		c := n.m.Confirmation(n.clock(s.now))
 		s.states[c.State]++
 		if c.State != CutOff && c.Revision < s.inForce {
 			s.fail("%s acts on revision %d (%v, age %v) while %d is in force", n.id, c.Revision, c.State, c.Age, s.inForce)
--- a/node/node.go
+++ b/node/node.go
@@ -141,7 +141,7 @@
 	case InstancesRead:
 		n.instancesRead(e)
 	case ProbeEnded:
-		n.collector.ProbeDone(n.now, e.Probe, e.Result, e.Latency)
+		n.collector.RecordProbe(n.now, e.Probe, e.Result, e.Latency)
 	case LeaveRequested:
 		n.leave()
 	}
@@ -248,7 +248,7 @@
 }
 
 func (n *Node) noticeState() {
-	c := n.member.Confirmed(n.now)
+	c := n.member.Confirmation(n.now)
 	if c.State != membership.CutOff {
 		n.freshUntil = n.now - c.Age + n.member.Settings().Fresh
 	}
--- a/node/servers.go
+++ b/node/servers.go
@@ -40,7 +40,7 @@
 			usable = append(usable, id)
 		}
 	}
-	floor := balance.ViewFloor(service.Floor, len(listed), len(subset))
+	floor := balance.SubsetFloor(service.Floor, len(listed), len(subset))
 	n.weigh(r, view, usable, floor)
 	return view
 }
@@ -135,7 +135,7 @@
 		if n.member.Directory().Collector(service) != n.settings.Self.ID || n.leaving {
 			continue
 		}
-		if n.member.Confirmed(n.now).State == membership.ByTable {
+		if n.member.Confirmation(n.now).State == membership.ConfirmedByTable {
 			n.propose(service)
 		}
 		n.probe(service)
@@ -168,7 +168,7 @@
 
 func (n *Node) probe(service string) {
 	about, _ := n.replica.Service(service)
-	for _, probe := range n.collector.Probes(n.now, service, n.replica.Permits(service)) {
+	for _, probe := range n.collector.DueProbes(n.now, service, n.replica.Permits(service)) {
 		server, ok := n.member.Directory().Instance(probe.Server)
 		if !ok {
 			continue
