--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -47,8 +47,8 @@
 	Decision *Decision
 	// Write is to be sent once; its result goes to Written.
 	Write *storage.Txn
-	// After is how long to wait before Write is sent.
-	After time.Duration
+	// Delay is how long to wait before Write is sent.
+	Delay time.Duration
 	// Read's result goes to Answered or Unanswered.
 	Read *storage.ReadRequest
 }
@@ -128,7 +128,7 @@
 		return 0, decided(f.decision(d))
 	}
 	if len(c.open) >= c.settings.MaxOpen {
-		return 0, decided(Decision{Verdict: Refused, Reason: Full})
+		return 0, decided(Decision{Verdict: Refused, Reason: CapacityReached})
 	}
 	c.last++
 	cl := &claim{id: c.last, key: rowKey, digest: d}
@@ -140,10 +140,10 @@
 // local decides about a key that this instance is already working on.
 func (c *Claimer) local(cl *claim, d Digest) Decision {
 	if cl.digest != d {
-		return Decision{Verdict: Refused, Reason: OtherRequest}
+		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	}
 	if cl.phase != finishing || cl.end.outcome == NotRun {
-		return Decision{Verdict: InProgress, By: c.self}
+		return Decision{Verdict: InProgress, Owner: c.self}
 	}
 	return cl.end.decision(d)
 }
@@ -151,13 +151,13 @@
 func (f finished) decision(d Digest) Decision {
 	switch {
 	case f.digest != d:
-		return Decision{Verdict: Refused, Reason: OtherRequest}
+		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	case f.outcome == Ran && f.answer != nil:
 		return Decision{Verdict: Replay, Answer: f.answer}
 	case f.outcome == Ran:
 		return Decision{Verdict: RanAlready}
 	default:
-		return Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
 }
 
@@ -169,5 +169,5 @@
 	}
 }
 
-// Open returns how many claims are being worked on, for metrics.
-func (c *Claimer) Open() int { return len(c.open) }
+// OpenCount returns how many claims are being worked on, for metrics.
+func (c *Claimer) OpenCount() int { return len(c.open) }
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -37,10 +37,10 @@
 	w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 	id, s := c.Begin("w", "k", Digest{1})
 	w.commit(*s.Write)
-	s = c.Written(id, unanswered)
+	s = c.HandleWriteResult(id, unanswered)
 	must.Nil(t, s.Decision)
 	must.NotNil(t, s.Read)
-	must.Eq(t, Run, verdict(t, c.Answered(id, w.changes())).Verdict)
+	must.Eq(t, Run, verdict(t, c.HandleReadResult(id, w.changes())).Verdict)
 	end := c.Finish(id, Ran, &Answer{Status: 200})
 	must.Eq(t, storage.Committed, w.commit(*end.Write).Outcome)
 }
@@ -52,14 +52,14 @@
 	for _, firstArrives := range []bool{false, true} {
 		w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 		id, first := c.Begin("w", "k", Digest{1})
-		c.Written(id, unanswered)
-		again := c.Answered(id, w.changes())
+		c.HandleWriteResult(id, unanswered)
+		again := c.HandleReadResult(id, w.changes())
 		must.NotNil(t, again.Write)
 		must.Eq(t, first.Write.Attempt, again.Write.Attempt)
 		if firstArrives {
 			w.commit(*first.Write)
 		}
-		must.Eq(t, Run, verdict(t, c.Written(id, w.commit(*again.Write))).Verdict)
+		must.Eq(t, Run, verdict(t, c.HandleWriteResult(id, w.commit(*again.Write))).Verdict)
 		must.Eq(t, storage.Conflict, w.commit(*first.Write).Outcome)
 	}
 }
@@ -70,19 +70,19 @@
 func TestAbandonedClaimIsTakenOver(t *testing.T) {
 	w, a, b := quietTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 	id, s := a.Begin("w", "k", Digest{1})
-	a.Written(id, unanswered)
-	must.Eq(t, Decision{Verdict: Refused, Reason: StoreAway}, verdict(t, a.Unanswered(id)))
+	a.HandleWriteResult(id, unanswered)
+	must.Eq(t, Decision{Verdict: Refused, Reason: StoreUnavailable}, verdict(t, a.HandleReadFailure(id)))
 	w.commit(*s.Write)
 
 	id, s = b.Begin("w", "k", Digest{1})
-	d := verdict(t, b.Written(id, w.commit(*s.Write)))
-	must.Eq(t, Decision{Verdict: InProgress, By: "a"}, d)
-	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: ClaimerGone, By: "a"}, InDoubt(d, PeerEnded))
+	d := verdict(t, b.HandleWriteResult(id, w.commit(*s.Write)))
+	must.Eq(t, Decision{Verdict: InProgress, Owner: "a"}, d)
+	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: ClaimerUnavailable, Owner: "a"}, InDoubt(d, PeerEnded))
 
 	id, s = a.Begin("w", "k", Digest{1})
-	s = a.Written(id, w.commit(*s.Write))
+	s = a.HandleWriteResult(id, w.commit(*s.Write))
 	must.NotNil(t, s.Write)
-	must.Eq(t, Run, verdict(t, a.Written(id, w.commit(*s.Write))).Verdict)
+	must.Eq(t, Run, verdict(t, a.HandleWriteResult(id, w.commit(*s.Write))).Verdict)
 }
 
 // The same, but the caller never comes back to this instance. It sweeps the
@@ -90,8 +90,8 @@
 func TestAbandonedClaimIsSwept(t *testing.T) {
 	w, a, b := quietTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 	id, s := a.Begin("w", "k", Digest{1})
-	a.Written(id, unanswered)
-	a.Unanswered(id)
+	a.HandleWriteResult(id, unanswered)
+	a.HandleReadFailure(id)
 	w.commit(*s.Write)
 	keys := a.Abandoned(10)
 	must.Eq(t, []string{RowKey("w", "k")}, keys)
@@ -101,7 +101,7 @@
 	must.SliceEmpty(t, a.Abandoned(10))
 
 	id, s = b.Begin("w", "k", Digest{1})
-	must.Eq(t, Run, verdict(t, b.Written(id, w.commit(*s.Write))).Verdict)
+	must.Eq(t, Run, verdict(t, b.HandleWriteResult(id, w.commit(*s.Write))).Verdict)
 	_, ok = a.Sweep(keys[0], w.changes())
 	must.False(t, ok)
 }
@@ -125,13 +125,13 @@
 	} {
 		w, a, b := quietTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 		id, s := a.Begin("w", "k", Digest{1})
-		a.Written(id, w.commit(*s.Write))
+		a.HandleWriteResult(id, w.commit(*s.Write))
 		s = a.Finish(id, c.outcome, c.answer)
 		must.Eq(t, Step{}, a.Finish(id, NotRun, nil)) // a second report doesn't count
-		a.Written(id, w.commit(*s.Write))
-		must.Zero(t, a.Open())
+		a.HandleWriteResult(id, w.commit(*s.Write))
+		must.Zero(t, a.OpenCount())
 		id, s = b.Begin("w", "k", c.digest)
-		must.Eq(t, c.want, verdict(t, b.Written(id, w.commit(*s.Write))).Verdict, must.Sprint(c.name))
+		must.Eq(t, c.want, verdict(t, b.HandleWriteResult(id, w.commit(*s.Write))).Verdict, must.Sprint(c.name))
 	}
 }
 
@@ -140,17 +140,17 @@
 func TestEndThatCannotBeWritten(t *testing.T) {
 	w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 	id, s := c.Begin("w", "k", Digest{1})
-	c.Written(id, w.commit(*s.Write))
+	c.HandleWriteResult(id, w.commit(*s.Write))
 	s = c.Finish(id, Ran, &Answer{Status: 200})
 	var waits time.Duration
 	for s.Write != nil {
-		waits += s.After
+		waits += s.Delay
 		_, again := c.Begin("w", "k", Digest{1})
 		must.Eq(t, Replay, verdict(t, again).Verdict)
-		s = c.Written(id, unanswered)
+		s = c.HandleWriteResult(id, unanswered)
 	}
 	must.Eq(t, 31*time.Second, waits)
-	must.Zero(t, c.Open())
+	must.Zero(t, c.OpenCount())
 	_, again := c.Begin("w", "k", Digest{1})
 	must.Eq(t, Replay, verdict(t, again).Verdict)
 }
@@ -161,11 +161,11 @@
 	w, a, b := quietTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 	id, s := a.Begin("w", "k", Digest{1})
 	a.Cancel(id)
-	s = a.Written(id, w.commit(*s.Write))
+	s = a.HandleWriteResult(id, w.commit(*s.Write))
 	must.Nil(t, s.Decision)
-	a.Written(id, w.commit(*s.Write))
+	a.HandleWriteResult(id, w.commit(*s.Write))
 	id, s = b.Begin("w", "k", Digest{1})
-	must.Eq(t, Run, verdict(t, b.Written(id, w.commit(*s.Write))).Verdict)
+	must.Eq(t, Run, verdict(t, b.HandleWriteResult(id, w.commit(*s.Write))).Verdict)
 }
 
 // Claims are pruned once they are older than the retention by the pruner's
@@ -182,7 +182,7 @@
 	w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 	for _, key := range []string{"k1", "k2", "k3"} {
 		id, s := c.Begin("w", key, Digest{1})
-		c.Written(id, w.commit(*s.Write))
+		c.HandleWriteResult(id, w.commit(*s.Write))
 	}
 	txn, ok := c.Prune(w.changes().Rows, 2, 10)
 	must.True(t, ok)
@@ -204,14 +204,14 @@
 		c.notRun.bound = 100 // what never ran may be remembered for longer
 		for _, key := range []string{"k1", "k2"} {
 			id, step := c.Begin("w", key, Digest{1})
-			c.Written(id, w.commit(*step.Write))
+			c.HandleWriteResult(id, w.commit(*step.Write))
 			for step = c.Finish(id, o, nil); step.Write != nil; {
-				step = c.Written(id, unanswered)
+				step = c.HandleWriteResult(id, unanswered)
 			}
 		}
 		id, step := c.Begin("w", "k1", Digest{1})
-		d := verdict(t, c.Written(id, w.commit(*step.Write)))
-		must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: AttemptLost}, d)
+		d := verdict(t, c.HandleWriteResult(id, w.commit(*step.Write)))
+		must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}, d)
 	}
 }
 
@@ -221,12 +221,12 @@
 	for _, finished := range []bool{false, true} {
 		w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 		id, _ := c.Begin("w", "k", Digest{1})
-		c.Written(id, unanswered)
-		c.Unanswered(id)
+		c.HandleWriteResult(id, unanswered)
+		c.HandleReadFailure(id)
 		id, s := c.Begin("w", "k", Digest{1})
-		must.Eq(t, Run, verdict(t, c.Written(id, w.commit(*s.Write))).Verdict)
+		must.Eq(t, Run, verdict(t, c.HandleWriteResult(id, w.commit(*s.Write))).Verdict)
 		if finished {
-			c.Written(id, w.commit(*c.Finish(id, Ran, nil).Write))
+			c.HandleWriteResult(id, w.commit(*c.Finish(id, Ran, nil).Write))
 		}
 		_, ok := c.Sweep(c.Abandoned(1)[0], w.changes())
 		must.False(t, ok)
@@ -237,10 +237,10 @@
 func TestTakeOverNeedsTheSameRequest(t *testing.T) {
 	w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 	id, first := c.Begin("w", "k", Digest{1})
-	c.Written(id, unanswered)
-	c.Unanswered(id)
+	c.HandleWriteResult(id, unanswered)
+	c.HandleReadFailure(id)
 	w.commit(*first.Write)
 	id, s := c.Begin("w", "k", Digest{2})
-	d := verdict(t, c.Written(id, w.commit(*s.Write)))
-	must.Eq(t, Decision{Verdict: Refused, Reason: OtherRequest}, d)
+	d := verdict(t, c.HandleWriteResult(id, w.commit(*s.Write)))
+	must.Eq(t, Decision{Verdict: Refused, Reason: RequestMismatch}, d)
 }
--- a/claim/decision.go
+++ b/claim/decision.go
@@ -32,25 +32,25 @@
 	Malformed
 	// Forged keys have a wrong MAC.
 	Forged
-	// OtherWorkspace means that the key was minted for another workspace.
-	OtherWorkspace
-	// OtherMinter means that another instance minted the key.
-	OtherMinter
+	// WorkspaceMismatch means that the key was minted for another workspace.
+	WorkspaceMismatch
+	// MinterMismatch means that another instance minted the key.
+	MinterMismatch
 	// Expired keys are never run.
 	Expired
-	// OtherRequest means that the key was used for a different request.
-	OtherRequest
-	// Full means that this instance remembers too many operations.
-	Full
-	// StoreAway means that the claims table can't be reached.
-	StoreAway
-	// MinterGone means that the instance that minted the key has ended.
-	MinterGone
-	// ClaimerGone means that the instance that claimed the key has ended
+	// RequestMismatch means that the key was used for a different request.
+	RequestMismatch
+	// CapacityReached means that this instance remembers too many operations.
+	CapacityReached
+	// StoreUnavailable means that the claims table can't be reached.
+	StoreUnavailable
+	// MinterUnavailable means that the instance that minted the key has ended.
+	MinterUnavailable
+	// ClaimerUnavailable means that the instance that claimed the key has ended
 	// or can't be reached.
-	ClaimerGone
-	// AttemptLost means that the operation was sent and its end isn't known.
-	AttemptLost
+	ClaimerUnavailable
+	// OutcomeLost means that the operation was sent and its end isn't known.
+	OutcomeLost
 )
 
 // Decision is a verdict with what a caller may be told.
@@ -63,8 +63,8 @@
 	NeverRan bool
 	// Answer is set with Replay.
 	Answer *Answer
-	// By is the instance that has the operation, with InProgress.
-	By string
+	// Owner is the instance that has the operation, with InProgress.
+	Owner string
 }
 
 // Answer is a backend server's answer as far as it is kept for repeats.
--- a/claim/elsewhere.go
+++ b/claim/elsewhere.go
@@ -21,7 +21,7 @@
 	case PeerLive:
 		return Decision{}, true
 	default:
-		return Decision{Verdict: UnknownOutcome, Reason: MinterGone, By: k.Minter}, false
+		return Decision{Verdict: UnknownOutcome, Reason: MinterUnavailable, Owner: k.Minter}, false
 	}
 }
 
@@ -30,5 +30,5 @@
 // repeated before that as long as the deadline allows: the minter runs a key
 // once, and tells a repeat how the first one ended.
 func Forwarded(k OperationKey) Decision {
-	return Decision{Verdict: UnknownOutcome, Reason: MinterGone, By: k.Minter}
+	return Decision{Verdict: UnknownOutcome, Reason: MinterUnavailable, Owner: k.Minter}
 }
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -45,7 +45,7 @@
 
 func (c *Claimer) sendFinish(cl *claim, after time.Duration) Step {
 	cl.finishes++
-	return Step{Write: &cl.finish, After: after}
+	return Step{Write: &cl.finish, Delay: after}
 }
 
 // finishWritten repeats a write without answer. Its condition is the row's
--- a/claim/insert.go
+++ b/claim/insert.go
@@ -37,8 +37,8 @@
 	return c.self + "/claim/" + strconv.FormatUint(c.attempts, 10)
 }
 
-// Written takes the result of a Step's Write.
-func (c *Claimer) Written(id ID, r storage.WriteResult) Step {
+// HandleWriteResult takes the result of a Step's Write.
+func (c *Claimer) HandleWriteResult(id ID, r storage.WriteResult) Step {
 	cl := c.open[id]
 	switch {
 	case cl == nil:
@@ -64,8 +64,8 @@
 	return Step{Read: &storage.ReadRequest{Table: storage.Claims, Prefix: cl.key}}
 }
 
-// Answered takes the result of a Step's Read.
-func (c *Claimer) Answered(id ID, ch storage.Changes) Step {
+// HandleReadResult takes the result of a Step's Read.
+func (c *Claimer) HandleReadResult(id ID, ch storage.Changes) Step {
 	cl := c.open[id]
 	if cl == nil || cl.phase != resolving {
 		return Step{}
@@ -73,10 +73,10 @@
 	return c.found(cl, ch.Rows)
 }
 
-// Unanswered says that a Step's Read failed. The request isn't run. Its
+// HandleReadFailure says that a Step's Read failed. The request isn't run. Its
 // insertion may still take effect; the attempt is remembered so that a
 // repeat at this instance can take the row over.
-func (c *Claimer) Unanswered(id ID) Step {
+func (c *Claimer) HandleReadFailure(id ID) Step {
 	cl := c.open[id]
 	if cl == nil || cl.phase != resolving {
 		return Step{}
@@ -87,7 +87,7 @@
 func (c *Claimer) giveUp(cl *claim) Step {
 	c.notRun.put(cl.insert.Attempt, struct{}{})
 	c.abandoned.put(cl.key, struct{}{})
-	return c.over(cl, Decision{Verdict: Refused, Reason: StoreAway})
+	return c.over(cl, Decision{Verdict: Refused, Reason: StoreUnavailable})
 }
 
 // found goes on with what is in the row.
@@ -109,9 +109,9 @@
 	// This claim's own insertion lost, or can't take effect any more.
 	c.notRun.put(cl.insert.Attempt, struct{}{})
 	d := judge(row, cl.digest)
-	if d.Verdict == InProgress && d.By == c.self {
+	if d.Verdict == InProgress && d.Owner == c.self {
 		// A claim of this instance that it has forgotten.
-		d = Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		d = Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
 	return c.over(cl, d)
 }
--- a/claim/minter.go
+++ b/claim/minter.go
@@ -88,7 +88,7 @@
 	m.forget(now)
 	if reason := m.verify(workspace, k); reason != NoReason {
 		// Such a key never ran and never will.
-		return Decision{Verdict: Refused, Reason: reason, NeverRan: reason != OtherMinter}
+		return Decision{Verdict: Refused, Reason: reason, NeverRan: reason != MinterMismatch}
 	}
 	if op, ok := m.operations[k.Number]; ok {
 		return m.repeat(now, k, op, d)
@@ -97,7 +97,7 @@
 		return m.expired(now, k)
 	}
 	if len(m.operations) >= m.settings.MaxOperations {
-		return Decision{Verdict: Refused, Reason: Full, NeverRan: true}
+		return Decision{Verdict: Refused, Reason: CapacityReached, NeverRan: true}
 	}
 	m.operations[k.Number] = &operation{digest: d, running: true}
 	m.expiry = append(m.expiry, expiring{number: k.Number, at: k.Expires + m.settings.KeepTime})
@@ -107,13 +107,13 @@
 // verify tells why a key isn't genuine for the workspace.
 func (m *Minter) verify(workspace string, k OperationKey) Reason {
 	if k.Minter != m.instance {
-		return OtherMinter
+		return MinterMismatch
 	}
 	if !hmac.Equal([]byte(k.mac), []byte(keyMAC(m.secret, k.signed()))) {
 		return Forged
 	}
 	if !hmac.Equal([]byte(k.tag), []byte(workspaceTag(m.secret, workspace))) {
-		return OtherWorkspace
+		return WorkspaceMismatch
 	}
 	return NoReason
 }
@@ -121,10 +121,10 @@
 // repeat decides about a key whose operation is remembered.
 func (m *Minter) repeat(now time.Duration, k OperationKey, op *operation, d Digest) Decision {
 	if op.digest != d {
-		return Decision{Verdict: Refused, Reason: OtherRequest}
+		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	}
 	if op.running {
-		return Decision{Verdict: InProgress, By: m.instance}
+		return Decision{Verdict: InProgress, Owner: m.instance}
 	}
 	switch op.outcome {
 	case NotRun:
@@ -139,7 +139,7 @@
 		}
 		return Decision{Verdict: RanAlready}
 	default:
-		return Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
 }
 
@@ -206,5 +206,5 @@
 	}
 }
 
-// Operations returns how many operations are remembered, for metrics.
-func (m *Minter) Operations() int { return len(m.operations) }
+// OperationCount returns how many operations are remembered, for metrics.
+func (m *Minter) OperationCount() int { return len(m.operations) }
--- a/claim/minter_test.go
+++ b/claim/minter_test.go
@@ -25,7 +25,7 @@
 	k, d := parse(t, m.Mint(0, "w")), Digest{1}
 	must.Eq(t, Run, m.Begin(1, "w", k, d).Verdict)
 	must.Eq(t, InProgress, m.Begin(2, "w", k, d).Verdict)
-	must.Eq(t, Decision{Verdict: Refused, Reason: OtherRequest}, m.Begin(2, "w", k, Digest{2}))
+	must.Eq(t, Decision{Verdict: Refused, Reason: RequestMismatch}, m.Begin(2, "w", k, Digest{2}))
 	m.Finish(3, k, Ran, &Answer{Status: 201})
 	m.Finish(4, k, NotRun, nil) // a second report doesn't count
 	for _, now := range []time.Duration{5, s.KeyTime, s.KeyTime + s.KeepTime - 1} {
@@ -35,7 +35,7 @@
 	}
 	forgotten := m.Begin(s.KeyTime+s.KeepTime, "w", k, d)
 	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: Expired}, forgotten)
-	must.Zero(t, m.Operations())
+	must.Zero(t, m.OperationCount())
 }
 
 // An operation that was proved not to have run may run, but not once its key
@@ -50,7 +50,7 @@
 	}{
 		{"not run", NotRun, s.KeyTime - 1, Decision{Verdict: Run}},
 		{"not run, expired", NotRun, s.KeyTime, Decision{Verdict: Refused, Reason: Expired, NeverRan: true}},
-		{"unknown", Unknown, 2, Decision{Verdict: UnknownOutcome, Reason: AttemptLost}},
+		{"unknown", Unknown, 2, Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}},
 		{"ran without an answer to keep", Ran, 2, Decision{Verdict: RanAlready}},
 	} {
 		m := NewMinter("i1", []byte("secret"), s)
@@ -76,8 +76,8 @@
 		want      Decision
 	}{
 		{"number changed", later, "w", 1, Decision{Verdict: Refused, Reason: Forged, NeverRan: true}},
-		{"other workspace", text, "v", 1, Decision{Verdict: Refused, Reason: OtherWorkspace, NeverRan: true}},
-		{"other minter", NewMinter("i2", []byte("secret"), s).Mint(0, "w"), "w", 1, Decision{Verdict: Refused, Reason: OtherMinter}},
+		{"other workspace", text, "v", 1, Decision{Verdict: Refused, Reason: WorkspaceMismatch, NeverRan: true}},
+		{"other minter", NewMinter("i2", []byte("secret"), s).Mint(0, "w"), "w", 1, Decision{Verdict: Refused, Reason: MinterMismatch}},
 		{"former secret", NewMinter("i1", []byte("former"), s).Mint(0, "w"), "w", 1, Decision{Verdict: Refused, Reason: Forged, NeverRan: true}},
 		{"expired", text, "w", s.KeyTime, Decision{Verdict: Refused, Reason: Expired, NeverRan: true}},
 		{"last moment", text, "w", s.KeyTime - 1, Decision{Verdict: Run}},
@@ -106,9 +106,9 @@
 		must.Eq(t, want, m.Begin(1, "w", keys[i], Digest{}).Verdict)
 	}
 	another := parse(t, m.Mint(1, "w"))
-	must.Eq(t, Decision{Verdict: Refused, Reason: Full, NeverRan: true}, m.Begin(1, "w", another, Digest{}))
+	must.Eq(t, Decision{Verdict: Refused, Reason: CapacityReached, NeverRan: true}, m.Begin(1, "w", another, Digest{}))
 	m.Begin(3*time.Hour, "w", another, Digest{})
-	must.Zero(t, m.Operations()+m.answerBytes+len(m.answers)+len(m.expiry))
+	must.Zero(t, m.OperationCount()+m.answerBytes+len(m.answers)+len(m.expiry))
 }
 
 // The minter is gone, or doesn't answer. Nobody else runs its keys.
@@ -119,7 +119,7 @@
 	for _, state := range []PeerState{PeerUnreachable, PeerEnded} {
 		d, forward := Elsewhere(k, state)
 		must.False(t, forward)
-		must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: MinterGone, By: "i1"}, d)
+		must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: MinterUnavailable, Owner: "i1"}, d)
 	}
 	must.Eq(t, UnknownOutcome, Forwarded(k).Verdict)
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -68,17 +68,17 @@
 	r, err := decode(row)
 	switch {
 	case err != nil:
-		return Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	case r.Digest != d.String():
-		return Decision{Verdict: Refused, Reason: OtherRequest}
+		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	case r.State == StateStarted:
-		return Decision{Verdict: InProgress, By: r.By}
+		return Decision{Verdict: InProgress, Owner: r.By}
 	case r.State == StateRan && r.Answer != nil:
 		return Decision{Verdict: Replay, Answer: r.Answer}
 	case r.State == StateRan:
 		return Decision{Verdict: RanAlready}
 	default:
-		return Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
 }
 
@@ -89,5 +89,5 @@
 	if d.Verdict != InProgress || claimer == PeerLive {
 		return d
 	}
-	return Decision{Verdict: UnknownOutcome, Reason: ClaimerGone, By: d.By}
+	return Decision{Verdict: UnknownOutcome, Reason: ClaimerUnavailable, Owner: d.Owner}
 }
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -53,7 +53,7 @@
 
 func (w *world) read(op *operationLog, n *node, id ID, q storage.ReadRequest, call int) {
 	if w.away || w.chance(5) {
-		w.add(n, func() { w.follow(op, n, id, n.claimer.Unanswered(id), call) })
+		w.add(n, func() { w.follow(op, n, id, n.claimer.HandleReadFailure(id), call) })
 		return
 	}
 	ch := storage.Changes{Revision: w.revision, Full: true}
@@ -62,5 +62,5 @@
 			ch.Rows = append(ch.Rows, row)
 		}
 	}
-	w.add(n, func() { w.follow(op, n, id, n.claimer.Answered(id, ch), call) })
+	w.add(n, func() { w.follow(op, n, id, n.claimer.HandleReadResult(id, ch), call) })
 }
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -197,7 +197,7 @@
 		})
 	case s.Write != nil:
 		w.write(*s.Write, func(r storage.WriteResult) {
-			w.add(n, func() { w.follow(op, n, id, n.claimer.Written(id, r), call) })
+			w.add(n, func() { w.follow(op, n, id, n.claimer.HandleWriteResult(id, r), call) })
 		})
 	case s.Read != nil:
 		w.add(nil, func() { w.read(op, n, id, *s.Read, call) })
@@ -209,8 +209,8 @@
 
 // decided is the answer to the caller, or the start of the operation.
 func (w *world) decided(op *operationLog, n *node, d Decision, call int, end func(Outcome, *Answer)) {
-	if d.Verdict == InProgress && d.By != n.id {
-		d = InDoubt(d, w.state(d.By))
+	if d.Verdict == InProgress && d.Owner != n.id {
+		d = InDoubt(d, w.state(d.Owner))
 	}
 	op.verdicts[d.Verdict]++
 	w.check(op, n, d)
--- a/node/claims.go
+++ b/node/claims.go
@@ -43,9 +43,9 @@
 	switch {
 	case s.Decision != nil:
 		n.claimDecided(id, request, *s.Decision)
-	case s.Write != nil && s.After > 0:
+	case s.Write != nil && s.Delay > 0:
 		write := effect.WriteTable{Txn: *s.Write}
-		n.timers.add(n.now+s.After, func() { n.emit(n.own(p, write)) })
+		n.timers.add(n.now+s.Delay, func() { n.emit(n.own(p, write)) })
 	case s.Write != nil:
 		n.emit(n.own(p, effect.WriteTable{Txn: *s.Write}))
 	case s.Read != nil:
@@ -62,7 +62,7 @@
 		r.operation = &operation{claim: id}
 		n.goOn(r)
 	case waiting:
-		n.answerRepeat(r, claim.InDoubt(d, n.peerState(d.By)))
+		n.answerRepeat(r, claim.InDoubt(d, n.peerState(d.Owner)))
 	}
 }
 
@@ -84,15 +84,15 @@
 	case strings.HasPrefix(p.subject, claim.RowPrefix):
 		n.sweep(p.subject, e)
 	case e.OK:
-		n.claimStep(claim.ID(p.id), p.subject, n.claimer.Answered(claim.ID(p.id), e.Changes))
+		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleReadResult(claim.ID(p.id), e.Changes))
 	default:
-		n.claimStep(claim.ID(p.id), p.subject, n.claimer.Unanswered(claim.ID(p.id)))
+		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleReadFailure(claim.ID(p.id)))
 	}
 }
 
 func (n *Node) claimWritten(p pending, r storage.WriteResult) {
 	if p.subject != pruneSubject {
-		n.claimStep(claim.ID(p.id), p.subject, n.claimer.Written(claim.ID(p.id), r))
+		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleWriteResult(claim.ID(p.id), r))
 	}
 }
 
--- a/node/operations.go
+++ b/node/operations.go
@@ -70,19 +70,19 @@
 // claimDetails tells callers why a key was refused.
 var claimDetails = map[claim.Reason]string{
 	claim.Forged:         "its operation key wasn't made by this system",
-	claim.OtherWorkspace: "its operation key was made for another workspace",
+	claim.WorkspaceMismatch: "its operation key was made for another workspace",
 	claim.Expired:        "its operation key is too old",
-	claim.OtherRequest:   "its operation key was used for a different request before",
+	claim.RequestMismatch:   "its operation key was used for a different request before",
 }
 
 func (n *Node) refuseClaim(r *request, d claim.Decision) {
 	r.figures.Detail = claimDetails[d.Reason]
 	rule := decision.RuleBadRequest
-	if d.Reason == claim.Full || d.Reason == claim.StoreAway {
+	if d.Reason == claim.CapacityReached || d.Reason == claim.StoreUnavailable {
 		rule = decision.RuleClaimUnavailable
 	}
 	record := n.record(r, rule)
-	if !d.NeverRan && d.Reason != claim.OtherRequest {
+	if !d.NeverRan && d.Reason != claim.RequestMismatch {
 		record.Outcome = decision.Unknown
 	}
 	n.refuseAs(r, record)
