--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -77,7 +77,7 @@
 	id, s = b.Begin("w", "k", Digest{1})
 	d := verdict(t, b.HandleWriteResult(id, w.commit(*s.Write)))
 	must.Eq(t, Decision{Verdict: InProgress, Owner: "a"}, d)
-	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: ClaimerUnavailable, Owner: "a"}, InDoubt(d, PeerEnded))
+	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: ClaimerUnavailable, Owner: "a"}, ResolveInProgress(d, PeerEnded))
 
 	id, s = a.Begin("w", "k", Digest{1})
 	s = a.HandleWriteResult(id, w.commit(*s.Write))
@@ -93,16 +93,16 @@
 	a.HandleWriteResult(id, unanswered)
 	a.HandleReadFailure(id)
 	w.commit(*s.Write)
-	keys := a.Abandoned(10)
+	keys := a.AbandonedKeys(10)
 	must.Eq(t, []string{RowKey("w", "k")}, keys)
-	txn, ok := a.Sweep(keys[0], w.changes())
+	txn, ok := a.ReleaseAbandoned(keys[0], w.changes())
 	must.True(t, ok)
 	must.Eq(t, storage.Committed, w.commit(txn).Outcome)
-	must.SliceEmpty(t, a.Abandoned(10))
+	must.SliceEmpty(t, a.AbandonedKeys(10))
 
 	id, s = b.Begin("w", "k", Digest{1})
 	must.Eq(t, Run, verdict(t, b.HandleWriteResult(id, w.commit(*s.Write))).Verdict)
-	_, ok = a.Sweep(keys[0], w.changes())
+	_, ok = a.ReleaseAbandoned(keys[0], w.changes())
 	must.False(t, ok)
 }
 
@@ -171,13 +171,13 @@
 // Claims are pruned once they are older than the retention by the pruner's
 // clock. A claim that changed meanwhile stays.
 func TestPruneByHorizon(t *testing.T) {
-	h := NewHorizon(time.Hour)
+	h := NewRetentionTracker(time.Hour)
 	for at := time.Duration(0); at <= 2*time.Hour; at += time.Minute {
-		h.Note(at, storage.Revision(at/time.Minute))
+		h.Observe(at, storage.Revision(at/time.Minute))
 		must.LessEq(t, notesKept+1, len(h.notes))
-		must.LessEq(t, storage.Revision(max(0, at-time.Hour)/time.Minute), h.Old(at))
+		must.LessEq(t, storage.Revision(max(0, at-time.Hour)/time.Minute), h.ExpiredRevision(at))
 	}
-	must.GreaterEq(t, 58, h.Old(2*time.Hour))
+	must.GreaterEq(t, 58, h.ExpiredRevision(2*time.Hour))
 
 	w, c := quietTable(), NewClaimer("a", DefaultClaimerSettings())
 	for _, key := range []string{"k1", "k2", "k3"} {
@@ -228,7 +228,7 @@
 		if finished {
 			c.HandleWriteResult(id, w.commit(*c.Finish(id, Ran, nil).Write))
 		}
-		_, ok := c.Sweep(c.Abandoned(1)[0], w.changes())
+		_, ok := c.ReleaseAbandoned(c.AbandonedKeys(1)[0], w.changes())
 		must.False(t, ok)
 	}
 }
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -24,7 +24,7 @@
 
 	// Another workspace can't use it, and no other instance ever runs it.
 	fmt.Println(minter.Begin(4*time.Second, "somebody-else", key, order).Verdict == claim.Refused)
-	d, forward := claim.Elsewhere(key, claim.PeerEnded)
+	d, forward := claim.RouteToMinter(key, claim.PeerEnded)
 	fmt.Println(forward, d.Verdict == claim.UnknownOutcome)
 	// Output:
 	// a <nil>
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -32,7 +32,7 @@
 
 // lastPut is the write that ends a claim.
 func (cl *claim) lastPut(self string) storage.Put {
-	r := Record{Digest: cl.digest.String(), By: self, State: StateUnknown}
+	r := Record{Digest: cl.digest.String(), Owner: self, State: StateUnknown}
 	switch cl.end.outcome {
 	case NotRun:
 		return storage.Put{Delete: true}
--- a/claim/insert.go
+++ b/claim/insert.go
@@ -8,7 +8,7 @@
 
 // sendInsert claims the row, provided that it has the revision: 0 if absent.
 func (c *Claimer) sendInsert(cl *claim, revision storage.Revision) Step {
-	r := Record{Digest: cl.digest.String(), By: c.self, State: StateStarted}
+	r := Record{Digest: cl.digest.String(), Owner: c.self, State: StateStarted}
 	cl.insert = c.txn(cl.key, revision, storage.Put{Value: r.encode()})
 	return c.repeatInsert(cl)
 }
--- a/claim/minter_test.go
+++ b/claim/minter_test.go
@@ -114,12 +114,12 @@
 // The minter is gone, or doesn't answer. Nobody else runs its keys.
 func TestElsewhereNeverRuns(t *testing.T) {
 	k := OperationKey{Minter: "i1"}
-	_, forward := Elsewhere(k, PeerLive)
+	_, forward := RouteToMinter(k, PeerLive)
 	must.True(t, forward)
 	for _, state := range []PeerState{PeerUnreachable, PeerEnded} {
-		d, forward := Elsewhere(k, state)
+		d, forward := RouteToMinter(k, state)
 		must.False(t, forward)
 		must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: MinterUnavailable, Owner: "i1"}, d)
 	}
-	must.Eq(t, UnknownOutcome, Forwarded(k).Verdict)
+	must.Eq(t, UnknownOutcome, ForwardFailed(k).Verdict)
 }
--- a/claim/elsewhere.go
+++ b/claim/peer.go
@@ -12,11 +12,11 @@
 	PeerEnded
 )
 
-// Elsewhere decides about an operation key that another instance minted.
+// RouteToMinter decides about an operation key that another instance minted.
 // forward is true if the request is to be sent to the minter; otherwise the
 // decision is final. No instance but the minter ever runs the operation, also
 // when the minter has ended: it may have run it just before.
-func Elsewhere(k OperationKey, minter PeerState) (d Decision, forward bool) {
+func RouteToMinter(k OperationKey, minter PeerState) (d Decision, forward bool) {
 	switch minter {
 	case PeerLive:
 		return Decision{}, true
@@ -25,10 +25,10 @@
 	}
 }
 
-// Forwarded decides about a request that was forwarded to the minter and
+// ForwardFailed decides about a request that was forwarded to the minter and
 // brought no answer. Whether the minter got it isn't known. Forwarding may be
 // repeated before that as long as the deadline allows: the minter runs a key
 // once, and tells a repeat how the first one ended.
-func Forwarded(k OperationKey) Decision {
+func ForwardFailed(k OperationKey) Decision {
 	return Decision{Verdict: UnknownOutcome, Reason: MinterUnavailable, Owner: k.Minter}
 }
--- a/claim/prune.go
+++ b/claim/prune.go
@@ -6,11 +6,11 @@
 	"foxtailspoke/storage"
 )
 
-// Horizon tells which claims are older than a retention, without comparing
+// RetentionTracker tells which claims are older than a retention, without comparing
 // clocks: it notes at which time of the own clock the claims table had which
 // revision. The retention must be longer than callers repeat a request: once
 // its claim is pruned, a key is free again.
-type Horizon struct {
+type RetentionTracker struct {
 	retention time.Duration
 	// every is the time between two notes.
 	every time.Duration
@@ -27,23 +27,23 @@
 // notesKept is how many notes cover the retention.
 const notesKept = 64
 
-// NewHorizon returns a horizon that knows of no old claim. Claims become old
+// NewRetentionTracker returns a horizon that knows of no old claim. Claims become old
 // once the instance has run for the retention.
-func NewHorizon(retention time.Duration) *Horizon {
-	return &Horizon{retention: retention, every: retention / notesKept}
+func NewRetentionTracker(retention time.Duration) *RetentionTracker {
+	return &RetentionTracker{retention: retention, every: retention / notesKept}
 }
 
-// Note takes the revision of the claims table that a read returned at a time.
-func (h *Horizon) Note(now time.Duration, r storage.Revision) {
+// Observe takes the revision of the claims table that a read returned at a time.
+func (h *RetentionTracker) Observe(now time.Duration, r storage.Revision) {
 	n := len(h.notes)
 	if n == 0 || now-h.notes[n-1].at >= h.every {
 		h.notes = append(h.notes, note{at: now, revision: r})
 	}
 }
 
-// Old returns the highest revision whose claims are older than the
+// ExpiredRevision returns the highest revision whose claims are older than the
 // retention, 0 if none is known.
-func (h *Horizon) Old(now time.Duration) storage.Revision {
+func (h *RetentionTracker) ExpiredRevision(now time.Duration) storage.Revision {
 	for len(h.notes) > 0 && now-h.notes[0].at >= h.retention {
 		h.passed = max(h.passed, h.notes[0].revision)
 		h.notes = h.notes[1:]
--- a/claim/record.go
+++ b/claim/record.go
@@ -37,8 +37,8 @@
 type Record struct {
 	// Digest of the request, in hex.
 	Digest string `json:"digest"`
-	// By is the claimer's incarnation id.
-	By    string `json:"by"`
+	// Owner is the claimer's incarnation id.
+	Owner    string `json:"by"`
 	State State  `json:"state"`
 	// Answer is kept if it is short.
 	Answer *Answer `json:"answer,omitempty"`
@@ -72,7 +72,7 @@
 	case r.Digest != d.String():
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	case r.State == StateStarted:
-		return Decision{Verdict: InProgress, Owner: r.By}
+		return Decision{Verdict: InProgress, Owner: r.Owner}
 	case r.State == StateRan && r.Answer != nil:
 		return Decision{Verdict: Replay, Answer: r.Answer}
 	case r.State == StateRan:
@@ -82,10 +82,10 @@
 	}
 }
 
-// InDoubt turns a decision InProgress at another instance into what can be
+// ResolveInProgress turns a decision InProgress at another instance into what can be
 // said when that instance's state is known. A claim whose claimer is gone
 // stays unknown for good: the claimer may have sent the request just before.
-func InDoubt(d Decision, claimer PeerState) Decision {
+func ResolveInProgress(d Decision, claimer PeerState) Decision {
 	if d.Verdict != InProgress || claimer == PeerLive {
 		return d
 	}
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -137,11 +137,11 @@
 // sweep lets an instance look after its abandoned claims, now and then.
 func (w *world) sweep() {
 	n := w.anyNode()
-	keys := n.claimer.Abandoned(1)
+	keys := n.claimer.AbandonedKeys(1)
 	if len(keys) == 0 || w.away || !w.chance(10) {
 		return
 	}
-	t, ok := n.claimer.Sweep(keys[0], storage.Changes{Rows: slices.Collect(maps.Values(w.table))})
+	t, ok := n.claimer.ReleaseAbandoned(keys[0], storage.Changes{Rows: slices.Collect(maps.Values(w.table))})
 	if ok {
 		w.add(nil, func() { w.commit(t) })
 	}
@@ -164,7 +164,7 @@
 	if op.minter.ended {
 		state = PeerEnded
 	}
-	d, forward := Elsewhere(*op.minted, state)
+	d, forward := RouteToMinter(*op.minted, state)
 	if !forward {
 		w.decided(op, n, d, call, nil)
 		return
@@ -172,7 +172,7 @@
 	answered := !w.chance(20)
 	w.add(op.minter, func() { w.atMinter(op, call, answered) })
 	if !answered {
-		w.decided(op, n, Forwarded(*op.minted), -1, nil)
+		w.decided(op, n, ForwardFailed(*op.minted), -1, nil)
 	}
 }
 
@@ -210,7 +210,7 @@
 // decided is the answer to the caller, or the start of the operation.
 func (w *world) decided(op *operationLog, n *node, d Decision, call int, end func(Outcome, *Answer)) {
 	if d.Verdict == InProgress && d.Owner != n.id {
-		d = InDoubt(d, w.state(d.Owner))
+		d = ResolveInProgress(d, w.state(d.Owner))
 	}
 	op.verdicts[d.Verdict]++
 	w.check(op, n, d)
--- a/node/claims.go
+++ b/node/claims.go
@@ -34,7 +34,7 @@
 	next    time.Duration
 	sweepAt time.Duration
 	slice   int
-	horizon *claim.Horizon
+	horizon *claim.RetentionTracker
 }
 
 // claimStep does what comes next for a caller-made key.
@@ -62,7 +62,7 @@
 		r.operation = &operation{claim: id}
 		n.goOn(r)
 	case waiting:
-		n.answerRepeat(r, claim.InDoubt(d, n.peerState(d.Owner)))
+		n.answerRepeat(r, claim.ResolveInProgress(d, n.peerState(d.Owner)))
 	}
 }
 
@@ -76,7 +76,7 @@
 
 func (n *Node) claimRead(p pending, e TableRead) {
 	if e.OK {
-		n.pruning.horizon.Note(n.now, e.Changes.Revision)
+		n.pruning.horizon.Observe(n.now, e.Changes.Revision)
 	}
 	switch {
 	case p.subject == pruneSubject:
@@ -116,7 +116,7 @@
 	if !e.OK {
 		return
 	}
-	if txn, some := n.claimer.Prune(e.Changes.Rows, n.pruning.horizon.Old(n.now), pruneLimit); some {
+	if txn, some := n.claimer.Prune(e.Changes.Rows, n.pruning.horizon.ExpiredRevision(n.now), pruneLimit); some {
 		n.tidy(txn)
 	}
 }
@@ -129,7 +129,7 @@
 		return
 	}
 	n.pruning.sweepAt = n.now + sweepEvery
-	for _, key := range n.claimer.Abandoned(sweepLimit) {
+	for _, key := range n.claimer.AbandonedKeys(sweepLimit) {
 		read := storage.ReadRequest{Table: storage.Claims, Prefix: key}
 		n.emit(n.own(pending{owner: ownerClaim, subject: key}, effect.ReadTable{Read: read}))
 	}
@@ -139,7 +139,7 @@
 	if !e.OK {
 		return
 	}
-	if txn, some := n.claimer.Sweep(key, e.Changes); some {
+	if txn, some := n.claimer.ReleaseAbandoned(key, e.Changes); some {
 		n.tidy(txn)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -87,7 +87,7 @@
 		holder:     quota.NewHolder(s.Self.ID, s.Shards, s.Quota),
 		minter:     claim.NewMinter(s.Self.ID, s.Secret, s.Claim),
 		claimer:    claim.NewClaimer(s.Self.ID, s.Claimer),
-		pruning:    pruning{horizon: claim.NewHorizon(claimRetention)},
+		pruning:    pruning{horizon: claim.NewRetentionTracker(claimRetention)},
 		observer:   health.NewObserver(s.Health, rng),
 		collector:  health.NewCollector(s.Health),
 		picker:     balance.NewPicker(s.Balance, rng),
--- a/node/operations.go
+++ b/node/operations.go
@@ -102,7 +102,7 @@
 // forward passes a request on to the instance that minted its key. Nobody
 // else ever runs it: the minter may have run it a moment ago.
 func (n *Node) forward(r *request, key claim.OperationKey) {
-	if _, reachable := claim.Elsewhere(key, n.peerState(key.Minter)); !reachable || r.arrived.Forwarded {
+	if _, reachable := claim.RouteToMinter(key, n.peerState(key.Minter)); !reachable || r.arrived.Forwarded {
 		n.refuse(r, decision.RuleOperationLost, 0)
 		return
 	}
