--- a/health/alone.go
+++ b/health/alone.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// aloneFailures is how many failures an instance must have met lately.
-	aloneFailures = 6
-	// aloneShare is the least share of its requests that failed.
-	aloneShare = 0.15
-	// aloneWorkspace is the most that one workspace may contribute; beyond
+	// minReporterFailures is how many failures an instance must have met lately.
+	minReporterFailures = 6
+	// minReporterFailedShare is the least share of its requests that failed.
+	minReporterFailedShare = 0.15
+	// maxWorkspaceFraction is the most that one workspace may contribute; beyond
 	// it, that workspace's requests may be the cause.
-	aloneWorkspace = 0.8
-	// aloneFactor is by how much it must exceed the typical instance.
-	aloneFactor = 5
+	maxWorkspaceFraction = 0.8
+	// minReporterExcess is by how much it must exceed the typical instance.
+	minReporterExcess = 5
 )
 
-// complaints are the failures that one instance reported lately.
-type complaints struct {
+// recentFailures are the failures that one instance reported lately.
+type recentFailures struct {
 	servers    map[string]float64
 	workspaces map[string]float64
 	all        float64
 	at         time.Duration
 }
 
-func (c *complaints) add(now time.Duration, r Report, memory time.Duration) {
+func (c *recentFailures) add(now time.Duration, r Report, memory time.Duration) {
 	if c.servers == nil {
 		c.servers = map[string]float64{}
 		c.workspaces = map[string]float64{}
 	}
-	c.fade(now, memory)
+	c.decay(now, memory)
 	for _, s := range r.Servers {
 		for _, w := range s.Workspaces {
 			if w.Failed > 0 {
@@ -42,14 +42,14 @@
 	}
 }
 
-func (c *complaints) fade(now, memory time.Duration) {
+func (c *recentFailures) decay(now, memory time.Duration) {
 	f := math.Exp2(-(now - c.at).Seconds() / memory.Seconds())
 	c.at = now
 	c.all *= f
 	for _, m := range []map[string]float64{c.servers, c.workspaces} {
 		scale(m, f)
 		for k, n := range m {
-			if n < minBad {
+			if n < minBadCount {
 				delete(m, k)
 			}
 		}
@@ -67,26 +67,26 @@
 	if r == nil {
 		return false
 	}
-	r.complaints.fade(now, c.settings.PooledMemory)
-	mine := r.complaints
+	r.failures.decay(now, c.settings.PooledMemory)
+	mine := r.failures
 	memory := c.settings.PooledMemory.Seconds() / math.Ln2
 	switch {
-	case mine.all < aloneFailures,
-		mine.all < aloneShare*r.rate*memory,
+	case mine.all < minReporterFailures,
+		mine.all < minReporterFailedShare*r.rate*memory,
 		2*len(mine.servers) < p.failed.serverCount:
 		return false
 	}
 	for _, n := range mine.workspaces {
-		if n > aloneWorkspace*mine.all {
+		if n > maxWorkspaceFraction*mine.all {
 			return false
 		}
 	}
 	others := 0.0
 	for id, other := range p.reporters {
 		if id != from {
-			other.complaints.fade(now, c.settings.PooledMemory)
-			others += other.complaints.all
+			other.failures.decay(now, c.settings.PooledMemory)
+			others += other.failures.all
 		}
 	}
-	return mine.all > aloneFactor*others/float64(max(1, c.instances-1))
+	return mine.all > minReporterExcess*others/float64(max(1, c.instances-1))
 }
--- a/health/bench_test.go
+++ b/health/bench_test.go
@@ -15,16 +15,16 @@
 // The size to come, for one instance: 70 requests a second over 560 services
 // with 43 servers each, of which it uses 5; 1 in 25 attempts is bad.
 const (
-	bigServices = 560
-	bigView     = 5
-	bigRate     = 70
+	benchServices = 560
+	benchServersPerService     = 5
+	benchRate     = 70
 )
 
-func bigObservation(rng *rand.Rand) Observation {
-	service := rng.IntN(bigServices)
+func randomObservation(rng *rand.Rand) Observation {
+	service := rng.IntN(benchServices)
 	ob := Observation{
 		Service:   fmt.Sprintf("service-%03d", service),
-		Server:    fmt.Sprintf("server-%03d-%d", service, rng.IntN(bigView)),
+		Server:    fmt.Sprintf("server-%03d-%d", service, rng.IntN(benchServersPerService)),
 		Workspace: fmt.Sprintf("workspace-%05d", rng.IntN(55_000)),
 		Latency:   time.Duration(float64(20*time.Millisecond) * (0.5 + rng.ExpFloat64())),
 	}
@@ -36,27 +36,27 @@
 
 // An hour of an instance's requests may not let its evidence grow without
 // bound: 32 MB are for all control.
-func TestObserverStaysSmall(t *testing.T) {
+func TestObserverMemoryBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 5))
 	o := NewObserver(DefaultSettings(), rng)
-	before := heap()
+	before := heapBytes()
 	bytes, reports := 0, 0
 	const seconds = 300
-	for i := range seconds * bigRate {
-		now := time.Duration(i) * time.Second / bigRate
-		o.Observe(now, bigObservation(rng))
+	for i := range seconds * benchRate {
+		now := time.Duration(i) * time.Second / benchRate
+		o.Observe(now, randomObservation(rng))
 		for _, r := range o.DueReports(now) {
 			bytes += r.Size()
 			reports++
 		}
 	}
-	used := heap() - before
+	used := heapBytes() - before
 	must.Less(t, 4<<20, used)
 	t.Logf("%d KB after %d s; %d reports and %d bytes a second", used>>10, seconds, reports/seconds, bytes/seconds)
 	runtime.KeepAlive(o)
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -68,10 +68,10 @@
 	o := NewObserver(DefaultSettings(), rng)
 	obs := make([]Observation, 4096)
 	for i := range obs {
-		obs[i] = bigObservation(rng)
+		obs[i] = randomObservation(rng)
 	}
 	for i := 0; b.Loop(); i++ {
-		o.Observe(time.Duration(i)*time.Second/bigRate, obs[i%len(obs)])
+		o.Observe(time.Duration(i)*time.Second/benchRate, obs[i%len(obs)])
 	}
 }
 
--- a/health/collector.go
+++ b/health/collector.go
@@ -25,9 +25,9 @@
 	reporters map[string]*reporter
 	// servers are those under suspicion, relieved, ejected or returned.
 	servers  map[string]*serverState
-	silentAt time.Duration
-	// room is how many more servers the floor allows to take out of use.
-	room int
+	unreportedAt time.Duration
+	// ejectionBudget is how many more servers the floor allows to take out of use.
+	ejectionBudget int
 	// advised is the advice given since adviceAt.
 	advised  []Suspect
 	adviceAt time.Duration
@@ -39,7 +39,7 @@
 	rate       float64
 	lateShare  float64
 	at         time.Duration
-	complaints complaints
+	failures recentFailures
 }
 
 // serverState is the collector's course of action against one server.
@@ -50,21 +50,21 @@
 	// inEffect says that most instances have heard, since effectAt.
 	inEffect bool
 	effectAt time.Duration
-	// reset says that evidence from before the relief was dropped.
-	reset bool
-	// unwell is when the server last reported itself as sick.
-	unwell   bool
-	unwellAt time.Duration
+	// evidenceReset says that evidence from before the relief was dropped.
+	evidenceReset bool
+	// reportedSick is when the server last reported itself as sick.
+	reportedSick   bool
+	reportedSickAt time.Duration
 	// advised is when which instance was advised to lower the weight.
 	advised map[string]time.Duration
 	probing probing
 }
 
-// reporterMemory is how long a reporter counts as one.
-const reporterMemory = 30 * time.Second
+// reporterTTL is how long a reporter counts as one.
+const reporterTTL = 30 * time.Second
 
-// unwellMemory is how long a server's own report of sickness matters.
-const unwellMemory = 10 * time.Second
+// selfReportTTL is how long a server's own report of sickness matters.
+const selfReportTTL = 10 * time.Second
 
 // NewCollector returns a collector without evidence.
 func NewCollector(s Settings) *Collector {
@@ -88,7 +88,7 @@
 		p.reporters[from] = rep
 	}
 	rep.dataCentre, rep.rate, rep.lateShare, rep.at = r.DataCentre, r.Rate, r.LateShare, now
-	rep.complaints.add(now, r, c.settings.PooledMemory)
+	rep.failures.add(now, r, c.settings.PooledMemory)
 	for _, s := range r.Servers {
 		for _, w := range s.Workspaces {
 			src := source{reporter: from, workspace: w.Workspace}
@@ -112,8 +112,8 @@
 				}
 			}
 		}
-		p.failed.addTally(total.Workspace, float64(total.Attempts), 0)
-		p.late.addTally(total.Workspace, float64(total.LateAttempts), 0)
+		p.failed.addWorkspaceTotal(total.Workspace, float64(total.Attempts), 0)
+		p.late.addWorkspaceTotal(total.Workspace, float64(total.LateAttempts), 0)
 	}
 }
 
@@ -125,8 +125,8 @@
 		return
 	}
 	s := c.pool(service).server(server)
-	s.unwell = true
-	s.unwellAt = now
+	s.reportedSick = true
+	s.reportedSickAt = now
 }
 
 func (c *Collector) pool(service string) *pool {
@@ -160,8 +160,8 @@
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setBaseline(p.usualLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
-		p.advised = c.advise(now, p)
+		p.late.setBaseline(p.medianLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
+		p.advised = c.selectSuspects(now, p)
 	}
 	for _, s := range p.advised {
 		p.server(s.Server).advised[to] = now
@@ -169,10 +169,10 @@
 	return p.advised
 }
 
-// advise lists the servers that fail, the worst first, then those that are
+// selectSuspects lists the servers that fail, the worst first, then those that are
 // relieved: no more than could be ejected, or the load of all of them would
 // make the others late as well, and they would be advised against in turn.
-func (c *Collector) advise(now time.Duration, p *pool) []Suspect {
+func (c *Collector) selectSuspects(now time.Duration, p *pool) []Suspect {
 	type scored struct {
 		Suspect
 		score float64
@@ -188,7 +188,7 @@
 	}
 	slices.SortStableFunc(list, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	suspects := make([]Suspect, 0, len(list))
-	for _, s := range list[:min(len(list), p.room)] {
+	for _, s := range list[:min(len(list), p.ejectionBudget)] {
 		suspects = append(suspects, s.Suspect)
 	}
 	return suspects
--- a/health/collector_test.go
+++ b/health/collector_test.go
@@ -11,17 +11,17 @@
 	"foxtailspoke/config"
 )
 
-const fleet = 40
+const fleetSize = 40
 
 func newCollector() *Collector {
 	c := NewCollector(DefaultSettings())
-	c.SetFleetSize(fleet, 4)
+	c.SetFleetSize(fleetSize, 4)
 	return c
 }
 
 // reportFrom is a report of instance i with failures of several workspaces.
 func reportFrom(i int, server string, n uint32) Report {
-	r := failures(server, n)
+	r := failureReport(server, n)
 	r.DataCentre = string(rune('A' + i%4))
 	other := r.Servers[0].Workspaces[0]
 	other.Workspace = "v"
@@ -29,7 +29,7 @@
 	return r
 }
 
-func ejected(c *Collector, now time.Duration, row config.Permits) []string {
+func ejectedServers(c *Collector, now time.Duration, row config.Permits) []string {
 	p, ok := c.Propose(now, "a", "me", ids(10), row, 7)
 	if !ok {
 		p.Permits = row
@@ -44,57 +44,57 @@
 // An instance's network, or a data centre's link to one server, loses packets
 // one way. To those who sit behind it the server is dead; to all others it is
 // well. Their reports alone, however many, must not take it from the others.
-func TestEjectionNeedsSeveralPlaces(t *testing.T) {
+func TestEjectionNeedsSeveralDataCentres(t *testing.T) {
 	c := newCollector()
 	for i := range 10 {
 		c.Accept(0, fmt.Sprint(4*i), reportFrom(4*i, "s03", 10))
 	}
-	must.SliceEmpty(t, ejected(c, time.Millisecond, config.Permits{}))
+	must.SliceEmpty(t, ejectedServers(c, time.Millisecond, config.Permits{}))
 	for i := 1; i < 4; i++ {
 		c.Accept(0, fmt.Sprint(i), reportFrom(i, "s03", 2))
 	}
-	must.Eq(t, []string{"s03"}, ejected(c, time.Millisecond, config.Permits{}))
+	must.Eq(t, []string{"s03"}, ejectedServers(c, time.Millisecond, config.Permits{}))
 }
 
 // A server fails requests while its own report says that it is healthy, and a
 // healthy one says that it is sick. Only what callers meet counts.
-func TestOwnReportIsNoEvidence(t *testing.T) {
+func TestSelfReportIsNoEvidence(t *testing.T) {
 	c := newCollector()
 	for i := range 8 {
 		c.AcceptSelfReport(0, "a", "s03", true)
 		c.AcceptSelfReport(0, "a", "s04", false)
 		c.Accept(0, fmt.Sprint(i), reportFrom(i, "s03", 1))
 	}
-	must.Eq(t, []string{"s03"}, ejected(c, time.Millisecond, config.Permits{}))
+	must.Eq(t, []string{"s03"}, ejectedServers(c, time.Millisecond, config.Permits{}))
 }
 
 // A server that reports itself as sick is ejected on less evidence.
-func TestOwnReportShortensSuspicion(t *testing.T) {
+func TestSickSelfReportLowersThreshold(t *testing.T) {
 	plain, told := newCollector(), newCollector()
 	told.AcceptSelfReport(0, "a", "s03", false)
 	for i := range 3 {
-		r := failures("s03", 1)
+		r := failureReport("s03", 1)
 		r.Servers[0].Workspaces[0].Attempts = 4
 		r.DataCentre = string(rune('A' + i))
 		r.Servers[0].Workspaces[0].Workspace = fmt.Sprint("w", i)
 		plain.Accept(0, fmt.Sprint(i), r)
 		told.Accept(0, fmt.Sprint(i), r)
 	}
-	must.SliceEmpty(t, ejected(plain, time.Millisecond, config.Permits{}))
-	must.Eq(t, []string{"s03"}, ejected(told, time.Millisecond, config.Permits{}))
+	must.SliceEmpty(t, ejectedServers(plain, time.Millisecond, config.Permits{}))
+	must.Eq(t, []string{"s03"}, ejectedServers(told, time.Millisecond, config.Permits{}))
 }
 
 // A server flaps: it fails, answers its probes, comes back and fails again.
 // Let in after the same wait each time, it would fail some callers every few
 // seconds. So each return within the probation doubles the wait.
-func TestFlappingDoublesTheWait(t *testing.T) {
+func TestFlappingDoublesProbeWait(t *testing.T) {
 	c := newCollector()
 	s := DefaultSettings()
 	row := config.Permits{Ejected: []config.Ejection{{Server: "s03"}}}
 	now := time.Duration(0)
 	for round, want := range []time.Duration{s.ProbeWait, 2 * s.ProbeWait, 4 * s.ProbeWait} {
 		start := now
-		for len(ejected(c, now, row)) > 0 {
+		for len(ejectedServers(c, now, row)) > 0 {
 			for _, pr := range c.Probes(now, "a", row) {
 				c.ProbeDone(now, pr, OK, time.Millisecond)
 			}
@@ -108,7 +108,7 @@
 
 // Servers end while others are ejected. What is left may be below the floor;
 // then ejections are given back, whatever the evidence.
-func TestEjectionsAreGivenBackForTheFloor(t *testing.T) {
+func TestEjectionsRevertedToKeepFloor(t *testing.T) {
 	c := newCollector()
 	row := config.Permits{Ejected: []config.Ejection{{Server: "s00"}, {Server: "s01"}, {Server: "s02"}}}
 	p, ok := c.Propose(0, "a", "me", ids(8), row, 7)
@@ -118,7 +118,7 @@
 
 // One workspace sends broken requests, which fail wherever they go. No server
 // is to blame. Another workspace fails at one server only, and it is.
-func TestWorkspaceOrServer(t *testing.T) {
+func TestWorkspaceFaultIsToldFromServerFault(t *testing.T) {
 	o := newObserver()
 	now := time.Duration(0)
 	see := func(server, workspace string, r Result) {
@@ -145,7 +145,7 @@
 
 // A slow server loses every hedge, so that its attempts end as cancelled.
 // What was seen before, that they were late, must still count against it.
-func TestCancelledHedgesDontHideASlowServer(t *testing.T) {
+func TestCancelledHedgesDontHideSlowServer(t *testing.T) {
 	o := newObserver()
 	list := ids(10)
 	o.Weights(0, "a", "", list, 7)
@@ -163,7 +163,7 @@
 
 // Every server of 500 services fails. Reports must stay within their bytes,
 // or an instance would spend its network on complaints when it needs it most.
-func TestReportsStayWithinTheirBytes(t *testing.T) {
+func TestReportsStayWithinByteLimit(t *testing.T) {
 	o := newObserver()
 	sent, encoded, reports := 0, 0, 0
 	const seconds = 20
--- a/health/counts.go
+++ b/health/counts.go
@@ -29,20 +29,20 @@
 	}
 }
 
-// tally counts one workspace's attempts, at one server or at all.
-type tally struct {
+// attemptCounts counts one workspace's attempts, at one server or at all.
+type attemptCounts struct {
 	attempts float64
 	bad      float64
 }
 
-// pair counts one workspace's attempts at one server.
-type pair struct {
-	tally
+// workspaceStats counts one workspace's attempts at one server.
+type workspaceStats struct {
+	attemptCounts
 	// reporters says which instances met the bad ones.
 	reporters map[string]float64
 }
 
-func (p *pair) scale(f float64) {
+func (p *workspaceStats) scale(f float64) {
 	p.attempts *= f
 	p.bad *= f
 	scale(p.reporters, f)
--- a/health/ejection.go
+++ b/health/ejection.go
@@ -30,18 +30,18 @@
 	p := c.pool(service)
 	p.failed.serverCount = len(servers)
 	p.late.serverCount = len(servers)
-	c.addSilent(now, p, len(servers)-len(row.Ejected))
-	p.failed.advance(now)
-	p.late.advance(now)
-	p.room = max(0, len(servers)-floor-len(row.Ejected))
-	c.relieve(now, p)
+	c.addUnreported(now, p, len(servers)-len(row.Ejected))
+	p.failed.decay(now)
+	p.late.decay(now)
+	p.ejectionBudget = max(0, len(servers)-floor-len(row.Ejected))
+	c.updateRelief(now, p)
 
-	kept, reason := c.keep(now, p, servers, row, floor)
+	kept, reason := c.retainEjections(now, p, servers, row, floor)
 	if reason != "" {
 		return Proposal{Permits: config.Permits{Ejected: kept}, Reason: reason}, true
 	}
 	room := len(servers) - floor - len(kept)
-	ejection, ok := c.next(now, p, service, servers, kept)
+	ejection, ok := c.nextEjection(now, p, service, servers, kept)
 	if !ok || room <= 0 {
 		return Proposal{}, false
 	}
@@ -50,8 +50,8 @@
 	return Proposal{Permits: config.Permits{Ejected: kept}, Reason: ejection.Reason}, true
 }
 
-// keep returns the ejections that stay, and why others don't.
-func (c *Collector) keep(now time.Duration, p *pool, servers []string, row config.Permits, floor int) ([]config.Ejection, string) {
+// retainEjections returns the ejections that stay, and why others don't.
+func (c *Collector) retainEjections(now time.Duration, p *pool, servers []string, row config.Permits, floor int) ([]config.Ejection, string) {
 	kept := []config.Ejection{}
 	reason := ""
 	for _, e := range row.Ejected {
@@ -75,8 +75,8 @@
 	return kept, reason
 }
 
-// next returns the server most in need of an ejection.
-func (c *Collector) next(now time.Duration, p *pool, service string, servers []string, kept []config.Ejection) (config.Ejection, bool) {
+// nextEjection returns the server most in need of an ejection.
+func (c *Collector) nextEjection(now time.Duration, p *pool, service string, servers []string, kept []config.Ejection) (config.Ejection, bool) {
 	type suspect struct {
 		id    string
 		score float64
@@ -88,10 +88,10 @@
 		if ejected || !slices.Contains(servers, id) {
 			continue
 		}
-		need := c.need(now, p, id)
+		need := c.ejectThreshold(now, p, id)
 		if s := c.failedScore(now, p, id); s >= need {
 			list = append(list, suspect{id: id, score: s})
-		} else if s := c.lateScore(now, p, id); s >= lateNeed*need && c.slowDespiteRelief(now, p, id) {
+		} else if s := c.lateScore(now, p, id); s >= lateFactor*need && c.slowDespiteRelief(now, p, id) {
 			list = append(list, suspect{id: id, score: s, late: true})
 		}
 	}
@@ -105,37 +105,37 @@
 	if worst.late {
 		l = p.late
 	}
-	return config.Ejection{Server: worst.id, Reason: reason(service, worst.id, l, worst.late)}, true
+	return config.Ejection{Server: worst.id, Reason: ejectionReason(service, worst.id, l, worst.late)}, true
 }
 
-// need is the score that ejects a server.
-func (c *Collector) need(now time.Duration, p *pool, server string) float64 {
+// ejectThreshold is the score that ejects a server.
+func (c *Collector) ejectThreshold(now time.Duration, p *pool, server string) float64 {
 	need := c.settings.EjectScore
 	s := p.servers[server]
 	if s == nil {
 		return need
 	}
-	if s.unwell && now-s.unwellAt < unwellMemory {
-		need *= unwellNeed
+	if s.reportedSick && now-s.reportedSickAt < selfReportTTL {
+		need *= sickReportFactor
 	}
 	if s.probing.onProbation(now, c.settings) {
-		need *= probationNeed
+		need *= probationFactor
 	}
 	return need
 }
 
 const (
-	// unwellNeed scales the score needed for a server that reports itself
+	// sickReportFactor scales the score needed for a server that reports itself
 	// as sick.
-	unwellNeed = 0.85
-	// probationNeed scales it for one that was ejected shortly before.
-	probationNeed = 0.6
-	// lateNeed scales it for lateness, which harms less than failures do and
+	sickReportFactor = 0.85
+	// probationFactor scales it for one that was ejected shortly before.
+	probationFactor = 0.6
+	// lateFactor scales it for lateness, which harms less than failures do and
 	// is judged from few requests, because the server is relieved.
-	lateNeed = 1.25
+	lateFactor = 1.25
 )
 
-func reason(service, server string, l *outcomeStats, late bool) string {
+func ejectionReason(service, server string, l *outcomeStats, late bool) string {
 	r := l.byServer[server]
 	what := "failed"
 	if late {
@@ -145,41 +145,41 @@
 		server, what, r.bad, max(r.attempts, r.bad), service)
 }
 
-// relieve starts and ends the time in which a slow server gets little load.
+// updateRelief starts and ends the time in which a slow server gets little load.
 //
 // A server that is slow because it has too much to do looks like a sick one.
 // Ejecting it would load the others until they look the same. So its load is
 // taken away first: if it is still late then, load wasn't the cause.
-func (c *Collector) relieve(now time.Duration, p *pool) {
-	slow := p.usualLateShare() > slowShare
-	free := (p.room+1)/2 - p.relieved()
+func (c *Collector) updateRelief(now time.Duration, p *pool) {
+	slow := p.medianLateShare() > slowShare
+	free := (p.ejectionBudget+1)/2 - p.relievedCount()
 	for _, id := range p.suspects() {
 		s := p.server(id)
-		late := c.lateScore(now, p, id) >= c.need(now, p, id)
+		late := c.lateScore(now, p, id) >= c.ejectThreshold(now, p, id)
 		switch {
 		case slow:
 			// Every server is needed while all are slow.
 			s.relieved = false
 		case !s.relieved && late && free > 0:
 			free--
-			*s = serverState{advised: map[string]time.Duration{}, unwell: s.unwell, unwellAt: s.unwellAt, probing: s.probing}
+			*s = serverState{advised: map[string]time.Duration{}, reportedSick: s.reportedSick, reportedSickAt: s.reportedSickAt, probing: s.probing}
 			s.relieved, s.relievedAt = true, now
 		case s.relieved && !s.inEffect:
-			s.inEffect = p.heard(s) >= heardShare
+			s.inEffect = p.advisedShare(s) >= minAdvisedShare
 			s.effectAt = now
-			s.relieved = s.inEffect || now-s.relievedAt < maxHearing
-		case s.relieved && !s.reset && now-s.effectAt >= c.settings.Settle:
+			s.relieved = s.inEffect || now-s.relievedAt < maxAdviceWait
+		case s.relieved && !s.evidenceReset && now-s.effectAt >= c.settings.Settle:
 			p.late.removeServer(id)
-			s.reset = true
+			s.evidenceReset = true
 		case s.relieved && now-s.effectAt >= c.settings.Relief:
 			s.relieved = false
 		}
 	}
 }
 
-// relieved is how many servers are being relieved. Only half of the room is
+// relievedCount is how many servers are being relievedCount. Only half of the room is
 // for them: their load moves to the others and makes these later too.
-func (p *pool) relieved() int {
+func (p *pool) relievedCount() int {
 	n := 0
 	for _, s := range p.servers {
 		if s.relieved {
@@ -190,20 +190,20 @@
 }
 
 const (
-	// heardShare of the reporting instances must have been advised before a
+	// minAdvisedShare of the reporting instances must have been advised before a
 	// server counts as relieved; until then the others still load it.
-	heardShare = 0.75
-	// maxHearing is how long that is waited for. If too few have heard by then,
+	minAdvisedShare = 0.75
+	// maxAdviceWait is how long that is waited for. If too few have heard by then,
 	// lateness proves nothing, and the relief ends.
-	maxHearing = 3 * time.Second
+	maxAdviceWait = 3 * time.Second
 )
 
-// heard is the share of the reporters that were advised in this relief.
-func (p *pool) heard(s *serverState) float64 {
+// advisedShare is the share of the reporters that were advised in this relief.
+func (p *pool) advisedShare(s *serverState) float64 {
 	return float64(len(s.advised)) / float64(max(1, len(p.reporters)))
 }
 
 func (c *Collector) slowDespiteRelief(now time.Duration, p *pool, server string) bool {
 	s := p.servers[server]
-	return s != nil && s.relieved && s.reset
+	return s != nil && s.relieved && s.evidenceReset
 }
--- a/health/floor_test.go
+++ b/health/floor_test.go
@@ -31,7 +31,7 @@
 // most servers out of use would send all requests to the few that are left,
 // and bring them down too. Whatever it observes and is told, enough servers
 // keep a weight, and none is cut off entirely.
-func TestWeightsKeepTheFloor(t *testing.T) {
+func TestWeightsKeepFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := ids(rapid.IntRange(1, 12).Draw(t, "servers"))
 		floor := rapid.IntRange(0, len(servers)+1).Draw(t, "floor")
@@ -57,9 +57,9 @@
 	})
 }
 
-// table is a fake of the permits row: it takes a write only if the writer saw
+// fakePermits is a fake of the permits row: it takes a write only if the writer saw
 // the newest revision.
-type table struct {
+type fakePermits struct {
 	row      config.Permits
 	revision int
 }
@@ -67,12 +67,12 @@
 // Two instances believe that they collect for a service; each sees part of
 // the evidence, often against different servers, and an old copy of the row.
 // Their ejections together must leave the floor in use.
-func TestRacingCollectorsKeepTheFloor(t *testing.T) {
+func TestRacingCollectorsKeepFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := ids(rapid.IntRange(2, 10).Draw(t, "servers"))
 		floor := rapid.IntRange(0, len(servers)).Draw(t, "floor")
-		var tab table
-		seen := [2]table{}
+		var tab fakePermits
+		seen := [2]fakePermits{}
 		collectors := [2]*Collector{NewCollector(DefaultSettings()), NewCollector(DefaultSettings())}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -80,23 +80,23 @@
 			i := rapid.IntRange(0, 1).Draw(t, "collector")
 			c := collectors[i]
 			if rapid.Bool().Draw(t, "refresh") {
-				seen[i] = table{row: config.Permits{Ejected: slices.Clone(tab.row.Ejected)}, revision: tab.revision}
+				seen[i] = fakePermits{row: config.Permits{Ejected: slices.Clone(tab.row.Ejected)}, revision: tab.revision}
 			}
 			from := fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "from"))
-			c.Accept(now, from, failures(rapid.SampledFrom(servers).Draw(t, "bad"), 8))
+			c.Accept(now, from, failureReport(rapid.SampledFrom(servers).Draw(t, "bad"), 8))
 			for _, pr := range c.Probes(now, "a", seen[i].row) {
 				c.ProbeDone(now, pr, anyResult.Draw(t, "probe"), time.Millisecond)
 			}
 			p, ok := c.Propose(now, "a", from, servers, seen[i].row, floor)
 			if ok && seen[i].revision == tab.revision {
-				tab = table{row: p.Permits, revision: tab.revision + 1}
+				tab = fakePermits{row: p.Permits, revision: tab.revision + 1}
 			}
 			must.LessEq(t, len(servers)-floor, len(tab.row.Ejected))
 		}
 	})
 }
 
-func failures(server string, n uint32) Report {
+func failureReport(server string, n uint32) Report {
 	w := WorkspaceCount{Workspace: "w", Attempts: n, Failed: n}
 	return Report{Service: "a", DataCentre: "A", Rate: 10, Servers: []ServerCount{{Server: server, Workspaces: []WorkspaceCount{w}}}}
 }
--- a/health/ledger.go
+++ b/health/ledger.go
@@ -16,10 +16,10 @@
 const (
 	// maxSources bounds what a run remembers of its sources.
 	maxSources = 64
-	// minBad is the faded count below which evidence says nothing any more.
-	minBad = 0.1
-	// fadeSteps is in how many steps evidence fades by half.
-	fadeSteps = 64
+	// minBadCount is the faded count below which evidence says nothing any more.
+	minBadCount = 0.1
+	// decaySteps is in how many steps evidence fades by half.
+	decaySteps = 64
 )
 
 // otherSource takes the sources beyond maxSources.
@@ -30,23 +30,23 @@
 // well for an hour and fails now is suspect now.
 type serverStats struct {
 	attempts float64
-	// cells are in order of arrival: sums of the same numbers in another
+	// bySource are in order of arrival: sums of the same numbers in another
 	// order round differently, and a replay would come out differently.
-	cells []cell
+	bySource []sourceCount
 	// bad is the sum of the cells.
 	bad float64
 	// sums are for the comparison of servers. Unlike the cells they aren't
 	// cut down by settle: that would make the other servers stand out.
 	sums marginals
-	// pairs judges single workspaces here, each since its first bad attempt.
-	pairs map[string]*pair
+	// workspaces judges single workspaces here, each since its first bad attempt.
+	workspaces map[string]*workspaceStats
 	// score is the result of judging at a version of the ledger.
 	score   float64
 	version uint64
 }
 
-// cell counts the bad attempts of one source at one server.
-type cell struct {
+// sourceCount counts the bad attempts of one source at one server.
+type sourceCount struct {
 	source
 	bad float64
 }
@@ -54,8 +54,8 @@
 // outcomeStats collects one kind of bad attempts (failed, or late) at the servers
 // of one service. It keeps only servers under suspicion.
 type outcomeStats struct {
-	healthy  float64 // share of bad attempts at a healthy server
-	sick     float64 // the same at a sick one
+	healthyShare  float64 // share of bad attempts at a healthy server
+	sickShare     float64 // the same at a sick one
 	halfLife time.Duration
 	serverCount  int // of the service, suspect or not
 	at       time.Duration
@@ -63,64 +63,64 @@
 	byServer     map[string]*serverStats
 	// buffer and tallyBuffer save allocations.
 	buffer      []float64
-	tallyBuffer []tally
-	tallies     map[string]*tally
+	totalsBuffer []attemptCounts
+	workspaceTotals     map[string]*attemptCounts
 }
 
 func newOutcomeStats(healthy, sick float64, halfLife time.Duration) *outcomeStats {
 	return &outcomeStats{
-		healthy:  healthy,
-		sick:     sick,
+		healthyShare:  healthy,
+		sickShare:     sick,
 		halfLife: halfLife,
 		byServer:     map[string]*serverStats{},
-		tallies:  map[string]*tally{},
+		workspaceTotals:  map[string]*attemptCounts{},
 	}
 }
 
 // setBaseline raises what counts as healthy to the service's present state. While
 // a quarter of all answers are late, a late answer says little about a server.
 func (l *outcomeStats) setBaseline(share, healthy, sick float64) {
-	l.healthy = min(maxUsual, max(healthy, usualMargin*share))
-	l.sick = min(1-(1-l.healthy)/2, max(sick, sickMargin*l.healthy))
+	l.healthyShare = min(maxHealthyShare, max(healthy, baselineMargin*share))
+	l.sickShare = min(1-(1-l.healthyShare)/2, max(sick, sickMargin*l.healthyShare))
 }
 
 const (
-	// usualMargin is by how much more than usual is healthy still.
-	usualMargin = 1.25
+	// baselineMargin is by how much more than usual is healthy still.
+	baselineMargin = 1.25
 	// sickMargin is how many times the healthy share is sick for certain.
 	sickMargin = 3
-	maxUsual   = 0.9
+	maxHealthyShare   = 0.9
 )
 
 // add counts attempts of one source at a server, some of them bad.
 func (l *outcomeStats) add(now time.Duration, server string, s source, attempts, bad float64) {
-	l.advance(now)
-	l.addTally(s.workspace, attempts, bad)
+	l.decay(now)
+	l.addWorkspaceTotal(s.workspace, attempts, bad)
 	r := l.byServer[server]
 	if r == nil {
 		if bad == 0 {
 			return
 		}
-		r = &serverStats{sums: newMarginals(), pairs: map[string]*pair{}}
+		r = &serverStats{sums: newMarginals(), workspaces: map[string]*workspaceStats{}}
 		l.byServer[server] = r
 	}
 	l.version++
 	r.attempts += attempts
-	r.addPair(s, attempts, bad)
+	r.addWorkspace(s, attempts, bad)
 	if bad > 0 {
-		r.sums.add(r.add(s, bad), bad)
+		r.sums.add(r.addBad(s, bad), bad)
 	}
-	l.settle(server, r)
+	l.clamp(server, r)
 }
 
-func (r *serverStats) addPair(s source, attempts, bad float64) {
-	p := r.pairs[s.workspace]
+func (r *serverStats) addWorkspace(s source, attempts, bad float64) {
+	p := r.workspaces[s.workspace]
 	if p == nil {
-		if bad == 0 || len(r.pairs) >= maxSources {
+		if bad == 0 || len(r.workspaces) >= maxSources {
 			return
 		}
-		p = &pair{reporters: map[string]float64{}}
-		r.pairs[s.workspace] = p
+		p = &workspaceStats{reporters: map[string]float64{}}
+		r.workspaces[s.workspace] = p
 	}
 	p.attempts += attempts
 	p.bad += bad
@@ -129,55 +129,55 @@
 	}
 }
 
-// add counts bad attempts of a source, and returns what they were put under.
-func (r *serverStats) add(s source, bad float64) source {
+// addBad counts bad attempts of a source, and returns what they were put under.
+func (r *serverStats) addBad(s source, bad float64) source {
 	at := func(s source) int {
-		return slices.IndexFunc(r.cells, func(c cell) bool { return c.source == s })
+		return slices.IndexFunc(r.bySource, func(c sourceCount) bool { return c.source == s })
 	}
 	i := at(s)
-	if i < 0 && len(r.cells) >= maxSources {
+	if i < 0 && len(r.bySource) >= maxSources {
 		s = otherSource
 		i = at(s)
 	}
 	if i < 0 {
-		r.cells = append(r.cells, cell{source: s})
-		i = len(r.cells) - 1
+		r.bySource = append(r.bySource, sourceCount{source: s})
+		i = len(r.bySource) - 1
 	}
-	r.cells[i].bad += bad
+	r.bySource[i].bad += bad
 	r.bad += bad
 	return s
 }
 
-// addTally follows a workspace over all servers once it had a bad attempt.
-func (l *outcomeStats) addTally(workspace string, attempts, bad float64) {
-	t := l.tallies[workspace]
+// addWorkspaceTotal follows a workspace over all servers once it had a bad attempt.
+func (l *outcomeStats) addWorkspaceTotal(workspace string, attempts, bad float64) {
+	t := l.workspaceTotals[workspace]
 	if t == nil {
-		if bad == 0 || len(l.tallies) >= maxSources {
+		if bad == 0 || len(l.workspaceTotals) >= maxSources {
 			return
 		}
-		t = &tally{}
-		l.tallies[workspace] = t
+		t = &attemptCounts{}
+		l.workspaceTotals[workspace] = t
 	}
 	t.attempts += attempts
 	t.bad += bad
 }
 
-// addSilent counts good attempts of instances that had nothing to report.
-func (l *outcomeStats) addSilent(now time.Duration, server string, attempts float64) {
-	l.advance(now)
+// addUnreported counts good attempts of instances that had nothing to report.
+func (l *outcomeStats) addUnreported(now time.Duration, server string, attempts float64) {
+	l.decay(now)
 	r := l.byServer[server]
 	if r == nil || attempts <= 0 {
 		return
 	}
 	l.version++
 	r.attempts += attempts
-	l.settle(server, r)
+	l.clamp(server, r)
 }
 
-// advance fades all evidence alike, in steps.
-func (l *outcomeStats) advance(now time.Duration) {
+// decay fades all evidence alike, in steps.
+func (l *outcomeStats) decay(now time.Duration) {
 	passed := now - l.at
-	if passed < l.halfLife/fadeSteps {
+	if passed < l.halfLife/decaySteps {
 		return
 	}
 	l.at = now
@@ -186,20 +186,20 @@
 	for server, r := range l.byServer {
 		r.scale(f)
 		r.sums.scale(f)
-		for w, p := range r.pairs {
-			if p.scale(f); p.bad < minBad {
-				delete(r.pairs, w)
+		for w, p := range r.workspaces {
+			if p.scale(f); p.bad < minBadCount {
+				delete(r.workspaces, w)
 			}
 		}
-		if r.bad < minBad && len(r.pairs) == 0 {
+		if r.bad < minBadCount && len(r.workspaces) == 0 {
 			delete(l.byServer, server)
 		}
 	}
-	for w, t := range l.tallies {
+	for w, t := range l.workspaceTotals {
 		t.attempts *= f
 		t.bad *= f
-		if t.bad < minBad {
-			delete(l.tallies, w)
+		if t.bad < minBadCount {
+			delete(l.workspaceTotals, w)
 		}
 	}
 }
@@ -207,34 +207,34 @@
 func (r *serverStats) scale(f float64) {
 	r.attempts *= f
 	r.bad *= f
-	for i := range r.cells {
-		r.cells[i].bad *= f
+	for i := range r.bySource {
+		r.bySource[i].bad *= f
 	}
 }
 
-// settle ends what speaks for the server, and bounds what speaks against it.
+// clamp ends what speaks for the server, and bounds what speaks against it.
 // The whole and the pairs end each by itself: a pair that lasts must not keep
 // the good attempts of hours, which would cover a server's next failure.
-func (l *outcomeStats) settle(server string, r *serverStats) {
-	for w := range r.pairs {
-		if s := l.pair(r, w); s <= 0 {
-			delete(r.pairs, w)
+func (l *outcomeStats) clamp(server string, r *serverStats) {
+	for w := range r.workspaces {
+		if s := l.workspaceScore(r, w); s <= 0 {
+			delete(r.workspaces, w)
 		} else if s > maxScore {
-			r.pairs[w].scale(maxScore / s)
+			r.workspaces[w].scale(maxScore / s)
 		}
 	}
-	raw := l.ratio(r.attempts, r.bad, l.sick)
+	raw := l.likelihoodRatio(r.attempts, r.bad, l.sickShare)
 	if raw <= 0 {
-		r.attempts, r.bad, r.cells, r.sums = 0, 0, nil, newMarginals()
+		r.attempts, r.bad, r.bySource, r.sums = 0, 0, nil, newMarginals()
 	}
-	if r.bad < minBad && len(r.pairs) == 0 {
+	if r.bad < minBadCount && len(r.workspaces) == 0 {
 		delete(l.byServer, server)
 		return
 	}
 	if raw <= maxScore {
 		return
 	}
-	if s := l.judge(r); s > maxScore {
+	if s := l.serverScore(r); s > maxScore {
 		r.scale(maxScore / s)
 		l.version++
 	}
@@ -246,12 +246,12 @@
 	l.version++
 }
 
-// ratio is the log-likelihood ratio of "sick" against "healthy".
-func (l *outcomeStats) ratio(attempts, bad, sick float64) float64 {
-	return logRatio(attempts, bad, l.healthy, sick)
+// likelihoodRatio is the log-likelihood likelihoodRatio of "sick" against "healthy".
+func (l *outcomeStats) likelihoodRatio(attempts, bad, sick float64) float64 {
+	return logLikelihoodRatio(attempts, bad, l.healthyShare, sick)
 }
 
-func logRatio(attempts, bad, healthy, sick float64) float64 {
+func logLikelihoodRatio(attempts, bad, healthy, sick float64) float64 {
 	good := max(0, attempts-bad)
 	return bad*math.Log(sick/healthy) + good*math.Log((1-sick)/(1-healthy))
 }
--- a/health/pooled.go
+++ b/health/pooled.go
@@ -31,8 +31,8 @@
 	if r == nil {
 		return score
 	}
-	for w, pr := range r.pairs {
-		score = max(score, p.failed.pairWith(r, w, c.agreed(p, pr.reporters, pr.bad)))
+	for w, pr := range r.workspaces {
+		score = max(score, p.failed.workspaceScoreWith(r, w, c.corroborated(p, pr.reporters, pr.bad)))
 	}
 	return score
 }
@@ -46,33 +46,33 @@
 // agree: one reporter, or one data centre whose packets get lost one way,
 // can't have a server ejected from the whole fleet.
 func (c *Collector) pooledScore(now time.Duration, p *pool, l *outcomeStats, server string) float64 {
-	l.advance(now)
+	l.decay(now)
 	r := l.byServer[server]
 	if r == nil {
 		return 0
 	}
-	raw := l.ratio(r.attempts, r.bad, l.sick)
+	raw := l.likelihoodRatio(r.attempts, r.bad, l.sickShare)
 	if raw <= 0 {
 		return raw
 	}
-	bad := l.effective(r)
-	agreed := c.agreed(p, r.reporters(), bad)
+	bad := l.attributableBad(r)
+	agreed := c.corroborated(p, r.reporters(), bad)
 	// What one place says beyond the others is neither bad nor good.
-	return l.ratio(r.attempts-(bad-agreed), agreed, l.sick)
+	return l.likelihoodRatio(r.attempts-(bad-agreed), agreed, l.sickShare)
 }
 
 // reporters sums a run's bad attempts by reporter.
 func (r *serverStats) reporters() map[string]float64 {
 	m := map[string]float64{}
-	for _, c := range r.cells {
+	for _, c := range r.bySource {
 		m[c.reporter] += c.bad
 	}
 	return m
 }
 
-// agreed is what is left of bad attempts if no place may supply more than all
+// corroborated is what is left of bad attempts if no place may supply more than all
 // others together. The reporters' shares are those of all bad attempts.
-func (c *Collector) agreed(p *pool, reporters map[string]float64, bad float64) float64 {
+func (c *Collector) corroborated(p *pool, reporters map[string]float64, bad float64) float64 {
 	if c.instances < 2 {
 		return bad
 	}
@@ -80,7 +80,7 @@
 	total := 0.0
 	for _, from := range slices.Sorted(maps.Keys(reporters)) {
 		n := reporters[from]
-		byPlace[c.place(p, from)] += n
+		byPlace[c.failureDomain(p, from)] += n
 		total += n
 	}
 	if total <= 0 {
@@ -91,11 +91,11 @@
 		top = max(top, n)
 	}
 	rest := total - top
-	return bad * (rest + min(top, topShare*rest)) / total
+	return bad * (rest + min(top, maxTopRatio*rest)) / total
 }
 
-// place is a reporter's data centre, or the reporter if there is only one.
-func (c *Collector) place(p *pool, from string) string {
+// failureDomain is a reporter's data centre, or the reporter if there is only one.
+func (c *Collector) failureDomain(p *pool, from string) string {
 	if c.dataCentres < 2 {
 		return from
 	}
@@ -105,37 +105,37 @@
 	return from
 }
 
-// addSilent accounts for the instances that reported nothing on a suspect.
+// addUnreported accounts for the instances that reported nothing on a suspect.
 // They met no bad answer there. Leaving them out would compare the failures
 // with the requests of only those instances that met one, and condemn
 // healthy servers of a large fleet in which each instance sees little.
-func (c *Collector) addSilent(now time.Duration, p *pool, servers int) {
-	passed := now - p.silentAt
-	p.silentAt = now
-	if passed <= 0 || passed > reporterMemory {
+func (c *Collector) addUnreported(now time.Duration, p *pool, servers int) {
+	passed := now - p.unreportedAt
+	p.unreportedAt = now
+	if passed <= 0 || passed > reporterTTL {
 		return
 	}
-	each := p.typicalRate(now) * passed.Seconds() / float64(max(1, servers))
+	each := p.typicalRequestRate(now) * passed.Seconds() / float64(max(1, servers))
 	for _, l := range []*outcomeStats{p.failed, p.late} {
-		l.advance(now)
+		l.decay(now)
 		for _, id := range slices.Sorted(maps.Keys(l.byServer)) {
-			l.addSilent(now, id, each*float64(c.silent(now, p, l.byServer[id], id)))
+			l.addUnreported(now, id, each*float64(c.nonReporting(now, p, l.byServer[id], id)))
 		}
 	}
 }
 
-// silent is how many instances use a suspect as usual and don't report it.
+// nonReporting is how many instances use a suspect as usual and don't report it.
 // Those that were advised to use it less aren't among them: counting their
 // usual requests as good ones would clear the server just because it is
 // avoided.
-func (c *Collector) silent(now time.Duration, p *pool, r *serverStats, server string) int {
+func (c *Collector) nonReporting(now time.Duration, p *pool, r *serverStats, server string) int {
 	vocal := map[string]bool{}
 	for from := range r.sums.reporters {
 		vocal[from] = true
 	}
 	if s := p.servers[server]; s != nil {
 		for from, at := range s.advised {
-			if now-at > adviceMemory {
+			if now-at > adviceTTL {
 				delete(s.advised, from)
 				continue
 			}
@@ -145,14 +145,14 @@
 	return max(0, c.instances-len(vocal))
 }
 
-// typicalRate estimates an instance's requests per second to the service.
+// typicalRequestRate estimates an instance's requests per second to the service.
 // Instances report the more often the more they send, so the harmonic mean
 // is the one that isn't biased upwards.
-func (p *pool) typicalRate(now time.Duration) float64 {
+func (p *pool) typicalRequestRate(now time.Duration) float64 {
 	sum, n := 0.0, 0
 	for _, id := range slices.Sorted(maps.Keys(p.reporters)) {
 		r := p.reporters[id]
-		if now-r.at > reporterMemory {
+		if now-r.at > reporterTTL {
 			delete(p.reporters, id)
 			continue
 		}
@@ -165,8 +165,8 @@
 	return float64(n) / sum
 }
 
-// usualLateShare is the median of the reporters' shares of late answers.
-func (p *pool) usualLateShare() float64 {
+// medianLateShare is the median of the reporters' shares of late answers.
+func (p *pool) medianLateShare() float64 {
 	shares := make([]float64, 0, len(p.reporters))
 	for _, r := range p.reporters {
 		shares = append(shares, r.lateShare)
--- a/health/report.go
+++ b/health/report.go
@@ -44,12 +44,12 @@
 const (
 	maxReportServers    = 8
 	maxReportWorkspaces = 4
-	// quietInterval is how often attempts are reported when none was bad.
-	quietInterval = time.Second
+	// allGoodInterval is how often attempts are reported when none was bad.
+	allGoodInterval = time.Second
 	// reportJitter is the part of ReportInterval that varies.
 	reportJitter = 0.4
-	// rateMemory is the time over which an instance averages its rate.
-	rateMemory = 10 * time.Second
+	// rateWindow is the time over which an instance averages its rate.
+	rateWindow = 10 * time.Second
 	// otherWorkspaces takes the workspaces beyond maxReportWorkspaces.
 	otherWorkspaces = ""
 )
@@ -71,7 +71,7 @@
 // record adds an observation if its server is in doubt or its workspace named.
 func (p *pending) record(now time.Duration, v *serviceView, ob Observation, failed, late bool, c counted) {
 	if ob.Result != Late {
-		p.rate = p.rate*rateFade(now-p.rateAt) + 1
+		p.rate = p.rate*rateDecay(now-p.rateAt) + 1
 		p.rateAt = now
 	}
 	if !c.failed && !c.late {
@@ -82,11 +82,11 @@
 		p.servers = map[string]map[string]*WorkspaceCount{}
 		p.totals = map[string]*WorkspaceCount{}
 	}
-	if t := p.totals[ob.Workspace]; t != nil || bad || v.follows(ob.Workspace) {
-		p.totals[ob.Workspace] = t.plus(ob.Workspace, failed, late, c)
+	if t := p.totals[ob.Workspace]; t != nil || bad || v.tracksWorkspace(ob.Workspace) {
+		p.totals[ob.Workspace] = t.plusAttempt(ob.Workspace, failed, late, c)
 	}
 	server, doubted := p.servers[ob.Server]
-	if !doubted && !bad && !v.doubts(now, ob.Server) {
+	if !doubted && !bad && !v.tracksServer(now, ob.Server) {
 		return
 	}
 	if !doubted {
@@ -94,14 +94,14 @@
 		p.servers[ob.Server] = server
 	}
 	name := ob.Workspace
-	if server[name] == nil && (!bad && !v.pairs(ob.Server, name) || len(server) >= maxReportWorkspaces) {
+	if server[name] == nil && (!bad && !v.hasWorkspaceEvidence(ob.Server, name) || len(server) >= maxReportWorkspaces) {
 		name = otherWorkspaces
 	}
-	server[name] = server[name].plus(name, failed, late, c)
+	server[name] = server[name].plusAttempt(name, failed, late, c)
 	p.bad = p.bad || bad
 }
 
-func (w *WorkspaceCount) plus(name string, failed, late bool, c counted) *WorkspaceCount {
+func (w *WorkspaceCount) plusAttempt(name string, failed, late bool, c counted) *WorkspaceCount {
 	if w == nil {
 		w = &WorkspaceCount{Workspace: name}
 	}
@@ -112,38 +112,38 @@
 	return w
 }
 
-// pairs reports whether the workspace had a bad answer at the server lately.
-func (v *serviceView) pairs(server, workspace string) bool {
+// hasWorkspaceEvidence reports whether the workspace had a bad answer at the server lately.
+func (v *serviceView) hasWorkspaceEvidence(server, workspace string) bool {
 	r := v.failed.byServer[server]
-	return r != nil && r.pairs[workspace] != nil
+	return r != nil && r.workspaces[workspace] != nil
 }
 
-// follows reports whether a workspace had a bad answer lately. All its
+// tracksWorkspace reports whether a workspace had a bad answer lately. All its
 // attempts are counted then, so that its share of bad ones can be told.
-func (v *serviceView) follows(workspace string) bool {
-	return v.failed.tallies[workspace] != nil || v.late.tallies[workspace] != nil
+func (v *serviceView) tracksWorkspace(workspace string) bool {
+	return v.failed.workspaceTotals[workspace] != nil || v.late.workspaceTotals[workspace] != nil
 }
 
-// doubts reports whether evidence on the server is being collected. While the
-// collector has doubts, good answers matter to it as much as bad ones.
-func (v *serviceView) doubts(now time.Duration, server string) bool {
+// tracksServer reports whether evidence on the server is being collected. While the
+// collector has tracksServer, good answers matter to it as much as bad ones.
+func (v *serviceView) tracksServer(now time.Duration, server string) bool {
 	_, advised := v.advice[server]
-	if advised && now-v.advisedAt < adviceMemory {
+	if advised && now-v.advisedAt < adviceTTL {
 		return true
 	}
 	return v.failed.byServer[server] != nil || v.late.byServer[server] != nil
 }
 
-// rateFade is what is left of a count of attempts after d.
-func rateFade(d time.Duration) float64 {
-	return math.Exp(-d.Seconds() / rateMemory.Seconds())
+// rateDecay is what is left of a count of attempts after d.
+func rateDecay(d time.Duration) float64 {
+	return math.Exp(-d.Seconds() / rateWindow.Seconds())
 }
 
 // DueReports returns the reports that are due, one for each service at most.
 // They go to the services' collectors; a report that gets lost is not sent
 // again. Together they stay within ReportBytes a second.
 func (o *Observer) DueReports(now time.Duration) []Report {
-	o.refill(now)
+	o.refillBytes(now)
 	var reports []Report
 	for _, name := range slices.Sorted(maps.Keys(o.pending)) {
 		v := o.services[name]
@@ -164,7 +164,7 @@
 	return reports
 }
 
-func (o *Observer) refill(now time.Duration) {
+func (o *Observer) refillBytes(now time.Duration) {
 	if now > o.refilled {
 		o.reportBytes += o.settings.ReportBytes * (now - o.refilled).Seconds()
 		o.reportBytes = min(o.reportBytes, o.settings.ReportBytes)
@@ -176,14 +176,14 @@
 	if len(p.servers) == 0 || now-p.sentAt < p.wait {
 		return false
 	}
-	return p.bad || now-p.sentAt >= quietInterval
+	return p.bad || now-p.sentAt >= allGoodInterval
 }
 
 // take empties the pending counts into a report.
 func (p *pending) take(now time.Duration, service, dataCentre string) Report {
-	r := Report{Service: service, DataCentre: dataCentre, Rate: p.rate / rateMemory.Seconds()}
+	r := Report{Service: service, DataCentre: dataCentre, Rate: p.rate / rateWindow.Seconds()}
 	named := map[string]bool{}
-	for _, id := range p.worst() {
+	for _, id := range p.worstServers() {
 		sc := ServerCount{Server: id}
 		for _, w := range slices.Sorted(maps.Keys(p.servers[id])) {
 			sc.Workspaces = append(sc.Workspaces, *p.servers[id][w])
@@ -206,8 +206,8 @@
 	return r
 }
 
-// worst lists the servers to report, the worst first.
-func (p *pending) worst() []string {
+// worstServers lists the servers to report, the worstServers first.
+func (p *pending) worstServers() []string {
 	bad := func(id string) uint32 {
 		sum := uint32(0)
 		for _, w := range p.servers[id] {
@@ -221,23 +221,23 @@
 }
 
 const (
-	// reportBase and countBytes bound the encoded size of a report's parts
+	// reportBaseBytes and countBytes bound the encoded size of a report's parts
 	// beside its names.
-	reportBase = 28
-	countBytes = 10
+	reportBaseBytes = 28
+	workspaceCountBytes = 10
 )
 
 // Size bounds the report's size in a compact encoding, in bytes.
 func (r Report) Size() int {
-	n := reportBase + len(r.Service) + len(r.DataCentre)
+	n := reportBaseBytes + len(r.Service) + len(r.DataCentre)
 	for _, s := range r.Servers {
 		n += len(s.Server) + 2
 		for _, w := range s.Workspaces {
-			n += len(w.Workspace) + countBytes
+			n += len(w.Workspace) + workspaceCountBytes
 		}
 	}
 	for _, w := range r.Elsewhere {
-		n += len(w.Workspace) + countBytes
+		n += len(w.Workspace) + workspaceCountBytes
 	}
 	return n
 }
--- a/health/weights.go
+++ b/health/weights.go
@@ -9,8 +9,8 @@
 const (
 	// suspectScore is the score from which a weight goes down.
 	suspectScore = 2
-	// sureScore is the score at which it is at minWeight.
-	sureScore = 6
+	// minWeightScore is the score at which it is at minWeight.
+	minWeightScore = 6
 	// minWeight keeps a trickle of requests, so that evidence continues and
 	// a recovered server is noticed without an ejection.
 	minWeight = 0.1
@@ -19,12 +19,12 @@
 	LowWeight = 0.5
 	// shedWeight is the weight right after a refusal for want of room.
 	shedWeight = 0.3
-	// shedMemory is how long such a refusal matters.
-	shedMemory = time.Second
-	// adviceMemory is how long a collector's advice holds. It is longer than
+	// shedRecovery is how long such a refusal matters.
+	shedRecovery = time.Second
+	// adviceTTL is how long a collector's advice holds. It is longer than
 	// Settings.Relief: if the load came back to a relieved server while it is
 	// still judged, it would be ejected for being slow by load.
-	adviceMemory = 12 * time.Second
+	adviceTTL = 12 * time.Second
 )
 
 // Weight returns a server's weight for a workspace's requests, without a
@@ -34,11 +34,11 @@
 	if !ok {
 		return 1
 	}
-	w := weightOf(o.suspicionScore(now, v, server, workspace))
-	if at, ok := v.shed[server]; ok && now-at < shedMemory && !v.slow() {
-		w = min(w, shedWeight+(1-shedWeight)*(now-at).Seconds()/shedMemory.Seconds())
+	w := weightForScore(o.suspicionScore(now, v, server, workspace))
+	if at, ok := v.shed[server]; ok && now-at < shedRecovery && !v.slow() {
+		w = min(w, shedWeight+(1-shedWeight)*(now-at).Seconds()/shedRecovery.Seconds())
 	}
-	if s, ok := v.advice[server]; ok && now-v.advisedAt < adviceMemory && !(s.Late && v.slow()) {
+	if s, ok := v.advice[server]; ok && now-v.advisedAt < adviceTTL && !(s.Late && v.slow()) {
 		w = min(w, s.Weight)
 	}
 	return w
@@ -92,11 +92,11 @@
 	if workspace == "" {
 		return s
 	}
-	return max(s, v.failed.pairScore(now, server, workspace))
+	return max(s, v.failed.currentWorkspaceScore(now, server, workspace))
 }
 
-func weightOf(score float64) float64 {
-	share := (score - suspectScore) / (sureScore - suspectScore)
+func weightForScore(score float64) float64 {
+	share := (score - suspectScore) / (minWeightScore - suspectScore)
 	return 1 - (1-minWeight)*min(1, max(0, share))
 }
 
