--- a/health/bench_test.go
+++ b/health/bench_test.go
@@ -12,12 +12,13 @@
 	"foxtailspoke/config"
 )
 
-// The size to come, for one instance: 70 requests a second over 560 services
-// with 43 servers each, of which it uses 5; 1 in 25 attempts is bad.
+// Target size of the benchmarks, for one instance: 70 requests per second
+// over 560 services with 43 servers each, of which the instance uses 5; 1 in
+// 25 attempts is bad.
 const (
-	benchServices = 560
-	benchServersPerService     = 5
-	benchRate     = 70
+	benchServices          = 560
+	benchServersPerService = 5
+	benchRate              = 70
 )
 
 func randomObservation(rng *rand.Rand) Observation {
@@ -34,8 +35,8 @@
 	return ob
 }
 
-// An hour of an instance's requests may not let its evidence grow without
-// bound: 32 MB are for all control.
+// Guards against evidence that grows without bound under steady traffic: the
+// whole control path has 32 MB, of which the observer may use 4 MB.
 func TestObserverMemoryBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 5))
 	o := NewObserver(DefaultSettings(), rng)
@@ -86,8 +87,8 @@
 	}
 }
 
-// BenchmarkCollect is a report and a proposal while 18 of 60 servers fail at
-// 300 reporting instances: the worst state of a collector.
+// BenchmarkCollect measures reports and proposals while 18 of 60 servers
+// fail for 300 reporting instances, the highest load of a collector.
 func BenchmarkCollect(b *testing.B) {
 	c := NewCollector(DefaultSettings())
 	c.SetFleetSize(2000, 17)
--- a/health/collector.go
+++ b/health/collector.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Collector pools what instances report on services. One instance collects
-// for a service; if another one believes that it does, both see part of the
-// evidence and are slower, and the conditional write of the permits row keeps
-// them from ejecting too many together.
+// Collector pools the reports of all instances on a service. One instance
+// collects for a service. If a second one also believes that it is the
+// collector, each sees part of the evidence and decides later, and the
+// conditional write of the permits row keeps the two from ejecting too many
+// servers together.
 type Collector struct {
 	settings    Settings
 	instances   int
@@ -21,65 +22,76 @@
 type pool struct {
 	failed *outcomeStats
 	late   *outcomeStats
-	// reporters are the instances that reported lately.
+	// reporters are the instances that reported recently.
 	reporters map[string]*reporter
-	// servers are those under suspicion, relieved, ejected or returned.
-	servers  map[string]*serverState
+	// servers holds the servers that are suspect, relieved of load, ejected
+	// or returned.
+	servers map[string]*serverState
+	// unreportedAt is when addUnreported last ran.
 	unreportedAt time.Duration
-	// ejectionBudget is how many more servers the floor allows to take out of use.
+	// ejectionBudget is how many more servers may be ejected without going
+	// below the floor.
 	ejectionBudget int
-	// advised is the advice given since adviceAt.
+	// advised is the advice computed at adviceAt.
 	advised  []Suspect
 	adviceAt time.Duration
 }
 
-// reporter is what the collector remembers of a reporting instance.
+// reporter is the last known state of a reporting instance.
 type reporter struct {
 	dataCentre string
 	rate       float64
 	lateShare  float64
 	at         time.Duration
-	failures recentFailures
+	failures   recentFailures
 }
 
-// serverState is the collector's course of action against one server.
+// serverState is the collector's state for one server.
 type serverState struct {
-	// relievedAt is when lower weights were advised for slowness.
+	// relieved is set while instances are advised to lower the server's
+	// weight because it answers late.
 	relieved   bool
 	relievedAt time.Duration
-	// inEffect says that most instances have heard, since effectAt.
+	// inEffect is set once enough instances have received the advice, at
+	// effectAt.
 	inEffect bool
 	effectAt time.Duration
-	// evidenceReset says that evidence from before the relief was dropped.
+	// evidenceReset is set once the late answers from before the relief are
+	// discarded.
 	evidenceReset bool
-	// reportedSick is when the server last reported itself as sick.
+	// reportedSick is set once the server has reported itself as sick;
+	// reportedSickAt is the last time.
 	reportedSick   bool
 	reportedSickAt time.Duration
-	// advised is when which instance was advised to lower the weight.
+	// advised is when each instance was last advised to lower the weight.
 	advised map[string]time.Duration
 	probing probing
 }
 
-// reporterTTL is how long a reporter counts as one.
+// reporterTTL is how long after its last report an instance counts as a
+// reporter.
 const reporterTTL = 30 * time.Second
 
-// selfReportTTL is how long a server's own report of sickness matters.
+// selfReportTTL is how long a server's report of its own sickness is taken
+// into account.
 const selfReportTTL = 10 * time.Second
 
-// NewCollector returns a collector without evidence.
+// NewCollector returns a collector without any evidence.
 func NewCollector(s Settings) *Collector {
 	return &Collector{settings: s, instances: 1, dataCentres: 1, services: map[string]*pool{}}
 }
 
-// SetFleetSize tells how many entry instances are live, and in how many data
-// centres. An ejection needs evidence from several of each, if there are.
+// SetFleetSize sets the number of live entry instances and of the data
+// centres they run in. An ejection needs evidence from several data
+// centres, or from several instances if there is only one data centre.
 func (c *Collector) SetFleetSize(instances, dataCentres int) {
 	c.instances = max(1, instances)
 	c.dataCentres = max(1, dataCentres)
 }
 
-// Accept takes in a report of instance from, and returns advice for it: the
-// servers that the pooled evidence speaks against. See Observer.Advise.
+// Accept adds a report from instance from and returns the advice for that
+// instance: the servers that the pooled evidence speaks against. See
+// Observer.ApplyAdvice.
 func (c *Collector) Accept(now time.Duration, from string, r Report) []Suspect {
 	p := c.pool(r.Service)
 	rep := p.reporters[from]
@@ -100,8 +112,8 @@
 	return c.advice(now, p, from)
 }
 
-// addElsewhere adds the named workspaces' attempts at servers that the report
-// doesn't name.
+// addElsewhere counts the attempts of the workspaces in the report at
+// servers that the report doesn't name.
 func (p *pool) addElsewhere(r Report) {
 	for _, total := range r.Elsewhere {
 		for _, s := range r.Servers {
@@ -117,9 +129,10 @@
 	}
 }
 
-// AcceptSelfReport takes in what a server says of its own health. "Sick" shortens
-// the suspicion; "healthy" means nothing, because servers say so while they
-// fail requests.
+// AcceptSelfReport records what a server reports about its own health. A
+// report of sickness lowers the score needed to eject the server. A report
+// of health is ignored, because servers send it even while they fail
+// requests.
 func (c *Collector) AcceptSelfReport(now time.Duration, service, server string, healthy bool) {
 	if healthy {
 		return
@@ -153,10 +166,11 @@
 	return s
 }
 
-// adviceInterval is how often the advice is worked out anew.
+// adviceInterval is the least time between two computations of the advice.
 const adviceInterval = 100 * time.Millisecond
 
-// advice lists the servers whose weight every instance should lower.
+// advice returns the servers whose weight every instance should lower, and
+// records that instance to was advised.
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
@@ -169,9 +183,10 @@
 	return p.advised
 }
 
-// selectSuspects lists the servers that fail, the worst first, then those that are
-// relieved: no more than could be ejected, or the load of all of them would
-// make the others late as well, and they would be advised against in turn.
+// selectSuspects returns the failing servers, highest score first, followed
+// by the relieved ones. It returns no more than could be ejected: moving the
+// load of more servers to the rest would make those late too, and they would
+// become suspects in turn.
 func (c *Collector) selectSuspects(now time.Duration, p *pool) []Suspect {
 	type scored struct {
 		Suspect
@@ -194,5 +209,6 @@
 	return suspects
 }
 
-// adviceWeight leaves enough requests to go on judging a relieved server.
+// adviceWeight leaves a relieved server enough requests to go on measuring
+// it.
 const adviceWeight = 0.15
--- a/health/collector_test.go
+++ b/health/collector_test.go
@@ -19,7 +19,7 @@
 	return c
 }
 
-// reportFrom is a report of instance i with failures of several workspaces.
+// reportFrom returns a report of instance i with failures of two workspaces.
 func reportFrom(i int, server string, n uint32) Report {
 	r := failureReport(server, n)
 	r.DataCentre = string(rune('A' + i%4))
@@ -41,9 +41,10 @@
 	return list
 }
 
-// An instance's network, or a data centre's link to one server, loses packets
-// one way. To those who sit behind it the server is dead; to all others it is
-// well. Their reports alone, however many, must not take it from the others.
+// A server must not be ejected on the reports of one data centre, however
+// many they are. If the network of an instance, or the link of a data centre
+// to one server, loses packets in one direction, the server looks dead from
+// there and is healthy for all others.
 func TestEjectionNeedsSeveralDataCentres(t *testing.T) {
 	c := newCollector()
 	for i := range 10 {
@@ -56,8 +57,9 @@
 	must.Eq(t, []string{"s03"}, ejectedServers(c, time.Millisecond, config.Permits{}))
 }
 
-// A server fails requests while its own report says that it is healthy, and a
-// healthy one says that it is sick. Only what callers meet counts.
+// A failing server that reports itself as healthy is ejected, and a healthy
+// one that reports itself as sick isn't. Only the results of callers'
+// requests count as evidence.
 func TestSelfReportIsNoEvidence(t *testing.T) {
 	c := newCollector()
 	for i := range 8 {
@@ -70,23 +72,24 @@
 
 // A server that reports itself as sick is ejected on less evidence.
 func TestSickSelfReportLowersThreshold(t *testing.T) {
-	plain, told := newCollector(), newCollector()
-	told.AcceptSelfReport(0, "a", "s03", false)
+	unreported, reported := newCollector(), newCollector()
+	reported.AcceptSelfReport(0, "a", "s03", false)
 	for i := range 3 {
 		r := failureReport("s03", 1)
 		r.Servers[0].Workspaces[0].Attempts = 4
 		r.DataCentre = string(rune('A' + i))
 		r.Servers[0].Workspaces[0].Workspace = fmt.Sprint("w", i)
-		plain.Accept(0, fmt.Sprint(i), r)
-		told.Accept(0, fmt.Sprint(i), r)
+		unreported.Accept(0, fmt.Sprint(i), r)
+		reported.Accept(0, fmt.Sprint(i), r)
 	}
-	must.SliceEmpty(t, ejectedServers(plain, time.Millisecond, config.Permits{}))
-	must.Eq(t, []string{"s03"}, ejectedServers(told, time.Millisecond, config.Permits{}))
+	must.SliceEmpty(t, ejectedServers(unreported, time.Millisecond, config.Permits{}))
+	must.Eq(t, []string{"s03"}, ejectedServers(reported, time.Millisecond, config.Permits{}))
 }
 
-// A server flaps: it fails, answers its probes, comes back and fails again.
-// Let in after the same wait each time, it would fail some callers every few
-// seconds. So each return within the probation doubles the wait.
+// Guards against a flapping server, which fails, passes its probes, returns
+// and fails again. With a constant wait before the probes it would fail some
+// requests every few seconds, so each ejection within the probation doubles
+// the wait.
 func TestFlappingDoublesProbeWait(t *testing.T) {
 	c := newCollector()
 	s := DefaultSettings()
@@ -106,8 +109,8 @@
 	}
 }
 
-// Servers end while others are ejected. What is left may be below the floor;
-// then ejections are given back, whatever the evidence.
+// When servers end while others are ejected, the rest may be below the
+// floor. Ejections are then reverted, whatever the evidence.
 func TestEjectionsRevertedToKeepFloor(t *testing.T) {
 	c := newCollector()
 	row := config.Permits{Ejected: []config.Ejection{{Server: "s00"}, {Server: "s01"}, {Server: "s02"}}}
@@ -116,25 +119,26 @@
 	must.Eq(t, row.Ejected[:1], p.Permits.Ejected)
 }
 
-// One workspace sends broken requests, which fail wherever they go. No server
-// is to blame. Another workspace fails at one server only, and it is.
-func TestWorkspaceFaultIsToldFromServerFault(t *testing.T) {
+// A workspace whose bad requests fail at every server lowers no server's
+// weight. A workspace that fails at a single server lowers that server's
+// weight, for this workspace only.
+func TestWorkspaceFaultVersusServerFault(t *testing.T) {
 	o := newObserver()
 	now := time.Duration(0)
-	see := func(server, workspace string, r Result) {
+	observe := func(server, workspace string, r Result) {
 		now += 10 * time.Millisecond
 		o.Observe(now, Observation{Service: "a", Server: server, Workspace: workspace, Result: r, Latency: 20 * time.Millisecond})
 	}
 	list := ids(10)
 	o.Weights(now, "a", "", list, 7)
 	for i := range 200 {
-		see(list[i%10], "good", OK)
-		see(list[(i+3)%10], "broken", ServerError)
+		observe(list[i%10], "good", OK)
+		observe(list[(i+3)%10], "broken", ServerError)
 		corrupt := OK
 		if i%10 == 4 {
 			corrupt = ServerError
 		}
-		see(list[i%10], "corrupt", corrupt)
+		observe(list[i%10], "corrupt", corrupt)
 	}
 	for i, s := range list {
 		must.Eq(t, 1, o.Weight(now, "a", s, "good"), must.Sprint(s))
@@ -143,8 +147,9 @@
 	}
 }
 
-// A slow server loses every hedge, so that its attempts end as cancelled.
-// What was seen before, that they were late, must still count against it.
+// The attempts at a slow server lose to their hedges and end as cancelled.
+// That they were observed as late before must still count against the
+// server.
 func TestCancelledHedgesDontHideSlowServer(t *testing.T) {
 	o := newObserver()
 	list := ids(10)
@@ -161,8 +166,9 @@
 	must.Less(t, LowWeight, o.Weight(time.Second, "a", "s05", ""))
 }
 
-// Every server of 500 services fails. Reports must stay within their bytes,
-// or an instance would spend its network on complaints when it needs it most.
+// When every server of 500 services fails, reports must stay within their
+// byte limit. Otherwise an instance would use up its network capacity for
+// reports when it is needed most.
 func TestReportsStayWithinByteLimit(t *testing.T) {
 	o := newObserver()
 	sent, encoded, reports := 0, 0, 0
--- a/health/counts.go
+++ b/health/counts.go
@@ -1,6 +1,7 @@
 package health
 
-// marginals are bad attempts in sum and by one side of their source.
+// marginals are counts of bad attempts: the total, and the sums by reporter
+// and by workspace.
 type marginals struct {
 	all        float64
 	reporters  map[string]float64
@@ -29,16 +30,17 @@
 	}
 }
 
-// attemptCounts counts one workspace's attempts, at one server or at all.
+// attemptCounts counts the attempts of one workspace, at one server or at
+// all servers.
 type attemptCounts struct {
 	attempts float64
 	bad      float64
 }
 
-// workspaceStats counts one workspace's attempts at one server.
+// workspaceStats counts the attempts of one workspace at one server.
 type workspaceStats struct {
 	attemptCounts
-	// reporters says which instances met the bad ones.
+	// reporters holds the bad attempts by reporting instance.
 	reporters map[string]float64
 }
 
--- a/health/ejection.go
+++ b/health/ejection.go
@@ -9,23 +9,23 @@
 	"foxtailspoke/config"
 )
 
-// Proposal is a change of a service's permits row.
+// Proposal is a proposed change of a service's permits row.
 type Proposal struct {
-	// Permits is the whole new row, for a write on condition that the row
-	// still is the one that Propose was given.
+	// Permits is the whole new row. It must be written on condition that the
+	// row is still the one that was passed to Propose.
 	Permits config.Permits
-	// Reason is a plain sentence for the audit trail.
+	// Reason is an explanation for the audit trail.
 	Reason string
 }
 
 // Propose returns the change of the permits row that the evidence calls for,
-// or false. The servers are those of the service that are neither leaving nor
-// ended; by is the proposing instance; floor is the least number of servers
-// that must stay in use.
+// or false if there is none. servers are those of the service that are
+// neither leaving nor ended; by is the proposing instance; floor is the
+// least number of servers that must stay in use.
 //
-// The row never holds more than len(servers)-floor servers. As every change
-// is conditional on the row it was computed from, racing collectors can't go
-// beyond that together either.
+// The row never holds more than len(servers)-floor servers. Since every
+// write is conditional on the row that the change was computed from,
+// concurrent collectors can't exceed that together either.
 func (c *Collector) Propose(now time.Duration, service, by string, servers []string, row config.Permits, floor int) (Proposal, bool) {
 	p := c.pool(service)
 	p.failed.serverCount = len(servers)
@@ -40,9 +40,9 @@
 	if reason != "" {
 		return Proposal{Permits: config.Permits{Ejected: kept}, Reason: reason}, true
 	}
-	room := len(servers) - floor - len(kept)
+	remaining := len(servers) - floor - len(kept)
 	ejection, ok := c.nextEjection(now, p, service, servers, kept)
-	if !ok || room <= 0 {
+	if !ok || remaining <= 0 {
 		return Proposal{}, false
 	}
 	ejection.By = by
@@ -50,7 +50,8 @@
 	return Proposal{Permits: config.Permits{Ejected: kept}, Reason: ejection.Reason}, true
 }
 
-// retainEjections returns the ejections that stay, and why others don't.
+// retainEjections returns the ejections that stay in force, and the reason
+// why any others end.
 func (c *Collector) retainEjections(now time.Duration, p *pool, servers []string, row config.Permits, floor int) ([]config.Ejection, string) {
 	kept := []config.Ejection{}
 	reason := ""
@@ -65,8 +66,8 @@
 			kept = append(kept, e)
 		}
 	}
-	// Servers that left since the ejections may have taken the rest below
-	// the floor: the ones ejected last come back.
+	// Servers that left after the ejections may have brought the rest below
+	// the floor. The latest ejections are reverted first.
 	allowed := max(0, len(servers)-floor)
 	if len(kept) > allowed {
 		reason = fmt.Sprintf("%d servers are needed and too few are left in use", floor)
@@ -75,7 +76,9 @@
 	return kept, reason
 }
 
-// nextEjection returns the server most in need of an ejection.
+// nextEjection returns the ejection of the server with the highest score at
+// or above its threshold, or false if there is none. A late server must also
+// have stayed late through its relief.
 func (c *Collector) nextEjection(now time.Duration, p *pool, service string, servers []string, kept []config.Ejection) (config.Ejection, bool) {
 	type suspect struct {
 		id    string
@@ -88,10 +91,10 @@
 		if ejected || !slices.Contains(servers, id) {
 			continue
 		}
-		need := c.ejectThreshold(now, p, id)
-		if s := c.failedScore(now, p, id); s >= need {
+		threshold := c.ejectThreshold(now, p, id)
+		if s := c.failedScore(now, p, id); s >= threshold {
 			list = append(list, suspect{id: id, score: s})
-		} else if s := c.lateScore(now, p, id); s >= lateFactor*need && c.slowDespiteRelief(now, p, id) {
+		} else if s := c.lateScore(now, p, id); s >= lateFactor*threshold && c.slowDespiteRelief(now, p, id) {
 			list = append(list, suspect{id: id, score: s, late: true})
 		}
 	}
@@ -108,30 +111,32 @@
 	return config.Ejection{Server: worst.id, Reason: ejectionReason(service, worst.id, l, worst.late)}, true
 }
 
-// ejectThreshold is the score that ejects a server.
+// ejectThreshold is the score from which a server is ejected.
 func (c *Collector) ejectThreshold(now time.Duration, p *pool, server string) float64 {
-	need := c.settings.EjectScore
+	threshold := c.settings.EjectScore
 	s := p.servers[server]
 	if s == nil {
-		return need
+		return threshold
 	}
 	if s.reportedSick && now-s.reportedSickAt < selfReportTTL {
-		need *= sickReportFactor
+		threshold *= sickReportFactor
 	}
 	if s.probing.onProbation(now, c.settings) {
-		need *= probationFactor
+		threshold *= probationFactor
 	}
-	return need
+	return threshold
 }
 
 const (
-	// sickReportFactor scales the score needed for a server that reports itself
+	// sickReportFactor scales the threshold for a server that reports itself
 	// as sick.
 	sickReportFactor = 0.85
-	// probationFactor scales it for one that was ejected shortly before.
+	// probationFactor scales the threshold for a server that recently
+	// returned from an ejection.
 	probationFactor = 0.6
-	// lateFactor scales it for lateness, which harms less than failures do and
-	// is judged from few requests, because the server is relieved.
+	// lateFactor scales the threshold for lateness, which does less harm
+	// than failures and is judged from few requests, because the server is
+	// relieved of load.
 	lateFactor = 1.25
 )
 
@@ -145,23 +150,26 @@
 		server, what, r.bad, max(r.attempts, r.bad), service)
 }
 
-// updateRelief starts and ends the time in which a slow server gets little load.
+// updateRelief starts and ends the relief of slow servers, during which they
+// get little load.
 //
-// A server that is slow because it has too much to do looks like a sick one.
-// Ejecting it would load the others until they look the same. So its load is
-// taken away first: if it is still late then, load wasn't the cause.
+// An overloaded server looks the same as a faulty slow one. Ejecting it
+// would move its load to the others until they look the same as well. So the
+// load is taken away first: a server that stays late without it isn't slow
+// because of load.
 func (c *Collector) updateRelief(now time.Duration, p *pool) {
 	slow := p.medianLateShare() > slowShare
-	free := (p.ejectionBudget+1)/2 - p.relievedCount()
+	available := (p.ejectionBudget+1)/2 - p.relievedCount()
 	for _, id := range p.suspects() {
 		s := p.server(id)
 		late := c.lateScore(now, p, id) >= c.ejectThreshold(now, p, id)
 		switch {
 		case slow:
-			// Every server is needed while all are slow.
+			// The capacity of every server is needed while the whole service
+			// is slow.
 			s.relieved = false
-		case !s.relieved && late && free > 0:
-			free--
+		case !s.relieved && late && available > 0:
+			available--
 			*s = serverState{advised: map[string]time.Duration{}, reportedSick: s.reportedSick, reportedSickAt: s.reportedSickAt, probing: s.probing}
 			s.relieved, s.relievedAt = true, now
 		case s.relieved && !s.inEffect:
@@ -177,8 +185,9 @@
 	}
 }
 
-// relievedCount is how many servers are being relievedCount. Only half of the room is
-// for them: their load moves to the others and makes these later too.
+// relievedCount returns how many servers are being relieved. updateRelief
+// allows this for half of the ejection budget only, because their load makes
+// the other servers slower too.
 func (p *pool) relievedCount() int {
 	n := 0
 	for _, s := range p.servers {
@@ -190,15 +199,18 @@
 }
 
 const (
-	// minAdvisedShare of the reporting instances must have been advised before a
-	// server counts as relieved; until then the others still load it.
+	// minAdvisedShare is the share of the reporting instances that must have
+	// been advised before a server counts as relieved. Until then the others
+	// still load it.
 	minAdvisedShare = 0.75
-	// maxAdviceWait is how long that is waited for. If too few have heard by then,
-	// lateness proves nothing, and the relief ends.
+	// maxAdviceWait is how long the relief waits for minAdvisedShare. If too
+	// few instances have been advised by then, lateness proves nothing, and
+	// the relief ends.
 	maxAdviceWait = 3 * time.Second
 )
 
-// advisedShare is the share of the reporters that were advised in this relief.
+// advisedShare returns the share of the reporters that were advised during
+// the current relief.
 func (p *pool) advisedShare(s *serverState) float64 {
 	return float64(len(s.advised)) / float64(max(1, len(p.reporters)))
 }
--- a/health/floor_test.go
+++ b/health/floor_test.go
@@ -27,10 +27,11 @@
 	}
 }
 
-// A caller's requests fail all over a service. An instance that then took
-// most servers out of use would send all requests to the few that are left,
-// and bring them down too. Whatever it observes and is told, enough servers
-// keep a weight, and none is cut off entirely.
+// When a caller's requests fail at all servers of a service, an instance
+// must not take most servers out of use: the few that are left would get all
+// requests and fail under the load too. Whatever is observed and advised,
+// enough servers keep a weight of at least LowWeight, and none has a weight
+// of zero.
 func TestWeightsKeepFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := ids(rapid.IntRange(1, 12).Draw(t, "servers"))
@@ -57,16 +58,17 @@
 	})
 }
 
-// fakePermits is a fake of the permits row: it takes a write only if the writer saw
-// the newest revision.
+// fakePermits is a fake of the permits row that accepts a write only if the
+// writer saw the latest revision.
 type fakePermits struct {
 	row      config.Permits
 	revision int
 }
 
-// Two instances believe that they collect for a service; each sees part of
-// the evidence, often against different servers, and an old copy of the row.
-// Their ejections together must leave the floor in use.
+// Two instances may both believe that they collect for a service, each with
+// part of the evidence, often against different servers, and with an
+// outdated copy of the row. Their ejections together must leave the floor in
+// use.
 func TestRacingCollectorsKeepFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := ids(rapid.IntRange(2, 10).Draw(t, "servers"))
--- a/health/latency.go
+++ b/health/latency.go
@@ -7,17 +7,19 @@
 
 const (
 	latencyBuckets = 64
-	// latencyUnit is the upper end of the first bucket.
+	// latencyUnit is the upper bound of the first bucket.
 	latencyUnit = 100 * time.Microsecond
-	// bucketsPerDoubling sets the resolution to 19 %.
+	// bucketsPerDoubling gives a resolution of 19 %.
 	bucketsPerDoubling = 4
-	// latencyWindow is the number of answers after which old ones count half.
+	// latencyWindow is the number of samples after which all counts are
+	// halved.
 	latencyWindow = 512
-	// minLatencySamples is how many answers a quantile needs.
+	// minLatencySamples is the number of samples that a quantile needs.
 	minLatencySamples = 20
 )
 
-// latencyHistogram is the fading distribution of one service's latencyHistogram.
+// latencyHistogram is a histogram of the latencies of one service, in
+// logarithmic buckets. Halving the counts gives older samples less weight.
 type latencyHistogram struct {
 	count   int
 	buckets [latencyBuckets]uint16
@@ -44,7 +46,8 @@
 	return min(i, latencyBuckets-1)
 }
 
-// quantile returns the upper end of the bucket that holds the quantile.
+// quantile returns the upper bound of the bucket that contains the
+// q-quantile.
 func (l *latencyHistogram) quantile(q float64) time.Duration {
 	rank := int(math.Ceil(q * float64(l.count)))
 	for i, n := range l.buckets {
--- a/health/ledger.go
+++ b/health/outcome_stats.go
@@ -6,41 +6,48 @@
 	"time"
 )
 
-// source is where a bad attempt comes from, apart from the server.
+// source is the origin of an attempt: the reporting instance and the
+// workspace.
 type source struct {
-	// reporter is the instance; empty in an instance's own ledger.
+	// reporter is the reporting instance. It is empty in an instance's own
+	// statistics.
 	reporter  string
 	workspace string
 }
 
 const (
-	// maxSources bounds what a run remembers of its sources.
+	// maxSources bounds the number of sources and workspaces that are
+	// tracked.
 	maxSources = 64
-	// minBadCount is the faded count below which evidence says nothing any more.
+	// minBadCount is the decayed count of bad attempts below which they are
+	// discarded.
 	minBadCount = 0.1
-	// decaySteps is in how many steps evidence fades by half.
+	// decaySteps is the number of decay steps in one half-life.
 	decaySteps = 64
 )
 
-// otherSource takes the sources beyond maxSources.
+// otherSource aggregates the sources beyond maxSources.
 var otherSource = source{reporter: "…", workspace: "…"}
 
-// serverStats is the evidence on one server since the first bad attempt after which
-// it wasn't cleared again. Attempts before don't dilute it: a server that was
-// well for an hour and fails now is suspect now.
+// serverStats is the evidence on one server since the first bad attempt
+// after the server was last cleared. Earlier attempts don't dilute it: a
+// server that worked for an hour and fails now is suspect at once.
 type serverStats struct {
 	attempts float64
-	// bySource are in order of arrival: sums of the same numbers in another
-	// order round differently, and a replay would come out differently.
+	// bySource is in order of arrival. Summing the same numbers in another
+	// order rounds differently, and a replay would give another result.
 	bySource []sourceCount
-	// bad is the sum of the cells.
+	// bad is the sum of bySource.
 	bad float64
-	// sums are for the comparison of servers. Unlike the cells they aren't
-	// cut down by settle: that would make the other servers stand out.
+	// sums are for the comparison with other servers. Unlike bySource, they
+	// aren't scaled down by clamp, which would make the other servers exceed
+	// this one.
 	sums marginals
-	// workspaces judges single workspaces here, each since its first bad attempt.
+	// workspaces holds the attempts by workspace, each since the workspace's
+	// first bad attempt at this server.
 	workspaces map[string]*workspaceStats
-	// score is the result of judging at a version of the ledger.
+	// score is the cached result of serverScore, valid for this version of
+	// the statistics.
 	score   float64
 	version uint64
 }
@@ -51,48 +58,52 @@
 	bad float64
 }
 
-// outcomeStats collects one kind of bad attempts (failed, or late) at the servers
-// of one service. It keeps only servers under suspicion.
+// outcomeStats holds the statistics on one kind of bad attempt (failed or
+// late) at the servers of one service. It keeps suspect servers only.
 type outcomeStats struct {
-	healthyShare  float64 // share of bad attempts at a healthy server
-	sickShare     float64 // the same at a sick one
-	halfLife time.Duration
-	serverCount  int // of the service, suspect or not
-	at       time.Duration
-	version  uint64
+	healthyShare float64 // share of bad attempts at a healthy server
+	sickShare    float64 // share of bad attempts at a sick server
+	halfLife     time.Duration
+	serverCount  int // number of servers of the service, suspect or not
+	at           time.Duration
+	version      uint64
 	byServer     map[string]*serverStats
-	// buffer and tallyBuffer save allocations.
-	buffer      []float64
-	totalsBuffer []attemptCounts
-	workspaceTotals     map[string]*attemptCounts
+	// buffer and totalsBuffer are reused between calls to save allocations.
+	buffer          []float64
+	totalsBuffer    []attemptCounts
+	workspaceTotals map[string]*attemptCounts
 }
 
 func newOutcomeStats(healthy, sick float64, halfLife time.Duration) *outcomeStats {
 	return &outcomeStats{
-		healthyShare:  healthy,
-		sickShare:     sick,
-		halfLife: halfLife,
-		byServer:     map[string]*serverStats{},
-		workspaceTotals:  map[string]*attemptCounts{},
+		healthyShare:    healthy,
+		sickShare:       sick,
+		halfLife:        halfLife,
+		byServer:        map[string]*serverStats{},
+		workspaceTotals: map[string]*attemptCounts{},
 	}
 }
 
-// setBaseline raises what counts as healthy to the service's present state. While
-// a quarter of all answers are late, a late answer says little about a server.
+// setBaseline raises the share that counts as healthy to the service's
+// present share of bad attempts. While a quarter of all answers are late, a
+// late answer says little about a server.
 func (l *outcomeStats) setBaseline(share, healthy, sick float64) {
 	l.healthyShare = min(maxHealthyShare, max(healthy, baselineMargin*share))
 	l.sickShare = min(1-(1-l.healthyShare)/2, max(sick, sickMargin*l.healthyShare))
 }
 
 const (
-	// baselineMargin is by how much more than usual is healthy still.
+	// baselineMargin is the factor by which a healthy server may exceed the
+	// present share.
 	baselineMargin = 1.25
-	// sickMargin is how many times the healthy share is sick for certain.
-	sickMargin = 3
-	maxHealthyShare   = 0.9
+	// sickMargin is the least ratio between the shares of a sick and a
+	// healthy server.
+	sickMargin      = 3
+	maxHealthyShare = 0.9
 )
 
-// add counts attempts of one source at a server, some of them bad.
+// add counts attempts of one source at a server, and how many of them were
+// bad.
 func (l *outcomeStats) add(now time.Duration, server string, s source, attempts, bad float64) {
 	l.decay(now)
 	l.addWorkspaceTotal(s.workspace, attempts, bad)
@@ -129,7 +140,8 @@
 	}
 }
 
-// addBad counts bad attempts of a source, and returns what they were put under.
+// addBad counts bad attempts of a source and returns the source that they
+// were counted under.
 func (r *serverStats) addBad(s source, bad float64) source {
 	at := func(s source) int {
 		return slices.IndexFunc(r.bySource, func(c sourceCount) bool { return c.source == s })
@@ -148,7 +160,8 @@
 	return s
 }
 
-// addWorkspaceTotal follows a workspace over all servers once it had a bad attempt.
+// addWorkspaceTotal counts the attempts of a workspace at all servers, from
+// its first bad attempt on.
 func (l *outcomeStats) addWorkspaceTotal(workspace string, attempts, bad float64) {
 	t := l.workspaceTotals[workspace]
 	if t == nil {
@@ -162,7 +175,8 @@
 	t.bad += bad
 }
 
-// addUnreported counts good attempts of instances that had nothing to report.
+// addUnreported counts good attempts of instances that reported nothing on
+// the server.
 func (l *outcomeStats) addUnreported(now time.Duration, server string, attempts float64) {
 	l.decay(now)
 	r := l.byServer[server]
@@ -174,15 +188,15 @@
 	l.clamp(server, r)
 }
 
-// decay fades all evidence alike, in steps.
+// decay applies the exponential decay to all counts, in steps.
 func (l *outcomeStats) decay(now time.Duration) {
-	passed := now - l.at
-	if passed < l.halfLife/decaySteps {
+	elapsed := now - l.at
+	if elapsed < l.halfLife/decaySteps {
 		return
 	}
 	l.at = now
 	l.version++
-	f := math.Exp2(-passed.Seconds() / l.halfLife.Seconds())
+	f := math.Exp2(-elapsed.Seconds() / l.halfLife.Seconds())
 	for server, r := range l.byServer {
 		r.scale(f)
 		r.sums.scale(f)
@@ -212,9 +226,10 @@
 	}
 }
 
-// clamp ends what speaks for the server, and bounds what speaks against it.
-// The whole and the pairs end each by itself: a pair that lasts must not keep
-// the good attempts of hours, which would cover a server's next failure.
+// clamp clears the evidence on a server whose score has dropped to zero, and
+// bounds the score at maxScore. The server as a whole and each of its
+// workspaces are cleared separately: a workspace that keeps failing must not
+// retain hours of good attempts, which would mask the server's next failure.
 func (l *outcomeStats) clamp(server string, r *serverStats) {
 	for w := range r.workspaces {
 		if s := l.workspaceScore(r, w); s <= 0 {
@@ -240,13 +255,14 @@
 	}
 }
 
-// removeServer drops what is known of a server.
+// removeServer discards the evidence on a server.
 func (l *outcomeStats) removeServer(server string) {
 	delete(l.byServer, server)
 	l.version++
 }
 
-// likelihoodRatio is the log-likelihood likelihoodRatio of "sick" against "healthy".
+// likelihoodRatio returns the log-likelihood ratio of a sick server to a
+// healthy one.
 func (l *outcomeStats) likelihoodRatio(attempts, bad, sick float64) float64 {
 	return logLikelihoodRatio(attempts, bad, l.healthyShare, sick)
 }
--- a/health/pooled.go
+++ b/health/pooled_score.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// suspects lists the servers with evidence against them or under relief.
+// suspects returns the servers that have evidence against them or are being
+// relieved.
 func (p *pool) suspects() []string {
 	ids := map[string]bool{}
 	for id := range p.failed.byServer {
@@ -23,28 +24,29 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// failedScore is the pooled evidence that a server fails requests, of all or
-// of one workspace.
+// failedScore returns the pooled score for failed requests of a server: the
+// maximum of the score over all requests and the scores of single workspaces.
 func (c *Collector) failedScore(now time.Duration, p *pool, server string) float64 {
 	score := c.pooledScore(now, p, p.failed, server)
 	r := p.failed.byServer[server]
 	if r == nil {
 		return score
 	}
-	for w, pr := range r.workspaces {
-		score = max(score, p.failed.workspaceScoreWith(r, w, c.corroborated(p, pr.reporters, pr.bad)))
+	for w, ws := range r.workspaces {
+		score = max(score, p.failed.workspaceScoreWith(r, w, c.corroborated(p, ws.reporters, ws.bad)))
 	}
 	return score
 }
 
-// lateScore is the pooled evidence that a server answers late.
+// lateScore returns the pooled score for late answers of a server.
 func (c *Collector) lateScore(now time.Duration, p *pool, server string) float64 {
 	return c.pooledScore(now, p, p.late, server)
 }
 
-// pooledScore is a ledger's score, as far as reporters in several places
-// agree: one reporter, or one data centre whose packets get lost one way,
-// can't have a server ejected from the whole fleet.
+// pooledScore is the score of a server, counting bad attempts only as far as
+// reporters in several failure domains corroborate them. One reporter, or
+// one data centre that loses packets in one direction, can't have a server
+// ejected from the whole fleet.
 func (c *Collector) pooledScore(now time.Duration, p *pool, l *outcomeStats, server string) float64 {
 	l.decay(now)
 	r := l.byServer[server]
@@ -57,11 +59,12 @@
 	}
 	bad := l.attributableBad(r)
 	agreed := c.corroborated(p, r.reporters(), bad)
-	// What one place says beyond the others is neither bad nor good.
+	// Bad attempts that are not corroborated count neither as bad nor as
+	// good.
 	return l.likelihoodRatio(r.attempts-(bad-agreed), agreed, l.sickShare)
 }
 
-// reporters sums a run's bad attempts by reporter.
+// reporters returns the bad attempts by reporter.
 func (r *serverStats) reporters() map[string]float64 {
 	m := map[string]float64{}
 	for _, c := range r.bySource {
@@ -70,31 +73,33 @@
 	return m
 }
 
-// corroborated is what is left of bad attempts if no place may supply more than all
-// others together. The reporters' shares are those of all bad attempts.
+// corroborated returns how many of the bad attempts remain if no failure
+// domain may contribute more than all others together. reporters gives each
+// reporter's part of all bad attempts.
 func (c *Collector) corroborated(p *pool, reporters map[string]float64, bad float64) float64 {
 	if c.instances < 2 {
 		return bad
 	}
-	byPlace := map[string]float64{}
+	byDomain := map[string]float64{}
 	total := 0.0
 	for _, from := range slices.Sorted(maps.Keys(reporters)) {
 		n := reporters[from]
-		byPlace[c.failureDomain(p, from)] += n
+		byDomain[c.failureDomain(p, from)] += n
 		total += n
 	}
 	if total <= 0 {
 		return 0
 	}
 	top := 0.0
-	for _, n := range byPlace {
+	for _, n := range byDomain {
 		top = max(top, n)
 	}
 	rest := total - top
 	return bad * (rest + min(top, maxTopRatio*rest)) / total
 }
 
-// failureDomain is a reporter's data centre, or the reporter if there is only one.
+// failureDomain returns the reporter's data centre, or the reporter itself
+// if there is only one data centre.
 func (c *Collector) failureDomain(p *pool, from string) string {
 	if c.dataCentres < 2 {
 		return from
@@ -105,33 +110,34 @@
 	return from
 }
 
-// addUnreported accounts for the instances that reported nothing on a suspect.
-// They met no bad answer there. Leaving them out would compare the failures
-// with the requests of only those instances that met one, and condemn
-// healthy servers of a large fleet in which each instance sees little.
+// addUnreported accounts for the instances that reported nothing on a
+// suspect, which means that they got no bad answer from it. Without them,
+// the failures would be compared with the requests of only those instances
+// that saw one, and healthy servers would be ejected in a large fleet where
+// each instance sends them few requests.
 func (c *Collector) addUnreported(now time.Duration, p *pool, servers int) {
-	passed := now - p.unreportedAt
+	elapsed := now - p.unreportedAt
 	p.unreportedAt = now
-	if passed <= 0 || passed > reporterTTL {
+	if elapsed <= 0 || elapsed > reporterTTL {
 		return
 	}
-	each := p.typicalRequestRate(now) * passed.Seconds() / float64(max(1, servers))
+	perInstance := p.typicalRequestRate(now) * elapsed.Seconds() / float64(max(1, servers))
 	for _, l := range []*outcomeStats{p.failed, p.late} {
 		l.decay(now)
 		for _, id := range slices.Sorted(maps.Keys(l.byServer)) {
-			l.addUnreported(now, id, each*float64(c.nonReporting(now, p, l.byServer[id], id)))
+			l.addUnreported(now, id, perInstance*float64(c.nonReporting(now, p, l.byServer[id], id)))
 		}
 	}
 }
 
-// nonReporting is how many instances use a suspect as usual and don't report it.
-// Those that were advised to use it less aren't among them: counting their
-// usual requests as good ones would clear the server just because it is
-// avoided.
+// nonReporting returns how many instances use a suspect at its normal weight
+// and don't report on it. Instances that were advised to lower the weight
+// are excluded: counting their normal request rate as good attempts would
+// clear the server only because it is avoided.
 func (c *Collector) nonReporting(now time.Duration, p *pool, r *serverStats, server string) int {
-	vocal := map[string]bool{}
+	excluded := map[string]bool{}
 	for from := range r.sums.reporters {
-		vocal[from] = true
+		excluded[from] = true
 	}
 	if s := p.servers[server]; s != nil {
 		for from, at := range s.advised {
@@ -139,15 +145,15 @@
 				delete(s.advised, from)
 				continue
 			}
-			vocal[from] = true
+			excluded[from] = true
 		}
 	}
-	return max(0, c.instances-len(vocal))
+	return max(0, c.instances-len(excluded))
 }
 
-// typicalRequestRate estimates an instance's requests per second to the service.
-// Instances report the more often the more they send, so the harmonic mean
-// is the one that isn't biased upwards.
+// typicalRequestRate estimates an instance's requests per second to the
+// service. Instances with more requests report more often, so the arithmetic
+// mean would be biased upwards; the harmonic mean isn't.
 func (p *pool) typicalRequestRate(now time.Duration) float64 {
 	sum, n := 0.0, 0
 	for _, id := range slices.Sorted(maps.Keys(p.reporters)) {
@@ -165,7 +171,8 @@
 	return float64(n) / sum
 }
 
-// medianLateShare is the median of the reporters' shares of late answers.
+// medianLateShare returns the median of the reporters' shares of late
+// answers.
 func (p *pool) medianLateShare() float64 {
 	shares := make([]float64, 0, len(p.reporters))
 	for _, r := range p.reporters {
--- a/health/report.go
+++ b/health/report.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Report is what an instance tells the collector of one service about
-// servers that it has reason to doubt. Counts are since the report before.
+// Report is what an instance sends to a service's collector about suspect
+// servers. Its counts cover the time since the instance's previous report.
 type Report struct {
 	Service string
-	// DataCentre of the reporting instance.
+	// DataCentre is that of the reporting instance.
 	DataCentre string
 	// Rate is the instance's requests per second to this service.
 	Rate float64
-	// LateShare is the share of late answers among the instance's last ones,
-	// from servers that it doesn't suspect.
+	// LateShare is the share of late answers among the instance's recent
+	// ones from servers that it doesn't suspect.
 	LateShare float64
 	Servers   []ServerCount
-	// Elsewhere has the attempts at all servers of the workspaces that
-	// Servers names, so that a workspace's bad requests show as such.
+	// Elsewhere counts the attempts of the workspaces named in Servers at
+	// all servers. It shows whether a workspace's requests fail everywhere.
 	Elsewhere []WorkspaceCount
 }
 
@@ -31,8 +31,9 @@
 	Workspaces []WorkspaceCount
 }
 
-// WorkspaceCount counts one workspace's attempts. Failed and Late have their
-// own numbers of attempts, because a late attempt is counted before its end.
+// WorkspaceCount counts one workspace's attempts. Failed and Late refer to
+// separate numbers of attempts, because a late attempt is counted before it
+// ends.
 type WorkspaceCount struct {
 	Workspace    string
 	Attempts     uint32
@@ -44,31 +45,34 @@
 const (
 	maxReportServers    = 8
 	maxReportWorkspaces = 4
-	// allGoodInterval is how often attempts are reported when none was bad.
+	// allGoodInterval is the least time between reports that contain no bad
+	// attempt.
 	allGoodInterval = time.Second
-	// reportJitter is the part of ReportInterval that varies.
+	// reportJitter is the fraction of ReportInterval that is randomised.
 	reportJitter = 0.4
-	// rateWindow is the time over which an instance averages its rate.
+	// rateWindow is the time constant of the request rate average.
 	rateWindow = 10 * time.Second
-	// otherWorkspaces takes the workspaces beyond maxReportWorkspaces.
+	// otherWorkspaces is the name that aggregates the workspaces beyond
+	// maxReportWorkspaces.
 	otherWorkspaces = ""
 )
 
-// pending is what has been observed since the last report on a service.
+// pending holds the counts since the last report on a service.
 type pending struct {
 	servers map[string]map[string]*WorkspaceCount
 	totals  map[string]*WorkspaceCount
 	bad     bool
 	sentAt  time.Duration
-	// wait is the time to the next report; it differs a little every time, so
-	// that instances that meet a failure together don't report together.
+	// wait is the time to the next report. It has jitter, so that instances
+	// that see the same failure don't all report at once.
 	wait time.Duration
-	// rate is a fading count of attempts.
+	// rate is a count of attempts with exponential decay.
 	rate   float64
 	rateAt time.Duration
 }
 
-// record adds an observation if its server is in doubt or its workspace named.
+// record counts an observation if it is bad, or if its server or workspace
+// already has evidence.
 func (p *pending) record(now time.Duration, v *serviceView, ob Observation, failed, late bool, c counted) {
 	if ob.Result != Late {
 		p.rate = p.rate*rateDecay(now-p.rateAt) + 1
@@ -85,11 +89,11 @@
 	if t := p.totals[ob.Workspace]; t != nil || bad || v.tracksWorkspace(ob.Workspace) {
 		p.totals[ob.Workspace] = t.plusAttempt(ob.Workspace, failed, late, c)
 	}
-	server, doubted := p.servers[ob.Server]
-	if !doubted && !bad && !v.tracksServer(now, ob.Server) {
+	server, tracked := p.servers[ob.Server]
+	if !tracked && !bad && !v.tracksServer(now, ob.Server) {
 		return
 	}
-	if !doubted {
+	if !tracked {
 		server = map[string]*WorkspaceCount{}
 		p.servers[ob.Server] = server
 	}
@@ -112,20 +116,23 @@
 	return w
 }
 
-// hasWorkspaceEvidence reports whether the workspace had a bad answer at the server lately.
+// hasWorkspaceEvidence reports whether the workspace recently had a failed
+// attempt at the server.
 func (v *serviceView) hasWorkspaceEvidence(server, workspace string) bool {
 	r := v.failed.byServer[server]
 	return r != nil && r.workspaces[workspace] != nil
 }
 
-// tracksWorkspace reports whether a workspace had a bad answer lately. All its
-// attempts are counted then, so that its share of bad ones can be told.
+// tracksWorkspace reports whether the workspace recently had a bad attempt.
+// All its attempts are counted from then on, to compute its share of bad
+// ones.
 func (v *serviceView) tracksWorkspace(workspace string) bool {
 	return v.failed.workspaceTotals[workspace] != nil || v.late.workspaceTotals[workspace] != nil
 }
 
-// tracksServer reports whether evidence on the server is being collected. While the
-// collector has tracksServer, good answers matter to it as much as bad ones.
+// tracksServer reports whether evidence on the server is being collected.
+// While the collector suspects the server, it needs the good answers as much
+// as the bad ones.
 func (v *serviceView) tracksServer(now time.Duration, server string) bool {
 	_, advised := v.advice[server]
 	if advised && now-v.advisedAt < adviceTTL {
@@ -134,14 +141,14 @@
 	return v.failed.byServer[server] != nil || v.late.byServer[server] != nil
 }
 
-// rateDecay is what is left of a count of attempts after d.
+// rateDecay returns the decay factor of the attempt count over d.
 func rateDecay(d time.Duration) float64 {
 	return math.Exp(-d.Seconds() / rateWindow.Seconds())
 }
 
-// DueReports returns the reports that are due, one for each service at most.
-// They go to the services' collectors; a report that gets lost is not sent
-// again. Together they stay within ReportBytes a second.
+// DueReports returns the reports that are due, at most one for each service,
+// for the services' collectors. A lost report is not sent again. All reports
+// together stay within ReportBytes per second.
 func (o *Observer) DueReports(now time.Duration) []Report {
 	o.refillBytes(now)
 	var reports []Report
@@ -179,7 +186,7 @@
 	return p.bad || now-p.sentAt >= allGoodInterval
 }
 
-// take empties the pending counts into a report.
+// take moves the pending counts into a report.
 func (p *pending) take(now time.Duration, service, dataCentre string) Report {
 	r := Report{Service: service, DataCentre: dataCentre, Rate: p.rate / rateWindow.Seconds()}
 	named := map[string]bool{}
@@ -206,7 +213,8 @@
 	return r
 }
 
-// worstServers lists the servers to report, the worstServers first.
+// worstServers returns the servers to report, those with the most bad
+// attempts first.
 func (p *pending) worstServers() []string {
 	bad := func(id string) uint32 {
 		sum := uint32(0)
@@ -221,13 +229,14 @@
 }
 
 const (
-	// reportBaseBytes and countBytes bound the encoded size of a report's parts
-	// beside its names.
-	reportBaseBytes = 28
+	// reportBaseBytes and workspaceCountBytes bound the encoded size of a
+	// report and of one workspace's counts, without names.
+	reportBaseBytes     = 28
 	workspaceCountBytes = 10
 )
 
-// Size bounds the report's size in a compact encoding, in bytes.
+// Size returns an upper bound of the report's size in a compact encoding, in
+// bytes.
 func (r Report) Size() int {
 	n := reportBaseBytes + len(r.Service) + len(r.DataCentre)
 	for _, s := range r.Servers {
--- a/health/report_bench_test.go
+++ b/health/report_bench_test.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// BenchmarkReports counts the reports of an instance that sees 70 requests a
-// second, spread evenly over the services of the target size, while a share
-// of its attempts fails: how many it sends in a second, and how many bytes it
-// counts for them.
+// BenchmarkReports measures the reports per second and their size for an
+// instance with 70 requests per second, spread evenly over the 560 services
+// of the target size, for several shares of failing attempts.
 func BenchmarkReports(b *testing.B) {
 	const rate, services, seconds, step = 70, 560, 60, 250 * time.Millisecond
 	for _, failing := range []float64{0, 0.001, 0.01, 0.1, 1} {
--- a/health/score.go
+++ b/health/score.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// score is how much the evidence speaks for a sick server, as a
-// log-likelihood ratio; 0 or less means that nothing is held against it.
+// score returns the log-likelihood ratio of the server being sick. A value
+// of 0 or less means that there is no evidence against it.
 func (l *outcomeStats) score(now time.Duration, server string) float64 {
 	l.decay(now)
 	r := l.byServer[server]
@@ -29,7 +29,8 @@
 	return r.score
 }
 
-// currentWorkspaceScore is the same for one workspace's requests at the server.
+// currentWorkspaceScore applies the decay and returns the score for one
+// workspace's requests at the server.
 func (l *outcomeStats) currentWorkspaceScore(now time.Duration, server, workspace string) float64 {
 	l.decay(now)
 	r := l.byServer[server]
@@ -39,10 +40,11 @@
 	return l.workspaceScore(r, workspace)
 }
 
-// workspaceScore judges one workspace at one server. A server may fail a single
-// workspace (a corrupt partition, say) and look well over all. But a
-// workspace that sends bad requests fails wherever they go, so the server is
-// compared with how the workspace fares elsewhere.
+// workspaceScore returns the score for one workspace's requests at one
+// server. A server may fail a single workspace, for example because of a
+// corrupt partition, and still look healthy overall. Bad requests of a
+// workspace, however, fail at every server, so the failures here are
+// compared with the workspace's failures at other servers.
 func (l *outcomeStats) workspaceScore(r *serverStats, workspace string) float64 {
 	p := r.workspaces[workspace]
 	if p == nil {
@@ -51,23 +53,24 @@
 	return l.workspaceScoreWith(r, workspace, p.bad)
 }
 
-// workspaceScoreWith is pair with only so many of the bad attempts.
+// workspaceScoreWith is workspaceScore with the given number of bad
+// attempts.
 func (l *outcomeStats) workspaceScoreWith(r *serverStats, workspace string, bad float64) float64 {
-	elsewhere, usual := l.baseline(r, workspace)
-	if usual >= pairSickShare {
+	elsewhere, baseline := l.baseline(r, workspace)
+	if baseline >= pairSickShare {
 		return 0
 	}
-	// The workspace's attempts are spread over the servers. Where only the
-	// bad ones here were reported, its attempts elsewhere tell how many there
-	// must have been.
+	// The attempts of a workspace are spread evenly over the servers. Where
+	// only the bad ones at this server were reported, its attempts elsewhere
+	// give an estimate of the total here.
 	attempts := max(r.workspaces[workspace].attempts, elsewhere/float64(max(1, l.serverCount-1)))
-	return pairDiscount * logLikelihoodRatio(attempts, bad, usual, pairSickShare)
+	return pairDiscount * logLikelihoodRatio(attempts, bad, baseline, pairSickShare)
 }
 
-// baseline is the share of a workspace's requests that is bad elsewhere, the
-// worst other servers aside: they may be sick too. It also returns how many
-// attempts there were elsewhere.
-func (l *outcomeStats) baseline(r *serverStats, workspace string) (elsewhere, usual float64) {
+// baseline returns the workspace's number of attempts at other servers and
+// the share of them that is bad. The share leaves out the worst of the other
+// servers, which may be sick too.
+func (l *outcomeStats) baseline(r *serverStats, workspace string) (elsewhere, baseline float64) {
 	t := l.workspaceTotals[workspace]
 	if t == nil {
 		return 0, max(l.healthyShare, priorBad/priorAttempts)
@@ -85,7 +88,8 @@
 	return elsewhere, max(l.healthyShare, (max(0, bad)+priorBad)/(max(0, attempts)+priorAttempts))
 }
 
-// worstElsewhere returns the workspace's worst tallies at other servers.
+// worstElsewhere returns the workspace's counts at the worst of the other
+// servers.
 func (l *outcomeStats) worstElsewhere(r *serverStats, workspace string) []attemptCounts {
 	l.totalsBuffer = l.totalsBuffer[:0]
 	for _, other := range l.byServer {
@@ -99,20 +103,21 @@
 	return l.totalsBuffer[:min(len(l.totalsBuffer), l.maxSickServers())]
 }
 
-// maxSickServers is how many servers may be sick and still be told from the others.
+// maxSickServers is how many servers may be sick at once and still be
+// distinguished from the others.
 func (l *outcomeStats) maxSickServers() int { return int(maxSickServerShare * float64(l.serverCount)) }
 
 const (
-	// priorBad in priorAttempts is what is assumed of a workspace's requests
-	// elsewhere before there were any.
+	// priorBad and priorAttempts are the prior for a workspace's bad and
+	// total attempts at other servers.
 	priorBad      = 0.3
 	priorAttempts = 3
 )
 
-// attributableBad is the number of bad attempts that are the server's own. What
-// the same reporter, the same workspace or everybody meets at the other
-// servers as well is the reporter's network, the workspace's requests or the
-// service's state.
+// attributableBad returns the number of bad attempts that are attributable
+// to the server. Bad attempts that the same reporter, the same workspace or
+// all sources see at the other servers as well are due to the reporter's
+// network, the workspace's requests or the state of the service.
 func (l *outcomeStats) attributableBad(r *serverStats) float64 {
 	all := l.excessShare(r, func(m *marginals) float64 { return m.all })
 	if all == 0 {
@@ -126,21 +131,23 @@
 			top, topWorkspace = w.bad, w.workspace
 		}
 	}
-	// What one workspace meets alone counts as far as the others meet it too,
-	// or as its requests are known to succeed elsewhere.
+	// Bad attempts of a single workspace count as far as other workspaces
+	// see them too, or as the workspace's requests are known to succeed
+	// elsewhere.
 	rest := sum - top
-	_, usual := l.baseline(r, topWorkspace)
-	trust := max(0, 1-baselinePenalty*(usual-l.healthyShare))
+	_, baseline := l.baseline(r, topWorkspace)
+	trust := max(0, 1-baselinePenalty*(baseline-l.healthyShare))
 	return rest + max(min(top, maxTopRatio*rest), top*trust)
 }
 
-// workspaceBad is the part of a run that one workspace supplies.
+// workspaceBad is one workspace's part of the bad attempts at a server.
 type workspaceBad struct {
 	workspace string
 	bad       float64
 }
 
-// byWorkspace sums a run's bad attempts that stand out, by workspace.
+// byWorkspace returns the excess bad attempts at a server, summed by
+// workspace.
 func (l *outcomeStats) byWorkspace(r *serverStats, all float64) []workspaceBad {
 	var list []workspaceBad
 	for _, c := range r.bySource {
@@ -158,29 +165,30 @@
 
 const (
 	// maxTopRatio bounds the part of the evidence that one workspace or one
-	// place may supply, as a multiple of what all others supply together.
+	// failure domain may contribute, as a multiple of what all others
+	// contribute together.
 	maxTopRatio = 1
 )
 
-// baselinePenalty is how fast a workspace's failures elsewhere make those here
-// count less.
+// baselinePenalty scales how much a workspace's failures at other servers
+// reduce the weight of those at this one.
 const baselinePenalty = 3
 
-// excessShare is the share of the bad attempts at one server beyond what the
-// others have too, with room for chance: counts as small as these vary by
-// their square root.
-func (l *outcomeStats) excessShare(r *serverStats, of func(*marginals) float64) float64 {
-	here := of(&r.sums)
+// excessShare returns the share of the bad attempts at a server that exceeds
+// what the other servers have, with a margin for chance: counts this small
+// vary by about their square root.
+func (l *outcomeStats) excessShare(r *serverStats, count func(*marginals) float64) float64 {
+	here := count(&r.sums)
 	if here <= 0 {
 		return 0
 	}
-	others := l.othersMean(r, of)
+	others := l.othersMean(r, count)
 	return max(0, 1-othersFactor*(others+math.Sqrt(others))/here)
 }
 
-// othersMean is what is usual at the other servers: their mean without the worst
+// othersMean returns the mean count at the other servers, without the worst
 // of them, so that several sick servers don't excuse each other.
-func (l *outcomeStats) othersMean(r *serverStats, of func(*marginals) float64) float64 {
+func (l *outcomeStats) othersMean(r *serverStats, count func(*marginals) float64) float64 {
 	n := l.serverCount - 1
 	worst := l.maxSickServers()
 	if len(l.byServer)-1 <= worst || n <= worst {
@@ -189,7 +197,7 @@
 	l.buffer = l.buffer[:0]
 	for _, other := range l.byServer {
 		if other != r {
-			l.buffer = append(l.buffer, of(&other.sums))
+			l.buffer = append(l.buffer, count(&other.sums))
 		}
 	}
 	slices.Sort(l.buffer)
@@ -200,6 +208,6 @@
 	return sum / float64(n-worst)
 }
 
-// maxSickServerShare is the share of a service's servers that may be sick at once
-// and still be told from the others.
+// maxSickServerShare is the share of a service's servers that may be sick at
+// once and still be distinguished from the others.
 const maxSickServerShare = 0.3
--- a/health/weights.go
+++ b/health/weights.go
@@ -7,28 +7,32 @@
 )
 
 const (
-	// suspectScore is the score from which a weight goes down.
+	// suspectScore is the score above which the weight is lowered.
 	suspectScore = 2
-	// minWeightScore is the score at which it is at minWeight.
+	// minWeightScore is the score from which the weight is minWeight.
 	minWeightScore = 6
-	// minWeight keeps a trickle of requests, so that evidence continues and
-	// a recovered server is noticed without an ejection.
+	// minWeight leaves a few requests, so that evidence continues to arrive
+	// and a recovered server is noticed without an ejection.
 	minWeight = 0.1
-	// LowWeight is the weight below which a server counts as out of use for
-	// the floor.
+	// LowWeight is the weight below which a server counts as out of use with
+	// regard to the floor.
 	LowWeight = 0.5
-	// shedWeight is the weight right after a refusal for want of room.
+	// shedWeight is the weight right after the server refused a request
+	// because of load.
 	shedWeight = 0.3
-	// shedRecovery is how long such a refusal matters.
+	// shedRecovery is the time over which the weight recovers from
+	// shedWeight to 1.
 	shedRecovery = time.Second
 	// adviceTTL is how long a collector's advice holds. It is longer than
-	// Settings.Relief: if the load came back to a relieved server while it is
-	// still judged, it would be ejected for being slow by load.
+	// Settings.Relief: if the load returned to a relieved server while it is
+	// still being judged, the server would be ejected for slowness that the
+	// load causes.
 	adviceTTL = 12 * time.Second
 )
 
-// Weight returns a server's weight for a workspace's requests, without a
-// floor: 1 if nothing is held against it. The workspace may be empty.
+// Weight returns a server's weight for a workspace's requests, without
+// regard to the floor. It is 1 if there is no evidence against the server.
+// The workspace may be empty.
 func (o *Observer) Weight(now time.Duration, service, server, workspace string) float64 {
 	v, ok := o.services[service]
 	if !ok {
@@ -44,13 +48,14 @@
 	return w
 }
 
-// Weights returns the weights of the servers that may be used at all (not
-// leaving, not ejected), in their order. At most len(servers)-floor of them
-// are below LowWeight, whatever the evidence says; see ViewFloor in balance
-// for the floor of a view of some servers.
+// Weights returns the weights of the given servers, in their order. servers
+// are those that may be used (not leaving, not ejected). At most
+// len(servers)-floor of them are below LowWeight, whatever the evidence. For
+// the floor of a view of some servers, see ViewFloor in package balance.
 //
 // Without the floor, an instance that suspects many servers, rightly or not,
-// would send everything to a few, which then fail under load as well.
+// would send all requests to a few, which would then fail under the load as
+// well.
 func (o *Observer) Weights(now time.Duration, service, workspace string, servers []string, floor int) []float64 {
 	v := o.view(service)
 	v.failed.serverCount = len(servers)
@@ -62,7 +67,8 @@
 	return raiseToFloor(weights, floor)
 }
 
-// raiseToFloor lifts the best of the low weights until enough aren't low.
+// raiseToFloor raises the highest of the low weights to LowWeight until no
+// more than len(weights)-floor are low.
 func raiseToFloor(weights []float64, floor int) []float64 {
 	var low []int
 	for i, w := range weights {
@@ -81,12 +87,13 @@
 	return weights
 }
 
-// suspicionScore is the highest score against a server, for a workspace if given.
+// suspicionScore returns the highest score against a server, including that
+// for the workspace if one is given.
 func (o *Observer) suspicionScore(now time.Duration, v *serviceView, server, workspace string) float64 {
 	s := v.failed.score(now, server)
 	if !v.slow() {
-		// While the whole service is slow, lateness tells servers apart badly,
-		// and every one of them is needed.
+		// While the whole service is slow, lateness hardly distinguishes
+		// servers, and the capacity of every server is needed.
 		s = max(s, v.late.score(now, server))
 	}
 	if workspace == "" {
@@ -100,17 +107,17 @@
 	return 1 - (1-minWeight)*min(1, max(0, share))
 }
 
-// Suspect is a server against which a collector's pooled evidence speaks.
+// Suspect is a server that a collector's pooled evidence speaks against.
 type Suspect struct {
 	Server string
-	// Weight that the instances should give it at most.
+	// Weight is the highest weight that instances should give the server.
 	Weight float64
-	// Late says that lateness is all that is held against it.
+	// Late is set if the server is only late and does not fail.
 	Late bool
 }
 
-// ApplyAdvice takes a collector's answer to a report. It replaces the one before
-// and only lowers weights, for a few seconds.
+// ApplyAdvice applies a collector's reply to a report. It replaces the
+// previous advice, only lowers weights, and expires after adviceTTL.
 func (o *Observer) ApplyAdvice(now time.Duration, service string, suspects []Suspect) {
 	v := o.view(service)
 	clear(v.advice)
