--- a/health/collector.go
+++ b/health/collector.go
@@ -65,7 +65,7 @@
 	reportedSickAt time.Duration
 	// advised is when each instance was last advised to lower the weight.
 	advised map[string]time.Duration
-	probing probing
+	probing probeState
 }
 
 // reporterTTL is how long after its last report an instance counts as a
@@ -148,7 +148,7 @@
 		s := c.settings
 		p = &pool{
 			failed:    newOutcomeStats(s.FailureShare, s.SickFailureShare, s.PooledMemory),
-			late:      newOutcomeStats(s.judgedLateShare(), s.SickLateShare, s.PooledMemory),
+			late:      newOutcomeStats(s.healthyLateShare(), s.SickLateShare, s.PooledMemory),
 			reporters: map[string]*reporter{},
 			servers:   map[string]*serverState{},
 		}
@@ -174,7 +174,7 @@
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setBaseline(p.medianLateShare(), c.settings.judgedLateShare(), c.settings.SickLateShare)
+		p.late.setBaseline(p.medianLateShare(), c.settings.healthyLateShare(), c.settings.SickLateShare)
 		p.advised = c.selectSuspects(now, p)
 	}
 	for _, s := range p.advised {
--- a/health/ejection.go
+++ b/health/ejection.go
@@ -60,7 +60,7 @@
 		case !slices.Contains(servers, e.Server):
 			reason = fmt.Sprintf("%s is not in the list of servers any more", e.Server)
 			delete(p.servers, e.Server)
-		case p.server(e.Server).probing.passed(c.settings):
+		case p.server(e.Server).probing.passedProbes(c.settings):
 			reason = fmt.Sprintf("%s answered %d probes in a row", e.Server, c.settings.ProbesToReturn)
 		default:
 			kept = append(kept, e)
@@ -158,7 +158,7 @@
 // load is taken away first: a server that stays late without it isn't slow
 // because of load.
 func (c *Collector) updateRelief(now time.Duration, p *pool) {
-	slow := p.medianLateShare() > slowShare
+	slow := p.medianLateShare() > slowServiceShare
 	available := (p.ejectionBudget+1)/2 - p.relievedCount()
 	for _, id := range p.suspects() {
 		s := p.server(id)
--- a/health/report.go
+++ b/health/report.go
@@ -73,7 +73,7 @@
 
 // record counts an observation if it is bad, or if its server or workspace
 // already has evidence.
-func (p *pending) record(now time.Duration, v *serviceView, ob Observation, failed, late bool, c counted) {
+func (p *pending) record(now time.Duration, v *serviceEvidence, ob Observation, failed, late bool, c countedOutcomes) {
 	if ob.Result != Late {
 		p.rate = p.rate*rateDecay(now-p.rateAt) + 1
 		p.rateAt = now
@@ -105,20 +105,20 @@
 	p.bad = p.bad || bad
 }
 
-func (w *WorkspaceCount) plusAttempt(name string, failed, late bool, c counted) *WorkspaceCount {
+func (w *WorkspaceCount) plusAttempt(name string, failed, late bool, c countedOutcomes) *WorkspaceCount {
 	if w == nil {
 		w = &WorkspaceCount{Workspace: name}
 	}
-	w.Attempts += uint32(one(c.failed))
-	w.Failed += uint32(one(failed))
-	w.LateAttempts += uint32(one(c.late))
-	w.Late += uint32(one(late))
+	w.Attempts += uint32(indicator(c.failed))
+	w.Failed += uint32(indicator(failed))
+	w.LateAttempts += uint32(indicator(c.late))
+	w.Late += uint32(indicator(late))
 	return w
 }
 
 // hasWorkspaceEvidence reports whether the workspace recently had a failed
 // attempt at the server.
-func (v *serviceView) hasWorkspaceEvidence(server, workspace string) bool {
+func (v *serviceEvidence) hasWorkspaceEvidence(server, workspace string) bool {
 	r := v.failed.byServer[server]
 	return r != nil && r.workspaces[workspace] != nil
 }
@@ -126,14 +126,14 @@
 // tracksWorkspace reports whether the workspace recently had a bad attempt.
 // All its attempts are counted from then on, to compute its share of bad
 // ones.
-func (v *serviceView) tracksWorkspace(workspace string) bool {
+func (v *serviceEvidence) tracksWorkspace(workspace string) bool {
 	return v.failed.workspaceTotals[workspace] != nil || v.late.workspaceTotals[workspace] != nil
 }
 
 // tracksServer reports whether evidence on the server is being collected.
 // While the collector suspects the server, it needs the good answers as much
 // as the bad ones.
-func (v *serviceView) tracksServer(now time.Duration, server string) bool {
+func (v *serviceEvidence) tracksServer(now time.Duration, server string) bool {
 	_, advised := v.advice[server]
 	if advised && now-v.advisedAt < adviceTTL {
 		return true
@@ -172,10 +172,10 @@
 }
 
 func (o *Observer) refillBytes(now time.Duration) {
-	if now > o.refilled {
-		o.reportBytes += o.settings.ReportBytes * (now - o.refilled).Seconds()
+	if now > o.refilledAt {
+		o.reportBytes += o.settings.ReportBytes * (now - o.refilledAt).Seconds()
 		o.reportBytes = min(o.reportBytes, o.settings.ReportBytes)
-		o.refilled = now
+		o.refilledAt = now
 	}
 }
 
--- a/health/score.go
+++ b/health/score.go
@@ -183,7 +183,7 @@
 		return 0
 	}
 	others := l.othersMean(r, count)
-	return max(0, 1-othersFactor*(others+math.Sqrt(others))/here)
+	return max(0, 1-outlierFactor*(others+math.Sqrt(others))/here)
 }
 
 // othersMean returns the mean count at the other servers, without the worst
--- a/health/weights.go
+++ b/health/weights.go
@@ -57,7 +57,7 @@
 // would send all requests to a few, which would then fail under the load as
 // well.
 func (o *Observer) Weights(now time.Duration, service, workspace string, servers []string, floor int) []float64 {
-	v := o.view(service)
+	v := o.service(service)
 	v.failed.serverCount = len(servers)
 	v.late.serverCount = len(servers)
 	weights := make([]float64, len(servers))
@@ -89,7 +89,7 @@
 
 // suspicionScore returns the highest score against a server, including that
 // for the workspace if one is given.
-func (o *Observer) suspicionScore(now time.Duration, v *serviceView, server, workspace string) float64 {
+func (o *Observer) suspicionScore(now time.Duration, v *serviceEvidence, server, workspace string) float64 {
 	s := v.failed.score(now, server)
 	if !v.slow() {
 		// While the whole service is slow, lateness hardly distinguishes
@@ -119,7 +119,7 @@
 // ApplyAdvice applies a collector's reply to a report. It replaces the
 // previous advice, only lowers weights, and expires after adviceTTL.
 func (o *Observer) ApplyAdvice(now time.Duration, service string, suspects []Suspect) {
-	v := o.view(service)
+	v := o.service(service)
 	clear(v.advice)
 	for _, s := range suspects {
 		v.advice[s.Server] = s
--- a/membership/cost_test.go
+++ b/membership/cost_test.go
@@ -10,11 +10,11 @@
 	"foxtailspoke/storage"
 )
 
-// budget is the most that one instance may send and receive for the fleet's
+// maxBytesPerSecond is the most that one instance may send and receive for the fleet's
 // own needs, in bytes a second.
-const budget = 8 << 10
+const maxBytesPerSecond = 8 << 10
 
-var large = flag.Bool("cost.large", false, "measure fleets of 2000 instances as well")
+var measureLargeFleets = flag.Bool("cost.large", false, "measure fleets of 2000 instances as well")
 
 // The cost of doing nothing: what the fleet exchanges while no row changes,
 // with the table in reach and without. Bytes are those of the messages in
@@ -24,13 +24,13 @@
 	const measured = 10 * time.Second
 	type fleetSize struct{ nodes, centres int }
 	sizes := []fleetSize{{40, 4}, {400, 4}}
-	if *large {
+	if *measureLargeFleets {
 		sizes = append(sizes, fleetSize{2000, 4}, fleetSize{2000, 17})
 	}
 	for _, size := range sizes {
-		s := boot(7, Settings{}, size.nodes, size.centres)
+		s := startFleet(7, Settings{}, size.nodes, size.centres)
 		for _, away := range []bool{false, true} {
-			s.away = away
+			s.platformDown = away
 			s.run(s.now + 3*time.Second)
 			clear(s.sent)
 			reads, calls := s.reads, s.calls
@@ -44,7 +44,7 @@
 			t.Logf("%d instances in %d data centres, platform away %v: %d reads/s, %d calls/s, %d bytes/s each, at most %d",
 				size.nodes, size.centres, away, (s.reads-reads)/seconds, (s.calls-calls)/seconds,
 				total/seconds/size.nodes, most/seconds)
-			must.Less(t, budget, most/seconds)
+			must.Less(t, maxBytesPerSecond, most/seconds)
 			must.Zero(t, s.nodeStates()[CutOff])
 		}
 	}
@@ -53,11 +53,11 @@
 // BenchmarkWake is one look at an instance in a large fleet: what its owner
 // pays per event of any kind.
 func BenchmarkWake(b *testing.B) {
-	s := boot(8, Settings{}, 400, 4)
+	s := startFleet(8, Settings{}, 400, 4)
 	m := s.nodes[0].m
 	now := s.nodes[0].clock(s.now)
 	for b.Loop() {
-		m.Confirmed(now)
+		m.Confirmation(now)
 		m.InForce(now, 1)
 		m.NextWake()
 	}
@@ -67,7 +67,7 @@
 // instances, as every instance of the fleet takes it.
 func BenchmarkListChange(b *testing.B) {
 	d := newDirectory(Settings{Self: "i0000"}.withDefaults())
-	d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: fleet(2000, 17)})
+	d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: entryInstances(2000, 17)})
 	for b.Loop() {
 		d.apply(storage.InstanceChanges{Version: d.version + 1, Changed: []storage.Instance{entryInstance("x", "dc1")}})
 	}
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -19,7 +19,7 @@
 		key := rapid.String().Draw(t, "key")
 		gone := rapid.SampledFrom(ids).Draw(t, "gone")
 		ranked := Rank(key, ids)
-		must.Eq(t, ranked[0], First(key, ids))
+		must.Eq(t, ranked[0], TopRanked(key, ids))
 		must.Eq(t, slices.Index(ranked, gone), position(key, gone, ids))
 		must.Eq(t, remove(ranked, gone), Rank(key, remove(ids, gone)))
 	})
@@ -29,7 +29,7 @@
 	return storage.Instance{ID: id, Kind: storage.Entry, DataCentre: centre, State: storage.Live}
 }
 
-func fleet(n, centres int) []storage.Instance {
+func entryInstances(n, centres int) []storage.Instance {
 	var all []storage.Instance
 	for i := range n {
 		all = append(all, entryInstance(fmt.Sprintf("i%04d", i), fmt.Sprintf("dc%d", i%centres)))
@@ -39,7 +39,7 @@
 
 func TestDirectoryRoles(t *testing.T) {
 	d := newDirectory(Settings{}.withDefaults())
-	must.True(t, d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: fleet(400, 4)}))
+	must.True(t, d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: entryInstances(400, 4)}))
 	must.Len(t, 3, d.Watchers("dc0"))
 	must.Eq(t, Rank(collectorKey+"s", d.entryIDs)[0], d.Collector("s"))
 	centres := map[string]bool{}
@@ -58,19 +58,19 @@
 	must.False(t, d.apply(storage.InstanceChanges{Version: 2}))
 	must.Len(t, 399, d.Entries())
 	must.Len(t, 1, d.Servers("s"))
-	must.Len(t, 2, d.since(1).Changed)
-	must.True(t, d.since(0).Full)
-	must.Len(t, 401, d.since(0).Changed)
+	must.Len(t, 2, d.changesSince(1).Changed)
+	must.True(t, d.changesSince(0).Full)
+	must.Len(t, 401, d.changesSince(0).Changed)
 
 	// Too many ended ones: the oldest go, and whoever lacks that gets all.
 	for version, n := range []int{3: 600, 4: 500} {
-		ended := fleet(n, 1)
+		ended := entryInstances(n, 1)
 		for i := range ended {
 			ended[i].ID, ended[i].State = fmt.Sprintf("%d-%d", version, i), storage.Ended
 		}
 		d.apply(storage.InstanceChanges{Version: uint64(version), Changed: ended})
 	}
-	must.Len(t, 401+keptEnded/2, d.since(0).Changed)
-	must.True(t, d.since(2).Full)
-	must.False(t, d.since(3).Full)
+	must.Len(t, 401+maxEndedInstances/2, d.changesSince(0).Changed)
+	must.True(t, d.changesSince(2).Full)
+	must.False(t, d.changesSince(3).Full)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -141,7 +141,7 @@
 	case InstancesRead:
 		n.instancesRead(e)
 	case ProbeEnded:
-		n.collector.ProbeDone(n.now, e.Probe, e.Result, e.Latency)
+		n.collector.RecordProbe(n.now, e.Probe, e.Result, e.Latency)
 	case LeaveRequested:
 		n.leave()
 	}
@@ -180,7 +180,7 @@
 	n.lookForAbandonedClaims()
 	if n.now >= n.forgetAt {
 		n.forgetAt = n.now + time.Minute
-		n.holder.Forget(n.now)
+		n.holder.EvictIdle(n.now)
 		n.forgetLeavers()
 		n.forgetDoubts()
 		n.fares.forget(n.now)
@@ -231,10 +231,10 @@
 // noticeRevision follows the replica and the instance list after anything
 // that may have changed them.
 func (n *Node) noticeRevision() {
-	if list := n.member.Live().Version(); list != n.seenList {
+	if list := n.member.Directory().Version(); list != n.seenList {
 		n.seenList = list
 		n.rankShards()
-		n.collector.SetFleetSize(len(n.member.Live().Entries()), len(n.member.Live().DataCentres()))
+		n.collector.SetFleetSize(len(n.member.Directory().Entries()), len(n.member.Directory().DataCentres()))
 		n.noticeServers()
 	}
 	if n.replica.Revision() == n.seen {
@@ -248,7 +248,7 @@
 }
 
 func (n *Node) noticeState() {
-	c := n.member.Confirmed(n.now)
+	c := n.member.Confirmation(n.now)
 	if c.State != membership.CutOff {
 		n.freshUntil = n.now - c.Age + n.member.Settings().Fresh
 	}
