--- a/health/ejection.go
+++ b/health/ejection.go
@@ -104,11 +104,11 @@
 	worst := slices.MaxFunc(list, func(a, b suspect) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(b.id, a.id))
 	})
-	l := p.failed
+	stats := p.failed
 	if worst.late {
-		l = p.late
+		stats = p.late
 	}
-	return config.Ejection{Server: worst.id, Reason: ejectionReason(service, worst.id, l, worst.late)}, true
+	return config.Ejection{Server: worst.id, Reason: ejectionReason(service, worst.id, stats, worst.late)}, true
 }
 
 // ejectThreshold is the score from which a server is ejected.
@@ -140,8 +140,8 @@
 	lateFactor = 1.25
 )
 
-func ejectionReason(service, server string, l *outcomeStats, late bool) string {
-	r := l.byServer[server]
+func ejectionReason(service, server string, stats *outcomeStats, late bool) string {
+	r := stats.byServer[server]
 	what := "failed"
 	if late {
 		what = "answered late, also with little to do,"
--- a/health/outcome_stats.go
+++ b/health/outcome_stats.go
@@ -87,9 +87,9 @@
 // setBaseline raises the share that counts as healthy to the service's
 // present share of bad attempts. While a quarter of all answers are late, a
 // late answer says little about a server.
-func (l *outcomeStats) setBaseline(share, healthy, sick float64) {
-	l.healthyShare = min(maxHealthyShare, max(healthy, baselineMargin*share))
-	l.sickShare = min(1-(1-l.healthyShare)/2, max(sick, sickMargin*l.healthyShare))
+func (o *outcomeStats) setBaseline(share, healthy, sick float64) {
+	o.healthyShare = min(maxHealthyShare, max(healthy, baselineMargin*share))
+	o.sickShare = min(1-(1-o.healthyShare)/2, max(sick, sickMargin*o.healthyShare))
 }
 
 const (
@@ -104,24 +104,24 @@
 
 // add counts attempts of one source at a server, and how many of them were
 // bad.
-func (l *outcomeStats) add(now time.Duration, server string, s source, attempts, bad float64) {
-	l.decay(now)
-	l.addWorkspaceTotal(s.workspace, attempts, bad)
-	r := l.byServer[server]
+func (o *outcomeStats) add(now time.Duration, server string, s source, attempts, bad float64) {
+	o.decay(now)
+	o.addWorkspaceTotal(s.workspace, attempts, bad)
+	r := o.byServer[server]
 	if r == nil {
 		if bad == 0 {
 			return
 		}
 		r = &serverStats{sums: newMarginals(), workspaces: map[string]*workspaceStats{}}
-		l.byServer[server] = r
+		o.byServer[server] = r
 	}
-	l.version++
+	o.version++
 	r.attempts += attempts
 	r.addWorkspace(s, attempts, bad)
 	if bad > 0 {
 		r.sums.add(r.addBad(s, bad), bad)
 	}
-	l.clamp(server, r)
+	o.clamp(server, r)
 }
 
 func (r *serverStats) addWorkspace(s source, attempts, bad float64) {
@@ -162,14 +162,14 @@
 
 // addWorkspaceTotal counts the attempts of a workspace at all servers, from
 // its first bad attempt on.
-func (l *outcomeStats) addWorkspaceTotal(workspace string, attempts, bad float64) {
-	t := l.workspaceTotals[workspace]
+func (o *outcomeStats) addWorkspaceTotal(workspace string, attempts, bad float64) {
+	t := o.workspaceTotals[workspace]
 	if t == nil {
-		if bad == 0 || len(l.workspaceTotals) >= maxSources {
+		if bad == 0 || len(o.workspaceTotals) >= maxSources {
 			return
 		}
 		t = &attemptCounts{}
-		l.workspaceTotals[workspace] = t
+		o.workspaceTotals[workspace] = t
 	}
 	t.attempts += attempts
 	t.bad += bad
@@ -177,27 +177,27 @@
 
 // addUnreported counts good attempts of instances that reported nothing on
 // the server.
-func (l *outcomeStats) addUnreported(now time.Duration, server string, attempts float64) {
-	l.decay(now)
-	r := l.byServer[server]
+func (o *outcomeStats) addUnreported(now time.Duration, server string, attempts float64) {
+	o.decay(now)
+	r := o.byServer[server]
 	if r == nil || attempts <= 0 {
 		return
 	}
-	l.version++
+	o.version++
 	r.attempts += attempts
-	l.clamp(server, r)
+	o.clamp(server, r)
 }
 
 // decay applies the exponential decay to all counts, in steps.
-func (l *outcomeStats) decay(now time.Duration) {
-	elapsed := now - l.at
-	if elapsed < l.halfLife/decaySteps {
+func (o *outcomeStats) decay(now time.Duration) {
+	elapsed := now - o.at
+	if elapsed < o.halfLife/decaySteps {
 		return
 	}
-	l.at = now
-	l.version++
-	f := math.Exp2(-elapsed.Seconds() / l.halfLife.Seconds())
-	for server, r := range l.byServer {
+	o.at = now
+	o.version++
+	f := math.Exp2(-elapsed.Seconds() / o.halfLife.Seconds())
+	for server, r := range o.byServer {
 		r.scale(f)
 		r.sums.scale(f)
 		for w, p := range r.workspaces {
@@ -206,14 +206,14 @@
 			}
 		}
 		if r.bad < minBadCount && len(r.workspaces) == 0 {
-			delete(l.byServer, server)
+			delete(o.byServer, server)
 		}
 	}
-	for w, t := range l.workspaceTotals {
+	for w, t := range o.workspaceTotals {
 		t.attempts *= f
 		t.bad *= f
 		if t.bad < minBadCount {
-			delete(l.workspaceTotals, w)
+			delete(o.workspaceTotals, w)
 		}
 	}
 }
@@ -230,41 +230,41 @@
 // bounds the score at maxScore. The server as a whole and each of its
 // workspaces are cleared separately: a workspace that keeps failing must not
 // retain hours of good attempts, which would mask the server's next failure.
-func (l *outcomeStats) clamp(server string, r *serverStats) {
+func (o *outcomeStats) clamp(server string, r *serverStats) {
 	for w := range r.workspaces {
-		if s := l.workspaceScore(r, w); s <= 0 {
+		if s := o.workspaceScore(r, w); s <= 0 {
 			delete(r.workspaces, w)
 		} else if s > maxScore {
 			r.workspaces[w].scale(maxScore / s)
 		}
 	}
-	raw := l.likelihoodRatio(r.attempts, r.bad, l.sickShare)
+	raw := o.likelihoodRatio(r.attempts, r.bad, o.sickShare)
 	if raw <= 0 {
 		r.attempts, r.bad, r.bySource, r.sums = 0, 0, nil, newMarginals()
 	}
 	if r.bad < minBadCount && len(r.workspaces) == 0 {
-		delete(l.byServer, server)
+		delete(o.byServer, server)
 		return
 	}
 	if raw <= maxScore {
 		return
 	}
-	if s := l.serverScore(r); s > maxScore {
+	if s := o.serverScore(r); s > maxScore {
 		r.scale(maxScore / s)
-		l.version++
+		o.version++
 	}
 }
 
 // removeServer discards the evidence on a server.
-func (l *outcomeStats) removeServer(server string) {
-	delete(l.byServer, server)
-	l.version++
+func (o *outcomeStats) removeServer(server string) {
+	delete(o.byServer, server)
+	o.version++
 }
 
 // likelihoodRatio returns the log-likelihood ratio of a sick server to a
 // healthy one.
-func (l *outcomeStats) likelihoodRatio(attempts, bad, sick float64) float64 {
-	return logLikelihoodRatio(attempts, bad, l.healthyShare, sick)
+func (o *outcomeStats) likelihoodRatio(attempts, bad, sick float64) float64 {
+	return logLikelihoodRatio(attempts, bad, o.healthyShare, sick)
 }
 
 func logLikelihoodRatio(attempts, bad, healthy, sick float64) float64 {
--- a/health/pooled_score.go
+++ b/health/pooled_score.go
@@ -47,21 +47,21 @@
 // reporters in several failure domains corroborate them. One reporter, or
 // one data centre that loses packets in one direction, can't have a server
 // ejected from the whole fleet.
-func (c *Collector) pooledScore(now time.Duration, p *pool, l *outcomeStats, server string) float64 {
-	l.decay(now)
-	r := l.byServer[server]
+func (c *Collector) pooledScore(now time.Duration, p *pool, stats *outcomeStats, server string) float64 {
+	stats.decay(now)
+	r := stats.byServer[server]
 	if r == nil {
 		return 0
 	}
-	raw := l.likelihoodRatio(r.attempts, r.bad, l.sickShare)
+	raw := stats.likelihoodRatio(r.attempts, r.bad, stats.sickShare)
 	if raw <= 0 {
 		return raw
 	}
-	bad := l.attributableBad(r)
+	bad := stats.attributableBad(r)
 	agreed := c.corroborated(p, r.reporters(), bad)
 	// Bad attempts that are not corroborated count neither as bad nor as
 	// good.
-	return l.likelihoodRatio(r.attempts-(bad-agreed), agreed, l.sickShare)
+	return stats.likelihoodRatio(r.attempts-(bad-agreed), agreed, stats.sickShare)
 }
 
 // reporters returns the bad attempts by reporter.
@@ -122,10 +122,10 @@
 		return
 	}
 	perInstance := p.typicalRequestRate(now) * elapsed.Seconds() / float64(max(1, servers))
-	for _, l := range []*outcomeStats{p.failed, p.late} {
-		l.decay(now)
-		for _, id := range slices.Sorted(maps.Keys(l.byServer)) {
-			l.addUnreported(now, id, perInstance*float64(c.nonReporting(now, p, l.byServer[id], id)))
+	for _, stats := range []*outcomeStats{p.failed, p.late} {
+		stats.decay(now)
+		for _, id := range slices.Sorted(maps.Keys(stats.byServer)) {
+			stats.addUnreported(now, id, perInstance*float64(c.nonReporting(now, p, stats.byServer[id], id)))
 		}
 	}
 }
--- a/health/weights.go
+++ b/health/weights.go
@@ -51,7 +51,7 @@
 // Weights returns the weights of the given servers, in their order. servers
 // are those that may be used (not leaving, not ejected). At most
 // len(servers)-floor of them are below LowWeight, whatever the evidence. For
-// the floor of a view of some servers, see ViewFloor in package balance.
+// the floor of a subset of servers, see SubsetFloor in package balance.
 //
 // Without the floor, an instance that suspects many servers, rightly or not,
 // would send all requests to a few, which would then fail under the load as
