--- a/membership/call.go
+++ b/membership/call.go
@@ -7,25 +7,26 @@
 	"foxtailspoke/storage"
 )
 
-// callKind says what a call is for.
+// callKind is the purpose of a call.
 type callKind int
 
 const (
-	// periodicPull is one of the pulls that every instance but a watcher makes.
+	// periodicPull is a pull that every instance except a watcher makes at
+	// regular intervals.
 	periodicPull callKind = iota
 	// catchUpPull pulls a newer revision from a witness that knows it.
 	catchUpPull
-	// witnessCall asks or informs a witness.
+	// witnessCall queries a witness or sends it newer revisions.
 	witnessCall
 )
 
-// call is a call to another instance that hasn't ended.
+// call is a pending call to another instance.
 type call struct {
 	kind callKind
 	to   string
 	sent time.Duration
-	// round is the number of the round that a witnessCall belongs to; 0
-	// for one that only informs.
+	// round is the number of the round that a witnessCall belongs to; 0 if
+	// it belongs to none.
 	round uint64
 }
 
@@ -37,9 +38,9 @@
 	return effect.Call{ID: id, To: c.to, Request: r}
 }
 
-// CallDone takes the end of a call: the reply, or ok false if none came. The
-// driver may report a call late or not at all; it counts as failed after
-// CallTimeout, and a late reply is dropped.
+// CallDone handles the end of a call: its reply, or ok false if there was
+// none. The driver may report a call late or not at all. A call fails after
+// CallTimeout, and a later reply is dropped.
 func (m *Member) CallDone(now time.Duration, id uint64, reply Reply, ok bool) []effect.Effect {
 	c, open := m.calls[id]
 	if !open {
@@ -72,7 +73,7 @@
 	}
 }
 
-// Handle answers a call from another instance.
+// Handle returns the reply to a call from another instance.
 func (m *Member) Handle(now time.Duration, _ string, r Request) Reply {
 	switch {
 	case r.Pull != nil:
@@ -103,8 +104,8 @@
 	return &Witnessed{Revision: m.log.Revision(), Seated: m.IsWitness()}
 }
 
-// expediteReads makes the next read or pull come soon, after word of a revision
-// that the replica lacks.
+// expediteReads brings the next read or pull forward after a caller reported a
+// revision that the replica lacks.
 func (m *Member) expediteReads(now time.Duration) {
 	m.pull.next = min(m.pull.next, max(now, m.pull.lastSent+minReadInterval))
 	if m.readsTableRegularly() {
@@ -112,7 +113,8 @@
 	}
 }
 
-// minReadInterval bounds how often word of a newer revision makes an instance read.
+// minReadInterval is the least time between reads triggered by reports of a
+// newer revision.
 const minReadInterval = 100 * time.Millisecond
 
 func (m *Member) offerChanges(since storage.Revision) *storage.Changes {
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -7,16 +7,16 @@
 	"foxtailspoke/storage"
 )
 
-// Directory is the platform's list of instances as far as it was heard,
-// with the roles that follow from it. Its answers are the same on every
-// instance that has the same version. Slices that it returns are shared:
-// callers don't change them.
+// Directory is the platform's list of instances as last received, with the
+// roles derived from it. Every instance that has the same version derives the
+// same roles. Returned slices are shared and must not be modified.
 type Directory struct {
 	set     Settings
 	version uint64
-	// oldestDelta is the version of the last full list, or the last that was
-	// forgotten in part. What went away before it isn't known any more, so
-	// that older callers need a full list.
+	// oldestDelta is the oldest version from which changes can be served as
+	// a delta: the version of the last full list or of the last pruned
+	// record. Removals before it are no longer known, so callers with an
+	// older version get the full list.
 	oldestDelta uint64
 	instances   map[string]instanceRecord
 
@@ -28,15 +28,15 @@
 	watchers             map[string][]string
 	collectors           map[string]string
 	witnesses            []string // all live entries in the order of the witness role
-	// interned has the names that many instances share.
+	// interned holds one copy of each string that many instances share.
 	interned map[string]string
-	// selfIsWatcher says that the instance itself is a watcher.
+	// selfIsWatcher reports whether this instance is a watcher.
 	selfIsWatcher bool
 }
 
 type instanceRecord struct {
 	storage.Instance
-	// changed is the version of the changes that brought it.
+	// changed is the list version at which the instance last changed.
 	changed uint64
 }
 
@@ -47,27 +47,28 @@
 	return d
 }
 
-// Version of the platform's list that the directory has; 0 before the first.
+// Version returns the version of the platform's list; 0 before the first
+// list was received.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Instance returns an instance by id, in whatever state.
+// Instance returns an instance by id, whatever its state.
 func (d *Directory) Instance(id string) (storage.Instance, bool) {
 	i, ok := d.instances[id]
 	return i.Instance, ok
 }
 
-// Entries returns the live entry instances, by id.
+// Entries returns the live entry instances, ordered by id.
 func (d *Directory) Entries() []storage.Instance { return d.entries }
 
-// Servers returns the backend servers of a service that haven't ended, by
-// id. Those with State Leaving take no new work.
+// Servers returns the backend servers of a service that have not ended,
+// ordered by id. Those in state Leaving accept no new work.
 func (d *Directory) Servers(service string) []storage.Instance { return d.serversByService[service] }
 
 // DataCentres returns the data centres with live entry instances, sorted.
 func (d *Directory) DataCentres() []string { return d.dataCentres }
 
-// apply takes changes that were read since the directory's version or an
-// earlier one. It returns false for changes that aren't newer.
+// apply applies changes since the directory's version or an earlier one. It
+// returns false, and has no effect, if they are not newer.
 func (d *Directory) apply(c storage.InstanceChanges) bool {
 	if c.Version <= d.version {
 		return false
@@ -94,13 +95,15 @@
 	return true
 }
 
-// maxEndedInstances is how many ended instances a directory remembers. Instances
-// are replaced all the time; without a bound the list would grow for months.
+// maxEndedInstances bounds the number of ended instances that a directory
+// keeps. Instances are replaced continually, so an unbounded list would grow
+// for as long as the process runs.
 const maxEndedInstances = 1000
 
-// pruneEnded drops the oldest half of the ended instances when there are
-// too many. Others that are older than what was dropped get the full list,
-// because a delta couldn't tell them what ended.
+// pruneEnded drops the oldest ended instances, down to half of
+// maxEndedInstances, when there are more than maxEndedInstances. Callers with
+// a version older than the dropped records get the full list, because a delta
+// would not include those ends.
 func (d *Directory) pruneEnded() {
 	var ended []instanceRecord
 	for _, i := range d.instances {
@@ -120,7 +123,7 @@
 	}
 }
 
-// changesSince returns what changed after a version, for another instance.
+// changesSince returns the changes after a version, for another instance.
 func (d *Directory) changesSince(version uint64) storage.InstanceChanges {
 	c := storage.InstanceChanges{Version: d.version}
 	if version >= d.version {
@@ -140,11 +143,9 @@
 	return c
 }
 
-// index works the roles out anew. Ids are sorted and not instances, because
-// a list of some thousands changes every few seconds.
-// internStrings returns the instance with those of its strings that many instances
-// have in common held once. Decoding makes a copy of each for every instance;
-// at 26,000 instances these take megabytes.
+// internStrings returns the instance with the strings that many instances have
+// in common replaced by a single copy. Decoding allocates a copy of each string
+// per instance, which takes megabytes for 26,000 instances.
 func (d *Directory) internStrings(i storage.Instance) storage.Instance {
 	i.Kind = storage.Kind(d.intern(string(i.Kind)))
 	i.State = storage.State(d.intern(string(i.State)))
@@ -162,7 +163,8 @@
 	return s
 }
 
-// rebuildIndex makes the rebuildIndex from nothing.
+// rebuildIndex rebuilds the index from all instances. It sorts ids rather than
+// whole instances to keep this cheap for lists of thousands.
 func (d *Directory) rebuildIndex() {
 	d.entries = nil
 	d.entryIDs = nil
@@ -173,7 +175,8 @@
 	}
 }
 
-// updateEntryRoles brings up to date what depends on the live entry instances.
+// updateEntryRoles updates the roles that depend on the live entry instances;
+// before holds the ids of the previous ones.
 func (d *Directory) updateEntryRoles(before []string) {
 	d.watchers = map[string][]string{}
 	d.witnesses = nil
@@ -182,9 +185,10 @@
 	d.selfIsWatcher = d.isWatcher(d.set.Self)
 }
 
-// addToIndex puts one instance where indexInstance would. Making the index
-// from nothing takes 16 ms with 26,000 instances, in which a node does nothing
-// else. Lists that were handed out stay as they are.
+// addToIndex inserts one instance at its sorted position. A list of some
+// thousands of instances changes every few seconds, and rebuilding the whole
+// index takes 16 ms with 26,000 instances, which blocks the node. Slices
+// returned earlier are not modified.
 func (d *Directory) addToIndex(i storage.Instance) {
 	switch {
 	case isLiveEntry(i):
--- a/membership/fallback.go
+++ b/membership/fallback.go
@@ -6,31 +6,31 @@
 	"foxtailspoke/effect"
 )
 
-// fallback is the state of an instance's attempts to prove its revision by
-// itself, when nobody that proves for others can be reached.
+// fallback is the state of an instance's attempts to prove its revision
+// directly when no instance that relays proofs can be reached.
 type fallback struct {
 	// next is when the next attempt may start.
 	next     time.Duration
 	failures int
 }
 
-// fallbackAgePercent is the share of Fresh, in per cent, after which a proof is so old
-// that the instance tries by itself.
+// fallbackAgePercent is the age of the youngest proof, in per cent of Fresh,
+// from which the instance tries to prove its revision directly.
 const fallbackAgePercent = 85
 
-// maxFallbackInterval bounds the time between attempts.
+// maxFallbackInterval bounds the time between attempts, before jitter.
 const maxFallbackInterval = 16 * time.Second
 
-// tickFallback reads the table, the list, and asks the witnesses, if pulls give
-// no proof. The attempts are few and spread: if every instance tried as
-// often as a watcher, the platform's return would drown it in reads just
-// when it recovers, and it would go away again.
+// tickFallback reads the table and the list and asks the witnesses if pulls
+// yield no proof. Attempts are infrequent and spread out: if every instance
+// read as often as a watcher, a recovering platform would be overloaded and
+// fail again.
 func (m *Member) tickFallback(now time.Duration) []effect.Effect {
 	if now < m.fallback.next {
 		return nil
 	}
-	if old := m.proofOverdueAt(); now < old {
-		m.fallback.next = old
+	if overdue := m.proofOverdueAt(); now < overdue {
+		m.fallback.next = overdue
 		return nil
 	}
 	m.fallback.next = now + m.fallbackInterval()
@@ -45,8 +45,8 @@
 	return append(out, m.startRound(now)...)
 }
 
-// proofOverdueAt returns when the youngest proof is so old that a healthy instance
-// would have a younger one.
+// proofOverdueAt returns the time by which a healthy instance has a younger
+// proof than the youngest one held now.
 func (m *Member) proofOverdueAt() time.Duration {
 	p := m.youngestProof()
 	if !p.held {
@@ -55,11 +55,12 @@
 	return p.start + m.set.Fresh*fallbackAgePercent/100
 }
 
-// fallbackInterval returns the time to the next attempt: longer for a larger fleet
-// and after every failure, and never the same for two instances.
+// fallbackInterval returns the time to the next attempt. It grows with the
+// size of the fleet and with every failure, and is randomised so that
+// instances do not try at the same time.
 func (m *Member) fallbackInterval() time.Duration {
-	gap := time.Duration(len(m.dir.entryIDs)) * time.Second / time.Duration(m.set.SelfReadsPerSecond)
-	gap = max(gap, m.set.PollEvery) << min(m.fallback.failures, maxBackoffDoublings)
-	gap = min(gap, maxFallbackInterval)
-	return gap + time.Duration(m.rng.Int64N(int64(gap)))
+	interval := time.Duration(len(m.dir.entryIDs)) * time.Second / time.Duration(m.set.SelfReadsPerSecond)
+	interval = max(interval, m.set.PollEvery) << min(m.fallback.failures, maxBackoffDoublings)
+	interval = min(interval, maxFallbackInterval)
+	return interval + time.Duration(m.rng.Int64N(int64(interval)))
 }
--- a/membership/in_force.go
+++ b/membership/in_force.go
@@ -8,38 +8,41 @@
 	"foxtailspoke/storage"
 )
 
-// inForceTracker is what the Member knows of which revisions are in inForceTracker.
+// inForceTracker tracks which revisions are in force.
 type inForceTracker struct {
-	// target is the highest revision that somebody waits for.
+	// target is the highest revision passed to Require.
 	target storage.Revision
-	// known is the highest revision that each witness said it knows. A
-	// witness never forgets, so neither does this.
-	known map[string]storage.Revision
-	// majorities are the revisions that a majority knew, ascending.
+	// knownRevisions is the highest revision that each witness reported. A
+	// witness never goes back to an older one, so the entries only rise.
+	knownRevisions map[string]storage.Revision
+	// majorities are the revisions that a majority knew, in ascending order,
+	// until each is in force.
 	majorities []majorityRecord
-	// revision is the highest revision in force.
+	// revision is the highest revision known to be in force.
 	revision storage.Revision
-	// next is when to inform again the witnesses that don't know.
+	// next is when to send the target again to witnesses that lack it.
 	next time.Duration
 }
 
-// majorityRecord is a revision that a majority of the witnesses knew at a time. Its
-// end counts for this revision and lower ones, never for a later one: an
-// instance that gets a part, loses it and gets it again waits again.
+// majorityRecord is a revision that a majority of the witnesses knew at a
+// given time. When its delay has passed, this revision and lower ones are in
+// force, but no later one: an instance that is given a part, loses it and is
+// given it again waits again.
 type majorityRecord struct {
 	revision storage.Revision
 	at       time.Duration
 }
 
 func newInForceTracker() inForceTracker {
-	return inForceTracker{known: map[string]storage.Revision{}}
+	return inForceTracker{knownRevisions: map[string]storage.Revision{}}
 }
 
 func (f *inForceTracker) recordRevision(id string, r storage.Revision) {
-	f.known[id] = max(f.known[id], r)
+	f.knownRevisions[id] = max(f.knownRevisions[id], r)
 }
 
-// majorityRevision is the highest revision that a majority is known to know.
+// majorityRevision returns the highest revision that a majority is known to
+// know.
 func (f *inForceTracker) majorityRevision() storage.Revision {
 	if n := len(f.majorities); n > 0 {
 		return f.majorities[n-1].revision
@@ -47,9 +50,10 @@
 	return f.revision
 }
 
-// Require starts finding out whether a majority of the witnesses knows a
-// revision, and tells them if they don't. For a revision that the replica
-// lacks, say the outcome of an own write, it reads the table first.
+// Require starts to determine when a revision is in force: it asks the
+// witnesses which revision they know and sends them the changes that they
+// lack. If the replica lacks the revision, for example after a write by this
+// instance, it reads the table first.
 func (m *Member) Require(now time.Duration, rev storage.Revision) []effect.Effect {
 	if rev <= m.inForce.target {
 		return nil
@@ -60,27 +64,27 @@
 	return m.Tick(now)
 }
 
-// InForce says whether nobody acts on anything older than a revision any
-// more. It becomes true only after Require, or a later one's.
+// InForce reports whether no instance acts on a state older than a revision.
+// It becomes true only after Require was called for this revision or a later
+// one.
 func (m *Member) InForce(now time.Duration, rev storage.Revision) bool {
 	m.advanceInForce(now)
 	return m.rules.isInForce(m.inForce.revision, rev)
 }
 
-// PendingWitnesses returns the witnesses that a revision waits for: those that
-// haven't said that they know it and haven't ended. It is empty if a
-// majority knows it.
+// PendingWitnesses returns the witnesses that have neither reported that they
+// know a revision nor ended. It is empty if a majority knows the revision.
 func (m *Member) PendingWitnesses(rev storage.Revision) []string {
 	if rev <= m.inForce.majorityRevision() {
 		return nil
 	}
-	var missing []string
+	var pending []string
 	for _, id := range currentAndPrevious(m.log.Witnesses()) {
 		if !m.witnessKnows(id, rev) {
-			missing = append(missing, id)
+			pending = append(pending, id)
 		}
 	}
-	return missing
+	return pending
 }
 
 func (m *Member) advanceInForce(now time.Duration) {
@@ -90,18 +94,18 @@
 	}
 }
 
-// witnessKnows says whether an instance can't answer any more that it witnessKnows nothing
-// as new as a revision.
+// witnessKnows reports whether a witness can no longer answer with a revision
+// older than rev, because it knows rev or has ended.
 func (m *Member) witnessKnows(id string, rev storage.Revision) bool {
 	if id == m.set.Self {
 		return m.log.Revision() >= rev
 	}
-	return m.inForce.known[id] >= rev || m.hasEnded(id)
+	return m.inForce.knownRevisions[id] >= rev || m.hasEnded(id)
 }
 
-// updateMajority notes the highest revision that a majority knows by now. Only
-// revisions that the replica has count, because only then it has the list
-// of witnesses that must know them.
+// updateMajority records the highest revision that a majority knows by now.
+// Only revisions that the replica has are considered, because the replica must
+// contain the list of witnesses that have to know them.
 func (m *Member) updateMajority(now time.Duration) {
 	own := m.log.Revision()
 	if m.inForce.target == 0 || m.inForce.majorityRevision() >= own {
@@ -119,12 +123,12 @@
 	}
 }
 
-// candidateRevisions returns the revisions at which the count of witnesses that
-// know can change, up to the replica's own, highest first.
+// candidateRevisions returns the revisions, up to the replica's own, at which
+// the number of witnesses that know the revision can change, highest first.
 func (m *Member) candidateRevisions(own storage.Revision) []storage.Revision {
 	revisions := []storage.Revision{own}
 	for _, id := range currentAndPrevious(m.log.Witnesses()) {
-		revisions = append(revisions, min(own, m.inForce.known[id]))
+		revisions = append(revisions, min(own, m.inForce.knownRevisions[id]))
 	}
 	slices.Sort(revisions)
 	slices.Reverse(revisions)
@@ -149,7 +153,7 @@
 		if m.witnessKnows(id, m.inForce.target) {
 			continue
 		}
-		known := m.inForce.known[id]
+		known := m.inForce.knownRevisions[id]
 		if known == 0 {
 			out = append(out, m.callWitness(now, id, 0, nil, 0))
 			continue
@@ -170,7 +174,8 @@
 	return next
 }
 
-// hasEnded says that an instance will never answer again.
+// hasEnded reports whether the platform's list shows an instance as ended,
+// after which it never answers again.
 func (m *Member) hasEnded(id string) bool {
 	i, ok := m.dir.Instance(id)
 	return ok && i.State == storage.Ended
--- a/membership/member.go
+++ b/membership/member.go
@@ -13,34 +13,37 @@
 // implements it. Every change must reach it through the Member.
 type Log interface {
 	Revision() storage.Revision
-	// Apply returns false, and changes nothing, for changes that aren't newer.
+	// Apply returns false and has no effect if the changes are not newer.
 	Apply(storage.Changes) bool
 	Since(storage.Revision) storage.Changes
 	Witnesses() config.Witnesses
 	Row(key string) (storage.Row, bool)
 }
 
-// Counters of what a Member saw, for metrics. They only rise.
+// Counters hold the monotonic event counts of a Member, for metrics.
 type Counters struct {
-	// Reads of the table and of the instance list that were sent.
+	// Reads counts reads of the table and of the instance list.
 	Reads uint64
-	// Calls to other instances that were sent, and those without an answer.
+	// Calls counts calls to other instances, FailedCalls those without a
+	// usable answer.
 	Calls, FailedCalls uint64
-	// OlderRevisions counts answers with a lower revision than the replica's.
+	// OlderRevisions counts replies with an older revision than the replica's.
 	OlderRevisions uint64
-	// StaleReads counts reads of the table that ended below the replica's
-	// revision. The platform promises that there are none.
+	// StaleReads counts reads of the table that returned an older revision
+	// than the replica's. The platform guarantees that there are none.
 	StaleReads uint64
-	// Rounds to the witnesses that were started, and that gave a proof.
+	// Rounds counts the rounds to the witnesses that were started,
+	// ConfirmedRounds those that yielded a proof.
 	Rounds, ConfirmedRounds uint64
-	// WitnessListWrites counts the changes to the list of witnesses that were sent.
+	// WitnessListWrites counts the writes of the list of witnesses.
 	WitnessListWrites uint64
 }
 
-// Member is one instance's part in the fleet. It isn't safe for use by
-// several goroutines at once. Every now is the own monotonic clock's time
-// and never less than the one before. The clock must go on while the machine
-// is suspended (CLOCK_BOOTTIME on Linux): a proof may not outlive a pause.
+// Member tracks one instance's view of the fleet. It is not safe for
+// concurrent use. Every now argument is a reading of the instance's monotonic
+// clock and never less than the previous one. The clock must advance while
+// the machine is suspended (CLOCK_BOOTTIME on Linux), so that proofs expire
+// during the suspension.
 type Member struct {
 	set   Settings
 	log   Log
@@ -51,15 +54,15 @@
 
 	// byTable and byWitnesses are the youngest proofs of each kind.
 	byTable, byWitnesses proof
-	// lastFullRevision is the revision of the last full changes. The replica doesn't
-	// know what was deleted before.
+	// lastFullRevision is the revision of the last full set of changes that
+	// was applied. The replica has no record of rows deleted before it.
 	lastFullRevision storage.Revision
 
 	lastID uint64
 	calls  map[uint64]call
 	table  readState
 	list   readState
-	// listReceivedAt is when the list last came, by a read or with a pull.
+	// listReceivedAt is when the list was last received by a read or a pull.
 	listReceivedAt time.Duration
 	pull           pullState
 	round          roundState
@@ -70,8 +73,8 @@
 	leaving bool
 }
 
-// New returns a Member that has heard of nobody yet. The first Tick makes it
-// read the platform.
+// New returns a Member that knows no other instance. The first Tick makes it
+// read from the platform.
 func New(s Settings, log Log, rng *rand.Rand) *Member {
 	s = s.withDefaults()
 	return &Member{
@@ -88,14 +91,13 @@
 // Settings returns the settings with their defaults filled in.
 func (m *Member) Settings() Settings { return m.set }
 
-// Directory returns the platform's list of instances as heard. The Directory
-// stays valid and follows the list.
+// Directory returns the platform's list of instances as last received. The
+// returned Directory is updated in place when the list changes.
 func (m *Member) Directory() *Directory { return m.dir }
 
-// Counters returns what the Member saw so far.
 func (m *Member) Counters() Counters { return m.count }
 
-// Tick does what is due. Call it at NextWake or earlier.
+// Tick returns the effects that are due. Call it at NextWake or earlier.
 func (m *Member) Tick(now time.Duration) []effect.Effect {
 	m.expireCalls(now)
 	m.advanceInForce(now)
@@ -110,8 +112,8 @@
 	return out
 }
 
-// NextWake returns the time at which Tick has something to do. It may be in
-// the past, which means at once. Ask again after each call to the Member.
+// NextWake returns the time of the next due Tick; a time in the past means
+// immediately. Every other call to the Member can change it.
 func (m *Member) NextWake() time.Duration {
 	next := m.fallback.next
 	for _, c := range m.calls {
@@ -121,20 +123,21 @@
 	return min(next, m.wakeInForce(), m.wakeWitnessSet())
 }
 
-// Leave begins a planned stop: the Member gives up its seat as a witness.
-// It goes on answering; see Seated for when the seat is gone.
+// Leave begins a planned shutdown: the Member removes itself from the list of
+// witnesses. It continues to answer calls. IsWitness returns false once the
+// removal is complete.
 func (m *Member) Leave(now time.Duration) []effect.Effect {
 	m.leaving = true
 	m.seats.next = now
 	return m.tickWitnessSet(now)
 }
 
-// IsWitness says whether the instance is a witness as far as it knows.
+// IsWitness reports whether the replica lists the instance as a witness.
 func (m *Member) IsWitness() bool {
 	return isWitness(m.log.Witnesses(), m.set.Self)
 }
 
-// apply takes changes of the table from anywhere.
+// apply applies changes of the table, whatever their source.
 func (m *Member) apply(now time.Duration, c storage.Changes) {
 	if c.Revision < m.log.Revision() {
 		m.count.OlderRevisions++
@@ -149,10 +152,10 @@
 	m.updateMajority(now)
 }
 
-// changesSince returns what another instance lacks. A replica that began
-// with a full read at base has no trace of what was deleted earlier: to a
-// caller below base a delta would leave a withdrawn key in place. The whole
-// table takes it away.
+// changesSince returns the changes that another instance lacks. A replica
+// that was filled by a full read at lastFullRevision has no record of earlier
+// deletions. A delta would leave a revoked key in place at a caller below
+// that revision, so such a caller gets the whole table.
 func (m *Member) changesSince(since storage.Revision) storage.Changes {
 	if since < m.lastFullRevision {
 		since = 0
@@ -165,11 +168,11 @@
 	return m.lastID
 }
 
-// jitter returns between nine tenths of d and d, so that instances that
-// started together drift apart.
+// jitter returns a random duration between 0.9 d and d, so that instances that
+// started together do not stay synchronised.
 func (m *Member) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(m.rng.Int64N(int64(d)/10+1))
 }
 
-// isWatcher says whether the instance is a watcher of its data centre.
+// isWatcher reports whether the instance is a watcher of its data centre.
 func (m *Member) isWatcher() bool { return m.dir.selfIsWatcher }
