--- a/membership/cost_test.go
+++ b/membership/cost_test.go
@@ -10,15 +10,15 @@
 	"foxtailspoke/storage"
 )
 
-// maxBytesPerSecond is the most that one instance may send and receive for the fleet's
-// own needs, in bytes a second.
+// maxBytesPerSecond bounds the membership traffic, sent and received, of one
+// instance.
 const maxBytesPerSecond = 8 << 10
 
-var measureLargeFleets = flag.Bool("cost.large", false, "measure fleets of 2000 instances as well")
+var measureLargeFleets = flag.Bool("cost.large", false, "also measure fleets of 2000 instances")
 
-// The cost of doing nothing: what the fleet exchanges while no row changes,
-// with the table in reach and without. Bytes are those of the messages in
-// encoding/gob, without the framing of the calls that carry them.
+// Bounds the traffic of an idle fleet, in which no row changes, with the
+// platform reachable and unreachable. Bytes are those of the messages in
+// encoding/gob form, without the framing of the calls that carry them.
 func TestCostAtRest(t *testing.T) {
 	t.Parallel()
 	const measured = 10 * time.Second
@@ -41,7 +41,7 @@
 				most = max(most, bytes)
 			}
 			seconds := int(measured / time.Second)
-			t.Logf("%d instances in %d data centres, platform away %v: %d reads/s, %d calls/s, %d bytes/s each, at most %d",
+			t.Logf("%d instances in %d data centres, platform down %v: %d reads/s, %d calls/s, %d bytes/s per instance, at most %d",
 				size.nodes, size.centres, away, (s.reads-reads)/seconds, (s.calls-calls)/seconds,
 				total/seconds/size.nodes, most/seconds)
 			must.Less(t, maxBytesPerSecond, most/seconds)
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkWake is one look at an instance in a large fleet: what its owner
-// pays per event of any kind.
+// BenchmarkWake measures the queries that the owner of a Member makes on every
+// event, in a fleet of 400 instances.
 func BenchmarkWake(b *testing.B) {
 	s := startFleet(8, Settings{}, 400, 4)
 	m := s.nodes[0].m
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkListChange is one change of one instance in a list of 2000 entry
-// instances, as every instance of the fleet takes it.
+// BenchmarkListChange measures one change of one instance in a list of 2000
+// entry instances, which every instance of the fleet applies.
 func BenchmarkListChange(b *testing.B) {
 	d := newDirectory(Settings{Self: "i0000"}.withDefaults())
 	d.apply(storage.InstanceChanges{Version: 1, Full: true, Changed: entryInstances(2000, 17)})
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -11,9 +11,9 @@
 	"foxtailspoke/storage"
 )
 
-// A member says whether its configuration is still the newest. It reads the
-// table when it starts; with no further proof it is cut off after the time
-// that a proof lasts, counted from the start of the read.
+// A Member reports whether its configuration is confirmed as current. It reads
+// the table when it starts. Without a further proof it is cut off Fresh after
+// the start of that read.
 func Example() {
 	m := membership.New(membership.Settings{Self: "a", DataCentre: "luzon-1", Fresh: 2 * time.Second},
 		config.NewReplica(), rand.New(rand.NewPCG(1, 2)))
--- a/membership/in_force_bench_test.go
+++ b/membership/in_force_bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // BenchmarkInForce reports, in simulated time, how long after its write a
-// change is in force, and when the last instance has it. Run it with
+// change is in force and how long until the last instance has it. Run it with
 // -benchtime 1x.
 func BenchmarkInForce(b *testing.B) {
 	for _, nodes := range []int{40, 400, 2000} {
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -27,8 +27,9 @@
 
 func members(ids ...string) config.Witnesses { return config.Witnesses{Members: ids} }
 
-// newMember returns "a" of a list of five, whose witnesses are w, and what it
-// sent first at time 0. Rank and timers don't matter to these tests.
+// newMember returns the Member "a" of a list of five instances with the
+// witnesses w, and its replica. Its settings keep rank and timers from affecting
+// these tests.
 func newMember(w config.Witnesses) (*Member, *config.Replica) {
 	log := config.NewReplica()
 	m := New(Settings{Self: "a", DataCentre: "dc", SeatStagger: time.Hour, WitnessCount: 1}, log, rand.New(rand.NewPCG(1, 1)))
@@ -41,7 +42,8 @@
 	return m, log
 }
 
-// callsTo returns the ids of the Pull or of the Witness calls, by receiver.
+// callsTo returns the ids of the Pull calls, or else of the Witness calls, by
+// receiver.
 func callsTo(effects []effect.Effect, pulls bool) map[string]uint64 {
 	ids := map[string]uint64{}
 	for _, e := range effects {
@@ -56,9 +58,10 @@
 	return Reply{Witness: &Witnessed{Revision: rev, Seated: seated}}
 }
 
-// A caller uses a key that was withdrawn at revision 7. The relay began with
-// a full read at 10 and has no trace of the key; the puller stands at 5. A
-// delta would leave the key working at the puller.
+// Guards against a revoked row surviving at a puller. The row was deleted
+// between revision 5, which the puller has, and the relay's full read at 10, so
+// the relay has no record of the deletion and a delta would leave the row in
+// place.
 func TestPullAcrossFullReadRemovesDeletedRows(t *testing.T) {
 	relay, _ := newMember(members("b"))
 	m, log := newMember(members("b"))
@@ -71,8 +74,8 @@
 	must.False(t, found)
 }
 
-// What a proof is worth: its age counts from the start of its exchange, and
-// the relay's age comes on top.
+// Checks that the age of a proof is measured from the start of its exchange
+// and that the age of a relayed proof is added to it.
 func TestProofAge(t *testing.T) {
 	read := func(m *Member, sent, answered time.Duration, rev storage.Revision) {
 		m.table.id, m.table.sent = 99, sent
@@ -90,14 +93,14 @@
 	}{
 		{"read", func(m *Member) { read(m, 100*ms, 300*ms, 10) }, Confirmation{State: ConfirmedByTable, Age: 900 * ms}},
 		{"newer read", func(m *Member) { read(m, 100*ms, 300*ms, 11) }, Confirmation{State: ConfirmedByTable, Age: 900 * ms, Revision: 11}},
-		{"read of a table that went back", func(m *Member) { read(m, 100*ms, 300*ms, 9) }, Confirmation{}},
+		{"read of a table that was rolled back", func(m *Member) { read(m, 100*ms, 300*ms, 9) }, Confirmation{}},
 		{"late read", func(m *Member) {
 			m.ReadDone(300*ms, 98, storage.Changes{Revision: 11}, true)
 		}, Confirmation{Revision: 11}},
 		{"relayed", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: same, TableAge: 500 * ms})
 		}, Confirmation{State: ConfirmedByTable, Age: 1400 * ms}},
-		{"relayed by a lower replica", func(m *Member) {
+		{"relayed by an older replica", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: storage.Changes{Revision: 9}, WitnessAge: 500 * ms})
 		}, Confirmation{State: ConfirmedByWitnesses, Age: 1400 * ms}},
 		{"relayed too old", func(m *Member) {
@@ -122,7 +125,7 @@
 	}
 }
 
-// Which answers make a round a proof.
+// Checks which sets of answers make a round a proof.
 func TestRoundProof(t *testing.T) {
 	three := members("b", "c", "d")
 	changing := config.Witnesses{Members: []string{"b", "c", "e"}, Previous: []string{"b", "c", "d"}}
@@ -137,10 +140,10 @@
 	}{
 		{three, []answer{{"b", Witnessed{10, true}}}, false},
 		{three, []answer{{"b", Witnessed{10, true}}, {"c", Witnessed{9, true}}}, true},
-		// c doesn't know of its seat.
+		// c does not know that it is a witness.
 		{three, []answer{{"b", Witnessed{10, true}}, {"c", Witnessed{9, false}}}, false},
 		{three, []answer{{"b", Witnessed{11, true}}, {"c", Witnessed{10, true}}, {"d", Witnessed{10, true}}}, false},
-		// Its own answer counts.
+		// The instance's own answer counts.
 		{members("a", "b", "c"), []answer{{"b", Witnessed{10, true}}}, true},
 		{changing, []answer{{"b", Witnessed{10, true}}, {"e", Witnessed{10, true}}}, false},
 		{changing, []answer{{"b", Witnessed{10, true}}, {"d", Witnessed{10, true}}, {"e", Witnessed{10, true}}}, true},
@@ -160,8 +163,8 @@
 	}
 }
 
-// A witness knows a newer revision: the round waits until it was pulled from
-// there, and is a proof for it then.
+// Checks that a round in which a witness knows a newer revision waits until
+// that revision was pulled from the witness, and then proves it.
 func TestRoundFetchesNewerRevision(t *testing.T) {
 	m, log := newMember(members("b", "c", "d"))
 	ids := callsTo(m.startRound(100*ms), false)
@@ -173,9 +176,10 @@
 	must.Eq(t, Confirmation{State: ConfirmedByWitnesses, Age: 900 * ms, Revision: 11}, m.Confirmation(time.Second))
 }
 
-// When a revision is in force: after a majority was heard to know it, the
-// wait is over. An ended witness counts as knowing, a silent one doesn't. The
-// end of one taking says nothing of the next.
+// Checks that a revision is in force when Settings.InForceDelay has passed since a
+// majority was found to know it. An ended witness counts as knowing it, one that
+// does not answer does not count. One revision in force says nothing about a
+// later one.
 func TestInForce(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
 	wait := m.set.InForceDelay()
@@ -197,9 +201,9 @@
 	must.True(t, m.InForce(time.Hour, 10))
 }
 
-// The outcome of an own write is a revision that the replica lacks: the
-// witnesses are asked only when it is there, because only then the list of
-// those who must know is.
+// Checks that Require of a revision that the replica lacks, such as the outcome
+// of the instance's own write, asks the witnesses only after the replica has it,
+// because the list of witnesses that must know it comes with it.
 func TestRequireReadsTableBeforeAskingWitnesses(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
 	m.prove(&m.byTable, 100*ms)
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -17,20 +17,21 @@
 	modelNodes       = 7
 	modelDataCentres = 3
 	modelTime        = 60 * time.Second
-	// checkEvery is finer than any window that a fault opens by the passing
-	// of time alone, apart from the millisecond that Wait adds.
+	// checkEvery is shorter than any violation that a fault causes by the
+	// passing of time alone, except for the millisecond that InForceDelay adds.
 	checkEvery = 5 * time.Millisecond
 )
 
-// modelSettings leave one watcher per data centre, so that most proofs are
-// relayed, and let every clock run wrong by 15 per cent, fast or slow.
+// modelSettings configures one watcher per data centre, so that most proofs
+// are relayed, and a clock rate error of up to 15 per cent in both directions.
 func modelSettings() Settings {
 	return Settings{WatchersPerDataCentre: 1, WitnessCount: 5, DriftPPM: 150_000, SeatStagger: 200 * time.Millisecond}
 }
 
-// faultHistory runs one seed: long group cuts with the present holder on the cut
-// side, the table seen by one side, freezes, restarts, planned stops, while
-// the shard moves from holder to holder.
+// faultHistory is the run of one seed. It injects long network partitions with
+// the current holder on the cut side, table access for only one side, process
+// freezes, restarts and planned shutdowns, while the shard moves between
+// holders.
 type faultHistory struct {
 	*sim
 	faults      *rand.Rand
@@ -65,7 +66,7 @@
 
 func (h *faultHistory) anyNode() *simNode { return h.nodes[h.faults.IntN(modelNodes)] }
 
-// anyClaimant prefers a node that sees the table.
+// anyClaimant returns a random node, preferably one that reaches the table.
 func (h *faultHistory) anyClaimant() *simNode {
 	n := h.anyNode()
 	for range 5 {
@@ -77,7 +78,8 @@
 	return n
 }
 
-// claimantOutside prefers a node outside a group that sees the table.
+// claimantOutside returns a random node, preferably one outside side that
+// reaches the table.
 func (h *faultHistory) claimantOutside(side map[int]bool) *simNode {
 	for _, slot := range h.faults.Perm(modelNodes) {
 		if n := h.nodes[slot]; !side[slot] && !h.cannotReachTable(n) {
@@ -87,7 +89,7 @@
 	return h.anyNode()
 }
 
-// holder returns the node that the table names, or any.
+// holder returns the holder in the table, or else a random node.
 func (h *faultHistory) holder() *simNode {
 	if holders := h.table.Shard("s").Holders; len(holders) == 1 {
 		if n := h.liveNode(holders[0].Instance); n != nil {
@@ -97,8 +99,8 @@
 	return h.anyNode()
 }
 
-// requireInForce lets every holder ask for its row to be in force, also when it
-// learnt of its own write only by a later read.
+// requireInForce makes every holder call Require for its row, including a
+// holder that learns of its own write only by a later read.
 func (h *faultHistory) requireInForce() {
 	for _, n := range h.nodes {
 		rev, holds := n.holds()
@@ -108,10 +110,10 @@
 	}
 }
 
-// partitionGroup cuts a group with the holder from the others for a long time,
-// one way or both, with the table on the far side, on the near one, on
-// both or on none. Somebody who sees the table takes the shard just then,
-// while the proofs on the cut side are young.
+// partitionGroup cuts a group of nodes off from the others for a long time, in
+// one or both directions. The table stays reachable from the other side, from
+// the group, from both or from neither. At the same time nodes that reach the
+// table try to take over the shard, while proofs inside the group are fresh.
 func (h *faultHistory) partitionGroup() {
 	side := h.choosePartition()
 	out, in := h.faults.IntN(3) > 0, h.faults.IntN(3) > 0
@@ -120,15 +122,15 @@
 			h.cutLinks[[2]int{a, b}] = side[a] != side[b] && ((out && side[a]) || (in && side[b]))
 		}
 	}
-	seesTable := h.faults.IntN(8) // below 5: only the far side
-	deaf := h.faults.IntN(3) == 0
+	tableAccess := h.faults.IntN(8) // below 5: not from the group; 5: only from the group; 6: from neither
+	loseAnswers := h.faults.IntN(3) == 0
 	clear(h.tableUnreachable)
 	clear(h.answersLost)
 	for slot := range modelNodes {
-		blind := (side[slot] && seesTable < 5) || (!side[slot] && seesTable == 5)
-		h.tableUnreachable[slot], h.answersLost[slot] = blind && !deaf, blind && deaf
+		unreachable := (side[slot] && tableAccess < 5) || (!side[slot] && tableAccess == 5)
+		h.tableUnreachable[slot], h.answersLost[slot] = unreachable && !loseAnswers, unreachable && loseAnswers
 	}
-	h.platformDown = seesTable == 6
+	h.platformDown = tableAccess == 6
 	h.saveStaleTable()
 	for range 3 {
 		h.after(time.Duration(h.faults.IntN(100))*time.Millisecond, func() { h.tryToHold(h.claimantOutside(side)) })
@@ -138,8 +140,9 @@
 	h.after(h.between(2500, 8000)(), func() { h.heal(cut) })
 }
 
-// choosePartition returns the holder with some others, or else a majority of the
-// witnesses, of which one is about to leave: the far side changes the list.
+// choosePartition returns the holder with some other nodes, or else a majority
+// of the witnesses, one of which begins to leave so that the other side
+// changes the list of witnesses.
 func (h *faultHistory) choosePartition() map[int]bool {
 	side := map[int]bool{h.holder().slot: true}
 	if h.faults.IntN(3) > 0 {
@@ -174,8 +177,8 @@
 	h.staleTable = nil
 }
 
-// freeze stops a node for longer than any timeout. It begins just when the
-// node sent something, so that the answer waits for it.
+// freeze suspends a node for 0.3 to 8 s, longer than CallTimeout. The freeze
+// begins when the node next sends a message, so the answer arrives during it.
 func (h *faultHistory) freeze() {
 	n := h.holder()
 	if h.faults.IntN(2) == 0 {
@@ -186,8 +189,8 @@
 
 func (h *faultHistory) restart() { h.replace(h.anyNode()) }
 
-// replace ends a node and starts it anew under a new id. The platform's list
-// follows later.
+// replace ends a node and starts another in its slot under a new id. The
+// platform's list shows the change 0.1 to 3 s later.
 func (h *faultHistory) replace(n *simNode) {
 	if n.dead {
 		return
@@ -202,7 +205,8 @@
 	})
 }
 
-// leave is a planned stop: the list shows it, the node goes on for a while.
+// leave begins a planned shutdown: the list shows the node as leaving, and the
+// node continues to run for 2 to 12 s.
 func (h *faultHistory) leave(n *simNode) {
 	leaving, ok := h.list.Instance(n.id)
 	if !ok || leaving.State != storage.Live {
@@ -221,21 +225,21 @@
 }
 
 var (
-	modelSeeds          = flag.Uint64("model.seeds", 40, "histories of the model test")
-	countMutantFailures = flag.Bool("model.count", false, "count the red seeds of every mutant")
+	modelSeeds          = flag.Uint64("model.seeds", 40, "number of seeds of the model test")
+	countMutantFailures = flag.Bool("model.count", false, "count the failing seeds of every mutant")
 )
 
-// Two instances spend the same part, or one acts on a key that was already
-// taken away everywhere: the cut side must run out of proofs before the other
-// side begins to act. Every seed is a different order of cuts, freezes,
-// restarts, planned stops and lost answers.
+// Guards against two instances spending the same part of a shard, or one
+// accepting a key whose revocation is in force. Proofs on the cut side must
+// expire before the other side begins to act. Every seed gives a different
+// order of partitions, freezes, restarts, planned shutdowns and lost answers.
 func TestModelNoInstanceActsOnRevokedState(t *testing.T) {
-	const lanes = 4
-	for lane := range uint64(lanes) {
-		t.Run(fmt.Sprintf("lane %d", lane), func(t *testing.T) {
+	const seedGroups = 4
+	for group := range uint64(seedGroups) {
+		t.Run(fmt.Sprintf("seed group %d", group), func(t *testing.T) {
 			t.Parallel()
 			states, acted, revisions, inForce := map[State]int{}, 0, storage.Revision(0), storage.Revision(0)
-			for seed := lane; seed < *modelSeeds; seed += lanes {
+			for seed := group; seed < *modelSeeds; seed += seedGroups {
 				h := runHistory(seed, func(*sim) {})
 				must.SliceEmpty(t, h.failures, must.Sprintf("seed %d", seed))
 				for state, n := range h.states {
@@ -245,9 +249,9 @@
 				revisions += h.table.Revision()
 				inForce += h.inForce
 			}
-			t.Logf("%d revisions written, %d in force at the end; %d checks found a holder acting; states of nodes: %v",
+			t.Logf("%d revisions written, %d in force at the end; %d checks found an active holder; states of nodes: %v",
 				revisions, inForce, acted, states)
-			// A model in which nobody acts would prove nothing.
+			// A run in which no holder acts would not exercise the invariants.
 			must.Positive(t, acted)
 			must.Positive(t, states[ConfirmedByWitnesses])
 			must.Positive(t, states[CutOff])
--- a/membership/mutant_test.go
+++ b/membership/mutant_test.go
@@ -10,12 +10,12 @@
 	"foxtailspoke/storage"
 )
 
-// Each rule that confirmed age rests on is needed: without it, the model
-// finds an instance that acts on what was taken away. A mutant that stays
-// green would mean that the faults are too mild to prove anything.
+// Checks that the model test detects the removal of each rule that the safety
+// of confirmed age depends on. A mutant that passes would mean that the injected
+// faults are too weak for the model test to be evidence.
 func TestModelDetectsMutants(t *testing.T) {
-	// The rarest mutant is red at firstSeed, which saves the time of the
-	// histories before it.
+	// The mutant that fails least often fails at firstSeed; starting there
+	// saves the time of the seeds before it.
 	const firstSeed, seeds = 29, 150
 	withRules := func(change func(*rules)) func(*sim) {
 		return func(s *sim) { s.rules = change }
@@ -27,47 +27,47 @@
 		name   string
 		mutate func(*sim)
 	}{
-		{"age counted from the answer", withRules(func(r *rules) {
+		{"proof dated from the answer", withRules(func(r *rules) {
 			r.proofStart = func(_, answered time.Duration) time.Duration { return answered }
 		})},
 		{"wait shortened by a fifth", withRules(func(r *rules) { r.inForceDelay = r.inForceDelay * 4 / 5 })},
-		{"wait without the clocks' error", withRules(func(r *rules) { r.inForceDelay = DefaultFresh })},
-		{"no witness counted for a change", withRules(func(r *rules) {
+		{"wait without clock rate error", withRules(func(r *rules) { r.inForceDelay = DefaultFresh })},
+		{"no majority required for a change", withRules(func(r *rules) {
 			r.knownByQuorum = func(config.Witnesses, func(string) bool) bool { return true }
 		})},
-		{"no witness counted for a round", withRules(func(r *rules) {
+		{"no majority required for a round", withRules(func(r *rules) {
 			r.answeredByQuorum = func(config.Witnesses, func(string) bool) bool { return true }
 		})},
-		{"list changed without the joint count", withRules(func(r *rules) {
+		{"witnesses changed without joint majority", withRules(func(r *rules) {
 			r.answeredByQuorum, r.knownByQuorum = onlyMembers, onlyMembers
 		})},
-		{"list before dropped at once", withRules(func(r *rules) {
+		{"previous witnesses dropped at once", withRules(func(r *rules) {
 			r.canDropPrevious = func(_, _ storage.Revision) bool { return true }
 		})},
-		{"earlier taking counted for a later one", withRules(func(r *rules) {
+		{"earlier revision in force counted for a later one", withRules(func(r *rules) {
 			r.isInForce = func(inForce, _ storage.Revision) bool { return inForce > 0 }
 		})},
-		{"old copy of the table accepted as a read", func(s *sim) { s.serveStaleTable = true }},
+		{"stale copy of the table accepted as a read", func(s *sim) { s.serveStaleTable = true }},
 	} {
 		t.Run(mutant.name, func(t *testing.T) {
 			t.Parallel()
-			first, red := uint64(0), 0
+			first, failed := uint64(0), 0
 			example := ""
 			for seed := uint64(firstSeed); seed < firstSeed+seeds; seed++ {
 				h := runHistory(seed, mutant.mutate)
 				if len(h.failures) == 0 {
 					continue
 				}
-				if red == 0 {
+				if failed == 0 {
 					first, example = seed, h.failures[0]
 				}
-				red++
+				failed++
 				if !*countMutantFailures {
 					break
 				}
 			}
-			t.Logf("%s: red in %d of %d seeds, first %d: %s", mutant.name, red, seeds, first, example)
-			must.Positive(t, red)
+			t.Logf("%s: failed in %d of %d seeds, first %d: %s", mutant.name, failed, seeds, first, example)
+			must.Positive(t, failed)
 		})
 	}
 }
