--- a/claim/finish.go
+++ b/claim/finish.go
@@ -32,7 +32,7 @@
 
 // lastPut is the write that ends a claim.
 func (cl *claim) lastPut(self string) storage.Put {
-	r := Record{Digest: cl.digest.String(), By: self, State: StateUnknown}
+	r := Record{Digest: cl.digest.String(), Owner: self, State: StateUnknown}
 	switch cl.end.outcome {
 	case NotRun:
 		return storage.Put{Delete: true}
@@ -45,7 +45,7 @@
 
 func (c *Claimer) sendFinish(cl *claim, after time.Duration) Step {
 	cl.finishes++
-	return Step{Write: &cl.finish, After: after}
+	return Step{Write: &cl.finish, Delay: after}
 }
 
 // finishWritten repeats a write without answer. Its condition is the row's
--- a/health/score.go
+++ b/health/score.go
@@ -7,199 +7,207 @@
 	"time"
 )
 
-// score is how much the evidence speaks for a sick server, as a
-// log-likelihood ratio; 0 or less means that nothing is held against it.
-func (l *outcomeStats) score(now time.Duration, server string) float64 {
-	l.advance(now)
-	r := l.byServer[server]
+// score returns the log-likelihood ratio of the server being sick. A value
+// of 0 or less means that there is no evidence against it.
+func (o *outcomeStats) score(now time.Duration, server string) float64 {
+	o.decay(now)
+	r := o.byServer[server]
 	if r == nil {
 		return 0
 	}
-	return l.judge(r)
+	return o.serverScore(r)
 }
 
-func (l *outcomeStats) judge(r *serverStats) float64 {
-	if r.version != l.version {
-		r.score = l.ratio(r.attempts, r.bad, l.sick)
+func (o *outcomeStats) serverScore(r *serverStats) float64 {
+	if r.version != o.version {
+		r.score = o.likelihoodRatio(r.attempts, r.bad, o.sickShare)
 		if r.score > 0 {
-			r.score = l.ratio(r.attempts, l.effective(r), l.sick)
+			r.score = o.likelihoodRatio(r.attempts, o.attributableBad(r), o.sickShare)
 		}
-		r.version = l.version
+		r.version = o.version
 	}
 	return r.score
 }
 
-// pairScore is the same for one workspace's requests at the server.
-func (l *outcomeStats) pairScore(now time.Duration, server, workspace string) float64 {
-	l.advance(now)
-	r := l.byServer[server]
+// currentWorkspaceScore applies the decay and returns the score for one
+// workspace's requests at the server.
+func (o *outcomeStats) currentWorkspaceScore(now time.Duration, server, workspace string) float64 {
+	o.decay(now)
+	r := o.byServer[server]
 	if r == nil {
 		return 0
 	}
-	return l.pair(r, workspace)
+	return o.workspaceScore(r, workspace)
 }
 
-// pair judges one workspace at one server. A server may fail a single
-// workspace (a corrupt partition, say) and look well over all. But a
-// workspace that sends bad requests fails wherever they go, so the server is
-// compared with how the workspace fares elsewhere.
-func (l *outcomeStats) pair(r *serverStats, workspace string) float64 {
-	p := r.pairs[workspace]
+// workspaceScore returns the score for one workspace's requests at one
+// server. A server may fail a single workspace, for example because of a
+// corrupt partition, and still look healthy overall. Bad requests of a
+// workspace, however, fail at every server, so the failures here are
+// compared with the workspace's failures at other servers.
+func (o *outcomeStats) workspaceScore(r *serverStats, workspace string) float64 {
+	p := r.workspaces[workspace]
 	if p == nil {
 		return 0
 	}
-	return l.pairWith(r, workspace, p.bad)
+	return o.workspaceScoreWith(r, workspace, p.bad)
 }
 
-// pairWith is pair with only so many of the bad attempts.
-func (l *outcomeStats) pairWith(r *serverStats, workspace string, bad float64) float64 {
-	elsewhere, usual := l.usual(r, workspace)
-	if usual >= pairSickShare {
+// workspaceScoreWith is workspaceScore with the given number of bad
+// attempts.
+func (o *outcomeStats) workspaceScoreWith(r *serverStats, workspace string, bad float64) float64 {
+	elsewhere, baseline := o.baseline(r, workspace)
+	if baseline >= pairSickShare {
 		return 0
 	}
-	// The workspace's attempts are spread over the servers. Where only the
-	// bad ones here were reported, its attempts elsewhere tell how many there
-	// must have been.
-	attempts := max(r.pairs[workspace].attempts, elsewhere/float64(max(1, l.serverCount-1)))
-	return pairDiscount * logRatio(attempts, bad, usual, pairSickShare)
+	// The attempts of a workspace are spread evenly over the servers. Where
+	// only the bad ones at this server were reported, its attempts elsewhere
+	// give an estimate of the total here.
+	attempts := max(r.workspaces[workspace].attempts, elsewhere/float64(max(1, o.serverCount-1)))
+	return pairDiscount * logLikelihoodRatio(attempts, bad, baseline, pairSickShare)
 }
 
-// usual is the share of a workspace's requests that is bad elsewhere, the
-// worst other servers aside: they may be sick too. It also returns how many
-// attempts there were elsewhere.
-func (l *outcomeStats) usual(r *serverStats, workspace string) (elsewhere, usual float64) {
-	t := l.tallies[workspace]
+// baseline returns the workspace's number of attempts at other servers and
+// the share of them that is bad. The share leaves out the worst of the other
+// servers, which may be sick too.
+func (o *outcomeStats) baseline(r *serverStats, workspace string) (elsewhere, baseline float64) {
+	t := o.workspaceTotals[workspace]
 	if t == nil {
-		return 0, max(l.healthy, priorBad/priorAttempts)
+		return 0, max(o.healthyShare, priorBad/priorAttempts)
 	}
 	attempts, bad := t.attempts, t.bad
-	if here := r.pairs[workspace]; here != nil {
+	if here := r.workspaces[workspace]; here != nil {
 		attempts -= here.attempts
 		bad -= here.bad
 	}
 	elsewhere = max(0, attempts)
-	for _, p := range l.worstPairs(r, workspace) {
+	for _, p := range o.worstElsewhere(r, workspace) {
 		attempts -= p.attempts
 		bad -= p.bad
 	}
-	return elsewhere, max(l.healthy, (max(0, bad)+priorBad)/(max(0, attempts)+priorAttempts))
+	return elsewhere, max(o.healthyShare, (max(0, bad)+priorBad)/(max(0, attempts)+priorAttempts))
 }
 
-// worstPairs returns the workspace's worst tallies at other servers.
-func (l *outcomeStats) worstPairs(r *serverStats, workspace string) []tally {
-	l.tallyBuffer = l.tallyBuffer[:0]
-	for _, other := range l.byServer {
-		if p := other.pairs[workspace]; p != nil && other != r {
-			l.tallyBuffer = append(l.tallyBuffer, p.tally)
+// worstElsewhere returns the workspace's counts at the worst of the other
+// servers.
+func (o *outcomeStats) worstElsewhere(r *serverStats, workspace string) []attemptCounts {
+	o.totalsBuffer = o.totalsBuffer[:0]
+	for _, other := range o.byServer {
+		if p := other.workspaces[workspace]; p != nil && other != r {
+			o.totalsBuffer = append(o.totalsBuffer, p.attemptCounts)
 		}
 	}
-	slices.SortFunc(l.tallyBuffer, func(a, b tally) int {
+	slices.SortFunc(o.totalsBuffer, func(a, b attemptCounts) int {
 		return cmp.Or(cmp.Compare(b.bad, a.bad), cmp.Compare(b.attempts, a.attempts))
 	})
-	return l.tallyBuffer[:min(len(l.tallyBuffer), l.worst())]
+	return o.totalsBuffer[:min(len(o.totalsBuffer), o.maxSickServers())]
 }
 
-// worst is how many servers may be sick and still be told from the others.
-func (l *outcomeStats) worst() int { return int(worstShare * float64(l.serverCount)) }
+// maxSickServers is how many servers may be sick at once and still be
+// distinguished from the others.
+func (o *outcomeStats) maxSickServers() int { return int(maxSickServerShare * float64(o.serverCount)) }
 
 const (
-	// priorBad in priorAttempts is what is assumed of a workspace's requests
-	// elsewhere before there were any.
+	// priorBad and priorAttempts are the prior for a workspace's bad and
+	// total attempts at other servers.
 	priorBad      = 0.3
 	priorAttempts = 3
 )
 
-// effective is the number of bad attempts that are the server's own. What
-// the same reporter, the same workspace or everybody meets at the other
-// servers as well is the reporter's network, the workspace's requests or the
-// service's state.
-func (l *outcomeStats) effective(r *serverStats) float64 {
-	all := l.standsOut(r, func(m *marginals) float64 { return m.all })
+// attributableBad returns the number of bad attempts that are attributable
+// to the server. Bad attempts that the same reporter, the same workspace or
+// all sources see at the other servers as well are due to the reporter's
+// network, the workspace's requests or the state of the service.
+func (o *outcomeStats) attributableBad(r *serverStats) float64 {
+	all := o.excessShare(r, func(m *marginals) float64 { return m.all })
 	if all == 0 {
 		return 0
 	}
 	sum, top, topWorkspace := 0.0, 0.0, ""
-	byWorkspace := l.byWorkspace(r, all)
+	byWorkspace := o.byWorkspace(r, all)
 	for _, w := range byWorkspace {
 		sum += w.bad
 		if w.bad > top {
 			top, topWorkspace = w.bad, w.workspace
 		}
 	}
-	// What one workspace meets alone counts as far as the others meet it too,
-	// or as its requests are known to succeed elsewhere.
+	// Bad attempts of a single workspace count as far as other workspaces
+	// see them too, or as the workspace's requests are known to succeed
+	// elsewhere.
 	rest := sum - top
-	_, usual := l.usual(r, topWorkspace)
-	trust := max(0, 1-usualFactor*(usual-l.healthy))
-	return rest + max(min(top, topShare*rest), top*trust)
+	_, baseline := o.baseline(r, topWorkspace)
+	trust := max(0, 1-baselinePenalty*(baseline-o.healthyShare))
+	return rest + max(min(top, maxTopRatio*rest), top*trust)
 }
 
-// workspaceBad is the part of a run that one workspace supplies.
+// workspaceBad is one workspace's part of the bad attempts at a server.
 type workspaceBad struct {
 	workspace string
 	bad       float64
 }
 
-// byWorkspace sums a run's bad attempts that stand out, by workspace.
-func (l *outcomeStats) byWorkspace(r *serverStats, all float64) []workspaceBad {
+// byWorkspace returns the excess bad attempts at a server, summed by
+// workspace.
+func (o *outcomeStats) byWorkspace(r *serverStats, all float64) []workspaceBad {
 	var list []workspaceBad
-	for _, c := range r.cells {
+	for _, c := range r.bySource {
 		i := slices.IndexFunc(list, func(w workspaceBad) bool { return w.workspace == c.workspace })
 		if i < 0 {
 			i = len(list)
 			list = append(list, workspaceBad{workspace: c.workspace})
 		}
-		byReporter := l.standsOut(r, func(m *marginals) float64 { return m.reporters[c.reporter] })
-		byWorkspace := l.standsOut(r, func(m *marginals) float64 { return m.workspaces[c.workspace] })
+		byReporter := o.excessShare(r, func(m *marginals) float64 { return m.reporters[c.reporter] })
+		byWorkspace := o.excessShare(r, func(m *marginals) float64 { return m.workspaces[c.workspace] })
 		list[i].bad += c.bad * min(all, byReporter, byWorkspace)
 	}
 	return list
 }
 
 const (
-	// topShare bounds the part of the evidence that one workspace or one
-	// place may supply, as a multiple of what all others supply together.
-	topShare = 1
+	// maxTopRatio bounds the part of the evidence that one workspace or one
+	// failure domain may contribute, as a multiple of what all others
+	// contribute together.
+	maxTopRatio = 1
 )
 
-// usualFactor is how fast a workspace's failures elsewhere make those here
-// count less.
-const usualFactor = 3
+// baselinePenalty scales how much a workspace's failures at other servers
+// reduce the weight of those at this one.
+const baselinePenalty = 3
 
-// standsOut is the share of the bad attempts at one server beyond what the
-// others have too, with room for chance: counts as small as these vary by
-// their square root.
-func (l *outcomeStats) standsOut(r *serverStats, of func(*marginals) float64) float64 {
-	here := of(&r.sums)
+// excessShare returns the share of the bad attempts at a server that exceeds
+// what the other servers have, with a margin for chance: counts this small
+// vary by about their square root.
+func (o *outcomeStats) excessShare(r *serverStats, count func(*marginals) float64) float64 {
+	here := count(&r.sums)
 	if here <= 0 {
 		return 0
 	}
-	others := l.others(r, of)
+	others := o.othersMean(r, count)
 	return max(0, 1-outlierFactor*(others+math.Sqrt(others))/here)
 }
 
-// others is what is usual at the other servers: their mean without the worst
+// othersMean returns the mean count at the other servers, without the worst
 // of them, so that several sick servers don't excuse each other.
-func (l *outcomeStats) others(r *serverStats, of func(*marginals) float64) float64 {
-	n := l.serverCount - 1
-	worst := l.worst()
-	if len(l.byServer)-1 <= worst || n <= worst {
+func (o *outcomeStats) othersMean(r *serverStats, count func(*marginals) float64) float64 {
+	n := o.serverCount - 1
+	worst := o.maxSickServers()
+	if len(o.byServer)-1 <= worst || n <= worst {
 		return 0
 	}
-	l.buffer = l.buffer[:0]
-	for _, other := range l.byServer {
+	o.buffer = o.buffer[:0]
+	for _, other := range o.byServer {
 		if other != r {
-			l.buffer = append(l.buffer, of(&other.sums))
+			o.buffer = append(o.buffer, count(&other.sums))
 		}
 	}
-	slices.Sort(l.buffer)
+	slices.Sort(o.buffer)
 	sum := 0.0
-	for _, v := range l.buffer[:len(l.buffer)-worst] {
+	for _, v := range o.buffer[:len(o.buffer)-worst] {
 		sum += v
 	}
 	return sum / float64(n-worst)
 }
 
-// worstShare is the share of a service's servers that may be sick at once
-// and still be told from the others.
-const worstShare = 0.3
+// maxSickServerShare is the share of a service's servers that may be sick at
+// once and still be distinguished from the others.
+const maxSickServerShare = 0.3
--- a/node/operations.go
+++ b/node/operations.go
@@ -70,19 +70,19 @@
 // claimDetails tells callers why a key was refused.
 var claimDetails = map[claim.Reason]string{
 	claim.Forged:         "its operation key wasn't made by this system",
-	claim.OtherWorkspace: "its operation key was made for another workspace",
+	claim.WorkspaceMismatch: "its operation key was made for another workspace",
 	claim.Expired:        "its operation key is too old",
-	claim.OtherRequest:   "its operation key was used for a different request before",
+	claim.RequestMismatch:   "its operation key was used for a different request before",
 }
 
 func (n *Node) refuseClaim(r *request, d claim.Decision) {
 	r.figures.Detail = claimDetails[d.Reason]
 	rule := decision.RuleBadRequest
-	if d.Reason == claim.Full || d.Reason == claim.StoreAway {
+	if d.Reason == claim.CapacityReached || d.Reason == claim.StoreUnavailable {
 		rule = decision.RuleClaimUnavailable
 	}
 	record := n.record(r, rule)
-	if !d.NeverRan && d.Reason != claim.OtherRequest {
+	if !d.NeverRan && d.Reason != claim.RequestMismatch {
 		record.Outcome = decision.Unknown
 	}
 	n.refuseAs(r, record)
@@ -102,7 +102,7 @@
 // forward passes a request on to the instance that minted its key. Nobody
 // else ever runs it: the minter may have run it a moment ago.
 func (n *Node) forward(r *request, key claim.OperationKey) {
-	if _, reachable := claim.Elsewhere(key, n.peerState(key.Minter)); !reachable || r.arrived.Forwarded {
+	if _, reachable := claim.RouteToMinter(key, n.peerState(key.Minter)); !reachable || r.arrived.Forwarded {
 		n.refuse(r, decision.RuleOperationLost, 0)
 		return
 	}
