--- a/quota/amount.go
+++ b/quota/amount.go
@@ -46,9 +46,9 @@
 	return Amount(min(units, float64(maxTokens)*float64(Token)))
 }
 
-// fillTime is how long p parts of a rate need to gain an amount, at least a
+// timeToRefill is how long p parts of a rate need to gain an amount, at least a
 // nanosecond; 0 if they never do.
-func fillTime(l config.Limit, parts int, a Amount, drift float64) time.Duration {
+func timeToRefill(l config.Limit, parts int, a Amount, drift float64) time.Duration {
 	perNano := l.Rate * float64(parts)
 	if !(perNano > 0) {
 		return 0
--- a/quota/ask.go
+++ b/quota/ask.go
@@ -7,34 +7,34 @@
 	"foxtailspoke/config"
 )
 
-// ask is an Ask that may still bring tokens or has some left.
-type ask struct {
+// pendingAsk is an Ask that may still bring tokens or has some left.
+type pendingAsk struct {
 	id     uint64
 	to     string
 	bucket Bucket
-	// most is what the ask can bring.
-	most Amount
+	// maxAmount is what the ask can bring.
+	maxAmount Amount
 	// start is the asker's clock at the start of the ask.
 	start    time.Duration
 	answered bool
-	tight    bool
-	left     Amount
+	wantsSettlement    bool
+	unused     Amount
 }
 
 // StartAsk opens an ask for what lacks. The time counts from now.
 func (h *Holder) StartAsk(now time.Duration, to string, b Bucket, l config.Limit, want Amount) Ask {
-	h.expire(now)
+	h.expireAsks(now)
 	a := Ask{From: h.self, Bucket: b, Want: want}
 	if own, parts := h.bucket(now, b, l); own != nil {
-		a.Room = max(0, capacity(l, parts)-own.given(now)-own.level)
+		a.Room = max(0, capacity(l, parts)-own.outstandingAmount(now)-own.level)
 		a.Level = own.level
 		a.Parts = parts
 	}
 	a.Partial = a.Room >= want
-	h.lastAsk++
-	a.ID = h.lastAsk
-	h.asks = append(h.asks, &ask{id: a.ID, to: to, bucket: b, most: max(want, a.Room), start: now})
-	a.Settled = h.settled(to)
+	h.lastAskID++
+	a.ID = h.lastAskID
+	h.asks = append(h.asks, &pendingAsk{id: a.ID, to: to, bucket: b, maxAmount: max(want, a.Room), start: now})
+	a.Settled = h.settledUpTo(to)
 	return a
 }
 
@@ -44,11 +44,11 @@
 // nothing: the workspace would lose a part of its rate.
 func (h *Holder) Rebalance(now time.Duration, row config.Shard, b Bucket, l config.Limit) (string, Ask, bool) {
 	own, parts := h.bucket(now, b, l)
-	if own == nil || now < own.calm || h.gathering(b) {
+	if own == nil || now < own.nextRebalance || h.hasOpenAsk(b) {
 		return "", Ask{}, false
 	}
 	full := capacity(l, parts)
-	low := full-own.given(now)-own.level > full/lowFraction
+	low := full-own.outstandingAmount(now)-own.level > full/rebalanceDivisor
 	if !low || full < Token {
 		return "", Ask{}, false
 	}
@@ -56,17 +56,17 @@
 	if len(peers) == 0 {
 		return "", Ask{}, false
 	}
-	own.calm = now + h.settings.TransferTime
+	own.nextRebalance = now + h.settings.TransferTime
 	return peers[0], h.StartAsk(now, peers[0], b, l, 0), true
 }
 
-// lowFraction of the capacity may be used before a holder asks for more.
-const lowFraction = 8
+// rebalanceDivisor of the capacity may be used before a holder asks for more.
+const rebalanceDivisor = 8
 
-// settled returns the highest ask id up to which nothing is open with a
+// settledUpTo returns the highest ask id up to which nothing is open with a
 // holder.
-func (h *Holder) settled(to string) uint64 {
-	settled := h.lastAsk
+func (h *Holder) settledUpTo(to string) uint64 {
+	settled := h.lastAskID
 	for _, a := range h.asks {
 		if a.to == to {
 			settled = min(settled, a.id-1)
@@ -75,20 +75,20 @@
 	return settled
 }
 
-// room returns how much the own bucket can store.
-func (h *Holder) room(now time.Duration, b Bucket, l config.Limit) Amount {
+// freeCapacity returns how much the own bucket can store.
+func (h *Holder) freeCapacity(now time.Duration, b Bucket, l config.Limit) Amount {
 	own, parts := h.bucket(now, b, l)
 	if own == nil {
 		return 0
 	}
-	return capacity(l, parts) - own.given(now) - own.level
+	return capacity(l, parts) - own.outstandingAmount(now) - own.level
 }
 
 // DrainSettlements returns the settlements to send and forgets them. To be called
 // after Accept and Next; they may also be left unsent.
 func (h *Holder) DrainSettlements() []Settlement {
-	due := h.due
-	h.due = nil
+	due := h.unsentSettlements
+	h.unsentSettlements = nil
 	return due
 }
 
@@ -99,38 +99,38 @@
 // An answer that comes twice, late, or to an instance that didn't ask (a
 // former incarnation did) is dropped: the giver doesn't count on it any more.
 func (h *Holder) HandleTransfer(now time.Duration, l config.Limit, t Transfer) Amount {
-	h.expire(now)
+	h.expireAsks(now)
 	a := h.findAsk(t.Ask)
 	if a == nil || a.answered || a.to != t.From || a.bucket != t.Bucket {
 		return 0
 	}
 	a.answered = true
-	a.tight = t.Tight
-	amount := max(0, min(t.Amount, a.most))
+	a.wantsSettlement = t.Tight
+	amount := max(0, min(t.Amount, a.maxAmount))
 	if t.RetryAfter > 0 {
-		h.setShort(now, t)
+		h.recordShortage(now, t)
 	}
-	a.left = amount - h.store(now, t.Bucket, l, amount)
-	h.dropUsed()
+	a.unused = amount - h.store(now, t.Bucket, l, amount)
+	h.removeUsedAsks()
 	return amount
 }
 
-// dropUsed ends the asks whose tokens are used or stored.
-func (h *Holder) dropUsed() {
-	var tight []*ask
-	h.dropAsks(func(a *ask) bool {
-		used := a.answered && a.left == 0
-		if used && a.tight {
+// removeUsedAsks ends the asks whose tokens are used or stored.
+func (h *Holder) removeUsedAsks() {
+	var tight []*pendingAsk
+	h.removeAsks(func(a *pendingAsk) bool {
+		used := a.answered && a.unused == 0
+		if used && a.wantsSettlement {
 			tight = append(tight, a)
 		}
 		return used
 	})
 	for _, a := range tight {
-		h.due = append(h.due, Settlement{To: a.to, From: h.self, Bucket: a.bucket, UpTo: h.settled(a.to)})
+		h.unsentSettlements = append(h.unsentSettlements, Settlement{To: a.to, From: h.self, Bucket: a.bucket, UpTo: h.settledUpTo(a.to)})
 	}
 }
 
-func (h *Holder) findAsk(id uint64) *ask {
+func (h *Holder) findAsk(id uint64) *pendingAsk {
 	for _, a := range h.asks {
 		if a.id == id {
 			return a
@@ -139,13 +139,13 @@
 	return nil
 }
 
-func (h *Holder) dropAsks(over func(*ask) bool) {
+func (h *Holder) removeAsks(over func(*pendingAsk) bool) {
 	h.asks = slices.DeleteFunc(h.asks, over)
 }
 
 // store puts tokens into the own bucket, as far as they fit.
 func (h *Holder) store(now time.Duration, b Bucket, l config.Limit, amount Amount) Amount {
-	fits := min(amount, h.room(now, b, l))
+	fits := min(amount, h.freeCapacity(now, b, l))
 	if fits <= 0 {
 		return 0
 	}
@@ -161,8 +161,8 @@
 	if a == nil || a.answered {
 		return
 	}
-	h.dropAsks(func(a *ask) bool { return a.id == id })
-	h.setShort(now, Transfer{From: a.to, Bucket: a.bucket, RetryAfter: h.settings.TransferTime})
+	h.removeAsks(func(a *pendingAsk) bool { return a.id == id })
+	h.recordShortage(now, Transfer{From: a.to, Bucket: a.bucket, RetryAfter: h.settings.TransferTime})
 }
 
 // AskTargets returns the holders worth asking for a bucket's tokens, in order:
@@ -174,45 +174,45 @@
 	if len(order) == 0 {
 		return nil
 	}
-	h.turn++
-	start := h.turn % len(order)
+	h.targetRotation++
+	start := h.targetRotation % len(order)
 	order = slices.Concat(order[start:], order[:start])
 	worth := order[:0]
 	for _, id := range order {
-		if h.short[b][id].until <= now {
+		if h.shortages[b][id].until <= now {
 			worth = append(worth, id)
 		}
 	}
 	return worth
 }
 
-// expire ends the asks whose time has run out.
-func (h *Holder) expire(now time.Duration) {
-	h.dropAsks(func(a *ask) bool { return now-a.start >= h.settings.TransferTime })
+// expireAsks ends the asks whose time has run out.
+func (h *Holder) expireAsks(now time.Duration) {
+	h.removeAsks(func(a *pendingAsk) bool { return now-a.start >= h.settings.TransferTime })
 }
 
-// received returns what other holders gave for a bucket and is left.
-func (h *Holder) received(b Bucket) Amount {
+// receivedAmount returns what other holders gave for a bucket and is left.
+func (h *Holder) receivedAmount(b Bucket) Amount {
 	var sum Amount
 	for _, a := range h.asks {
 		if a.bucket == b {
-			sum += a.left
+			sum += a.unused
 		}
 	}
 	return sum
 }
 
-// spend takes up to n of the received tokens and returns how much it took.
-func (h *Holder) spend(b Bucket, n Amount) Amount {
+// spendReceived takes up to n of the received tokens and returns how much it took.
+func (h *Holder) spendReceived(b Bucket, n Amount) Amount {
 	taken := Amount(0)
 	for _, a := range h.asks {
 		if a.bucket != b {
 			continue
 		}
-		part := min(a.left, n-taken)
-		a.left -= part
+		part := min(a.unused, n-taken)
+		a.unused -= part
 		taken += part
 	}
-	h.dropUsed()
+	h.removeUsedAsks()
 	return taken
 }
--- a/quota/assign.go
+++ b/quota/assign.go
@@ -38,15 +38,15 @@
 // centres without a holder first. since is the control table's revision that
 // the write expects; it marks the entries that gain parts.
 func Assign(name string, row config.Shard, candidates []Candidate, holders int, since uint64) (config.Shard, bool) {
-	live := rank(name, candidates)
+	live := rankLive(name, candidates)
 	holders = min(holders, len(live), config.PartsPerShard)
 	if holders < 1 {
 		return row, false
 	}
 	a := newAssignment(row, live)
-	a.dropExcess(holders)
-	a.addMissing(holders, live)
-	a.share(holders)
+	a.removeExcessHolders(holders)
+	a.addHolders(holders, live)
+	a.distribute(holders)
 	next := a.row(since)
 	return next, !slices.Equal(next.Holders, row.Holders)
 }
@@ -66,7 +66,7 @@
 		bursts = append(bursts, l.Burst)
 	}
 	slices.Sort(bursts)
-	byBurst := int(min(bursts[len(bursts)/2]/minShare, float64(maxHolders)))
+	byBurst := int(min(bursts[len(bursts)/2]/minBurstPerHolder, float64(maxHolders)))
 	byRate := minHolders + int(min(rate/ratePerHolder, float64(maxHolders)))
 	return max(1, min(byRate, byBurst, maxHolders))
 }
@@ -74,14 +74,14 @@
 const (
 	// minHolders keeps most of a limit when one holder is gone.
 	minHolders = 3
-	// minShare is the burst in tokens that each holder should have at least.
-	minShare = 2
+	// minBurstPerHolder is the burst in tokens that each holder should have at least.
+	minBurstPerHolder = 2
 	// ratePerHolder is the rate in tokens per second for one more holder.
 	ratePerHolder = 100
 )
 
-// rank orders the live candidates by rendezvous hash for a shard.
-func rank(name string, candidates []Candidate) []Candidate {
+// rankLive orders the live candidates by rendezvous hash for a shard.
+func rankLive(name string, candidates []Candidate) []Candidate {
 	var live []Candidate
 	for _, c := range candidates {
 		if c.State == Live {
@@ -90,7 +90,7 @@
 	}
 	slices.SortFunc(live, func(x, y Candidate) int {
 		return cmp.Or(
-			cmp.Compare(pairHash(name, x.ID), pairHash(name, y.ID)),
+			cmp.Compare(rendezvousHash(name, x.ID), rendezvousHash(name, y.ID)),
 			cmp.Compare(x.ID, y.ID),
 		)
 	})
@@ -100,18 +100,18 @@
 // assignment is a row while it is being changed.
 type assignment struct {
 	entries []config.Holder
-	// order has the holders, those of the row first.
-	order []string
-	// free are the parts that nobody holds.
-	free int
-	// gains are the parts to be added per holder.
-	gains map[string]int
+	// holderIDs has the holders, those of the row first.
+	holderIDs []string
+	// unassigned are the parts that nobody holds.
+	unassigned int
+	// added are the parts to be added per holder.
+	added map[string]int
 }
 
 // newAssignment takes the entries of live holders over.
 func newAssignment(row config.Shard, live []Candidate) *assignment {
-	a := &assignment{free: config.PartsPerShard, gains: map[string]int{}}
-	if !valid(row) {
+	a := &assignment{unassigned: config.PartsPerShard, added: map[string]int{}}
+	if !validRow(row) {
 		return a
 	}
 	for _, e := range row.Holders {
@@ -120,16 +120,16 @@
 			continue
 		}
 		a.entries = append(a.entries, e)
-		a.free -= e.Parts
-		if !slices.Contains(a.order, e.Instance) {
-			a.order = append(a.order, e.Instance)
+		a.unassigned -= e.Parts
+		if !slices.Contains(a.holderIDs, e.Instance) {
+			a.holderIDs = append(a.holderIDs, e.Instance)
 		}
 	}
 	return a
 }
 
 func (a *assignment) parts(id string) int {
-	sum := a.gains[id]
+	sum := a.added[id]
 	for _, e := range a.entries {
 		if e.Instance == id {
 			sum += e.Parts
@@ -138,80 +138,80 @@
 	return sum
 }
 
-// dropExcess takes all parts of the holders that are too many, those with
+// removeExcessHolders takes all parts of the holders that are too many, those with
 // the fewest parts first.
-func (a *assignment) dropExcess(holders int) {
-	for len(a.order) > holders {
-		fewest := a.order[len(a.order)-1]
-		for _, id := range a.order {
+func (a *assignment) removeExcessHolders(holders int) {
+	for len(a.holderIDs) > holders {
+		fewest := a.holderIDs[len(a.holderIDs)-1]
+		for _, id := range a.holderIDs {
 			if a.parts(id) < a.parts(fewest) {
 				fewest = id
 			}
 		}
-		a.take(fewest, a.parts(fewest))
-		a.order = slices.DeleteFunc(a.order, func(id string) bool { return id == fewest })
+		a.release(fewest, a.parts(fewest))
+		a.holderIDs = slices.DeleteFunc(a.holderIDs, func(id string) bool { return id == fewest })
 	}
 }
 
-// addMissing adds holders in the order of rank, and prefers data centres
+// addHolders adds holders in the order of rank, and prefers data centres
 // that have none.
-func (a *assignment) addMissing(holders int, live []Candidate) {
+func (a *assignment) addHolders(holders int, live []Candidate) {
 	used := map[string]bool{}
 	for _, c := range live {
-		if slices.Contains(a.order, c.ID) {
+		if slices.Contains(a.holderIDs, c.ID) {
 			used[c.DataCentre] = true
 		}
 	}
 	for _, anyCentre := range []bool{false, true} {
 		for _, c := range live {
-			if len(a.order) >= holders {
+			if len(a.holderIDs) >= holders {
 				return
 			}
-			if slices.Contains(a.order, c.ID) || (used[c.DataCentre] && !anyCentre) {
+			if slices.Contains(a.holderIDs, c.ID) || (used[c.DataCentre] && !anyCentre) {
 				continue
 			}
-			a.order = append(a.order, c.ID)
+			a.holderIDs = append(a.holderIDs, c.ID)
 			used[c.DataCentre] = true
 		}
 	}
 }
 
-// share gives each holder at least its even share, from the free parts and
+// distribute gives each holder at least its even distribute, from the free parts and
 // then from those who have more, and spreads what is still free.
-func (a *assignment) share(holders int) {
+func (a *assignment) distribute(holders int) {
 	even := config.PartsPerShard / holders
-	for _, id := range a.order {
-		a.raise(id, even)
+	for _, id := range a.holderIDs {
+		a.raiseTo(id, even)
 	}
-	for a.free > 0 {
-		a.raise(a.fewest(), a.parts(a.fewest())+1)
+	for a.unassigned > 0 {
+		a.raiseTo(a.smallestHolder(), a.parts(a.smallestHolder())+1)
 	}
 }
 
-// raise brings a holder's parts up to a number.
-func (a *assignment) raise(id string, parts int) {
+// raiseTo brings a holder's parts up to a number.
+func (a *assignment) raiseTo(id string, parts int) {
 	for a.parts(id) < parts {
-		if a.free == 0 {
-			a.take(a.most(), 1)
+		if a.unassigned == 0 {
+			a.release(a.largestHolder(), 1)
 		}
-		a.free--
-		a.gains[id]++
+		a.unassigned--
+		a.added[id]++
 	}
 }
 
-func (a *assignment) fewest() string {
-	return slices.MinFunc(a.order, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
+func (a *assignment) smallestHolder() string {
+	return slices.MinFunc(a.holderIDs, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
 }
 
-func (a *assignment) most() string {
-	return slices.MaxFunc(a.order, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
+func (a *assignment) largestHolder() string {
+	return slices.MaxFunc(a.holderIDs, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
 }
 
-// take frees parts of a holder, gains first, then its newest entries.
-func (a *assignment) take(id string, parts int) {
-	a.free += parts
-	gained := min(a.gains[id], parts)
-	a.gains[id] -= gained
+// release frees parts of a holder, gains first, then its newest entries.
+func (a *assignment) release(id string, parts int) {
+	a.unassigned += parts
+	gained := min(a.added[id], parts)
+	a.added[id] -= gained
 	parts -= gained
 	for i := len(a.entries) - 1; i >= 0 && parts > 0; i-- {
 		if a.entries[i].Instance != id {
@@ -227,9 +227,9 @@
 // row returns the entries with the gains as new entries.
 func (a *assignment) row(since uint64) config.Shard {
 	next := config.Shard{Holders: a.entries}
-	for _, id := range a.order {
-		if a.gains[id] > 0 {
-			e := config.Holder{Instance: id, Parts: a.gains[id], Since: since}
+	for _, id := range a.holderIDs {
+		if a.added[id] > 0 {
+			e := config.Holder{Instance: id, Parts: a.added[id], Since: since}
 			next.Holders = append(next.Holders, e)
 		}
 	}
--- a/quota/assign_test.go
+++ b/quota/assign_test.go
@@ -92,7 +92,7 @@
 		must.False(t, known && e.Parts > old, must.Sprintf("%v after %v", next, row))
 	}
 	must.Eq(t, config.PartsPerShard, sum)
-	must.True(t, valid(next))
+	must.True(t, validRow(next))
 }
 
 // A row that gives out more than there is grants nothing.
--- a/quota/give.go
+++ b/quota/give.go
@@ -18,60 +18,60 @@
 		t.RetryAfter = h.settings.TransferTime
 		return t
 	}
-	own.settle(Settlement{From: a.From, Bucket: a.Bucket, UpTo: a.Settled})
-	if again, ok := own.gift(a); ok {
+	own.removeSettled(Settlement{From: a.From, Bucket: a.Bucket, UpTo: a.Settled})
+	if again, ok := own.amountGivenFor(a); ok {
 		t.Amount = again
-		t.Tight = own.tight(now, parts)
+		t.Tight = own.wantsSettlement(now, parts)
 		return t
 	}
-	t.Amount = h.share(own, parts, a)
+	t.Amount = h.transferAmount(own, parts, a)
 	own.level -= t.Amount
 	if t.Amount < a.Want {
-		h.putOff(now, own, parts, a, &t)
+		h.deferAsker(now, own, parts, a, &t)
 	}
 	if t.Amount == 0 {
 		return t
 	}
-	own.used = now
+	own.lastUsed = now
 	until := now + h.settings.settleTime()
-	own.gifts = append(own.gifts, gift{to: a.From, ask: a.ID, amount: t.Amount, until: until})
-	t.Tight = own.tight(now, parts)
+	own.outstanding = append(own.outstanding, outstandingTransfer{to: a.From, ask: a.ID, amount: t.Amount, until: until})
+	t.Tight = own.wantsSettlement(now, parts)
 	return t
 }
 
-// putOff tells an asker that got too little when to ask again.
+// deferAsker tells an asker that got too little when to ask again.
 //
 // In a flood every instance asks, and all would come back for the same next
 // token. So, after the first few, each is named a later time than the one
 // before, up to a bound, and told that the piece left here isn't for it.
-func (h *Holder) putOff(now time.Duration, own *bucket, parts int, a Ask, t *Transfer) {
+func (h *Holder) deferAsker(now time.Duration, own *bucket, parts int, a Ask, t *Transfer) {
 	missing := min(a.Want, capacity(own.limit, parts)) - own.level
-	wait := fillTime(own.limit, parts, missing, h.settings.Drift)
-	if own.promised <= now {
-		own.putOffs = 0
+	wait := timeToRefill(own.limit, parts, missing, h.settings.Drift)
+	if own.latestRetryAt <= now {
+		own.deferrals = 0
 	}
-	own.putOffs++
+	own.deferrals++
 	t.Has = own.level
-	t.Contended = own.putOffs > fewPutOffs
+	t.Contended = own.deferrals > uncontendedDeferrals
 	if t.Contended {
-		wait = min(own.promised-now+wait, max(wait, maxPromise))
+		wait = min(own.latestRetryAt-now+wait, max(wait, maxContendedWait))
 	}
 	t.RetryAfter = wait
-	own.promised = max(own.promised, now+wait)
+	own.latestRetryAt = max(own.latestRetryAt, now+wait)
 }
 
-// fewPutOffs in a row don't make a flood.
-const fewPutOffs = 8
+// uncontendedDeferrals in a row don't make a flood.
+const uncontendedDeferrals = 8
 
-// maxPromise bounds the waits that grow by the number of askers.
-const maxPromise = 500 * time.Millisecond
+// maxContendedWait bounds the waits that grow by the number of askers.
+const maxContendedWait = 500 * time.Millisecond
 
-func (b *bucket) tight(now time.Duration, parts int) bool {
-	return b.given(now) > capacity(b.limit, parts)/tightFraction
+func (b *bucket) wantsSettlement(now time.Duration, parts int) bool {
+	return b.outstandingAmount(now) > capacity(b.limit, parts)/settlementDivisor
 }
 
-// tightFraction of the capacity may be given away without a Settlement.
-const tightFraction = 4
+// settlementDivisor of the capacity may be given away without a Settlement.
+const settlementDivisor = 4
 
 // HandleSettlement takes a Settlement in.
 func (h *Holder) HandleSettlement(now time.Duration, l config.Limit, s Settlement) {
@@ -80,31 +80,31 @@
 		return
 	}
 	if s.Back > 0 {
-		own.takeBack(s)
-		own.clamp(now, parts)
+		own.restoreReturned(s)
+		own.clampToCapacity(now, parts)
 	}
-	own.settle(s)
+	own.removeSettled(s)
 }
 
-// share decides how much of the bucket an asker gets.
+// transferAmount decides how much of the bucket an asker gets.
 //
-// Where a share can't store a whole token, instances put tokens together from
+// Where a transferAmount can't store a whole token, instances put tokens together from
 // several shares. Two that do so at the same time would each get a piece and
 // neither a token, again and again; so the lower id goes first.
-func (h *Holder) share(own *bucket, parts int, a Ask) Amount {
+func (h *Holder) transferAmount(own *bucket, parts int, a Ask) Amount {
 	whole := min(a.Want, capacity(own.limit, parts))
 	if own.level < whole && !a.Partial {
 		return 0
 	}
 	tiny := capacity(own.limit, parts) < Token
-	if tiny && h.gathering(a.Bucket) && h.self < a.From {
+	if tiny && h.hasOpenAsk(a.Bucket) && h.self < a.From {
 		return 0
 	}
-	return min(own.level, max(0, a.Want, min(a.Room, evenOut(own.level, parts, a))))
+	return min(own.level, max(0, a.Want, min(a.Room, balancingAmount(own.level, parts, a))))
 }
 
-// evenOut returns what to give so that both shares are equally full.
-func evenOut(level Amount, parts int, a Ask) Amount {
+// balancingAmount returns what to give so that both shares are equally full.
+func balancingAmount(level Amount, parts int, a Ask) Amount {
 	if a.Parts <= 0 {
 		return 0
 	}
@@ -112,8 +112,8 @@
 	return Amount(max(0, surplus/float64(parts+a.Parts)))
 }
 
-// gathering tells whether this instance has asked for the bucket's tokens.
-func (h *Holder) gathering(b Bucket) bool {
+// hasOpenAsk tells whether this instance has asked for the bucket's tokens.
+func (h *Holder) hasOpenAsk(b Bucket) bool {
 	for _, a := range h.asks {
 		if a.bucket == b {
 			return true
@@ -122,29 +122,29 @@
 	return false
 }
 
-// takeBack returns unused tokens to the level, once: the gift ends with it.
+// restoreReturned returns unused tokens to the level, once: the gift ends with it.
 // After the gift has ended otherwise, they are lost.
-func (b *bucket) takeBack(s Settlement) {
-	for _, g := range b.gifts {
+func (b *bucket) restoreReturned(s Settlement) {
+	for _, g := range b.outstanding {
 		if g.to == s.From && g.ask == s.Ask {
 			b.level += min(s.Back, g.amount)
 		}
 	}
-	b.gifts = slices.DeleteFunc(b.gifts, func(g gift) bool {
+	b.outstanding = slices.DeleteFunc(b.outstanding, func(g outstandingTransfer) bool {
 		return g.to == s.From && g.ask == s.Ask
 	})
 }
 
-// settle ends the gifts that the asker says it can't use any more.
-func (b *bucket) settle(s Settlement) {
-	b.gifts = slices.DeleteFunc(b.gifts, func(g gift) bool {
+// removeSettled ends the gifts that the asker says it can't use any more.
+func (b *bucket) removeSettled(s Settlement) {
+	b.outstanding = slices.DeleteFunc(b.outstanding, func(g outstandingTransfer) bool {
 		return g.to == s.From && g.ask <= s.UpTo
 	})
 }
 
-// gift returns what was given for an ask before.
-func (b *bucket) gift(a Ask) (Amount, bool) {
-	for _, g := range b.gifts {
+// amountGivenFor returns what was given for an ask before.
+func (b *bucket) amountGivenFor(a Ask) (Amount, bool) {
+	for _, g := range b.outstanding {
 		if g.to == a.From && g.ask == a.ID {
 			return g.amount, true
 		}
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -31,25 +31,25 @@
 	shardCount int
 
 	// asks are ordered by id.
-	asks    []*ask
-	lastAsk uint64
-	// due has the settlements to send.
-	due []Settlement
-	// turn counts the calls of Peers.
-	turn int
-	// short has the holders that have too little to give.
-	short map[Bucket]map[string]shortage
+	asks    []*pendingAsk
+	lastAskID uint64
+	// unsentSettlements has the settlements to send.
+	unsentSettlements []Settlement
+	// targetRotation counts the calls of Peers.
+	targetRotation int
+	// shortages has the holders that have too little to give.
+	shortages map[Bucket]map[string]shortage
 }
 
 // shard is what this instance holds of one shard.
 type shard struct {
 	grants  []grant
 	buckets map[Bucket]*bucket
-	// lost is the latest use of a bucket that was forgotten. An unknown
+	// evictedLastUse is the latest use of a bucket that was forgotten. An unknown
 	// bucket may be one of these and counts as empty at that time.
-	lost time.Duration
-	// forgot tells that lost is set.
-	forgot bool
+	evictedLastUse time.Duration
+	// hasEvicted tells that lost is set.
+	hasEvicted bool
 }
 
 // NewHolder returns the tokens of an instance that holds nothing yet. The
@@ -60,7 +60,7 @@
 		settings:   s,
 		shards:     map[string]*shard{},
 		shardCount: shards,
-		short:      map[Bucket]map[string]shortage{},
+		shortages:      map[Bucket]map[string]shortage{},
 	}
 }
 
@@ -89,20 +89,20 @@
 		s = &shard{buckets: map[Bucket]*bucket{}}
 		h.shards[name] = s
 	}
-	next := s.merge(grants, now+h.settings.settleTime())
-	next = append(next, s.lostParts(now, grants, until)...)
-	s.replace(now, next, h.settings.Drift)
+	next := s.mergeGrants(grants, now+h.settings.settleTime())
+	next = append(next, s.revokedGrants(now, grants, until)...)
+	s.setGrants(now, next, h.settings.Drift)
 	if len(next) == 0 {
 		delete(h.shards, name)
 	}
 }
 
-// merge returns the new grants; those known before keep their times and
+// mergeGrants returns the new grants; those known before keep their times and
 // never gain parts.
-func (s *shard) merge(grants []Grant, from time.Duration) []grant {
+func (s *shard) mergeGrants(grants []Grant, from time.Duration) []grant {
 	var next []grant
 	for _, g := range grants {
-		known, ok := s.known(g.Since)
+		known, ok := s.findGrant(g.Since)
 		if !ok {
 			next = append(next, grant{Grant: g, from: from})
 			continue
@@ -113,22 +113,22 @@
 	return next
 }
 
-// known returns the grant of an entry as it was before.
-func (s *shard) known(since uint64) (grant, bool) {
+// findGrant returns the grant of an entry as it was before.
+func (s *shard) findGrant(since uint64) (grant, bool) {
 	for _, g := range s.grants {
-		if g.Since == since && !g.lost {
+		if g.Since == since && !g.revoked {
 			return g, true
 		}
 	}
 	return grant{}, false
 }
 
-// lostParts returns what was lost before and still counts, and what the new
+// revokedGrants returns what was lost before and still counts, and what the new
 // grants lack.
-func (s *shard) lostParts(now time.Duration, grants []Grant, until time.Duration) []grant {
+func (s *shard) revokedGrants(now time.Duration, grants []Grant, until time.Duration) []grant {
 	var lost []grant
 	for _, g := range s.grants {
-		if g.lost {
+		if g.revoked {
 			lost = append(lost, g)
 			continue
 		}
@@ -136,20 +136,20 @@
 		if i >= 0 {
 			g.Parts -= min(g.Parts, grants[i].Parts)
 		}
-		g.lost, g.end = true, until
+		g.revoked, g.end = true, until
 		lost = append(lost, g)
 	}
 	return slices.DeleteFunc(lost, func(g grant) bool { return g.end <= now || g.Parts == 0 })
 }
 
-// replace puts new grants in place.
-func (s *shard) replace(now time.Duration, next []grant, drift float64) {
-	before := active(s.grants, now)
-	after := active(next, now)
+// setGrants puts new grants in place.
+func (s *shard) setGrants(now time.Duration, next []grant, drift float64) {
+	before := activeParts(s.grants, now)
+	after := activeParts(next, now)
 	for _, b := range s.buckets {
 		b.advance(now, s.grants, drift)
-		b.lose(before, after)
-		b.clamp(now, after)
+		b.scaleToParts(before, after)
+		b.clampToCapacity(now, after)
 	}
 	s.grants = next
 }
@@ -157,27 +157,27 @@
 // Take takes n tokens for a request if this instance has them: first those
 // that other holders gave, which run out soon, then its own.
 func (h *Holder) Take(now time.Duration, b Bucket, l config.Limit, n Amount) Decision {
-	h.expire(now)
-	received := h.received(b)
+	h.expireAsks(now)
+	received := h.receivedAmount(b)
 	own, parts := h.bucket(now, b, l)
 	has := received
 	if own != nil {
 		has += own.level
 	}
 	if has < n {
-		return h.refuse(l, parts, n, n-has)
+		return h.refusal(l, parts, n, n-has)
 	}
-	rest := n - h.spend(b, min(n, received))
+	rest := n - h.spendReceived(b, min(n, received))
 	if own != nil {
 		own.level -= rest
-		own.used = now
+		own.lastUsed = now
 	}
 	return Decision{Admitted: true}
 }
 
-// refuse estimates when the missing tokens will be there. A holder whose own
+// refusal estimates when the missing tokens will be there. A holder whose own
 // share can never store as much has to wait for the others as well.
-func (h *Holder) refuse(l config.Limit, parts int, n, missing Amount) Decision {
+func (h *Holder) refusal(l config.Limit, parts int, n, missing Amount) Decision {
 	d := Decision{Missing: missing}
 	switch {
 	case Tokens(l.Burst) < n:
@@ -185,7 +185,7 @@
 	case capacity(l, parts) < n:
 		parts = config.PartsPerShard
 	}
-	d.RetryAfter = fillTime(l, parts, missing, h.settings.Drift)
+	d.RetryAfter = timeToRefill(l, parts, missing, h.settings.Drift)
 	return d
 }
 
@@ -196,13 +196,13 @@
 	if s == nil {
 		return nil, 0
 	}
-	parts := active(s.grants, now)
+	parts := activeParts(s.grants, now)
 	if parts == 0 {
 		return nil, 0
 	}
 	own := s.buckets[b]
 	if own == nil {
-		own = s.create(l)
+		own = s.newBucket(l)
 		s.buckets[b] = own
 	}
 	own.advance(now, s.grants, h.settings.Drift)
@@ -210,51 +210,51 @@
 	return own, parts
 }
 
-// create returns a bucket that was empty when the first grant began to
+// newBucket returns a bucket that was empty when the first grant began to
 // count, or when it may last have been used before it was forgotten.
-func (s *shard) create(l config.Limit) *bucket {
+func (s *shard) newBucket(l config.Limit) *bucket {
 	start := s.grants[0].from
 	for _, g := range s.grants {
 		start = min(start, g.from)
 	}
-	if s.forgot {
-		start = max(start, s.lost)
+	if s.hasEvicted {
+		start = max(start, s.evictedLastUse)
 	}
-	return &bucket{limit: l, at: start, used: start}
+	return &bucket{limit: l, updatedAt: start, lastUsed: start}
 }
 
 // EvictIdle drops the buckets that would be full by now even if their last use
 // had emptied them, to be called about once a minute. It bounds the memory
 // by the buckets in use.
 func (h *Holder) EvictIdle(now time.Duration) {
-	h.expire(now)
+	h.expireAsks(now)
 	for name, s := range h.shards {
-		s.forget(now, h.settings)
-		ended := func(g grant) bool { return g.lost && g.end <= now }
-		s.replace(now, slices.DeleteFunc(slices.Clone(s.grants), ended), h.settings.Drift)
+		s.evictIdle(now, h.settings)
+		ended := func(g grant) bool { return g.revoked && g.end <= now }
+		s.setGrants(now, slices.DeleteFunc(slices.Clone(s.grants), ended), h.settings.Drift)
 		if len(s.grants) == 0 {
 			delete(h.shards, name)
 		}
 	}
-	for b, known := range h.short {
+	for b, known := range h.shortages {
 		maps.DeleteFunc(known, func(_ string, s shortage) bool { return s.until <= now })
 		if len(known) == 0 {
-			delete(h.short, b)
+			delete(h.shortages, b)
 		}
 	}
 }
 
-func (s *shard) forget(now time.Duration, settings Settings) {
-	parts := active(s.grants, now)
+func (s *shard) evictIdle(now time.Duration, settings Settings) {
+	parts := activeParts(s.grants, now)
 	for key, b := range s.buckets {
 		b.advance(now, s.grants, settings.Drift)
-		idle := now - b.used
+		idle := now - b.lastUsed
 		full := refill(b.limit, parts, idle, settings.Drift) >= capacity(b.limit, parts)
-		if idle < settings.IdleTime || !full || len(b.gifts) > 0 {
+		if idle < settings.IdleTime || !full || len(b.outstanding) > 0 {
 			continue
 		}
-		if !s.forgot || b.used > s.lost {
-			s.lost, s.forgot = b.used, true
+		if !s.hasEvicted || b.lastUsed > s.evictedLastUse {
+			s.evictedLastUse, s.hasEvicted = b.lastUsed, true
 		}
 		delete(s.buckets, key)
 	}
@@ -262,7 +262,7 @@
 
 // Available returns the tokens that this instance has for a bucket now.
 func (h *Holder) Available(now time.Duration, b Bucket, l config.Limit) Amount {
-	level := h.received(b)
+	level := h.receivedAmount(b)
 	if own, _ := h.bucket(now, b, l); own != nil {
 		level += own.level
 	}
--- a/quota/search.go
+++ b/quota/search.go
@@ -46,13 +46,13 @@
 	if Tokens(l.Burst) < s.Need {
 		return SearchStep{}
 	}
-	to, ok := h.untried(now, s, row)
-	if !ok && !s.partial && h.estimate(now, s.Bucket, row, l) >= d.Missing {
+	to, ok := h.nextHolder(now, s, row)
+	if !ok && !s.partial && h.estimateAvailable(now, s.Bucket, row, l) >= d.Missing {
 		s.partial, s.tried = true, nil
-		to, ok = h.untried(now, s, row)
+		to, ok = h.nextHolder(now, s, row)
 	}
 	if !ok {
-		h.giveBack(s.Bucket)
+		h.returnUnused(s.Bucket)
 		return SearchStep{RetryAfter: h.retryAfter(now, s.Bucket, d)}
 	}
 	s.tried = append(s.tried, to)
@@ -61,31 +61,31 @@
 	return SearchStep{To: to, Ask: a}
 }
 
-// giveBack returns the tokens that a refused request had put together, unless
+// returnUnused returns the tokens that a refused request had put together, unless
 // another request may be waiting for them. Kept, they would be of no use here
 // after the transfer time, and a flood would lose a part of its rate.
-func (h *Holder) giveBack(b Bucket) {
-	waiting := slices.ContainsFunc(h.asks, func(a *ask) bool { return a.bucket == b && !a.answered })
+func (h *Holder) returnUnused(b Bucket) {
+	waiting := slices.ContainsFunc(h.asks, func(a *pendingAsk) bool { return a.bucket == b && !a.answered })
 	if waiting {
 		return
 	}
-	var unused []*ask
-	h.dropAsks(func(a *ask) bool {
-		drop := a.bucket == b && a.left > 0
+	var unused []*pendingAsk
+	h.removeAsks(func(a *pendingAsk) bool {
+		drop := a.bucket == b && a.unused > 0
 		if drop {
 			unused = append(unused, a)
 		}
 		return drop
 	})
 	for _, a := range unused {
-		h.due = append(h.due, Settlement{
-			To: a.to, From: h.self, Bucket: b, UpTo: h.settled(a.to), Back: a.left, Ask: a.id,
+		h.unsentSettlements = append(h.unsentSettlements, Settlement{
+			To: a.to, From: h.self, Bucket: b, UpTo: h.settledUpTo(a.to), Back: a.unused, Ask: a.id,
 		})
 	}
 }
 
-// untried returns a holder worth asking. In the second round all are.
-func (h *Holder) untried(now time.Duration, s *Search, row config.Shard) (string, bool) {
+// nextHolder returns a holder worth asking. In the second round all are.
+func (h *Holder) nextHolder(now time.Duration, s *Search, row config.Shard) (string, bool) {
 	peers := h.AskTargets(now, row, s.Bucket)
 	if s.partial {
 		peers = AskOrder(row, h.self)
@@ -106,22 +106,22 @@
 	contended bool
 }
 
-// setShort notes that a holder has too little for a time.
-func (h *Holder) setShort(now time.Duration, t Transfer) {
-	known := h.short[t.Bucket]
+// recordShortage notes that a holder has too little for a time.
+func (h *Holder) recordShortage(now time.Duration, t Transfer) {
+	known := h.shortages[t.Bucket]
 	if known == nil {
 		known = map[string]shortage{}
-		h.short[t.Bucket] = known
+		h.shortages[t.Bucket] = known
 	}
 	known[t.From] = shortage{at: now, until: now + t.RetryAfter, has: t.Has, contended: t.Contended}
 }
 
-// estimate returns what the holders that had too little have together now,
+// estimateAvailable returns what the holders that had too little have together now,
 // if nobody else took it.
-func (h *Holder) estimate(now time.Duration, b Bucket, row config.Shard, l config.Limit) Amount {
+func (h *Holder) estimateAvailable(now time.Duration, b Bucket, row config.Shard, l config.Limit) Amount {
 	var sum Amount
 	parts := PartsByInstance(row)
-	for id, s := range h.short[b] {
+	for id, s := range h.shortages[b] {
 		if p := parts[id]; p > 0 && !s.contended {
 			has := s.has + refill(l, p, now-s.at, h.settings.Drift)
 			sum += min(has, capacity(l, p))
@@ -133,7 +133,7 @@
 // retryAfter returns the shortest wait that this instance or a holder named.
 func (h *Holder) retryAfter(now time.Duration, b Bucket, d Decision) time.Duration {
 	wait := d.RetryAfter
-	for _, s := range h.short[b] {
+	for _, s := range h.shortages[b] {
 		if s.until > now {
 			wait = min(wait, s.until-now)
 		}
--- a/quota/shard.go
+++ b/quota/shard.go
@@ -31,7 +31,7 @@
 // known to be in force everywhere (package membership). A row whose parts
 // don't add up grants nothing.
 func Grants(row config.Shard, instance string, inForce func(since uint64) bool) []Grant {
-	if !valid(row) {
+	if !validRow(row) {
 		return nil
 	}
 	var grants []Grant
@@ -94,15 +94,15 @@
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(
 			cmp.Compare(parts[b], parts[a]),
-			cmp.Compare(pairHash(self, a), pairHash(self, b)),
+			cmp.Compare(rendezvousHash(self, a), rendezvousHash(self, b)),
 			cmp.Compare(a, b),
 		)
 	})
 	return order
 }
 
-// valid tells whether a row's parts are positive and add up to at most all.
-func valid(row config.Shard) bool {
+// validRow tells whether a row's parts are positive and add up to at most all.
+func validRow(row config.Shard) bool {
 	total := 0
 	for _, e := range row.Holders {
 		if e.Parts <= 0 || e.Parts > config.PartsPerShard {
@@ -113,8 +113,8 @@
 	return total <= config.PartsPerShard
 }
 
-// pairHash orders the candidates b for a differently for every a
+// rendezvousHash orders the candidates b for a differently for every a
 // (rendezvous hashing).
-func pairHash(a, b string) uint64 {
+func rendezvousHash(a, b string) uint64 {
 	return xxhash.Sum64String(a + "\x00" + b)
 }
--- a/quota/transfer_test.go
+++ b/quota/transfer_test.go
@@ -115,7 +115,7 @@
 		must.True(t, g.Take(time.Minute, sheets, sharp, 0).Admitted)
 		tr := g.HandleAsk(time.Minute, still, r.StartAsk(0, "g", sheets, still, 10*Token))
 		must.Eq(t, 10*Token, r.HandleTransfer(1, still, tr))
-		r.giveBack(sheets)
+		r.returnUnused(sheets)
 		due := r.DrainSettlements()
 		must.Len(t, 1, due)
 		must.Eq(t, 0, has(r, 2, still))
