--- a/quota/ask.go
+++ b/quota/ask.go
@@ -7,21 +7,23 @@
 	"foxtailspoke/config"
 )
 
-// pendingAsk is an Ask that may still bring tokens or has some left.
+// pendingAsk is an Ask that may still be answered, or whose tokens aren't all
+// used yet.
 type pendingAsk struct {
 	id     uint64
 	to     string
 	bucket Bucket
-	// maxAmount is what the ask can bring.
+	// maxAmount is the largest amount accepted in answer to the ask.
 	maxAmount Amount
-	// start is the asker's clock at the start of the ask.
-	start    time.Duration
-	answered bool
-	wantsSettlement    bool
-	unused     Amount
+	// start is the asker's clock when the ask was created.
+	start           time.Duration
+	answered        bool
+	wantsSettlement bool
+	unused          Amount
 }
 
-// StartAsk opens an ask for what lacks. The time counts from now.
+// StartAsk creates and registers an ask for the missing amount. The transfer
+// time is counted from now.
 func (h *Holder) StartAsk(now time.Duration, to string, b Bucket, l config.Limit, want Amount) Ask {
 	h.expireAsks(now)
 	a := Ask{From: h.self, Bucket: b, Want: want}
@@ -38,10 +40,10 @@
 	return a
 }
 
-// Rebalance returns an ask for tokens ahead of need, if this instance's share
-// has become low, to be called after Take and Give. Without it one holder
-// that gets all requests would be empty while others are full and gain
-// nothing: the workspace would lose a part of its rate.
+// Rebalance returns an ask for tokens ahead of need if this instance's share
+// is low. Call it after Take and HandleAsk. Without it, a holder that gets all
+// requests would be empty while the others are full and gain nothing, so the
+// workspace would lose part of its rate.
 func (h *Holder) Rebalance(now time.Duration, row config.Shard, b Bucket, l config.Limit) (string, Ask, bool) {
 	own, parts := h.bucket(now, b, l)
 	if own == nil || now < own.nextRebalance || h.hasOpenAsk(b) {
@@ -60,11 +62,12 @@
 	return peers[0], h.StartAsk(now, peers[0], b, l, 0), true
 }
 
-// rebalanceDivisor of the capacity may be used before a holder asks for more.
+// rebalanceDivisor sets the fraction of the capacity, 1/rebalanceDivisor, that
+// may be used before a holder asks for more.
 const rebalanceDivisor = 8
 
-// settledUpTo returns the highest ask id up to which nothing is open with a
-// holder.
+// settledUpTo returns the highest ask ID up to which no ask to a holder is
+// pending.
 func (h *Holder) settledUpTo(to string) uint64 {
 	settled := h.lastAskID
 	for _, a := range h.asks {
@@ -75,7 +78,7 @@
 	return settled
 }
 
-// freeCapacity returns how much the own bucket can store.
+// freeCapacity returns how much more the local bucket can store.
 func (h *Holder) freeCapacity(now time.Duration, b Bucket, l config.Limit) Amount {
 	own, parts := h.bucket(now, b, l)
 	if own == nil {
@@ -84,20 +87,22 @@
 	return capacity(l, parts) - own.outstandingAmount(now) - own.level
 }
 
-// DrainSettlements returns the settlements to send and forgets them. To be called
-// after Accept and Next; they may also be left unsent.
+// DrainSettlements returns the settlements to send and clears the list. Call
+// it after HandleTransfer and Next. Settlements are optional: if they aren't
+// sent, the giver waits for the transfer to expire.
 func (h *Holder) DrainSettlements() []Settlement {
 	due := h.unsentSettlements
 	h.unsentSettlements = nil
 	return due
 }
 
-// HandleTransfer takes a transfer in and returns how much of it can be used. What
-// fits into the own capacity is stored there; the rest must be used within
-// the transfer time, counted from the start of the ask.
+// HandleTransfer takes in a transfer and returns how much of it can be used.
+// What fits into the local capacity is stored there; the rest must be used
+// within the transfer time, counted from the start of the ask.
 //
-// An answer that comes twice, late, or to an instance that didn't ask (a
-// former incarnation did) is dropped: the giver doesn't count on it any more.
+// A transfer that is a duplicate, late, or meant for an earlier incarnation of
+// this instance is dropped. That is safe, because the giver has already
+// subtracted the tokens.
 func (h *Holder) HandleTransfer(now time.Duration, l config.Limit, t Transfer) Amount {
 	h.expireAsks(now)
 	a := h.findAsk(t.Ask)
@@ -115,7 +120,8 @@
 	return amount
 }
 
-// removeUsedAsks ends the asks whose tokens are used or stored.
+// removeUsedAsks removes the asks whose tokens are all used or stored, and
+// queues a settlement for each giver that wants one.
 func (h *Holder) removeUsedAsks() {
 	var tight []*pendingAsk
 	h.removeAsks(func(a *pendingAsk) bool {
@@ -143,7 +149,8 @@
 	h.asks = slices.DeleteFunc(h.asks, over)
 }
 
-// store puts tokens into the own bucket, as far as they fit.
+// store adds tokens to the local bucket as far as they fit, and returns how
+// much it stored.
 func (h *Holder) store(now time.Duration, b Bucket, l config.Limit, amount Amount) Amount {
 	fits := min(amount, h.freeCapacity(now, b, l))
 	if fits <= 0 {
@@ -154,8 +161,8 @@
 	return fits
 }
 
-// AskFailed ends an ask that got no answer, so that its holder isn't asked again
-// for a transfer time.
+// AskFailed removes an ask that got no answer. Its holder isn't asked again
+// for that bucket for a transfer time.
 func (h *Holder) AskFailed(now time.Duration, id uint64) {
 	a := h.findAsk(id)
 	if a == nil || a.answered {
@@ -165,10 +172,10 @@
 	h.recordShortage(now, Transfer{From: a.to, Bucket: a.bucket, RetryAfter: h.settings.TransferTime})
 }
 
-// AskTargets returns the holders worth asking for a bucket's tokens, in order:
-// those of the row that haven't just said that they have none. It keeps a
-// workspace that floods from flooding the holders with asks. Each call starts
-// with another holder, so that they are used evenly.
+// AskTargets returns the holders to ask for a bucket's tokens, in order: those
+// of the row that haven't recently reported a shortage. It keeps a workspace
+// that exceeds its limit from flooding the holders with asks. Each call starts
+// with the next holder, to spread the load evenly.
 func (h *Holder) AskTargets(now time.Duration, row config.Shard, b Bucket) []string {
 	order := AskOrder(row, h.self)
 	if len(order) == 0 {
@@ -186,12 +193,13 @@
 	return worth
 }
 
-// expireAsks ends the asks whose time has run out.
+// expireAsks removes the asks whose transfer time is over.
 func (h *Holder) expireAsks(now time.Duration) {
 	h.removeAsks(func(a *pendingAsk) bool { return now-a.start >= h.settings.TransferTime })
 }
 
-// receivedAmount returns what other holders gave for a bucket and is left.
+// receivedAmount returns the unused tokens received from other holders for a
+// bucket.
 func (h *Holder) receivedAmount(b Bucket) Amount {
 	var sum Amount
 	for _, a := range h.asks {
@@ -202,7 +210,8 @@
 	return sum
 }
 
-// spendReceived takes up to n of the received tokens and returns how much it took.
+// spendReceived takes up to n of the received tokens and returns how much it
+// took.
 func (h *Holder) spendReceived(b Bucket, n Amount) Amount {
 	taken := Amount(0)
 	for _, a := range h.asks {
--- a/quota/assign.go
+++ b/quota/assign.go
@@ -7,36 +7,38 @@
 	"foxtailspoke/config"
 )
 
-// CandidateState is what the assigning instance knows of another one.
+// CandidateState is the state of a candidate as known to the instance that
+// assigns the row.
 type CandidateState int
 
 const (
 	// Live instances may hold parts.
 	Live CandidateState = iota
-	// Leaving instances hand their parts over.
+	// Leaving instances are shutting down and give up their parts.
 	Leaving
 	// Ended instances are listed by the platform as gone.
 	Ended
 	// Unreachable instances haven't answered for so long that their parts
-	// should move. They may still be running.
+	// should be reassigned. They may still be running.
 	Unreachable
 )
 
-// Candidate is an entry instance that could hold parts.
+// Candidate is an entry instance that may be assigned parts.
 type Candidate struct {
 	ID         string
 	DataCentre string
 	State      CandidateState
 }
 
-// Assign returns the row that a shard should have, and whether it differs.
-// What it takes away is in force only as package membership says; the state
-// of the candidates needn't be true for safety.
+// Assign returns the row that a shard should have, and whether it differs from
+// the current one. A former holder stops using its parts as described in
+// package membership, so safety doesn't depend on the candidates' states being
+// accurate.
 //
 // Live holders keep their entries as far as possible. The parts of others go
-// to new holders, chosen by rendezvous hash over the live candidates, data
-// centres without a holder first. since is the control table's revision that
-// the write expects; it marks the entries that gain parts.
+// to new holders, chosen by rendezvous hashing over the live candidates, with
+// data centres without a holder first. since is the control table's revision
+// that the write expects; it identifies the entries that gain parts.
 func Assign(name string, row config.Shard, candidates []Candidate, holders int, since uint64) (config.Shard, bool) {
 	live := rankLive(name, candidates)
 	holders = min(holders, len(live), config.PartsPerShard)
@@ -52,9 +54,9 @@
 }
 
 // HolderCount returns how many holders a shard should have for the limits of
-// its workspaces: enough for the greatest rate, and no more than leave a
-// holder minShare tokens of most bursts, so that few requests have to put a
-// token together from several shares.
+// its workspaces: enough for the highest rate, but few enough that each holder
+// has at least minBurstPerHolder tokens of the median burst, so that few
+// requests have to combine a token from several shares.
 func HolderCount(limits []config.Limit, maxHolders int) int {
 	if len(limits) == 0 {
 		return 1
@@ -72,15 +74,16 @@
 }
 
 const (
-	// minHolders keeps most of a limit when one holder is gone.
+	// minHolders keeps most of a limit available when one holder fails.
 	minHolders = 3
-	// minBurstPerHolder is the burst in tokens that each holder should have at least.
+	// minBurstPerHolder is the minimum burst, in tokens, that each holder
+	// should have.
 	minBurstPerHolder = 2
-	// ratePerHolder is the rate in tokens per second for one more holder.
+	// ratePerHolder is the rate, in tokens per second, that adds one holder.
 	ratePerHolder = 100
 )
 
-// rankLive orders the live candidates by rendezvous hash for a shard.
+// rankLive returns the live candidates in rendezvous hash order for a shard.
 func rankLive(name string, candidates []Candidate) []Candidate {
 	var live []Candidate
 	for _, c := range candidates {
@@ -97,18 +100,18 @@
 	return live
 }
 
-// assignment is a row while it is being changed.
+// assignment is a row under construction.
 type assignment struct {
 	entries []config.Holder
-	// holderIDs has the holders, those of the row first.
+	// holderIDs has the existing holders first, then the new ones.
 	holderIDs []string
-	// unassigned are the parts that nobody holds.
+	// unassigned is the number of parts without a holder.
 	unassigned int
-	// added are the parts to be added per holder.
+	// added has the number of parts added per holder.
 	added map[string]int
 }
 
-// newAssignment takes the entries of live holders over.
+// newAssignment starts an assignment with the row's entries of live holders.
 func newAssignment(row config.Shard, live []Candidate) *assignment {
 	a := &assignment{unassigned: config.PartsPerShard, added: map[string]int{}}
 	if !validRow(row) {
@@ -138,8 +141,8 @@
 	return sum
 }
 
-// removeExcessHolders takes all parts of the holders that are too many, those with
-// the fewest parts first.
+// removeExcessHolders removes holders until at most the given number is left,
+// those with the fewest parts first.
 func (a *assignment) removeExcessHolders(holders int) {
 	for len(a.holderIDs) > holders {
 		fewest := a.holderIDs[len(a.holderIDs)-1]
@@ -153,8 +156,8 @@
 	}
 }
 
-// addHolders adds holders in the order of rank, and prefers data centres
-// that have none.
+// addHolders adds holders in rank order, preferring data centres that have
+// none.
 func (a *assignment) addHolders(holders int, live []Candidate) {
 	used := map[string]bool{}
 	for _, c := range live {
@@ -176,8 +179,9 @@
 	}
 }
 
-// distribute gives each holder at least its even distribute, from the free parts and
-// then from those who have more, and spreads what is still free.
+// distribute gives each holder at least its even share, first from the
+// unassigned parts and then from the largest holders, and spreads the parts
+// that are still unassigned.
 func (a *assignment) distribute(holders int) {
 	even := config.PartsPerShard / holders
 	for _, id := range a.holderIDs {
@@ -188,7 +192,7 @@
 	}
 }
 
-// raiseTo brings a holder's parts up to a number.
+// raiseTo raises a holder's parts to the given number.
 func (a *assignment) raiseTo(id string, parts int) {
 	for a.parts(id) < parts {
 		if a.unassigned == 0 {
@@ -207,7 +211,8 @@
 	return slices.MaxFunc(a.holderIDs, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
 }
 
-// release frees parts of a holder, gains first, then its newest entries.
+// release unassigns parts of a holder: first those added in this assignment,
+// then those of its newest entries.
 func (a *assignment) release(id string, parts int) {
 	a.unassigned += parts
 	gained := min(a.added[id], parts)
@@ -224,7 +229,7 @@
 	a.entries = slices.DeleteFunc(a.entries, func(e config.Holder) bool { return e.Parts == 0 })
 }
 
-// row returns the entries with the gains as new entries.
+// row returns the resulting row. Added parts become new entries.
 func (a *assignment) row(since uint64) config.Shard {
 	next := config.Shard{Holders: a.entries}
 	for _, id := range a.holderIDs {
--- a/quota/assign_test.go
+++ b/quota/assign_test.go
@@ -20,7 +20,7 @@
 
 // An instance that ends costs its own parts and no others, and a row that
 // needs no change gets none.
-func TestAssignMovesLittle(t *testing.T) {
+func TestAssignMovesOnlyPartsOfGoneHolders(t *testing.T) {
 	list := candidates(9)
 	row, changed := Assign("7", config.Shard{}, list, 3, 5)
 	must.True(t, changed)
@@ -60,7 +60,7 @@
 
 // Whatever happens to the instances, the parts add up, and an entry that
 // stays never has more parts than before: more come as a new entry.
-func TestAssignKeepsTheRules(t *testing.T) {
+func TestAssignKeepsInvariants(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		list := candidates(1 + rng.IntN(12))
@@ -96,7 +96,7 @@
 }
 
 // A row that gives out more than there is grants nothing.
-func TestGrantsOfARow(t *testing.T) {
+func TestGrantsRejectInvalidRow(t *testing.T) {
 	row := config.Shard{Holders: []config.Holder{
 		{Instance: "a", Parts: 20, Since: 1},
 		{Instance: "b", Parts: 20, Since: 1},
@@ -136,9 +136,9 @@
 
 // Fifty-five thousand workspaces call once each and stay away. The holder of
 // them all forgets them, and they find a full bucket when they come back.
-func TestIdleBucketsAreForgotten(t *testing.T) {
+func TestIdleBucketsAreEvicted(t *testing.T) {
 	l := config.Limit{Rate: 5, Burst: 10}
-	h := holding("h", DefaultSettings(), 60)
+	h := newHolderWithParts("h", DefaultSettings(), 60)
 	now := DefaultSettings().IdleTime
 	for i := range 55_000 {
 		b := Bucket{Workspace: instanceID(i), Service: "s"}
--- a/quota/baseline_test.go
+++ b/quota/baseline_test.go
@@ -20,19 +20,19 @@
 	request(now time.Duration, instance int) bool
 	// kill ends an instance; requests don't come there any more.
 	kill(now time.Duration, instance int)
-	// setAway makes the table unreachable, or reachable again.
-	setAway(away bool)
+	// setTableUnreachable makes the table unreachable, or reachable again.
+	setTableUnreachable(away bool)
 	// cost returns the table operations and the messages so far.
 	cost() (operations, messages int)
 }
 
-// level is a token bucket in floating point, for the baselines.
-type level struct {
+// tokenBucket is a token bucket in floating point, for the baselines.
+type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
-func (l *level) take(now time.Duration, rate, burst, n float64) bool {
+func (l *tokenBucket) take(now time.Duration, rate, burst, n float64) bool {
 	l.tokens = min(burst, l.tokens+rate*max(0, now-l.at).Seconds())
 	l.at = max(l.at, now)
 	if l.tokens < n {
@@ -42,8 +42,8 @@
 	return true
 }
 
-// common is what all schemes know of the world.
-type common struct {
+// schemeBase is what all schemes know of the world.
+type schemeBase struct {
 	limit    config.Limit
 	live     []bool
 	away     bool
@@ -51,29 +51,29 @@
 	messages int
 }
 
-func newCommon(l config.Limit, instances int) common {
+func newCommon(l config.Limit, instances int) schemeBase {
 	live := make([]bool, instances)
 	for i := range live {
 		live[i] = true
 	}
-	return common{limit: l, live: live}
+	return schemeBase{limit: l, live: live}
 }
 
-func (c *common) kill(_ time.Duration, i int) { c.live[i] = false }
-func (c *common) setAway(away bool)           { c.away = away }
-func (c *common) cost() (int, int)            { return c.ops, c.messages }
+func (c *schemeBase) kill(_ time.Duration, i int)   { c.live[i] = false }
+func (c *schemeBase) setTableUnreachable(away bool) { c.away = away }
+func (c *schemeBase) cost() (int, int)              { return c.ops, c.messages }
 
 // equalSplit gives each instance on the list the same share. The list shows
 // an end after its lag; then the others' shares grow.
 type equalSplit struct {
-	common
-	buckets  []level
+	schemeBase
+	buckets  []tokenBucket
 	count    int
 	shrinkAt time.Duration
 }
 
 func newEqualSplit(l config.Limit, instances int) scheme {
-	s := &equalSplit{common: newCommon(l, instances), buckets: make([]level, instances), count: instances}
+	s := &equalSplit{schemeBase: newCommon(l, instances), buckets: make([]tokenBucket, instances), count: instances}
 	for i := range s.buckets {
 		s.buckets[i].tokens = l.Burst / float64(instances)
 	}
@@ -81,7 +81,7 @@
 }
 
 func (s *equalSplit) kill(now time.Duration, i int) {
-	s.common.kill(now, i)
+	s.schemeBase.kill(now, i)
 	s.shrinkAt = now + listLag
 }
 
@@ -97,13 +97,13 @@
 // tableCounter keeps the one bucket in the table: a conditional write per
 // request. Writes of the row that overlap conflict, and are tried again.
 type tableCounter struct {
-	common
-	bucket level
+	schemeBase
+	bucket tokenBucket
 	free   time.Duration // when the row's last write has ended
 }
 
 func newTableCounter(l config.Limit, instances int) scheme {
-	return &tableCounter{common: newCommon(l, instances), bucket: level{tokens: l.Burst}}
+	return &tableCounter{schemeBase: newCommon(l, instances), bucket: tokenBucket{tokens: l.Burst}}
 }
 
 func (s *tableCounter) request(now time.Duration, _ int) bool {
@@ -124,18 +124,18 @@
 // tableLease lets an instance take some tokens from the table's bucket for a
 // term; what isn't used by its end is lost.
 type tableLease struct {
-	common
-	bucket level
+	schemeBase
+	bucket tokenBucket
 	held   []float64
 	until  []time.Duration
 }
 
 func newTableLease(l config.Limit, instances int) scheme {
 	return &tableLease{
-		common: newCommon(l, instances),
-		bucket: level{tokens: l.Burst},
-		held:   make([]float64, instances),
-		until:  make([]time.Duration, instances),
+		schemeBase: newCommon(l, instances),
+		bucket:     tokenBucket{tokens: l.Burst},
+		held:       make([]float64, instances),
+		until:      make([]time.Duration, instances),
 	}
 }
 
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -6,20 +6,20 @@
 	"foxtailspoke/config"
 )
 
-// Bucket names what a limit counts: one workspace's use of one service.
+// Bucket identifies what a limit applies to: one workspace's use of one
+// service.
 type Bucket struct {
 	Workspace string
 	Service   string
 }
 
-// grant is a Grant with the times on the own clock between which it counts.
+// grant is a Grant with the period on the local clock in which it is active.
 type grant struct {
 	Grant
 	from time.Duration
-	// end is set for parts that this instance has lost, but may use until
-	// then.
+	// end is when a revoked grant stops being usable.
 	end time.Duration
-	// revoked tells that end is set.
+	// revoked reports whether this instance has lost the parts and end is set.
 	revoked bool
 }
 
@@ -27,7 +27,8 @@
 	return g.from <= at && (!g.revoked || at < g.end)
 }
 
-// outstandingTransfer is a transfer that this instance gave and that may still be used.
+// outstandingTransfer is a transfer that this instance gave and that the asker
+// may still use.
 type outstandingTransfer struct {
 	to     string
 	ask    uint64
@@ -39,20 +40,21 @@
 type bucket struct {
 	limit config.Limit
 	level Amount
-	// updatedAt is the time up to which level was brought forward.
+	// updatedAt is the time up to which level is computed.
 	updatedAt time.Duration
-	// lastUsed is the time of the last Take or Give.
+	// lastUsed is the time of the last Take or HandleAsk.
 	lastUsed time.Duration
-	// nextRebalance is the time until which no tokens are asked for ahead of need.
-	nextRebalance  time.Duration
-	outstanding []outstandingTransfer
-	// latestRetryAt is the latest time named to an asker that got too little, and
-	// putOffs how many askers were put off since there was none.
+	// nextRebalance is the earliest time of the next Rebalance ask.
+	nextRebalance time.Duration
+	outstanding   []outstandingTransfer
+	// latestRetryAt is the latest retry time given to an asker that got too
+	// little. deferrals is the number of askers deferred since the last time
+	// at which no such retry time was pending.
 	latestRetryAt time.Duration
-	deferrals  int
+	deferrals     int
 }
 
-// activeParts returns the parts that count at a time.
+// activeParts returns the total parts of the grants active at a time.
 func activeParts(grants []grant, at time.Duration) int {
 	parts := 0
 	for _, g := range grants {
@@ -63,7 +65,8 @@
 	return parts
 }
 
-// partsActiveAtBoth returns the parts that count at both times.
+// partsActiveAtBoth returns the total parts of the grants active at both
+// times.
 func partsActiveAtBoth(grants []grant, first, second time.Duration) int {
 	parts := 0
 	for _, g := range grants {
@@ -74,9 +77,9 @@
 	return parts
 }
 
-// advance brings the level forward to now. It stops at every time at which
-// a grant begins or ends to count or a gift ends: a bucket that was full until then
-// must not gain afterwards for the time before.
+// advance updates the level to now. It stops at every time at which a grant
+// becomes active or ends or an outstanding transfer expires: a bucket that was
+// full until then must not gain retroactively with the larger capacity.
 func (b *bucket) advance(now time.Duration, grants []grant, drift float64) {
 	for b.updatedAt < now {
 		next := b.nextCapacityChange(now, grants)
@@ -89,7 +92,8 @@
 	}
 }
 
-// nextCapacityChange returns the earliest change of the capacity after b.at, or now.
+// nextCapacityChange returns the earliest change of the capacity after
+// b.updatedAt, or now.
 func (b *bucket) nextCapacityChange(now time.Duration, grants []grant) time.Duration {
 	next := now
 	for _, g := range grants {
@@ -108,25 +112,25 @@
 	return next
 }
 
-// scaleToParts takes the share of lost parts. Kept, their tokens could have come from
-// a refill of parts that another holder refilled as well: an instance that
-// was frozen counts a long time at once.
+// scaleToParts removes the lost parts' share of the level. Otherwise tokens
+// could be counted twice: an instance that was frozen refills for the whole
+// time at once, during which another holder refilled the same parts as well.
 func (b *bucket) scaleToParts(before, after int) {
 	if after < before {
 		b.level = b.level / Amount(before) * Amount(after)
 	}
 }
 
-// clampToCapacity takes what is above the capacity that gifts leave.
+// clampToCapacity limits the level to the capacity not occupied by outstanding
+// transfers.
 func (b *bucket) clampToCapacity(at time.Duration, parts int) {
 	b.level = max(0, min(b.level, capacity(b.limit, parts)-b.outstandingAmount(at)))
 }
 
-// outstandingAmount returns the tokens that were outstandingAmount and may still be used: they keep
-// their place in the capacity.
-//
-// Without it a burst that was handed on would be spent by the asker while
-// the giver fills up again, and the fleet would admit the burst twice.
+// outstandingAmount returns the tokens given away that may still be used. They
+// keep occupying capacity here: otherwise the giver could refill while the
+// asker spends the transferred burst, and the fleet would admit the burst
+// twice.
 func (b *bucket) outstandingAmount(at time.Duration) Amount {
 	var sum Amount
 	for _, g := range b.outstanding {
@@ -147,8 +151,8 @@
 	b.outstanding = kept
 }
 
-// setLimit takes a changed limit over. A higher one adds no tokens at once,
-// a lower one takes what doesn't fit any more.
+// setLimit applies a changed limit. A higher limit adds no tokens at once; a
+// lower one removes what exceeds the new capacity.
 func (b *bucket) setLimit(l config.Limit, at time.Duration, parts int) {
 	if b.limit == l {
 		return
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -10,8 +10,8 @@
 // fault is something that happens to instances i and j for a time.
 type fault func(f *fleet, i, j int, length time.Duration)
 
-// delayed is the second half of a fault.
-type delayed struct {
+// scheduledFault is the second half of a fault.
+type scheduledFault struct {
 	at time.Duration
 	do func()
 }
@@ -34,30 +34,30 @@
 
 func replace(f *fleet, i, _ int, _ time.Duration) { f.nodes[i] = f.start() }
 
-func forget(f *fleet, i, _ int, _ time.Duration) { f.nodes[i].holder.EvictIdle(f.clock(f.nodes[i])) }
+func evictIdle(f *fleet, i, _ int, _ time.Duration) { f.nodes[i].holder.EvictIdle(f.clock(f.nodes[i])) }
 
 func newLimit(f *fleet, _, _ int, _ time.Duration) { f.changeLimit() }
 
 func resize(f *fleet, _, _ int, _ time.Duration) { f.assign(1 + f.rng.IntN(4)) }
 
-// takeOver moves an instance's parts while it still serves, cut off from the
+// reassignWhileCutOff moves an instance's parts while it still serves, cut off from the
 // table, so that it spends them for as long as it may.
-func takeOver(f *fleet, i, _ int, d time.Duration) {
+func reassignWhileCutOff(f *fleet, i, _ int, d time.Duration) {
 	f.nodes[i].tableCut = f.now + d
 	f.assign(3, i)
 }
 
-// awayAndBack moves an instance's parts to another one and back while it is
+// movePartsAndBack moves an instance's parts to another one and back while it is
 // frozen, or only half of them away.
-func awayAndBack(f *fleet, i, j int, d time.Duration) {
+func movePartsAndBack(f *fleet, i, j int, d time.Duration) {
 	f.nodes[i].frozen = f.now + 3*freshTime + d
-	f.hand(i, j, 1+f.rng.IntN(2))
+	f.moveParts(i, j, 1+f.rng.IntN(2))
 	back := f.now + 2*freshTime
-	f.later = append(f.later, delayed{at: back, do: func() { f.hand(j, i, 1) }})
+	f.scheduled = append(f.scheduled, scheduledFault{at: back, do: func() { f.moveParts(j, i, 1) }})
 }
 
-// hand writes a row that gives a part of what one holder has to another.
-func (f *fleet) hand(from, to, divisor int) {
+// moveParts writes a row that gives a part of what one holder has to another.
+func (f *fleet) moveParts(from, to, divisor int) {
 	r := f.newest()
 	r.shard.Holders = slices.Clone(r.shard.Holders)
 	gained := 0
@@ -79,7 +79,7 @@
 }
 
 func (f *fleet) randomProfile() profile {
-	all := []fault{freeze, cutLink, replace, forget, newLimit, resize, takeOver, awayAndBack, takeOver, awayAndBack}
+	all := []fault{freeze, cutLink, replace, evictIdle, newLimit, resize, reassignWhileCutOff, movePartsAndBack, reassignWhileCutOff, movePartsAndBack}
 	f.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	f.size = []int{1, 1, 2, 8}[f.rng.IntN(4)]
 	p := profile{
@@ -110,7 +110,7 @@
 		if f.now < n.frozen {
 			continue
 		}
-		now := f.act(n)
+		now := f.applyGrants(n)
 		limit := f.rows[n.revision].limit
 		for now < n.fresh && n.holder.Take(now, f.bucket, limit, Token/8).Admitted {
 			f.admitted = append(f.admitted, admission{at: f.now, tokens: 0.125})
@@ -157,9 +157,9 @@
 // fault brings a fault with the profile's mean time between them, at most
 // times to an instance that holds parts.
 func (f *fleet) fault(p profile) {
-	if len(f.later) > 0 && f.later[0].at <= f.now {
-		f.later[0].do()
-		f.later = f.later[1:]
+	if len(f.scheduled) > 0 && f.scheduled[0].at <= f.now {
+		f.scheduled[0].do()
+		f.scheduled = f.scheduled[1:]
 	}
 	if f.rng.Int64N(int64(p.gap/meanStep)) != 0 {
 		return
--- a/quota/helpers_test.go
+++ b/quota/helpers_test.go
@@ -9,6 +9,6 @@
 // seeds is the number of histories; raise it for a longer search.
 var seeds = flag.Int("quota.seeds", 24, "number of seeded histories")
 
-func sortChanges(changes []change) {
-	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
+func sortChanges(changes []limitChange) {
+	slices.SortFunc(changes, func(a, b limitChange) int { return cmp.Compare(a.at, b.at) })
 }
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -8,78 +8,79 @@
 	"foxtailspoke/config"
 )
 
-// Decision is what one instance can say about a request's tokens.
+// Decision is the result of Take.
 type Decision struct {
 	Admitted bool
-	// Missing is what lacks here. Other holders may have it.
+	// Missing is the amount that this instance lacks. Other holders may have
+	// it.
 	Missing Amount
-	// RetryAfter is when the tokens will be there if nobody else uses them;
-	// 0 if they never will be.
+	// RetryAfter is the time until the tokens are available if nobody else
+	// uses them, or 0 if they never will be.
 	RetryAfter time.Duration
 }
 
-// Holder has one instance's tokens: its own buckets of the shards that it
-// holds parts of, and what other holders gave it.
+// Holder manages one instance's tokens: its local buckets of the shards that
+// it holds parts of, and the tokens received from other holders.
 //
-// Take and Give must only be called while the instance's configuration is
+// Take and HandleAsk must only be called while the instance's configuration is
 // fresh (package membership), and with the limits of that configuration.
 type Holder struct {
 	self     string
 	settings Settings
 	shards   map[string]*shard
-	// shardCount is given to ShardOf.
+	// shardCount is the number of shards for ShardOf.
 	shardCount int
 
-	// asks are ordered by id.
-	asks    []*pendingAsk
-	lastAskID uint64
-	// unsentSettlements has the settlements to send.
+	// asks are ordered by ID.
+	asks              []*pendingAsk
+	lastAskID         uint64
 	unsentSettlements []Settlement
-	// targetRotation counts the calls of Peers.
+	// targetRotation counts the calls of AskTargets, to vary the first target.
 	targetRotation int
-	// shortages has the holders that have too little to give.
+	// shortages has the holders that reported too few tokens, by bucket and
+	// instance.
 	shortages map[Bucket]map[string]shortage
 }
 
-// shard is what this instance holds of one shard.
+// shard is this instance's share of one shard.
 type shard struct {
 	grants  []grant
 	buckets map[Bucket]*bucket
-	// evictedLastUse is the latest use of a bucket that was forgotten. An unknown
-	// bucket may be one of these and counts as empty at that time.
+	// evictedLastUse is the latest use of an evicted bucket. An unknown bucket
+	// may be one of these, so it counts as empty at that time.
 	evictedLastUse time.Duration
-	// hasEvicted tells that lost is set.
+	// hasEvicted reports whether evictedLastUse is set.
 	hasEvicted bool
 }
 
-// NewHolder returns the tokens of an instance that holds nothing yet. The
-// number of shards must be the same on all instances.
+// NewHolder returns a Holder without grants. The number of shards must be the
+// same on all instances.
 func NewHolder(self string, shards int, s Settings) *Holder {
 	return &Holder{
 		self:       self,
 		settings:   s,
 		shards:     map[string]*shard{},
 		shardCount: shards,
-		shortages:      map[Bucket]map[string]shortage{},
+		shortages:  map[Bucket]map[string]shortage{},
 	}
 }
 
-// SetGrants replaces the entries of a shard's row that this instance may
-// use. To be called whenever the instance learns another row, at once, and
-// when an entry's write has come in force.
+// SetGrants replaces the entries of a shard's row that this instance may use.
+// Call it as soon as the instance learns a new row, and when an entry's write
+// takes effect.
 //
-// A new entry starts empty, and only after the time in which tokens that
-// the former holders gave may still be used. Fewer parts take their share
-// of the tokens along.
+// A new entry starts empty, and only after the time in which tokens given by
+// the former holders may still be used. If parts are removed, their share of
+// the tokens is removed too.
 func (h *Holder) SetGrants(now time.Duration, name string, grants []Grant) {
 	h.SetGrantsWithGrace(now, name, grants, now)
 }
 
-// SetGrantsWithGrace is SetGrants for a new row, where the parts that it takes
-// away may be used for a little longer: until the end of the time for which
-// the instance was fresh by the row before. Nobody else uses them before that,
-// because the new row comes in force later still, and stopping at once would
-// leave these parts unused in between.
+// SetGrantsWithGrace is SetGrants for a new row, with a grace period for the
+// parts that the row takes away: they may be used until the given time, at
+// which the instance stops being fresh by the previous row. Nobody else uses
+// them before that, because the new row takes effect later still. Without the
+// grace period these parts would be unused in between.
 func (h *Holder) SetGrantsWithGrace(now time.Duration, name string, grants []Grant, until time.Duration) {
 	s := h.shards[name]
 	if s == nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// mergeGrants returns the new grants; those known before keep their times and
+// mergeGrants returns the new grants. Those known before keep their times and
 // never gain parts.
 func (s *shard) mergeGrants(grants []Grant, from time.Duration) []grant {
 	var next []grant
@@ -113,7 +114,7 @@
 	return next
 }
 
-// findGrant returns the grant of an entry as it was before.
+// findGrant returns the existing unrevoked grant of an entry.
 func (s *shard) findGrant(since uint64) (grant, bool) {
 	for _, g := range s.grants {
 		if g.Since == since && !g.revoked {
@@ -123,8 +124,8 @@
 	return grant{}, false
 }
 
-// revokedGrants returns what was lost before and still counts, and what the new
-// grants lack.
+// revokedGrants returns the revoked grants that are still active, and the
+// parts that the new grants lack.
 func (s *shard) revokedGrants(now time.Duration, grants []Grant, until time.Duration) []grant {
 	var lost []grant
 	for _, g := range s.grants {
@@ -142,7 +143,8 @@
 	return slices.DeleteFunc(lost, func(g grant) bool { return g.end <= now || g.Parts == 0 })
 }
 
-// setGrants puts new grants in place.
+// setGrants replaces the grants and adjusts the buckets to the change of
+// capacity.
 func (s *shard) setGrants(now time.Duration, next []grant, drift float64) {
 	before := activeParts(s.grants, now)
 	after := activeParts(next, now)
@@ -155,7 +157,7 @@
 }
 
 // Take takes n tokens for a request if this instance has them: first those
-// that other holders gave, which run out soon, then its own.
+// received from other holders, which expire soon, then its own.
 func (h *Holder) Take(now time.Duration, b Bucket, l config.Limit, n Amount) Decision {
 	h.expireAsks(now)
 	received := h.receivedAmount(b)
@@ -175,8 +177,9 @@
 	return Decision{Admitted: true}
 }
 
-// refusal estimates when the missing tokens will be there. A holder whose own
-// share can never store as much has to wait for the others as well.
+// refusal returns a negative Decision with an estimate of when the missing
+// tokens will be available. If the local share can never store that many, the
+// estimate uses the refill of all parts.
 func (h *Holder) refusal(l config.Limit, parts int, n, missing Amount) Decision {
 	d := Decision{Missing: missing}
 	switch {
@@ -189,8 +192,8 @@
 	return d
 }
 
-// bucket returns the own share of a bucket at a time with the parts that
-// count, or nil if there is none.
+// bucket returns the local share of a bucket, updated to now, and its active
+// parts. It returns nil if there are none.
 func (h *Holder) bucket(now time.Duration, b Bucket, l config.Limit) (*bucket, int) {
 	s := h.shards[ShardOf(b.Workspace, h.shardCount)]
 	if s == nil {
@@ -210,8 +213,8 @@
 	return own, parts
 }
 
-// newBucket returns a bucket that was empty when the first grant began to
-// count, or when it may last have been used before it was forgotten.
+// newBucket returns a bucket that was empty when the first grant became
+// active, or at the last use of any evicted bucket if that is later.
 func (s *shard) newBucket(l config.Limit) *bucket {
 	start := s.grants[0].from
 	for _, g := range s.grants {
@@ -223,9 +226,9 @@
 	return &bucket{limit: l, updatedAt: start, lastUsed: start}
 }
 
-// EvictIdle drops the buckets that would be full by now even if their last use
-// had emptied them, to be called about once a minute. It bounds the memory
-// by the buckets in use.
+// EvictIdle removes the buckets that would be full by now even if their last
+// use had emptied them. Call it about once a minute. It bounds the memory by
+// the number of buckets in use.
 func (h *Holder) EvictIdle(now time.Duration) {
 	h.expireAsks(now)
 	for name, s := range h.shards {
@@ -269,7 +272,7 @@
 	return level
 }
 
-// BucketCount returns how many buckets are kept, for metrics.
+// BucketCount returns the number of buckets in memory, for metrics.
 func (h *Holder) BucketCount() int {
 	n := 0
 	for _, s := range h.shards {
--- a/quota/history_test.go
+++ b/quota/limit_test.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/config"
 )
 
-// change is a limit that a reference bucket has from a time on.
-type change struct {
+// limitChange is a limit that a reference bucket has from a time on.
+type limitChange struct {
 	at    time.Duration
 	limit config.Limit
 }
@@ -20,7 +20,7 @@
 // stream that fits admits at most burst + rate·w over every window w.
 //
 // A raised burst adds the difference, a lowered one takes what is above.
-func excess(admitted []admission, limits []change) float64 {
+func excess(admitted []admission, limits []limitChange) float64 {
 	level, worst := limits[0].limit.Burst, 0.0
 	at, l := time.Duration(0), limits[0].limit
 	forward := func(to time.Duration) {
@@ -44,10 +44,10 @@
 
 // limitsInForce returns the limits by which instances may count: the larger
 // of the old and the new one until nobody can use a token of the old one.
-func (f *fleet) limitsInForce() []change {
+func (f *fleet) limitsInForce() []limitChange {
 	slow := 1 + f.settings.Drift
 	end := time.Duration(float64(freshTime+f.settings.TransferTime) * slow)
-	var changes []change
+	var changes []limitChange
 	at := func(t time.Duration) config.Limit {
 		var l config.Limit
 		for i, r := range f.rows {
@@ -58,7 +58,7 @@
 		return l
 	}
 	for _, r := range f.rows {
-		changes = append(changes, change{at: r.written}, change{at: r.written + end})
+		changes = append(changes, limitChange{at: r.written}, limitChange{at: r.written + end})
 	}
 	sortChanges(changes)
 	for i := range changes {
@@ -68,12 +68,12 @@
 }
 
 // largest is a constant limit that no limit of the history exceeds.
-func largest(changes []change) []change {
+func largest(changes []limitChange) []limitChange {
 	var l config.Limit
 	for _, c := range changes {
 		l.Rate, l.Burst = max(l.Rate, c.limit.Rate), max(l.Burst, c.limit.Burst)
 	}
-	return []change{{limit: l}}
+	return []limitChange{{limit: l}}
 }
 
 // testSettings have clocks bad enough for an error of the drift to show.
@@ -87,7 +87,7 @@
 // transfers are lost, late and repeated; parts move and the plan goes up and
 // down meanwhile. The callers together never get more than the plan allows,
 // over any window, counted as one bucket would.
-func TestHistoriesKeepTheLimit(t *testing.T) {
+func TestRandomFaultsKeepTheLimit(t *testing.T) {
 	const tolerance = 1e-6
 	limits := []config.Limit{
 		{Rate: 400, Burst: 60},
--- a/quota/message.go
+++ b/quota/message.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Ask is the message by which an instance asks a holder for tokens. It is
-// sent once; sending it again may lose tokens but never doubles them.
+// Ask is the message by which an instance asks a holder for tokens. It is sent
+// once; a retransmission may lose tokens but never duplicates them.
 type Ask struct {
 	// ID is unique among the asks of one instance.
 	ID     uint64
 	From   string
 	Bucket Bucket
-	// Want is what lacks for waiting requests; 0 if the ask is only meant to
-	// even out the holders' levels.
+	// Want is the amount that waiting requests lack; 0 if the ask is only
+	// meant to balance the holders' levels.
 	Want Amount
-	// Room is what the asker can store in its own share, whose Level and
-	// Parts let the giver even out the two.
+	// Room is what the asker can store in its own share. The giver uses Level
+	// and Parts of that share to balance the two.
 	Room  Amount
 	Level Amount
 	Parts int
-	// Partial means that less than Want is of use, too.
+	// Partial means that less than Want is useful, too.
 	Partial bool
-	// Settled tells that nothing given for this and lower ids by the same
-	// holder can be used any more, because it was spent, stored in the
+	// Settled is the highest ask ID up to which tokens given by the same
+	// holder can no longer be used, because they were spent, stored in the
 	// asker's own capacity, or refused.
 	Settled uint64
 }
@@ -33,26 +33,28 @@
 	Bucket Bucket
 	// Amount is 0 if the giver has too little.
 	Amount Amount
-	// Tight means that the giver can hardly gain while the tokens keep their
-	// place, and wants a Settlement when they are used.
+	// Tight means that outstanding transfers occupy so much of the giver's
+	// capacity that it can hardly refill, so it wants a Settlement once the
+	// tokens are used.
 	Tight bool
-	// Has is what the giver has left, if it gave less than was wanted.
+	// Has is the giver's remaining amount, if it gave less than was wanted.
 	Has Amount
-	// Contended means that many instances ask for what is left.
+	// Contended means that many instances ask for the remaining amount.
 	Contended bool
-	// RetryAfter is when the giver will have as much again, if it gave less.
+	// RetryAfter is the time until the giver has the wanted amount again, if
+	// it gave less.
 	RetryAfter time.Duration
 }
 
-// Settlement tells a giver that all it gave for asks up to an id is used or
-// stored. It is sent once; if it is lost the giver only waits longer, and what
-// should have come back is lost.
+// Settlement tells a giver that everything it gave for asks up to an ID is
+// used or stored. It is sent once. If it is lost, the giver only waits longer,
+// and the tokens it would have returned are lost.
 type Settlement struct {
 	To     string
 	From   string
 	Bucket Bucket
 	UpTo   uint64
-	// Back is what the asker gives back of the ask with the id Ask.
+	// Back is the amount returned of the ask with the ID Ask.
 	Back Amount
 	Ask  uint64
 }
--- a/quota/parts_test.go
+++ b/quota/parts_scheme_test.go
@@ -8,9 +8,9 @@
 	"foxtailspoke/config"
 )
 
-// parts is the scheme of this package.
-type parts struct {
-	common
+// partsScheme is the scheme of this package.
+type partsScheme struct {
+	schemeBase
 	holders int
 	// asked is the row with the holders before, until the new one is granted.
 	asked   config.Shard
@@ -23,17 +23,19 @@
 }
 
 func newParts(l config.Limit, instances int) scheme {
-	return newPartsOf(l, instances, HolderCount([]config.Limit{l}, 8))
+	return newPartsWithHolders(l, instances, HolderCount([]config.Limit{l}, 8))
 }
 
 // newThreeHolders has a row made for larger bursts.
-func newThreeHolders(l config.Limit, instances int) scheme { return newPartsOf(l, instances, 3) }
+func newThreeHolders(l config.Limit, instances int) scheme {
+	return newPartsWithHolders(l, instances, 3)
+}
 
-func newPartsOf(l config.Limit, instances, holders int) scheme {
-	s := &parts{
-		common:  newCommon(l, instances),
-		holders: holders,
-		bucket:  Bucket{Workspace: "w", Service: "s"},
+func newPartsWithHolders(l config.Limit, instances, holders int) scheme {
+	s := &partsScheme{
+		schemeBase: newCommon(l, instances),
+		holders:    holders,
+		bucket:     Bucket{Workspace: "w", Service: "s"},
 	}
 	for i := range instances {
 		s.nodes = append(s.nodes, NewHolder(instanceID(i), 1, DefaultSettings()))
@@ -45,7 +47,7 @@
 
 func instanceID(i int) string { return fmt.Sprintf("i%d", i) }
 
-func (s *parts) assign() {
+func (s *partsScheme) assign() {
 	var candidates []Candidate
 	for i, live := range s.live {
 		c := Candidate{ID: instanceID(i), DataCentre: fmt.Sprint(i % 3)}
@@ -60,7 +62,7 @@
 }
 
 // grant lets the holders know the row, which is in force.
-func (s *parts) grant(now time.Duration) {
+func (s *partsScheme) grant(now time.Duration) {
 	for i, n := range s.nodes {
 		n.SetGrants(now, "0", Grants(s.row, instanceID(i), func(uint64) bool { return true }))
 	}
@@ -68,14 +70,14 @@
 
 // kill has the parts moved: two seconds until the holder counts as
 // unreachable, three and a little until the write is in force.
-func (s *parts) kill(now time.Duration, i int) {
-	s.common.kill(now, i)
+func (s *partsScheme) kill(now time.Duration, i int) {
+	s.schemeBase.kill(now, i)
 	s.moveAt = now + 2*time.Second
 }
 
 // leave is a planned stop of a holder. It hears of the new row after half a
 // second; with drain it goes on while it is fresh by the row before.
-func (s *parts) leave(now time.Duration, i int, drain bool) {
+func (s *partsScheme) leave(now time.Duration, i int, drain bool) {
 	const heard, fresh = 500 * time.Millisecond, 3 * time.Second
 	before := s.row
 	s.live[i] = false
@@ -90,14 +92,14 @@
 	s.startAt = now + fresh
 }
 
-func (s *parts) askRow() config.Shard {
+func (s *partsScheme) askRow() config.Shard {
 	if len(s.asked.Holders) > 0 && s.startAt != 0 {
 		return s.asked
 	}
 	return s.row
 }
 
-func (s *parts) move(now time.Duration) {
+func (s *partsScheme) move(now time.Duration) {
 	if s.moveAt != 0 && now >= s.moveAt && !s.away {
 		s.assign()
 		s.startAt = max(now, s.moveAt) + 3*time.Second
@@ -109,7 +111,7 @@
 	}
 }
 
-func (s *parts) request(now time.Duration, i int) bool {
+func (s *partsScheme) request(now time.Duration, i int) bool {
 	s.move(now)
 	n := s.nodes[i]
 	search := NewSearch(s.bucket, Token)
@@ -129,7 +131,7 @@
 }
 
 // exchange is one ask with its answer. It returns the time after it.
-func (s *parts) exchange(now time.Duration, i int, id string, a Ask) time.Duration {
+func (s *partsScheme) exchange(now time.Duration, i int, id string, a Ask) time.Duration {
 	s.messages++
 	j := s.index(id)
 	if !s.live[j] {
@@ -144,18 +146,18 @@
 	return now + peerTime
 }
 
-func (s *parts) index(id string) int {
+func (s *partsScheme) index(id string) int {
 	return slices.IndexFunc(s.nodes, func(n *Holder) bool { return n.self == id })
 }
 
-func (s *parts) balance(now time.Duration, i int) {
+func (s *partsScheme) balance(now time.Duration, i int) {
 	if id, a, ok := s.nodes[i].Rebalance(now, s.askRow(), s.bucket, s.limit); ok {
 		s.exchange(now, i, id, a)
 	}
 }
 
 // holder returns an instance that holds parts, or one that doesn't.
-func (s *parts) holder(holds bool) int {
+func (s *partsScheme) holder(holds bool) int {
 	for i := range s.nodes {
 		if s.live[i] && (PartsByInstance(s.row)[instanceID(i)] > 0) == holds {
 			return i
--- a/quota/refusal_test.go
+++ b/quota/refusal_test.go
@@ -15,7 +15,7 @@
 // arrivals returns the times of requests that are all inside the limit: a
 // steady stream at six tenths of the rate, and now and then a whole burst.
 func arrivals(rng *rand.Rand, l config.Limit, length time.Duration) []time.Duration {
-	inside := level{tokens: l.Burst}
+	inside := tokenBucket{tokens: l.Burst}
 	var times []time.Duration
 	nextBurst := 5 * time.Second
 	for now := time.Duration(0); now < length; {
@@ -51,15 +51,15 @@
 
 func anywhere(rng *rand.Rand, n int, _ scheme) int { return rng.IntN(n) }
 
-func oneHolder(_ *rand.Rand, _ int, s scheme) int {
-	if p, ok := s.(*parts); ok {
+func singleHolder(_ *rand.Rand, _ int, s scheme) int {
+	if p, ok := s.(*partsScheme); ok {
 		return p.holder(true)
 	}
 	return 1
 }
 
-func oneOther(_ *rand.Rand, _ int, s scheme) int {
-	if p, ok := s.(*parts); ok {
+func singleNonHolder(_ *rand.Rand, _ int, s scheme) int {
+	if p, ok := s.(*partsScheme); ok {
 		return p.holder(false)
 	}
 	return 1
@@ -72,7 +72,7 @@
 	messages         float64
 }
 
-func (sc scenario) play(build func(config.Limit, int) scheme, seed uint64) outcome {
+func (sc scenario) run(build func(config.Limit, int) scheme, seed uint64) outcome {
 	const instances = 36
 	const length = 60 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -81,14 +81,14 @@
 	o := outcome{}
 	for _, now := range arrivals(rng, sc.limit, length) {
 		if sc.killed && gone < 0 && now >= 15*time.Second {
-			gone = oneHolder(rng, instances, s)
+			gone = singleHolder(rng, instances, s)
 			s.kill(now, gone)
 		}
-		if p, ok := s.(*parts); ok && sc.leaves && gone < 0 && now >= 15*time.Second {
+		if p, ok := s.(*partsScheme); ok && sc.leaves && gone < 0 && now >= 15*time.Second {
 			gone = p.holder(true)
 			p.leave(now, gone, sc.drains)
 		}
-		s.setAway(sc.away && now >= 10*time.Second && now < 50*time.Second)
+		s.setTableUnreachable(sc.away && now >= 10*time.Second && now < 50*time.Second)
 		i := sc.pick(rng, instances, s)
 		if i == gone {
 			i = (i + 1) % instances
@@ -106,16 +106,16 @@
 
 // Callers stay inside their workspace's limit, so every refusal is wrongful.
 // The table compares ways to count over 36 instances; run with -v to see it.
-func TestWrongfulRefusals(t *testing.T) {
+func TestRefusalsWithinTheLimit(t *testing.T) {
 	plan := config.Limit{Rate: 50, Burst: 100}
 	small := config.Limit{Rate: 2, Burst: 5}
 	tiny := config.Limit{Rate: 0.5, Burst: 1}
 	scenarios := []scenario{
 		{name: "even", limit: plan, pick: anywhere},
-		{name: "all at one holder", limit: plan, pick: oneHolder},
-		{name: "all at one other", limit: plan, pick: oneOther},
+		{name: "all at one holder", limit: plan, pick: singleHolder},
+		{name: "all at one other", limit: plan, pick: singleNonHolder},
 		{name: "burst of 5, even", limit: small, pick: anywhere},
-		{name: "burst of 5, at one", limit: small, pick: oneOther},
+		{name: "burst of 5, at one", limit: small, pick: singleNonHolder},
 		{name: "burst of 1, even", limit: tiny, pick: anywhere},
 		{name: "holder killed", limit: plan, pick: anywhere, killed: true},
 		{name: "small, holder killed", limit: small, pick: anywhere, killed: true},
@@ -142,7 +142,7 @@
 			sum := outcome{}
 			const runs = 10
 			for seed := range uint64(runs) {
-				o := sc.play(scheme.build, seed)
+				o := sc.run(scheme.build, seed)
 				sum.offered += o.offered
 				sum.refused += o.refused
 				sum.operations += o.operations / runs
@@ -165,9 +165,9 @@
 func TestFloodCostsFewMessages(t *testing.T) {
 	l := config.Limit{Rate: 50, Burst: 100}
 	rng := rand.New(rand.NewPCG(1, 5))
-	for _, pick := range []func(*rand.Rand, int, scheme) int{anywhere, oneHolder, oneOther} {
+	for _, pick := range []func(*rand.Rand, int, scheme) int{anywhere, singleHolder, singleNonHolder} {
 		s := newParts(l, 36)
-		one := level{tokens: l.Burst}
+		one := tokenBucket{tokens: l.Burst}
 		offered, admitted, due := 0, 0, 0
 		for now := time.Duration(0); now < 30*time.Second; offered++ {
 			now += time.Duration(rng.ExpFloat64() / (5 * l.Rate) * float64(time.Second))
@@ -188,11 +188,11 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	h := holding("h", DefaultSettings(), 20)
+	h := newHolderWithParts("h", DefaultSettings(), 20)
 	l := config.Limit{Rate: 1e6, Burst: 1e6}
 	now := time.Minute
 	for b.Loop() {
 		now += time.Microsecond
-		h.Take(now, sheets, l, Token)
+		h.Take(now, testBucket, l, Token)
 	}
 }
--- a/quota/search.go
+++ b/quota/search.go
@@ -7,37 +7,39 @@
 	"foxtailspoke/config"
 )
 
-// Search is one request's way to its tokens: from the instance's own share,
-// else from the holders, each asked once for all that lacks. If none of them
-// has that much, but all together do, they are asked for what they have.
+// Search collects the tokens for one request: from the instance's own share,
+// else from the holders, each asked once for the whole missing amount. If no
+// holder has that much but all together do, a second round asks them for
+// whatever they have.
 type Search struct {
 	Bucket Bucket
 	Need   Amount
 	tried  []string
-	// partial is the second round.
+	// partial is set in the second round.
 	partial bool
 }
 
-// NewSearch returns the search of a request that needs n tokens.
+// NewSearch returns the search for a request that needs n tokens.
 func NewSearch(b Bucket, n Amount) *Search {
 	return &Search{Bucket: b, Need: n}
 }
 
-// SearchStep is what comes next in a search.
+// SearchStep is the next step of a search.
 type SearchStep struct {
 	// Admitted means that the request has its tokens.
 	Admitted bool
-	// To is the holder to send Ask to. Its answer goes to Accept, no answer
-	// to Lost, and then Next is called again.
+	// To is the holder to send Ask to. Pass its answer to HandleTransfer, or
+	// call AskFailed if there is none; then call Next again.
 	To  string
 	Ask Ask
-	// RetryAfter is set if the request is refused: neither admitted nor to
-	// ask anyone. 0 means that it can never have so many tokens.
+	// RetryAfter is set if the request is refused: neither admitted nor any
+	// holder left to ask. 0 means that the request can never get so many
+	// tokens.
 	RetryAfter time.Duration
 }
 
-// Next decides how a search goes on. The row and the limit are those of the
-// instance's present configuration, which must be fresh.
+// Next returns the next step of a search. The row and the limit are those of
+// the instance's current configuration, which must be fresh.
 func (h *Holder) Next(now time.Duration, s *Search, row config.Shard, l config.Limit) SearchStep {
 	d := h.Take(now, s.Bucket, l, s.Need)
 	if d.Admitted {
@@ -61,9 +63,10 @@
 	return SearchStep{To: to, Ask: a}
 }
 
-// returnUnused returns the tokens that a refused request had put together, unless
-// another request may be waiting for them. Kept, they would be of no use here
-// after the transfer time, and a flood would lose a part of its rate.
+// returnUnused returns the tokens collected for a refused request to their
+// givers, unless another request may be waiting for them. If they were kept,
+// they would expire here after the transfer time, and a workspace that exceeds
+// its limit would lose part of its rate.
 func (h *Holder) returnUnused(b Bucket) {
 	waiting := slices.ContainsFunc(h.asks, func(a *pendingAsk) bool { return a.bucket == b && !a.answered })
 	if waiting {
@@ -84,7 +87,8 @@
 	}
 }
 
-// nextHolder returns a holder worth asking. In the second round all are.
+// nextHolder returns the next holder to ask. The first round skips holders
+// that reported a shortage; the second asks all of them.
 func (h *Holder) nextHolder(now time.Duration, s *Search, row config.Shard) (string, bool) {
 	peers := h.AskTargets(now, row, s.Bucket)
 	if s.partial {
@@ -98,15 +102,16 @@
 	return "", false
 }
 
-// shortage is what a holder said when it had too little.
+// shortage is a holder's report that it had too little.
 type shortage struct {
-	// at is the time of the answer, until the end of the wait it named.
+	// at is the time of the answer, until the end of the retry delay it gave.
 	at, until time.Duration
 	has       Amount
 	contended bool
 }
 
-// recordShortage notes that a holder has too little for a time.
+// recordShortage records that a holder has too little until the transfer's
+// retry delay is over.
 func (h *Holder) recordShortage(now time.Duration, t Transfer) {
 	known := h.shortages[t.Bucket]
 	if known == nil {
@@ -116,8 +121,9 @@
 	known[t.From] = shortage{at: now, until: now + t.RetryAfter, has: t.Has, contended: t.Contended}
 }
 
-// estimateAvailable returns what the holders that had too little have together now,
-// if nobody else took it.
+// estimateAvailable returns the estimated total of the holders that reported a
+// shortage, assuming that nobody else has taken tokens since. Contended
+// holders are left out.
 func (h *Holder) estimateAvailable(now time.Duration, b Bucket, row config.Shard, l config.Limit) Amount {
 	var sum Amount
 	parts := PartsByInstance(row)
@@ -130,7 +136,8 @@
 	return sum
 }
 
-// retryAfter returns the shortest wait that this instance or a holder named.
+// retryAfter returns the shortest retry delay known from this instance's own
+// estimate or the holders' answers.
 func (h *Holder) retryAfter(now time.Duration, b Bucket, d Decision) time.Duration {
 	wait := d.RetryAfter
 	for _, s := range h.shortages[b] {
--- a/quota/shard.go
+++ b/quota/shard.go
@@ -10,26 +10,25 @@
 	"foxtailspoke/config"
 )
 
-// ShardOf returns the name of the shard that a workspace belongs to, out of
-// a number of shards that is the same on every instance.
+// ShardOf returns the name of the shard that a workspace belongs to. The
+// number of shards must be the same on every instance.
 func ShardOf(workspace string, shards int) string {
 	return strconv.FormatUint(xxhash.Sum64String(workspace)%uint64(max(shards, 1)), 10)
 }
 
-// Grant is an entry of a shard's row that names this instance, once its
-// write is in force. An entry is identified by its Since. Its parts only ever
-// go down: more parts come as another entry with another Since. So whoever
-// finds an entry that it knew before, after any number of rows that it
-// missed, has held at least these parts all the time.
+// Grant is an entry of a shard's row that names this instance and whose write
+// is in force. An entry is identified by its Since. The parts of an entry only
+// ever decrease: additional parts come as another entry with another Since. So
+// an instance that finds an entry it already knew has held at least these
+// parts all along, even if it missed rows in between.
 type Grant struct {
 	Since uint64
 	Parts int
 }
 
-// Grants returns the entries of a row that name the instance and are in
-// force. inForce tells whether the write made at table revision since is
-// known to be in force everywhere (package membership). A row whose parts
-// don't add up grants nothing.
+// Grants returns the entries of a row that name the instance and are in force.
+// inForce reports whether the write made at table revision since is known to
+// be in force everywhere (package membership). An invalid row grants nothing.
 func Grants(row config.Shard, instance string, inForce func(since uint64) bool) []Grant {
 	if !validRow(row) {
 		return nil
@@ -43,8 +42,8 @@
 	return grants
 }
 
-// EntryRevisions returns the Since of the instance's entries in a row, whether in
-// force or not, ascending.
+// EntryRevisions returns the Since of the instance's entries in a row in
+// ascending order, whether they are in force or not.
 func EntryRevisions(row config.Shard, instance string) []uint64 {
 	var since []uint64
 	for _, e := range row.Holders {
@@ -56,7 +55,7 @@
 	return since
 }
 
-// PartsByInstance returns the parts per instance of a row.
+// PartsByInstance returns the total parts of each instance in a row.
 func PartsByInstance(row config.Shard) map[string]int {
 	parts := make(map[string]int, len(row.Holders))
 	for _, e := range row.Holders {
@@ -65,9 +64,10 @@
 	return parts
 }
 
-// WithPreviousHolders returns a row for AskOrder, Peers, Next and Balance that names the
-// holders of the row before as well. To be used while these may still use
-// their parts (SetGrantsUntil), else nobody would ask them for these tokens.
+// WithPreviousHolders returns a row for AskOrder, AskTargets, Next and
+// Rebalance that also names the holders of the previous row. Use it while
+// these may still use their parts (SetGrantsWithGrace); otherwise nobody would
+// ask them for their tokens.
 func WithPreviousHolders(row, before config.Shard) config.Shard {
 	now := PartsByInstance(row)
 	both := config.Shard{Holders: slices.Clone(row.Holders)}
@@ -79,9 +79,9 @@
 	return both
 }
 
-// AskOrder returns the holders of a row other than the asker, in the order
-// in which to ask them for tokens: most parts first. Askers with the same
-// choice spread over the holders by their ids.
+// AskOrder returns the holders of a row other than the asker, in the order in
+// which to ask them for tokens: most parts first. Ties are broken by a hash of
+// both IDs, so that askers spread over the holders.
 func AskOrder(row config.Shard, self string) []string {
 	parts := PartsByInstance(row)
 	delete(parts, self)
@@ -101,7 +101,8 @@
 	return order
 }
 
-// validRow tells whether a row's parts are positive and add up to at most all.
+// validRow reports whether a row's parts are positive and add up to at most
+// PartsPerShard.
 func validRow(row config.Shard) bool {
 	total := 0
 	for _, e := range row.Holders {
@@ -113,8 +114,8 @@
 	return total <= config.PartsPerShard
 }
 
-// rendezvousHash orders the candidates b for a differently for every a
-// (rendezvous hashing).
+// rendezvousHash returns the rendezvous hash of b for a: each a ranks the
+// candidates differently.
 func rendezvousHash(a, b string) uint64 {
 	return xxhash.Sum64String(a + "\x00" + b)
 }
--- a/quota/fleet_test.go
+++ b/quota/simulator_test.go
@@ -27,15 +27,15 @@
 	settings Settings
 	bucket   Bucket
 	// size is how many tokens one request takes.
-	size    int
-	now     time.Duration // true time
-	rows    []row         // by revision, from 1
-	nodes   []*testNode
-	started int
-	mail    []mail
-	cut     map[[2]int]time.Duration
-	// later are faults that wait for their turn.
-	later []delayed
+	size     int
+	now      time.Duration // true time
+	rows     []row         // by revision, from 1
+	nodes    []*testNode
+	started  int
+	inFlight []message
+	cut      map[[2]int]time.Duration
+	// scheduled are faults that wait for their turn.
+	scheduled []scheduledFault
 	// admitted is ordered by time.
 	admitted []admission
 	// offered has the true times of requests, ascending.
@@ -50,7 +50,7 @@
 	tokens float64
 }
 
-type mail struct {
+type message struct {
 	at      time.Duration
 	from    int
 	to      int
@@ -144,8 +144,8 @@
 	return f.now >= f.rows[since+1].written+slowest
 }
 
-// act lets an instance bring its state up to its copy of the table.
-func (f *fleet) act(n *testNode) time.Duration {
+// applyGrants lets an instance bring its state up to its copy of the table.
+func (f *fleet) applyGrants(n *testNode) time.Duration {
 	now := f.clock(n)
 	if now < n.fresh {
 		grants := Grants(f.rows[n.revision].shard, n.id, f.inForce)
@@ -171,7 +171,7 @@
 		n.holder.SetGrantsWithGrace(f.clock(n), "0", Grants(f.rows[read].shard, n.id, f.inForce), before)
 	}
 	n.fresh = f.clock(n) - time.Duration(float64(took)*n.rate) + freshTime
-	f.act(n)
+	f.applyGrants(n)
 }
 
 // request is one caller's request at an instance.
@@ -181,7 +181,7 @@
 	if f.now < n.frozen {
 		return
 	}
-	now := f.act(n)
+	now := f.applyGrants(n)
 	if now >= n.fresh {
 		f.refused++
 		return
@@ -236,29 +236,29 @@
 	if f.rng.IntN(20) == 0 {
 		delay = time.Duration(f.rng.Int64N(int64(2 * f.settings.TransferTime)))
 	}
-	f.mail = append(f.mail, mail{at: f.now + delay, from: from, to: to, payload: payload})
+	f.inFlight = append(f.inFlight, message{at: f.now + delay, from: from, to: to, payload: payload})
 	if f.rng.IntN(20) == 0 {
-		f.mail = append(f.mail, mail{at: f.now + 2*delay, from: from, to: to, payload: payload})
+		f.inFlight = append(f.inFlight, message{at: f.now + 2*delay, from: from, to: to, payload: payload})
 	}
 }
 
 // deliver hands over what has arrived, in the order of arrival.
 func (f *fleet) deliver() {
-	due := f.mail
-	f.mail = nil
+	due := f.inFlight
+	f.inFlight = nil
 	for _, m := range due {
 		switch {
 		case f.nodes[m.to].frozen > f.now || m.at > f.now:
-			f.mail = append(f.mail, m)
+			f.inFlight = append(f.inFlight, m)
 		default:
 			f.receive(m)
 		}
 	}
 }
 
-func (f *fleet) receive(m mail) {
+func (f *fleet) receive(m message) {
 	n := f.nodes[m.to]
-	now := f.act(n)
+	now := f.applyGrants(n)
 	limit := f.rows[n.revision].limit
 	switch p := m.payload.(type) {
 	case Ask:
--- a/quota/give.go
+++ b/quota/transfer.go
@@ -7,10 +7,11 @@
 	"foxtailspoke/config"
 )
 
-// HandleAsk answers an ask out of the own bucket.
+// HandleAsk answers an ask from the local bucket.
 //
-// The tokens keep their place in the capacity until the asker can't use them
-// any more. An ask that arrives again gets the same answer while it is known.
+// The transferred tokens occupy capacity here until the asker can't use them
+// any more. A duplicate ask gets the same answer while the transfer is
+// outstanding.
 func (h *Holder) HandleAsk(now time.Duration, l config.Limit, a Ask) Transfer {
 	t := Transfer{Ask: a.ID, From: h.self, Bucket: a.Bucket}
 	own, parts := h.bucket(now, a.Bucket, l)
@@ -39,11 +40,13 @@
 	return t
 }
 
-// deferAsker tells an asker that got too little when to ask again.
+// deferAsker sets the retry time in the answer to an asker that got too
+// little.
 //
-// In a flood every instance asks, and all would come back for the same next
-// token. So, after the first few, each is named a later time than the one
-// before, up to a bound, and told that the piece left here isn't for it.
+// When a workspace exceeds its limit, all instances ask, and would all retry
+// for the same next token. After uncontendedDeferrals askers, each one is
+// therefore given a later time than the one before, up to a bound, and told
+// that the tokens left here are contended.
 func (h *Holder) deferAsker(now time.Duration, own *bucket, parts int, a Ask, t *Transfer) {
 	missing := min(a.Want, capacity(own.limit, parts)) - own.level
 	wait := timeToRefill(own.limit, parts, missing, h.settings.Drift)
@@ -60,20 +63,24 @@
 	own.latestRetryAt = max(own.latestRetryAt, now+wait)
 }
 
-// uncontendedDeferrals in a row don't make a flood.
+// uncontendedDeferrals is the number of consecutive deferrals after which a
+// bucket counts as contended.
 const uncontendedDeferrals = 8
 
-// maxContendedWait bounds the waits that grow by the number of askers.
+// maxContendedWait bounds the retry delays that grow with the number of
+// askers.
 const maxContendedWait = 500 * time.Millisecond
 
 func (b *bucket) wantsSettlement(now time.Duration, parts int) bool {
 	return b.outstandingAmount(now) > capacity(b.limit, parts)/settlementDivisor
 }
 
-// settlementDivisor of the capacity may be given away without a Settlement.
+// settlementDivisor sets the fraction of the capacity, 1/settlementDivisor,
+// that may be outstanding before the giver requests a Settlement.
 const settlementDivisor = 4
 
-// HandleSettlement takes a Settlement in.
+// HandleSettlement ends the outstanding transfers that a Settlement covers and
+// takes back the tokens that it returns.
 func (h *Holder) HandleSettlement(now time.Duration, l config.Limit, s Settlement) {
 	own, parts := h.bucket(now, s.Bucket, l)
 	if own == nil {
@@ -88,9 +95,10 @@
 
 // transferAmount decides how much of the bucket an asker gets.
 //
-// Where a transferAmount can't store a whole token, instances put tokens together from
-// several shares. Two that do so at the same time would each get a piece and
-// neither a token, again and again; so the lower id goes first.
+// Where a share can't store a whole token, instances combine tokens from
+// several shares. Two that do so at the same time could each keep getting a
+// fraction and never a whole token; so the instance with the lower ID has
+// precedence.
 func (h *Holder) transferAmount(own *bucket, parts int, a Ask) Amount {
 	whole := min(a.Want, capacity(own.limit, parts))
 	if own.level < whole && !a.Partial {
@@ -103,7 +111,8 @@
 	return min(own.level, max(0, a.Want, min(a.Room, balancingAmount(own.level, parts, a))))
 }
 
-// balancingAmount returns what to give so that both shares are equally full.
+// balancingAmount returns the amount to give so that both shares are equally
+// full.
 func balancingAmount(level Amount, parts int, a Ask) Amount {
 	if a.Parts <= 0 {
 		return 0
@@ -112,7 +121,7 @@
 	return Amount(max(0, surplus/float64(parts+a.Parts)))
 }
 
-// hasOpenAsk tells whether this instance has asked for the bucket's tokens.
+// hasOpenAsk reports whether this instance has an open ask for the bucket.
 func (h *Holder) hasOpenAsk(b Bucket) bool {
 	for _, a := range h.asks {
 		if a.bucket == b {
@@ -122,8 +131,9 @@
 	return false
 }
 
-// restoreReturned returns unused tokens to the level, once: the gift ends with it.
-// After the gift has ended otherwise, they are lost.
+// restoreReturned adds returned tokens to the level and ends the transfer, so
+// that a duplicate has no effect. Tokens of a transfer that has already ended
+// are lost.
 func (b *bucket) restoreReturned(s Settlement) {
 	for _, g := range b.outstanding {
 		if g.to == s.From && g.ask == s.Ask {
@@ -135,14 +145,16 @@
 	})
 }
 
-// removeSettled ends the gifts that the asker says it can't use any more.
+// removeSettled ends the transfers whose tokens the asker reports as no longer
+// usable.
 func (b *bucket) removeSettled(s Settlement) {
 	b.outstanding = slices.DeleteFunc(b.outstanding, func(g outstandingTransfer) bool {
 		return g.to == s.From && g.ask <= s.UpTo
 	})
 }
 
-// amountGivenFor returns what was given for an ask before.
+// amountGivenFor returns the amount of the outstanding transfer for an ask, if
+// there is one.
 func (b *bucket) amountGivenFor(a Ask) (Amount, bool) {
 	for _, g := range b.outstanding {
 		if g.to == a.From && g.ask == a.ID {
