--- a/quota/ask.go
+++ b/quota/ask.go
@@ -54,12 +54,12 @@
 	if !low || full < Token {
 		return "", Ask{}, false
 	}
-	peers := h.AskTargets(now, row, b)
-	if len(peers) == 0 {
+	targets := h.AskTargets(now, row, b)
+	if len(targets) == 0 {
 		return "", Ask{}, false
 	}
 	own.nextRebalance = now + h.settings.TransferTime
-	return peers[0], h.StartAsk(now, peers[0], b, l, 0), true
+	return targets[0], h.StartAsk(now, targets[0], b, l, 0), true
 }
 
 // rebalanceDivisor sets the fraction of the capacity, 1/rebalanceDivisor, that
@@ -88,8 +88,8 @@
 }
 
 // DrainSettlements returns the settlements to send and clears the list. Call
-// it after HandleTransfer and Next. Settlements are optional: if they aren't
-// sent, the giver waits for the transfer to expire.
+// it after HandleTransfer and Next. Sending them is optional: otherwise the
+// giver waits for the transfer to expire, and tokens to be returned are lost.
 func (h *Holder) DrainSettlements() []Settlement {
 	due := h.unsentSettlements
 	h.unsentSettlements = nil
@@ -123,15 +123,15 @@
 // removeUsedAsks removes the asks whose tokens are all used or stored, and
 // queues a settlement for each giver that wants one.
 func (h *Holder) removeUsedAsks() {
-	var tight []*pendingAsk
+	var unsettled []*pendingAsk
 	h.removeAsks(func(a *pendingAsk) bool {
 		used := a.answered && a.unused == 0
 		if used && a.wantsSettlement {
-			tight = append(tight, a)
+			unsettled = append(unsettled, a)
 		}
 		return used
 	})
-	for _, a := range tight {
+	for _, a := range unsettled {
 		h.unsentSettlements = append(h.unsentSettlements, Settlement{To: a.to, From: h.self, Bucket: a.bucket, UpTo: h.settledUpTo(a.to)})
 	}
 }
@@ -145,8 +145,8 @@
 	return nil
 }
 
-func (h *Holder) removeAsks(over func(*pendingAsk) bool) {
-	h.asks = slices.DeleteFunc(h.asks, over)
+func (h *Holder) removeAsks(done func(*pendingAsk) bool) {
+	h.asks = slices.DeleteFunc(h.asks, done)
 }
 
 // store adds tokens to the local bucket as far as they fit, and returns how
@@ -184,13 +184,13 @@
 	h.targetRotation++
 	start := h.targetRotation % len(order)
 	order = slices.Concat(order[start:], order[:start])
-	worth := order[:0]
+	targets := order[:0]
 	for _, id := range order {
 		if h.shortages[b][id].until <= now {
-			worth = append(worth, id)
+			targets = append(targets, id)
 		}
 	}
-	return worth
+	return targets
 }
 
 // expireAsks removes the asks whose transfer time is over.
--- a/quota/assign_test.go
+++ b/quota/assign_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-// An instance that ends costs its own parts and no others, and a row that
-// needs no change gets none.
+// Only the parts of an instance that leaves are reassigned, and a row that
+// needs no change stays the same.
 func TestAssignMovesOnlyPartsOfGoneHolders(t *testing.T) {
 	list := candidates(9)
 	row, changed := Assign("7", config.Shard{}, list, 3, 5)
@@ -58,8 +58,8 @@
 	must.Eq(t, row, same)
 }
 
-// Whatever happens to the instances, the parts add up, and an entry that
-// stays never has more parts than before: more come as a new entry.
+// With random instance states, the parts always add up, and an existing entry
+// never gains parts: additional parts come as a new entry.
 func TestAssignKeepsInvariants(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -95,7 +95,8 @@
 	must.True(t, validRow(next))
 }
 
-// A row that gives out more than there is grants nothing.
+// A row whose parts add up to more than the total, or that has negative parts,
+// grants nothing.
 func TestGrantsRejectInvalidRow(t *testing.T) {
 	row := config.Shard{Holders: []config.Holder{
 		{Instance: "a", Parts: 20, Since: 1},
@@ -134,8 +135,9 @@
 	}
 }
 
-// Fifty-five thousand workspaces call once each and stay away. The holder of
-// them all forgets them, and they find a full bucket when they come back.
+// Guards against unbounded memory and wrongly empty buckets: 55,000 workspaces
+// send one request each and then none. The holder evicts their buckets, and a
+// workspace that returns finds a full bucket.
 func TestIdleBucketsAreEvicted(t *testing.T) {
 	l := config.Limit{Rate: 5, Burst: 10}
 	h := newHolderWithParts("h", DefaultSettings(), 60)
--- a/quota/baseline_test.go
+++ b/quota/baseline_test.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// peerTime and tableTime are round trips.
+	// peerTime and tableTime are round-trip times.
 	peerTime  = 3 * time.Millisecond
 	tableTime = 10 * time.Millisecond
-	// listLag is how long the platform's list takes to show an end.
+	// listLag is the delay until the platform's list shows that an instance
+	// has ended.
 	listLag = 10 * time.Second
 )
 
-// scheme is one way of counting a limit over a fleet of instances.
+// scheme is a way of enforcing a limit over a fleet of instances.
 type scheme interface {
-	// request asks for one token at an instance.
+	// request requests one token at an instance and reports whether it is
+	// admitted.
 	request(now time.Duration, instance int) bool
-	// kill ends an instance; requests don't come there any more.
+	// kill ends an instance. It gets no more requests.
 	kill(now time.Duration, instance int)
-	// setTableUnreachable makes the table unreachable, or reachable again.
-	setTableUnreachable(away bool)
-	// cost returns the table operations and the messages so far.
+	// setTableUnreachable sets whether the table is unreachable.
+	setTableUnreachable(unreachable bool)
+	// cost returns the number of table operations and messages so far.
 	cost() (operations, messages int)
 }
 
-// tokenBucket is a token bucket in floating point, for the baselines.
+// tokenBucket is a floating-point token bucket for the baselines.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration
@@ -42,13 +44,13 @@
 	return true
 }
 
-// schemeBase is what all schemes know of the world.
+// schemeBase is the state common to all schemes.
 type schemeBase struct {
-	limit    config.Limit
-	live     []bool
-	away     bool
-	ops      int
-	messages int
+	limit            config.Limit
+	live             []bool
+	tableUnreachable bool
+	ops              int
+	messages         int
 }
 
 func newCommon(l config.Limit, instances int) schemeBase {
@@ -60,11 +62,11 @@
 }
 
 func (c *schemeBase) kill(_ time.Duration, i int)   { c.live[i] = false }
-func (c *schemeBase) setTableUnreachable(away bool) { c.away = away }
+func (c *schemeBase) setTableUnreachable(unreachable bool) { c.tableUnreachable = unreachable }
 func (c *schemeBase) cost() (int, int)              { return c.ops, c.messages }
 
-// equalSplit gives each instance on the list the same share. The list shows
-// an end after its lag; then the others' shares grow.
+// equalSplit gives each instance on the platform's list the same share. When
+// an instance ends, the others' shares grow once the list shows it.
 type equalSplit struct {
 	schemeBase
 	buckets  []tokenBucket
@@ -86,7 +88,7 @@
 }
 
 func (s *equalSplit) request(now time.Duration, i int) bool {
-	if s.shrinkAt != 0 && now >= s.shrinkAt && !s.away {
+	if s.shrinkAt != 0 && now >= s.shrinkAt && !s.tableUnreachable {
 		s.count--
 		s.shrinkAt = 0
 	}
@@ -94,12 +96,12 @@
 	return s.buckets[i].take(now, s.limit.Rate/n, s.limit.Burst/n, 1)
 }
 
-// tableCounter keeps the one bucket in the table: a conditional write per
-// request. Writes of the row that overlap conflict, and are tried again.
+// tableCounter keeps a single bucket in the table, with a conditional write
+// per request. Overlapping writes of the row conflict and are retried.
 type tableCounter struct {
 	schemeBase
-	bucket tokenBucket
-	free   time.Duration // when the row's last write has ended
+	bucket       tokenBucket
+	lastWriteEnd time.Duration // when the row's last write ends
 }
 
 func newTableCounter(l config.Limit, instances int) scheme {
@@ -108,21 +110,22 @@
 
 func (s *tableCounter) request(now time.Duration, _ int) bool {
 	const maxTries = 5
-	if s.away {
+	if s.tableUnreachable {
 		return false
 	}
-	// Whoever overlaps n others succeeds with its n-th try at best.
-	waiting := int(max(0, s.free-now) / tableTime)
+	// A writer that overlaps n others succeeds with its n-th retry at the
+	// earliest.
+	waiting := int(max(0, s.lastWriteEnd-now) / tableTime)
 	s.ops += 1 + min(waiting, maxTries)
 	if waiting >= maxTries {
 		return false
 	}
-	s.free = max(now, s.free) + tableTime
-	return s.bucket.take(s.free, s.limit.Rate, s.limit.Burst, 1)
+	s.lastWriteEnd = max(now, s.lastWriteEnd) + tableTime
+	return s.bucket.take(s.lastWriteEnd, s.limit.Rate, s.limit.Burst, 1)
 }
 
-// tableLease lets an instance take some tokens from the table's bucket for a
-// term; what isn't used by its end is lost.
+// tableLease leases some tokens from the table's bucket to an instance for a
+// term. Tokens unused at its end are lost.
 type tableLease struct {
 	schemeBase
 	bucket tokenBucket
@@ -144,7 +147,7 @@
 	if now >= s.until[i] {
 		s.held[i] = 0
 	}
-	if s.held[i] < 1 && !s.away {
+	if s.held[i] < 1 && !s.tableUnreachable {
 		s.ops++
 		for _, batch := range []float64{max(1, float64(int(s.limit.Burst/8))), 1} {
 			if s.bucket.take(now, s.limit.Rate, s.limit.Burst, batch) {
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -8,8 +8,8 @@
 	"foxtailspoke/quota"
 )
 
-// Two instances hold half of a limit each. What one of them lacks for a
-// request, it asks the other for; together they never exceed the limit.
+// Two instances hold half of a limit each. An instance asks the other for the
+// tokens that a request lacks; together they never exceed the limit.
 func Example() {
 	limit := config.Limit{Rate: 10, Burst: 20}
 	bucket := quota.Bucket{Workspace: "cebu-boatyard", Service: "catalogue"}
@@ -24,8 +24,8 @@
 	fmt.Println(d.Admitted, d.Missing.Float(), d.RetryAfter)
 
 	ask := x.StartAsk(now, "y", bucket, limit, d.Missing)
-	// y has subtracted it already. It gives more than was asked for, so that
-	// both shares are equally full afterwards.
+	// y has already subtracted the tokens. It gives more than was asked for,
+	// so that both shares are equally full afterwards.
 	transfer := y.HandleAsk(now, limit, ask)
 	fmt.Println(x.HandleTransfer(now, limit, transfer).Float())
 	fmt.Println(x.Take(now, bucket, limit, quota.Tokens(1)).Admitted)
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -7,30 +7,31 @@
 	"foxtailspoke/config"
 )
 
-// fault is something that happens to instances i and j for a time.
+// fault affects instances i and j for a time.
 type fault func(f *fleet, i, j int, length time.Duration)
 
-// scheduledFault is the second half of a fault.
+// scheduledFault is the second step of a fault, run at a later time.
 type scheduledFault struct {
 	at time.Duration
 	do func()
 }
 
-// profile is what kinds of faults one history has, and how often. Few kinds
-// at a time bring a fleet back to its full limit between faults, which all
-// kinds at once don't; only there can an error exceed it.
+// profile selects the kinds of faults in one history and their frequency. It
+// has few kinds at a time, so that the fleet recovers its full limit between
+// faults: a violation shows only at the full limit, which a fleet under all
+// kinds at once doesn't reach.
 type profile struct {
 	faults []fault
 	gap    time.Duration
 	quiet  time.Duration
 	flood  time.Duration
-	// drain is the mean time between bursts that take all there is.
+	// drain is the mean time between drains of all instances.
 	drain time.Duration
 }
 
 func freeze(f *fleet, i, _ int, d time.Duration) { f.nodes[i].frozen = f.now + d }
 
-func cutLink(f *fleet, i, j int, d time.Duration) { f.cut[[2]int{i, j}] = f.now + d }
+func cutLink(f *fleet, i, j int, d time.Duration) { f.cutLinks[[2]int{i, j}] = f.now + d }
 
 func replace(f *fleet, i, _ int, _ time.Duration) { f.nodes[i] = f.start() }
 
@@ -40,15 +41,16 @@
 
 func resize(f *fleet, _, _ int, _ time.Duration) { f.assign(1 + f.rng.IntN(4)) }
 
-// reassignWhileCutOff moves an instance's parts while it still serves, cut off from the
-// table, so that it spends them for as long as it may.
+// reassignWhileCutOff reassigns an instance's parts while it is cut off from
+// the table but still serving, so that it spends them for as long as it is
+// allowed to.
 func reassignWhileCutOff(f *fleet, i, _ int, d time.Duration) {
 	f.nodes[i].tableCut = f.now + d
 	f.assign(3, i)
 }
 
-// movePartsAndBack moves an instance's parts to another one and back while it is
-// frozen, or only half of them away.
+// movePartsAndBack moves all or half of an instance's parts to another
+// instance and back while the first is frozen.
 func movePartsAndBack(f *fleet, i, j int, d time.Duration) {
 	f.nodes[i].frozen = f.now + 3*freshTime + d
 	f.moveParts(i, j, 1+f.rng.IntN(2))
@@ -56,7 +58,8 @@
 	f.scheduled = append(f.scheduled, scheduledFault{at: back, do: func() { f.moveParts(j, i, 1) }})
 }
 
-// moveParts writes a row that gives a part of what one holder has to another.
+// moveParts writes a row that moves 1/divisor of one holder's parts to
+// another.
 func (f *fleet) moveParts(from, to, divisor int) {
 	r := f.newest()
 	r.shard.Holders = slices.Clone(r.shard.Holders)
@@ -81,7 +84,7 @@
 func (f *fleet) randomProfile() profile {
 	all := []fault{freeze, cutLink, replace, evictIdle, newLimit, resize, reassignWhileCutOff, movePartsAndBack, reassignWhileCutOff, movePartsAndBack}
 	f.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	f.size = []int{1, 1, 2, 8}[f.rng.IntN(4)]
+	f.tokensPerRequest = []int{1, 1, 2, 8}[f.rng.IntN(4)]
 	p := profile{
 		faults: all[:1+f.rng.IntN(2)],
 		gap:    f.between(500*time.Millisecond, 6*time.Second),
@@ -103,8 +106,8 @@
 // meanStep is the mean time between two steps of a history.
 const meanStep = 4 * time.Millisecond
 
-// drain is a burst at all instances at once that takes what each of them
-// has. It shows a token too many wherever it lies.
+// drain takes all tokens of all instances at once. It detects an excess token
+// at any instance.
 func (f *fleet) drain() {
 	for _, n := range f.nodes {
 		if f.now < n.frozen {
@@ -118,19 +121,19 @@
 	}
 }
 
-// run drives one history: quiet times in which buckets fill, floods in which
-// they are emptied, and faults at any time.
+// run simulates one history: idle phases in which buckets fill, floods in
+// which they are emptied, and faults at any time.
 func (f *fleet) run(d time.Duration, p profile) {
-	flood, turn, home := false, time.Duration(0), 0
+	flood, phaseEnd, target := false, time.Duration(0), 0
 	for f.now < d {
 		f.now += f.between(0, 8*time.Millisecond)
-		if f.now >= turn {
+		if f.now >= phaseEnd {
 			flood = !flood
-			turn = f.now + f.between(0, 2*p.quiet)
+			phaseEnd = f.now + f.between(0, 2*p.quiet)
 			if flood {
-				turn = f.now + f.between(0, 2*p.flood)
+				phaseEnd = f.now + f.between(0, 2*p.flood)
 			}
-			home = f.rng.IntN(2 * len(f.nodes)) // half the time: everywhere
+			target = f.rng.IntN(2 * len(f.nodes)) // in half of the cases all instances
 		}
 		f.refreshSome()
 		f.fault(p)
@@ -139,7 +142,7 @@
 			f.drain()
 		}
 		for i := range f.nodes {
-			if flood && f.rng.IntN(2) == 0 && (home == i || home >= len(f.nodes)) {
+			if flood && f.rng.IntN(2) == 0 && (target == i || target >= len(f.nodes)) {
 				f.request(i)
 			}
 		}
@@ -154,8 +157,8 @@
 	}
 }
 
-// fault brings a fault with the profile's mean time between them, at most
-// times to an instance that holds parts.
+// fault injects a fault at random with the profile's mean time between faults,
+// in most cases at an instance that holds parts.
 func (f *fleet) fault(p profile) {
 	if len(f.scheduled) > 0 && f.scheduled[0].at <= f.now {
 		f.scheduled[0].do()
--- a/quota/helpers_test.go
+++ b/quota/helpers_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// seeds is the number of histories; raise it for a longer search.
+// seeds is the number of simulated histories. Raise it for a longer search.
 var seeds = flag.Int("quota.seeds", 24, "number of seeded histories")
 
 func sortChanges(changes []limitChange) {
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -127,10 +127,10 @@
 // revokedGrants returns the revoked grants that are still active, and the
 // parts that the new grants lack.
 func (s *shard) revokedGrants(now time.Duration, grants []Grant, until time.Duration) []grant {
-	var lost []grant
+	var revoked []grant
 	for _, g := range s.grants {
 		if g.revoked {
-			lost = append(lost, g)
+			revoked = append(revoked, g)
 			continue
 		}
 		i := slices.IndexFunc(grants, func(n Grant) bool { return n.Since == g.Since })
@@ -138,9 +138,9 @@
 			g.Parts -= min(g.Parts, grants[i].Parts)
 		}
 		g.revoked, g.end = true, until
-		lost = append(lost, g)
+		revoked = append(revoked, g)
 	}
-	return slices.DeleteFunc(lost, func(g grant) bool { return g.end <= now || g.Parts == 0 })
+	return slices.DeleteFunc(revoked, func(g grant) bool { return g.end <= now || g.Parts == 0 })
 }
 
 // setGrants replaces the grants and adjusts the buckets to the change of
@@ -162,12 +162,12 @@
 	h.expireAsks(now)
 	received := h.receivedAmount(b)
 	own, parts := h.bucket(now, b, l)
-	has := received
+	available := received
 	if own != nil {
-		has += own.level
+		available += own.level
 	}
-	if has < n {
-		return h.refusal(l, parts, n, n-has)
+	if available < n {
+		return h.refusal(l, parts, n, n-available)
 	}
 	rest := n - h.spendReceived(b, min(n, received))
 	if own != nil {
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/config"
 )
 
-// A burst lands on one instance. It has half of the parts; the other half
-// comes from the other holder, and not a token more.
+// A burst arrives at one instance, which holds half of the parts. The other
+// half comes from the other holder, and not one token more.
 func TestBurstOnOneInstance(t *testing.T) {
 	b := Bucket{Workspace: "w", Service: "s"}
 	l := config.Limit{Rate: 1, Burst: 10}
--- a/quota/limit_test.go
+++ b/quota/limit_test.go
@@ -9,41 +9,43 @@
 	"foxtailspoke/config"
 )
 
-// limitChange is a limit that a reference bucket has from a time on.
+// limitChange is a limit that applies to a reference bucket from a given time
+// on.
 type limitChange struct {
 	at    time.Duration
 	limit config.Limit
 }
 
-// excess replays admissions on one bucket of the whole limit, as if there
-// were a single instance, and returns by how many tokens they exceed it. A
-// stream that fits admits at most burst + rate·w over every window w.
+// excess replays admissions on a single bucket with the whole limit and
+// returns by how many tokens they exceed it. A stream without excess admits at
+// most burst + rate·w in every window w.
 //
-// A raised burst adds the difference, a lowered one takes what is above.
+// Raising the burst adds the difference; lowering it removes the tokens above
+// it.
 func excess(admitted []admission, limits []limitChange) float64 {
 	level, worst := limits[0].limit.Burst, 0.0
 	at, l := time.Duration(0), limits[0].limit
-	forward := func(to time.Duration) {
+	advance := func(to time.Duration) {
 		level = min(l.Burst, level+l.Rate*(to-at).Seconds())
 		at = to
 	}
 	next := 1
 	for _, a := range admitted {
 		for ; next < len(limits) && limits[next].at <= a.at; next++ {
-			forward(limits[next].at)
+			advance(limits[next].at)
 			raise := limits[next].limit.Burst - l.Burst
 			l = limits[next].limit
 			level = min(l.Burst, level+max(0, raise))
 		}
-		forward(a.at)
+		advance(a.at)
 		level -= a.tokens
 		worst = max(worst, -level)
 	}
 	return worst
 }
 
-// limitsInForce returns the limits by which instances may count: the larger
-// of the old and the new one until nobody can use a token of the old one.
+// limitsInForce returns the limits that instances may apply: the larger of the
+// old and the new one until no token of the old one can be used.
 func (f *fleet) limitsInForce() []limitChange {
 	slow := 1 + f.settings.Drift
 	end := time.Duration(float64(freshTime+f.settings.TransferTime) * slow)
@@ -67,7 +69,7 @@
 	return changes
 }
 
-// largest is a constant limit that no limit of the history exceeds.
+// largest returns a constant limit that no limit of the history exceeds.
 func largest(changes []limitChange) []limitChange {
 	var l config.Limit
 	for _, c := range changes {
@@ -76,17 +78,19 @@
 	return []limitChange{{limit: l}}
 }
 
-// testSettings have clocks bad enough for an error of the drift to show.
+// testSettings returns settings with a clock drift large enough to expose an
+// error in its handling.
 func testSettings(seed uint64) Settings {
 	drift := []float64{0, 0.05, 0.3}[seed%3]
 	return Settings{TransferTime: 250 * time.Millisecond, Drift: drift, IdleTime: time.Second}
 }
 
-// One workspace floods a fleet from which it may have a rate and a burst.
-// Holders are frozen, killed, replaced and cut off in one direction; asks and
-// transfers are lost, late and repeated; parts move and the plan goes up and
-// down meanwhile. The callers together never get more than the plan allows,
-// over any window, counted as one bucket would.
+// Guards against admitting more than a plan allows under faults. One workspace
+// floods a fleet. Meanwhile holders are frozen, replaced and cut off from the
+// table or in one direction from each other; asks and transfers are lost,
+// delayed and duplicated; parts move, and the plan's limit goes up and down.
+// In every window, the fleet must admit no more than a single bucket with the
+// plan's limit.
 func TestRandomFaultsKeepTheLimit(t *testing.T) {
 	const tolerance = 1e-6
 	limits := []config.Limit{
@@ -95,19 +99,19 @@
 		{Rate: 4, Burst: 2},
 		{Rate: 40, Burst: 60},
 	}
-	admitted, red := 0, []uint64(nil)
+	admitted, failedSeeds := 0, []uint64(nil)
 	for seed := range uint64(*seeds) {
 		f := newFleet(seed, testSettings(seed), 5, limits[seed/3%4])
 		f.run(25*time.Second, f.randomProfile())
 		changes := f.limitsInForce()
 		over := max(excess(f.admitted, changes), excess(f.admitted, largest(changes)))
 		if over > tolerance {
-			red = append(red, seed)
-			t.Logf("seed %d: %.3f tokens too many", seed, over)
+			failedSeeds = append(failedSeeds, seed)
+			t.Logf("seed %d: %.3f tokens over the limit", seed, over)
 		}
 		admitted += len(f.admitted)
 	}
-	t.Logf("%d histories, %d admissions, %d red", *seeds, admitted, len(red))
-	must.SliceEmpty(t, red)
+	t.Logf("%d histories, %d admissions, %d failed", *seeds, admitted, len(failedSeeds))
+	must.SliceEmpty(t, failedSeeds)
 	must.Positive(t, admitted)
 }
--- a/quota/parts_scheme_test.go
+++ b/quota/parts_scheme_test.go
@@ -8,25 +8,26 @@
 	"foxtailspoke/config"
 )
 
-// partsScheme is the scheme of this package.
+// partsScheme is the scheme implemented by this package.
 type partsScheme struct {
 	schemeBase
 	holders int
-	// asked is the row with the holders before, until the new one is granted.
-	asked   config.Shard
-	row     config.Shard
-	nodes   []*Holder
-	version uint64
-	moveAt  time.Duration
-	startAt time.Duration
-	bucket  Bucket
+	// rowWithPrevious is the row including the previous holders, for use until
+	// the new row is granted.
+	rowWithPrevious config.Shard
+	row             config.Shard
+	nodes           []*Holder
+	version         uint64
+	moveAt          time.Duration
+	startAt         time.Duration
+	bucket          Bucket
 }
 
 func newParts(l config.Limit, instances int) scheme {
 	return newPartsWithHolders(l, instances, HolderCount([]config.Limit{l}, 8))
 }
 
-// newThreeHolders has a row made for larger bursts.
+// newThreeHolders always uses three holders, a number meant for larger bursts.
 func newThreeHolders(l config.Limit, instances int) scheme {
 	return newPartsWithHolders(l, instances, 3)
 }
@@ -61,46 +62,47 @@
 	s.row, _ = Assign("0", s.row, candidates, s.holders, s.version)
 }
 
-// grant lets the holders know the row, which is in force.
+// grant applies the row to all holders as in force.
 func (s *partsScheme) grant(now time.Duration) {
 	for i, n := range s.nodes {
 		n.SetGrants(now, "0", Grants(s.row, instanceID(i), func(uint64) bool { return true }))
 	}
 }
 
-// kill has the parts moved: two seconds until the holder counts as
-// unreachable, three and a little until the write is in force.
+// kill ends a holder and schedules the move of its parts: 2 s until the holder
+// counts as unreachable, and about 3 s more until the write is in force.
 func (s *partsScheme) kill(now time.Duration, i int) {
 	s.schemeBase.kill(now, i)
 	s.moveAt = now + 2*time.Second
 }
 
-// leave is a planned stop of a holder. It hears of the new row after half a
-// second; with drain it goes on while it is fresh by the row before.
+// leave is a planned stop of a holder. It learns of the new row after
+// noticeDelay. With drain, it keeps using its parts while it is fresh by the
+// previous row.
 func (s *partsScheme) leave(now time.Duration, i int, drain bool) {
-	const heard, fresh = 500 * time.Millisecond, 3 * time.Second
+	const noticeDelay, fresh = 500 * time.Millisecond, 3 * time.Second
 	before := s.row
 	s.live[i] = false
 	s.assign()
 	s.live[i] = true
-	until := now + heard
+	until := now + noticeDelay
 	if drain {
 		until = now + fresh
-		s.asked = WithPreviousHolders(s.row, before)
+		s.rowWithPrevious = WithPreviousHolders(s.row, before)
 	}
 	s.nodes[i].SetGrantsWithGrace(now, "0", nil, until)
 	s.startAt = now + fresh
 }
 
 func (s *partsScheme) askRow() config.Shard {
-	if len(s.asked.Holders) > 0 && s.startAt != 0 {
-		return s.asked
+	if len(s.rowWithPrevious.Holders) > 0 && s.startAt != 0 {
+		return s.rowWithPrevious
 	}
 	return s.row
 }
 
 func (s *partsScheme) move(now time.Duration) {
-	if s.moveAt != 0 && now >= s.moveAt && !s.away {
+	if s.moveAt != 0 && now >= s.moveAt && !s.tableUnreachable {
 		s.assign()
 		s.startAt = max(now, s.moveAt) + 3*time.Second
 		s.moveAt = 0
@@ -130,7 +132,7 @@
 	return step.Admitted
 }
 
-// exchange is one ask with its answer. It returns the time after it.
+// exchange simulates one ask and its answer, and returns the time afterwards.
 func (s *partsScheme) exchange(now time.Duration, i int, id string, a Ask) time.Duration {
 	s.messages++
 	j := s.index(id)
@@ -156,7 +158,7 @@
 	}
 }
 
-// holder returns an instance that holds parts, or one that doesn't.
+// holder returns a live instance that holds parts, or one that doesn't.
 func (s *partsScheme) holder(holds bool) int {
 	for i := range s.nodes {
 		if s.live[i] && (PartsByInstance(s.row)[instanceID(i)] > 0) == holds {
--- a/quota/refusal_test.go
+++ b/quota/refusal_test.go
@@ -12,8 +12,8 @@
 	"foxtailspoke/config"
 )
 
-// arrivals returns the times of requests that are all inside the limit: a
-// steady stream at six tenths of the rate, and now and then a whole burst.
+// arrivals returns the times of requests that all stay within the limit: a
+// steady stream at 0.6 times the rate, and occasional bursts of the full size.
 func arrivals(rng *rand.Rand, l config.Limit, length time.Duration) []time.Duration {
 	inside := tokenBucket{tokens: l.Burst}
 	var times []time.Duration
@@ -36,16 +36,17 @@
 	return times
 }
 
-// scenario says where requests land and what fails.
+// scenario defines where requests arrive and what fails.
 type scenario struct {
 	name  string
 	limit config.Limit
-	// pick chooses among n instances.
+	// pick chooses one of n instances.
 	pick func(rng *rand.Rand, n int, s scheme) int
-	// killed ends an instance that holds parts, for the schemes that have
-	// such; away makes the table unreachable for forty seconds.
-	killed, away bool
-	// leaves has a holder stop as planned; drains, with SetGrantsUntil.
+	// killed ends an instance that holds parts, where the scheme has such
+	// instances. tableUnreachable makes the table unreachable for 40 s.
+	killed, tableUnreachable bool
+	// leaves makes a holder stop as planned; drains adds a grace period with
+	// SetGrantsWithGrace.
 	leaves, drains bool
 }
 
@@ -65,7 +66,7 @@
 	return 1
 }
 
-// outcome is what one scheme did in one scenario.
+// outcome is the result of one scheme in one scenario.
 type outcome struct {
 	offered, refused int
 	operations       float64
@@ -88,7 +89,7 @@
 			gone = p.holder(true)
 			p.leave(now, gone, sc.drains)
 		}
-		s.setTableUnreachable(sc.away && now >= 10*time.Second && now < 50*time.Second)
+		s.setTableUnreachable(sc.tableUnreachable && now >= 10*time.Second && now < 50*time.Second)
 		i := sc.pick(rng, instances, s)
 		if i == gone {
 			i = (i + 1) % instances
@@ -104,8 +105,8 @@
 	return o
 }
 
-// Callers stay inside their workspace's limit, so every refusal is wrongful.
-// The table compares ways to count over 36 instances; run with -v to see it.
+// Callers stay within their workspace's limit, so every refusal is an error.
+// The table compares schemes over 36 instances; run with -v to see it.
 func TestRefusalsWithinTheLimit(t *testing.T) {
 	plan := config.Limit{Rate: 50, Burst: 100}
 	small := config.Limit{Rate: 2, Burst: 5}
@@ -113,7 +114,7 @@
 	scenarios := []scenario{
 		{name: "even", limit: plan, pick: anywhere},
 		{name: "all at one holder", limit: plan, pick: singleHolder},
-		{name: "all at one other", limit: plan, pick: singleNonHolder},
+		{name: "all at one non-holder", limit: plan, pick: singleNonHolder},
 		{name: "burst of 5, even", limit: small, pick: anywhere},
 		{name: "burst of 5, at one", limit: small, pick: singleNonHolder},
 		{name: "burst of 1, even", limit: tiny, pick: anywhere},
@@ -121,8 +122,8 @@
 		{name: "small, holder killed", limit: small, pick: anywhere, killed: true},
 		{name: "holder leaves", limit: plan, pick: anywhere, leaves: true},
 		{name: "holder leaves, drains", limit: plan, pick: anywhere, leaves: true, drains: true},
-		{name: "table away 40 s", limit: plan, pick: anywhere, away: true},
-		{name: "table away and killed", limit: plan, pick: anywhere, away: true, killed: true},
+		{name: "table unreachable 40 s", limit: plan, pick: anywhere, tableUnreachable: true},
+		{name: "unreachable and killed", limit: plan, pick: anywhere, tableUnreachable: true, killed: true},
 	}
 	schemes := []struct {
 		name  string
@@ -159,30 +160,31 @@
 	must.Less(t, 5, worst)
 }
 
-// A workspace calls at five times its rate, at all instances. It gets nearly
-// its limit, and what is refused costs few messages: instances remember for
-// how long a holder has nothing.
+// Guards against message load under floods. A workspace sends requests at five
+// times its rate, to all instances. It must get nearly its limit, and refusals
+// must cost few messages, because instances remember a holder's retry time
+// after a shortage.
 func TestFloodCostsFewMessages(t *testing.T) {
 	l := config.Limit{Rate: 50, Burst: 100}
 	rng := rand.New(rand.NewPCG(1, 5))
 	for _, pick := range []func(*rand.Rand, int, scheme) int{anywhere, singleHolder, singleNonHolder} {
 		s := newParts(l, 36)
-		one := tokenBucket{tokens: l.Burst}
-		offered, admitted, due := 0, 0, 0
+		reference := tokenBucket{tokens: l.Burst}
+		offered, admitted, expected := 0, 0, 0
 		for now := time.Duration(0); now < 30*time.Second; offered++ {
 			now += time.Duration(rng.ExpFloat64() / (5 * l.Rate) * float64(time.Second))
 			if s.request(now, pick(rng, 36, s)) {
 				admitted++
 			}
-			if one.take(now, l.Rate, l.Burst, 1) {
-				due++
+			if reference.take(now, l.Rate, l.Burst, 1) {
+				expected++
 			}
 		}
 		_, messages := s.cost()
 		t.Logf("offered %d, one bucket admits %d, admitted %d, %.2f messages a request",
-			offered, due, admitted, float64(messages)/float64(offered))
-		must.LessEq(t, due, admitted)
-		must.GreaterEq(t, due*9/10, admitted)
+			offered, expected, admitted, float64(messages)/float64(offered))
+		must.LessEq(t, expected, admitted)
+		must.GreaterEq(t, expected*9/10, admitted)
 		must.Less(t, offered*3/2, messages)
 	}
 }
--- a/quota/simulator_test.go
+++ b/quota/simulator_test.go
@@ -9,42 +9,42 @@
 	"foxtailspoke/config"
 )
 
-// freshTime stands for F of package membership.
+// freshTime is the freshness time F of package membership.
 const freshTime = 2 * time.Second
 
-// row is a state of the control table: a shard's row and a plan's limit.
+// row is a revision of the control table: a shard's row and a plan's limit.
 type row struct {
 	shard config.Shard
 	limit config.Limit
-	// written is the true time of the write.
+	// written is the real time of the write.
 	written time.Duration
 }
 
-// fleet is a handful of instances with their own clocks, over a table and
-// links that lose, delay and repeat. It is the driver of the histories below.
+// fleet simulates a few instances with their own clocks, a table, and links
+// that lose, delay and duplicate messages.
 type fleet struct {
 	rng      *rand.Rand
 	settings Settings
 	bucket   Bucket
-	// size is how many tokens one request takes.
-	size     int
-	now      time.Duration // true time
-	rows     []row         // by revision, from 1
-	nodes    []*testNode
-	started  int
-	inFlight []message
-	cut      map[[2]int]time.Duration
-	// scheduled are faults that wait for their turn.
+	// tokensPerRequest is the number of tokens that one request takes.
+	tokensPerRequest int
+	now              time.Duration // real time
+	rows             []row         // by revision, from 1
+	nodes            []*testNode
+	started          int
+	inFlight         []message
+	cutLinks         map[[2]int]time.Duration
+	// scheduled has the faults to run later.
 	scheduled []scheduledFault
 	// admitted is ordered by time.
 	admitted []admission
-	// offered has the true times of requests, ascending.
+	// offered has the real times of requests, ascending.
 	offered  []time.Duration
 	refused  int
 	messages int
 }
 
-// admission is what callers got at a true time.
+// admission is the number of tokens admitted at a point in real time.
 type admission struct {
 	at     time.Duration
 	tokens float64
@@ -57,20 +57,21 @@
 	payload any
 }
 
-// testNode is one instance: its clock, its copy of the table, its tokens.
+// testNode is one instance: its clock, its replica of the table, and its
+// tokens.
 type testNode struct {
 	id       string
 	holder   *Holder
 	rate     float64
 	offset   time.Duration
 	revision int
-	fresh    time.Duration // own clock
-	frozen   time.Duration // true time of waking
+	fresh    time.Duration // local time
+	frozen   time.Duration // real time at which it resumes
 	tableCut time.Duration
 	waiting  map[uint64]*waiting
 }
 
-// waiting is a request that has asked a holder for tokens.
+// waiting is a request that waits for a holder's answer.
 type waiting struct {
 	search *Search
 	until  time.Duration
@@ -78,12 +79,12 @@
 
 func newFleet(seed uint64, s Settings, instances int, l config.Limit) *fleet {
 	f := &fleet{
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		settings: s,
-		bucket:   Bucket{Workspace: "w", Service: "s"},
-		size:     1,
-		cut:      map[[2]int]time.Duration{},
-		rows:     []row{{limit: l}},
+		rng:              rand.New(rand.NewPCG(seed, 1)),
+		settings:         s,
+		bucket:           Bucket{Workspace: "w", Service: "s"},
+		tokensPerRequest: 1,
+		cutLinks:         map[[2]int]time.Duration{},
+		rows:             []row{{limit: l}},
 	}
 	for range instances {
 		f.nodes = append(f.nodes, f.start())
@@ -105,21 +106,21 @@
 	}
 }
 
-// clock returns an instance's own time.
+// clock returns an instance's local time.
 func (f *fleet) clock(n *testNode) time.Duration {
 	return n.offset + time.Duration(float64(f.now)*n.rate)
 }
 
 func (f *fleet) newest() row { return f.rows[len(f.rows)-1] }
 
-// write puts a new state into the table. Its revision is len(rows)-1.
+// write adds a revision to the table. Its number is len(rows)-1.
 func (f *fleet) write(r row) {
 	r.written = f.now
 	f.rows = append(f.rows, r)
 }
 
-// assign writes the shard's row. The instances in without count as gone,
-// though they may be running.
+// assign writes the shard's row. The instances in without count as
+// unreachable, although they may be running.
 func (f *fleet) assign(holders int, without ...int) {
 	var candidates []Candidate
 	for i, n := range f.nodes {
@@ -137,14 +138,15 @@
 	}
 }
 
-// inForce is the sharpest true answer: since the write, every round that was
-// started before has run out on the slowest clock.
+// inForce returns the earliest correct answer: true once every round started
+// before the write has expired on the slowest clock.
 func (f *fleet) inForce(since uint64) bool {
 	slowest := time.Duration(float64(freshTime) * (1 + f.settings.Drift))
 	return f.now >= f.rows[since+1].written+slowest
 }
 
-// applyGrants lets an instance bring its state up to its copy of the table.
+// applyGrants updates an instance's grants from its replica of the table while
+// it is fresh.
 func (f *fleet) applyGrants(n *testNode) time.Duration {
 	now := f.clock(n)
 	if now < n.fresh {
@@ -154,7 +156,7 @@
 	return now
 }
 
-// refresh ends a round that read the table as it was at the round's start.
+// refresh completes a round that read the table as of the round's start.
 func (f *fleet) refresh(n *testNode, took time.Duration) {
 	if f.now < n.tableCut || f.now < n.frozen {
 		return
@@ -174,7 +176,7 @@
 	f.applyGrants(n)
 }
 
-// request is one caller's request at an instance.
+// request sends one request to an instance.
 func (f *fleet) request(i int) {
 	n := f.nodes[i]
 	f.offered = append(f.offered, f.now)
@@ -186,11 +188,11 @@
 		f.refused++
 		return
 	}
-	search := NewSearch(f.bucket, Amount(f.size)*Token)
+	search := NewSearch(f.bucket, Amount(f.tokensPerRequest)*Token)
 	f.try(i, now, &waiting{search: search, until: now + f.settings.TransferTime})
 }
 
-// try takes the tokens, or asks the next holder for what lacks.
+// try takes the tokens, or asks the next holder for the missing ones.
 func (f *fleet) try(i int, now time.Duration, w *waiting) {
 	n := f.nodes[i]
 	r := f.rows[n.revision]
@@ -198,7 +200,7 @@
 	f.balance(i, now)
 	switch {
 	case step.Admitted:
-		f.admitted = append(f.admitted, admission{at: f.now, tokens: float64(f.size)})
+		f.admitted = append(f.admitted, admission{at: f.now, tokens: float64(f.tokensPerRequest)})
 	case step.To != "" && now < w.until:
 		n.waiting[step.Ask.ID] = w
 		f.send(i, f.index(step.To), step.Ask)
@@ -207,7 +209,7 @@
 	}
 }
 
-// balance sends what the holder asks for ahead of need.
+// balance sends the holder's rebalancing ask, if there is one.
 func (f *fleet) balance(i int, now time.Duration) {
 	n := f.nodes[i]
 	r := f.rows[n.revision]
@@ -226,10 +228,11 @@
 	return slices.IndexFunc(f.nodes, func(n *testNode) bool { return n.id == id })
 }
 
-// send loses, delays and repeats. Some messages come after the transfer time.
+// send puts a message on a link that may lose, delay or duplicate it. Some
+// messages arrive after the transfer time.
 func (f *fleet) send(from, to int, payload any) {
 	f.messages++
-	if to < 0 || f.now < f.cut[[2]int{from, to}] {
+	if to < 0 || f.now < f.cutLinks[[2]int{from, to}] {
 		return
 	}
 	delay := time.Duration(f.rng.Int64N(int64(5 * time.Millisecond)))
@@ -242,7 +245,7 @@
 	}
 }
 
-// deliver hands over what has arrived, in the order of arrival.
+// deliver delivers the messages that are due, in the order of the queue.
 func (f *fleet) deliver() {
 	due := f.inFlight
 	f.inFlight = nil
--- a/quota/transfer.go
+++ b/quota/transfer.go
@@ -104,8 +104,8 @@
 	if own.level < whole && !a.Partial {
 		return 0
 	}
-	tiny := capacity(own.limit, parts) < Token
-	if tiny && h.hasOpenAsk(a.Bucket) && h.self < a.From {
+	belowOneToken := capacity(own.limit, parts) < Token
+	if belowOneToken && h.hasOpenAsk(a.Bucket) && h.self < a.From {
 		return 0
 	}
 	return min(own.level, max(0, a.Want, min(a.Room, balancingAmount(own.level, parts, a))))
--- a/quota/transfer_test.go
+++ b/quota/transfer_test.go
@@ -9,8 +9,9 @@
 	"foxtailspoke/config"
 )
 
-// Ten tokens arrive for one request; nine are left. The same message comes
-// again, comes late, or reaches the next incarnation of the asker.
+// A transfer counts once. Ten tokens arrive for one request, and nine are
+// left. The same message is duplicated, arrives late, or reaches the next
+// incarnation of the asker.
 func TestTransferCountsOnce(t *testing.T) {
 	g, r := newHolderWithParts("g", driftSettings, 60), NewHolder("r", 1, driftSettings)
 	tr := g.HandleAsk(time.Minute, fastLimit, r.StartAsk(0, "g", testBucket, fastLimit, 10*Token))
@@ -39,8 +40,8 @@
 	must.Eq(t, 0, takeAll(other, driftSettings.TransferTime, fastLimit))
 }
 
-// An asker has room for 30 of 40 tokens. The rest isn't stored: it would be
-// there on top of its capacity when the giver is full again.
+// An asker has room for 30 of 40 tokens. The rest isn't stored: otherwise it
+// would exceed the asker's capacity once the giver is full again.
 func TestAskerStoresOnlyWhatFits(t *testing.T) {
 	l := config.Limit{Rate: 1e-9, Burst: 60}
 	fast := config.Limit{Rate: 1e9, Burst: 60}
@@ -53,8 +54,8 @@
 	must.Eq(t, 20, takeAll(r, time.Minute+driftSettings.TransferTime, l))
 }
 
-// An asker has tokens left from a first ask and asks again. Only once they
-// are spent may the giver forget them.
+// An asker has tokens left from a first ask and asks again. The giver may
+// release the capacity only once they are spent.
 func TestUnsettledTokensOccupyGiverCapacity(t *testing.T) {
 	g, r := newHolderWithParts("g", driftSettings, 60), NewHolder("r", 1, driftSettings)
 	now := time.Minute
@@ -74,53 +75,53 @@
 	must.Eq(t, 99, takeAll(g, now, fastLimit))
 }
 
-// The burst is one token in three shares. Two instances put it together at
-// the same time, and crossed asks must not leave both with pieces.
+// The burst is one token, split over three shares. Two instances collect it at
+// the same time; crossing asks must not leave both with fractions.
 func TestBurstOfOneTokenIsCombinedFromShares(t *testing.T) {
 	l := config.Limit{Rate: 0.1, Burst: 1}
 	s := DefaultSettings()
 	hs := []*Holder{newHolderWithParts("a", s, 20), newHolderWithParts("b", s, 20), newHolderWithParts("c", s, 20)}
 	now := time.Minute
-	gather := []Ask{}
+	asks := []Ask{}
 	for _, asker := range []int{0, 1} {
 		missing := hs[asker].Take(now, testBucket, l, Token).Missing
 		for peer, id := range []string{"a", "b", "c"} {
 			if peer != asker {
-				gather = append(gather, hs[asker].StartAsk(now, id, testBucket, l, missing))
+				asks = append(asks, hs[asker].StartAsk(now, id, testBucket, l, missing))
 			}
 		}
 	}
 	to := []int{1, 2, 0, 2}
-	for i, a := range gather {
+	for i, a := range asks {
 		hs[i/2].HandleTransfer(now, l, hs[to[i]].HandleAsk(now, l, a))
 	}
 	must.True(t, hs[0].Take(now, testBucket, l, Token).Admitted)
 	must.False(t, hs[1].Take(now, testBucket, l, Token).Admitted)
 }
 
-// A refused request gives back what it had put together. The message comes
-// twice, or after the giver has ended the gift; the tokens come back once at
-// most, and the asker can't use them any more.
+// A refused request returns the tokens it collected. If the message is
+// duplicated or arrives after the transfer has ended, the tokens are restored
+// at most once, and the asker can't use them any more.
 func TestUnusedTokensAreReturnedOnce(t *testing.T) {
-	still := config.Limit{Rate: 1e-9, Burst: 100}
+	noRefill := config.Limit{Rate: 1e-9, Burst: 100}
 	for _, c := range []struct {
 		name  string
 		after time.Duration
 		want  int
 	}{
 		{"at once", 1, 100},
-		{"after the gift has ended", driftSettings.settleTime(), 90},
+		{"after the transfer has ended", driftSettings.settleTime(), 90},
 	} {
 		g, r := newHolderWithParts("g", driftSettings, 60), NewHolder("r", 1, driftSettings)
 		must.True(t, g.Take(time.Minute, testBucket, fastLimit, 0).Admitted)
-		tr := g.HandleAsk(time.Minute, still, r.StartAsk(0, "g", testBucket, still, 10*Token))
-		must.Eq(t, 10*Token, r.HandleTransfer(1, still, tr))
+		tr := g.HandleAsk(time.Minute, noRefill, r.StartAsk(0, "g", testBucket, noRefill, 10*Token))
+		must.Eq(t, 10*Token, r.HandleTransfer(1, noRefill, tr))
 		r.returnUnused(testBucket)
 		due := r.DrainSettlements()
 		must.Len(t, 1, due)
-		must.Eq(t, 0, takeAll(r, 2, still))
-		g.HandleSettlement(time.Minute+c.after, still, due[0])
-		g.HandleSettlement(time.Minute+c.after, still, due[0])
-		must.Eq(t, c.want, takeAll(g, time.Minute+c.after, still), must.Sprint(c.name))
+		must.Eq(t, 0, takeAll(r, 2, noRefill))
+		g.HandleSettlement(time.Minute+c.after, noRefill, due[0])
+		g.HandleSettlement(time.Minute+c.after, noRefill, due[0])
+		must.Eq(t, c.want, takeAll(g, time.Minute+c.after, noRefill), must.Sprint(c.name))
 	}
 }
