--- a/membership/member.go
+++ b/membership/member.go
@@ -26,15 +26,15 @@
 	Reads uint64
 	// Calls to other instances that were sent, and those without an answer.
 	Calls, FailedCalls uint64
-	// Lower counts answers with a lower revision than the replica's.
-	Lower uint64
+	// OlderRevisions counts answers with a lower revision than the replica's.
+	OlderRevisions uint64
 	// StaleReads counts reads of the table that ended below the replica's
 	// revision. The platform promises that there are none.
 	StaleReads uint64
 	// Rounds to the witnesses that were started, and that gave a proof.
-	Rounds, ProvedRounds uint64
-	// SeatWrites counts the changes to the list of witnesses that were sent.
-	SeatWrites uint64
+	Rounds, ConfirmedRounds uint64
+	// WitnessListWrites counts the changes to the list of witnesses that were sent.
+	WitnessListWrites uint64
 }
 
 // Member is one instance's part in the fleet. It isn't safe for use by
@@ -51,21 +51,21 @@
 
 	// byTable and byWitnesses are the youngest proofs of each kind.
 	byTable, byWitnesses proof
-	// base is the revision of the last full changes. The replica doesn't
+	// lastFullRevision is the revision of the last full changes. The replica doesn't
 	// know what was deleted before.
-	base storage.Revision
+	lastFullRevision storage.Revision
 
 	lastID uint64
 	calls  map[uint64]call
-	table  reading
-	list   reading
-	// listHeard is when the list last came, by a read or with a pull.
-	listHeard time.Duration
-	pull      pulling
-	round     round
-	force     force
-	seats     seats
-	alone     alone
+	table  readState
+	list   readState
+	// listReceivedAt is when the list last came, by a read or with a pull.
+	listReceivedAt time.Duration
+	pull           pullState
+	round          roundState
+	inForce        inForceTracker
+	seats          witnessSetState
+	fallback       fallback
 
 	leaving bool
 }
@@ -75,22 +75,22 @@
 func New(s Settings, log Log, rng *rand.Rand) *Member {
 	s = s.withDefaults()
 	return &Member{
-		set:   s,
-		log:   log,
-		rng:   rng,
-		rules: defaultRules(s),
-		dir:   newDirectory(s),
-		calls: map[uint64]call{},
-		force: newForce(),
+		set:     s,
+		log:     log,
+		rng:     rng,
+		rules:   defaultRules(s),
+		dir:     newDirectory(s),
+		calls:   map[uint64]call{},
+		inForce: newInForceTracker(),
 	}
 }
 
 // Settings returns the settings with their defaults filled in.
 func (m *Member) Settings() Settings { return m.set }
 
-// Live returns the platform's list of instances as heard. The Directory
+// Directory returns the platform's list of instances as heard. The Directory
 // stays valid and follows the list.
-func (m *Member) Live() *Directory { return m.dir }
+func (m *Member) Directory() *Directory { return m.dir }
 
 // Counters returns what the Member saw so far.
 func (m *Member) Counters() Counters { return m.count }
@@ -98,27 +98,27 @@
 // Tick does what is due. Call it at NextWake or earlier.
 func (m *Member) Tick(now time.Duration) []effect.Effect {
 	m.expireCalls(now)
-	m.settleForce(now)
+	m.advanceInForce(now)
 	var out []effect.Effect
 	out = append(out, m.tickTable(now)...)
 	out = append(out, m.tickList(now)...)
 	out = append(out, m.tickPull(now)...)
 	out = append(out, m.tickRound(now)...)
-	out = append(out, m.tickAlone(now)...)
-	out = append(out, m.tickForce(now)...)
-	out = append(out, m.tickSeats(now)...)
+	out = append(out, m.tickFallback(now)...)
+	out = append(out, m.tickInForce(now)...)
+	out = append(out, m.tickWitnessSet(now)...)
 	return out
 }
 
 // NextWake returns the time at which Tick has something to do. It may be in
 // the past, which means at once. Ask again after each call to the Member.
 func (m *Member) NextWake() time.Duration {
-	next := m.alone.next
+	next := m.fallback.next
 	for _, c := range m.calls {
 		next = min(next, c.sent+m.set.CallTimeout)
 	}
-	next = min(next, m.wakeTable(), m.wakeList(), m.pullAt(), m.wakeRound())
-	return min(next, m.wakeForce(), m.wakeSeats())
+	next = min(next, m.wakeTable(), m.wakeList(), m.nextPullTime(), m.wakeRound())
+	return min(next, m.wakeInForce(), m.wakeWitnessSet())
 }
 
 // Leave begins a planned stop: the Member gives up its seat as a witness.
@@ -126,27 +126,27 @@
 func (m *Member) Leave(now time.Duration) []effect.Effect {
 	m.leaving = true
 	m.seats.next = now
-	return m.tickSeats(now)
+	return m.tickWitnessSet(now)
 }
 
-// Seated says whether the instance is a witness as far as it knows.
-func (m *Member) Seated() bool {
-	return seated(m.log.Witnesses(), m.set.Self)
+// IsWitness says whether the instance is a witness as far as it knows.
+func (m *Member) IsWitness() bool {
+	return isWitness(m.log.Witnesses(), m.set.Self)
 }
 
 // apply takes changes of the table from anywhere.
 func (m *Member) apply(now time.Duration, c storage.Changes) {
 	if c.Revision < m.log.Revision() {
-		m.count.Lower++
+		m.count.OlderRevisions++
 	}
 	if !m.log.Apply(c) {
 		return
 	}
 	if c.Full {
-		m.base = c.Revision
+		m.lastFullRevision = c.Revision
 	}
-	m.settleRound(now)
-	m.countKnown(now)
+	m.completeRound(now)
+	m.updateMajority(now)
 }
 
 // changesSince returns what another instance lacks. A replica that began
@@ -154,7 +154,7 @@
 // caller below base a delta would leave a withdrawn key in place. The whole
 // table takes it away.
 func (m *Member) changesSince(since storage.Revision) storage.Changes {
-	if since < m.base {
+	if since < m.lastFullRevision {
 		since = 0
 	}
 	return m.log.Since(since)
@@ -171,5 +171,5 @@
 	return d - time.Duration(m.rng.Int64N(int64(d)/10+1))
 }
 
-// watches says whether the instance is a watcher of its data centre.
-func (m *Member) watches() bool { return m.dir.selfWatches }
+// isWatcher says whether the instance is a watcher of its data centre.
+func (m *Member) isWatcher() bool { return m.dir.selfIsWatcher }
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -59,13 +59,13 @@
 // A caller uses a key that was withdrawn at revision 7. The relay began with
 // a full read at 10 and has no trace of the key; the puller stands at 5. A
 // delta would leave the key working at the puller.
-func TestPullAcrossAFullReadDropsWhatWasDeleted(t *testing.T) {
+func TestPullAcrossFullReadRemovesDeletedRows(t *testing.T) {
 	relay, _ := newMember(members("b"))
 	m, log := newMember(members("b"))
 	*log = *config.NewReplica()
 	log.Apply(full(5, row("plan/p", 5, config.Plan{})))
 	reply := relay.Handle(0, "a", Request{Pull: &Pull{Since: 5}})
-	m.pulled(0, call{}, *reply.Pull)
+	m.handlePulled(0, call{}, *reply.Pull)
 	must.Eq(t, storage.Revision(10), log.Revision())
 	_, found := log.Row("plan/p")
 	must.False(t, found)
@@ -73,7 +73,7 @@
 
 // What a proof is worth: its age counts from the start of its exchange, and
 // the relay's age comes on top.
-func TestProofs(t *testing.T) {
+func TestProofAge(t *testing.T) {
 	read := func(m *Member, sent, answered time.Duration, rev storage.Revision) {
 		m.table.id, m.table.sent = 99, sent
 		m.ReadDone(answered, 99, storage.Changes{Revision: rev}, true)
@@ -88,18 +88,18 @@
 		do   func(*Member)
 		want Confirmation // at one second
 	}{
-		{"read", func(m *Member) { read(m, 100*ms, 300*ms, 10) }, Confirmation{State: ByTable, Age: 900 * ms}},
-		{"newer read", func(m *Member) { read(m, 100*ms, 300*ms, 11) }, Confirmation{State: ByTable, Age: 900 * ms, Revision: 11}},
+		{"read", func(m *Member) { read(m, 100*ms, 300*ms, 10) }, Confirmation{State: ConfirmedByTable, Age: 900 * ms}},
+		{"newer read", func(m *Member) { read(m, 100*ms, 300*ms, 11) }, Confirmation{State: ConfirmedByTable, Age: 900 * ms, Revision: 11}},
 		{"read of a table that went back", func(m *Member) { read(m, 100*ms, 300*ms, 9) }, Confirmation{}},
 		{"late read", func(m *Member) {
 			m.ReadDone(300*ms, 98, storage.Changes{Revision: 11}, true)
 		}, Confirmation{Revision: 11}},
 		{"relayed", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: same, TableAge: 500 * ms})
-		}, Confirmation{State: ByTable, Age: 1400 * ms}},
+		}, Confirmation{State: ConfirmedByTable, Age: 1400 * ms}},
 		{"relayed by a lower replica", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: storage.Changes{Revision: 9}, WitnessAge: 500 * ms})
-		}, Confirmation{State: ByWitnesses, Age: 1400 * ms}},
+		}, Confirmation{State: ConfirmedByWitnesses, Age: 1400 * ms}},
 		{"relayed too old", func(m *Member) {
 			pull(m, 100*ms, 300*ms, Pulled{Changes: same, TableAge: 1200 * ms})
 		}, Confirmation{}},
@@ -109,21 +109,21 @@
 		{"younger by witnesses", func(m *Member) {
 			read(m, 100*ms, 300*ms, 10)
 			pull(m, 600*ms, 700*ms, Pulled{Changes: same, WitnessAge: 100 * ms})
-		}, Confirmation{State: ByTable, Age: 500 * ms}},
+		}, Confirmation{State: ConfirmedByTable, Age: 500 * ms}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, _ := newMember(members("b"))
 			c.do(m)
 			want := c.want
 			want.Revision = max(want.Revision, 10)
-			must.Eq(t, want, m.Confirmed(time.Second))
-			must.Eq(t, CutOff, m.Confirmed(3*time.Second).State)
+			must.Eq(t, want, m.Confirmation(time.Second))
+			must.Eq(t, CutOff, m.Confirmation(3*time.Second).State)
 		})
 	}
 }
 
 // Which answers make a round a proof.
-func TestRounds(t *testing.T) {
+func TestRoundProof(t *testing.T) {
 	three := members("b", "c", "d")
 	changing := config.Witnesses{Members: []string{"b", "c", "e"}, Previous: []string{"b", "c", "d"}}
 	type answer struct {
@@ -153,24 +153,24 @@
 			}
 			want := Confirmation{Revision: 10}
 			if c.proved {
-				want.State, want.Age = ByWitnesses, 900*ms
+				want.State, want.Age = ConfirmedByWitnesses, 900*ms
 			}
-			must.Eq(t, want, m.Confirmed(time.Second))
+			must.Eq(t, want, m.Confirmation(time.Second))
 		})
 	}
 }
 
 // A witness knows a newer revision: the round waits until it was pulled from
 // there, and is a proof for it then.
-func TestRoundFetchesTheNewerRevision(t *testing.T) {
+func TestRoundFetchesNewerRevision(t *testing.T) {
 	m, log := newMember(members("b", "c", "d"))
 	ids := callsTo(m.startRound(100*ms), false)
 	m.CallDone(110*ms, ids["c"], witnessed(10, true), true)
 	fetched := callsTo(m.CallDone(120*ms, ids["b"], witnessed(11, true), true), true)
-	must.Eq(t, CutOff, m.Confirmed(130*ms).State)
+	must.Eq(t, CutOff, m.Confirmation(130*ms).State)
 	m.CallDone(130*ms, fetched["b"], Reply{Pull: &Pulled{Changes: storage.Changes{Revision: 11}}}, true)
 	must.Eq(t, storage.Revision(11), log.Revision())
-	must.Eq(t, Confirmation{State: ByWitnesses, Age: 900 * ms, Revision: 11}, m.Confirmed(time.Second))
+	must.Eq(t, Confirmation{State: ConfirmedByWitnesses, Age: 900 * ms, Revision: 11}, m.Confirmation(time.Second))
 }
 
 // When a revision is in force: after a majority was heard to know it, the
@@ -178,16 +178,16 @@
 // end of one taking says nothing of the next.
 func TestInForce(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
-	wait := m.set.Wait()
+	wait := m.set.InForceDelay()
 	ids := callsTo(m.Require(100*ms, 10), false)
-	must.SliceContainsAll(t, []string{"b", "c", "d"}, m.Missing(10))
+	must.SliceContainsAll(t, []string{"b", "c", "d"}, m.PendingWitnesses(10))
 	m.CallDone(110*ms, ids["b"], witnessed(10, true), true)
 	must.False(t, m.InForce(time.Hour, 10))
 
 	m.applyList(200*ms, storage.InstanceChanges{Version: 2, Changed: []storage.Instance{
 		{ID: "c", Kind: storage.Entry, State: storage.Ended},
 	}})
-	must.SliceEmpty(t, m.Missing(10))
+	must.SliceEmpty(t, m.PendingWitnesses(10))
 	must.False(t, m.InForce(200*ms+wait-1, 10))
 	must.True(t, m.InForce(200*ms+wait, 10))
 
@@ -200,7 +200,7 @@
 // The outcome of an own write is a revision that the replica lacks: the
 // witnesses are asked only when it is there, because only then the list of
 // those who must know is.
-func TestRequireReadsFirst(t *testing.T) {
+func TestRequireReadsTableBeforeAskingWitnesses(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
 	m.prove(&m.byTable, 100*ms)
 	effects := m.Require(100*ms, 11)
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -86,7 +86,7 @@
 		l.pass(250 * time.Millisecond)
 	}
 	must.Eq(tb, l.revision, l.node.replica.Revision())
-	must.Eq(tb, membership.ByTable, l.node.state)
+	must.Eq(tb, membership.ConfirmedByTable, l.node.state)
 	return l
 }
 
@@ -340,7 +340,7 @@
 			l.fillList(s)
 			l.pass(time.Second)
 			l.pass(time.Second)
-			must.Eq(b, s.entries, len(l.node.member.Live().Entries()))
+			must.Eq(b, s.entries, len(l.node.member.Directory().Entries()))
 			b.ReportMetric(float64(heapBytes()-before)/float64(s.entries+s.targets), "B/instance")
 			runtime.KeepAlive(l)
 		})
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -15,7 +15,7 @@
 func (n *Node) rankShards() {
 	n.shards.limited = 0
 	clear(n.shards.line)
-	entries := n.member.Live().Entries()
+	entries := n.member.Directory().Entries()
 	for _, name := range n.shards.names {
 		if place, ok := n.place(name, entries); ok {
 			n.shards.line[name] = place
@@ -34,7 +34,7 @@
 			listed = true
 			continue
 		}
-		if membership.First(key, []string{e.ID, n.settings.Self.ID}) == e.ID {
+		if membership.TopRanked(key, []string{e.ID, n.settings.Self.ID}) == e.ID {
 			before++
 		}
 		if before >= inLine {
@@ -46,7 +46,7 @@
 
 // planShards writes at most one row that should be different.
 func (n *Node) planShards() {
-	if n.member.Confirmed(n.now).State != membership.ByTable || n.shards.writing || n.now < n.shards.writeAt {
+	if n.member.Confirmation(n.now).State != membership.ConfirmedByTable || n.shards.writing || n.now < n.shards.writeAt {
 		return
 	}
 	n.shards.more = false
@@ -124,7 +124,7 @@
 
 // candidates lists the instances that may hold parts.
 func (n *Node) candidates() []quota.Candidate {
-	entries := n.member.Live().Entries()
+	entries := n.member.Directory().Entries()
 	list := make([]quota.Candidate, 0, len(entries))
 	for _, e := range entries {
 		if e.ID == n.settings.Self.ID && n.leaving {
