--- a/quota/baseline_test.go
+++ b/quota/baseline_test.go
@@ -61,9 +61,9 @@
 	return schemeBase{limit: l, live: live}
 }
 
-func (c *schemeBase) kill(_ time.Duration, i int)   { c.live[i] = false }
+func (c *schemeBase) kill(_ time.Duration, i int)          { c.live[i] = false }
 func (c *schemeBase) setTableUnreachable(unreachable bool) { c.tableUnreachable = unreachable }
-func (c *schemeBase) cost() (int, int)              { return c.ops, c.messages }
+func (c *schemeBase) cost() (int, int)                     { return c.ops, c.messages }
 
 // equalSplit gives each instance on the platform's list the same share. When
 // an instance ends, the others' shares grow once the list shows it.
