--- a/quota/baseline_test.go
+++ b/quota/baseline_test.go
@@ -53,7 +53,7 @@
 	messages         int
 }
 
-func newCommon(l config.Limit, instances int) schemeBase {
+func newSchemeBase(l config.Limit, instances int) schemeBase {
 	live := make([]bool, instances)
 	for i := range live {
 		live[i] = true
@@ -75,7 +75,7 @@
 }
 
 func newEqualSplit(l config.Limit, instances int) scheme {
-	s := &equalSplit{schemeBase: newCommon(l, instances), buckets: make([]tokenBucket, instances), count: instances}
+	s := &equalSplit{schemeBase: newSchemeBase(l, instances), buckets: make([]tokenBucket, instances), count: instances}
 	for i := range s.buckets {
 		s.buckets[i].tokens = l.Burst / float64(instances)
 	}
@@ -105,7 +105,7 @@
 }
 
 func newTableCounter(l config.Limit, instances int) scheme {
-	return &tableCounter{schemeBase: newCommon(l, instances), bucket: tokenBucket{tokens: l.Burst}}
+	return &tableCounter{schemeBase: newSchemeBase(l, instances), bucket: tokenBucket{tokens: l.Burst}}
 }
 
 func (s *tableCounter) request(now time.Duration, _ int) bool {
@@ -135,7 +135,7 @@
 
 func newTableLease(l config.Limit, instances int) scheme {
 	return &tableLease{
-		schemeBase: newCommon(l, instances),
+		schemeBase: newSchemeBase(l, instances),
 		bucket:     tokenBucket{tokens: l.Burst},
 		held:       make([]float64, instances),
 		until:      make([]time.Duration, instances),
--- a/quota/parts_scheme_test.go
+++ b/quota/parts_scheme_test.go
@@ -34,7 +34,7 @@
 
 func newPartsWithHolders(l config.Limit, instances, holders int) scheme {
 	s := &partsScheme{
-		schemeBase: newCommon(l, instances),
+		schemeBase: newSchemeBase(l, instances),
 		holders:    holders,
 		bucket:     Bucket{Workspace: "w", Service: "s"},
 	}
