--- a/entry/tree.go
+++ b/entry/tree.go
@@ -166,9 +166,9 @@
 		return float64(writes)
 	})
 	e.metrics.Gauge("worst_workspace_failed_ratio", "Share of requests that failed by no fault of their own, of the workspace that fares worst at this instance.", func() float64 {
-		var worst node.Fare
+		var worst node.WorkspaceFailures
 		e.loop.Do(func(n *node.Node, now time.Duration) { worst, _ = n.Worst(now) })
-		return worst.Failed
+		return worst.FailedRatio
 	})
 	e.metrics.Gauge("peer_sent_bytes", "Bytes sent to other instances on the connections open now.", func() float64 {
 		sent, _ := e.peers.Traffic()
--- a/node/node.go
+++ b/node/node.go
@@ -167,11 +167,11 @@
 	}
 	if n.now >= n.housekeep {
 		n.housekeep = n.now + n.settings.HousekeepEvery
-		n.keepHouse()
+		n.runHousekeeping()
 	}
 }
 
-func (n *Node) keepHouse() {
+func (n *Node) runHousekeeping() {
 	n.reportHealth()
 	n.collect()
 	n.endUnadvertised()
--- a/node/status.go
+++ b/node/status.go
@@ -32,7 +32,7 @@
 
 // Worst returns the workspace that fares worst here; false if none was here
 // often enough to tell.
-func (n *Node) Worst(now time.Duration) (Fare, bool) {
+func (n *Node) Worst(now time.Duration) (WorkspaceFailures, bool) {
 	n.now = max(n.now, now)
 	return n.fares.worst(n.now)
 }
--- a/node/worst.go
+++ b/node/worst.go
@@ -16,12 +16,12 @@
 	maxFares = 4096
 )
 
-// Fare is how a workspace fares at this instance.
-type Fare struct {
+// WorkspaceFailures is how a workspace fares at this instance.
+type WorkspaceFailures struct {
 	Workspace string
-	// Failed is the share of its recent requests that failed by no fault of
+	// FailedRatio is the share of its recent requests that failed by no fault of
 	// its own: not served in full, or refused inside its rate.
-	Failed float64
+	FailedRatio float64
 }
 
 // fares follows the workspaces that used this instance lately.
@@ -74,8 +74,8 @@
 
 // worst returns the workspace with the greatest share of failures, the first
 // by name among equals; false if none was here often enough.
-func (f *fares) worst(now time.Duration) (Fare, bool) {
-	var worst Fare
+func (f *fares) worst(now time.Duration) (WorkspaceFailures, bool) {
+	var worst WorkspaceFailures
 	found := false
 	for _, name := range sortedKeys(f.by) {
 		one := f.by[name]
@@ -83,8 +83,8 @@
 		if one.all < fareMinimum {
 			continue
 		}
-		if failed := one.failed / one.all; !found || failed > worst.Failed {
-			worst = Fare{Workspace: name, Failed: failed}
+		if failed := one.failed / one.all; !found || failed > worst.FailedRatio {
+			worst = WorkspaceFailures{Workspace: name, FailedRatio: failed}
 			found = true
 		}
 	}
--- a/node/worst_test.go
+++ b/node/worst_test.go
@@ -24,7 +24,7 @@
 	note("rare", decision.RuleNoServer, 5) // too few to judge
 	worst, ok := f.worst(time.Second)
 	must.True(t, ok)
-	must.Eq(t, Fare{Workspace: "ill", Failed: 0.25}, worst)
+	must.Eq(t, WorkspaceFailures{Workspace: "ill", FailedRatio: 0.25}, worst)
 	f.forget(2 * time.Hour)
 	must.MapEmpty(t, f.by)
 }
