--- a/node/attempts.go
+++ b/node/attempts.go
@@ -27,26 +27,26 @@
 	streaming bool
 }
 
-// begin sends the request for the first time.
-func (n *Node) begin(r *request) {
+// startFirstAttempt sends the request for the first time.
+func (n *Node) startFirstAttempt(r *request) {
 	n.budget(r.service.Name).RecordRequest()
 	switch {
-	case r.gone:
+	case r.callerGone:
 		record := n.record(r, decision.RuleCallerGone)
 		record.Outcome = decision.NotRun
-		n.refuseAs(r, record)
+		n.refuseWithRecord(r, record)
 		return
 	case n.now >= r.deadline:
 		n.refuse(r, decision.RuleDeadline, 0)
 		return
 	}
-	if !n.send(r) {
+	if !n.startAttempt(r) {
 		n.refuse(r, decision.RuleNoServer, 0)
 	}
 }
 
-// send starts an attempt at a backend server that wasn't tried yet.
-func (n *Node) send(r *request) bool {
+// startAttempt starts an attempt at a backend server that wasn't tried yet.
+func (n *Node) startAttempt(r *request) bool {
 	servers := n.servers(r)
 	o := balance.Options{Exclude: r.tried, AvoidSuspects: !r.idempotent}
 	id, ok := n.picker.Pick(n.now, r.service.Name, servers, o)
@@ -58,7 +58,7 @@
 	r.tried = append(r.tried, id)
 	r.server = id
 	n.picker.Started(r.service.Name, id)
-	n.timers.add(n.now+n.observer.LateThreshold(r.service.Name), func() { n.late(a) })
+	n.timers.add(n.now+n.observer.LateThreshold(r.service.Name), func() { n.handleLate(a) })
 	n.emit(StartAttempt{
 		Request:   r.arrived.Request,
 		Attempt:   a.id,
@@ -66,14 +66,14 @@
 		Workspace: r.workspace.Name,
 		Operation: r.arrived.Operation,
 		Timeout:   r.deadline - n.now,
-		Until:     n.until(),
+		Until:     n.confirmationEnd(),
 	})
 	return true
 }
 
-// until returns the time up to which what this instance knows now is
+// confirmationEnd returns the time up to which what this instance knows now is
 // confirmed; a time that is past if it isn't confirmed at all.
-func (n *Node) until() time.Duration {
+func (n *Node) confirmationEnd() time.Duration {
 	c := n.member.Confirmation(n.now)
 	if c.State == membership.CutOff {
 		return n.now - 1
@@ -110,10 +110,10 @@
 	}
 	if e.Streaming && !a.request.answered {
 		a.streaming = true
-		n.deliver(a, e)
+		n.relayAnswer(a, e)
 		return
 	}
-	n.forget(a)
+	n.removeAttempt(a)
 	r := a.request
 	if !e.Result.ProvedNotRun() {
 		r.mayHaveRun = true
@@ -121,30 +121,30 @@
 	if r.answered {
 		return
 	}
-	n.follow(a, e)
+	n.decideRetry(a, e)
 }
 
-// follow carries out what package retry says. A retry looks again whether the
+// decideRetry carries out what package retry says. A retry looks again whether the
 // request may be sent at all: one with a long timeout could otherwise reach
 // backend servers long after its key was withdrawn.
-func (n *Node) follow(a *attempt, e AttemptEnded) {
+func (n *Node) decideRetry(a *attempt, e AttemptEnded) {
 	r := a.request
 	r.figures.Detail = e.Detail
 	d := retry.Decide(n.now, n.retryState(r, e), n.budget(r.service.Name))
 	switch d.Action {
 	case retry.Deliver:
-		n.deliver(a, e)
+		n.relayAnswer(a, e)
 	case retry.Wait:
 	case retry.Retry:
-		if rule := n.reconsider(r); rule != "" {
+		if rule := n.revalidate(r); rule != "" {
 			n.refuse(r, rule, 0)
 			return
 		}
-		if !n.send(r) {
-			n.giveUp(r, e, retry.Decision{Outcome: outcomeAfter(r)})
+		if !n.startAttempt(r) {
+			n.refuseAfterAttempts(r, e, retry.Decision{Outcome: outcomeAfter(r)})
 		}
 	default:
-		n.giveUp(r, e, d)
+		n.refuseAfterAttempts(r, e, d)
 	}
 }
 
@@ -172,11 +172,11 @@
 	return retry.NotRun
 }
 
-// giveUp answers the caller at once, with when to come back.
-func (n *Node) giveUp(r *request, e AttemptEnded, d retry.Decision) {
+// refuseAfterAttempts answers the caller at once, with when to come back.
+func (n *Node) refuseAfterAttempts(r *request, e AttemptEnded, d retry.Decision) {
 	rule := decision.RuleNoServer
 	switch {
-	case r.gone:
+	case r.callerGone:
 		rule = decision.RuleCallerGone
 	case d.Outcome == retry.Unknown && r.idempotent:
 		rule = decision.RuleAttemptsFailed
@@ -190,17 +190,17 @@
 	n.refuse(r, rule, max(d.RetryAfter, e.RetryAfter))
 }
 
-// deliver passes an attempt's answer on and gives up the others.
-func (n *Node) deliver(a *attempt, e AttemptEnded) {
+// relayAnswer passes an attempt's answer on and gives up the others.
+func (n *Node) relayAnswer(a *attempt, e AttemptEnded) {
 	r := a.request
 	r.answered = true
 	r.server = a.server.ID
 	n.cancelOthers(r, a)
-	if !r.gone {
+	if !r.callerGone {
 		n.emit(Relay{Request: r.arrived.Request, Attempt: a.id})
 	}
 	if !a.streaming {
-		n.served(r, e.Answer)
+		n.finishServed(r, e.Answer)
 	}
 }
 
@@ -213,10 +213,10 @@
 	}
 }
 
-func (n *Node) served(r *request, answer *claim.Answer) {
+func (n *Node) finishServed(r *request, answer *claim.Answer) {
 	delete(n.requests, r.arrived.Request)
 	n.endOperation(r, claim.Ran, answer)
-	n.recorded(n.record(r, decision.RuleServed))
+	n.emitRecord(n.record(r, decision.RuleServed))
 }
 
 // streamEnded takes the end of an answer that was passed on as it came.
@@ -225,27 +225,27 @@
 	if !ok || !a.streaming {
 		return
 	}
-	n.forget(a)
+	n.removeAttempt(a)
 	r := a.request
 	if e.Whole {
-		n.served(r, nil)
+		n.finishServed(r, nil)
 		return
 	}
 	delete(n.requests, r.arrived.Request)
 	n.endOperation(r, claim.Unknown, nil)
 	rule := decision.RuleAnswerCut
-	if r.gone {
+	if r.callerGone {
 		rule = decision.RuleCallerGone
 	}
 	if rule == decision.RuleAnswerCut {
 		n.observer.Observe(n.now, n.observation(a, health.Incomplete, n.now-a.started))
 	}
-	n.recorded(n.record(r, rule))
+	n.emitRecord(n.record(r, rule))
 }
 
-// late takes note that an attempt has no answer for longer than nearly all
+// handleLate takes note that an attempt has no answer for longer than nearly all
 // others, and hedges it if the service as a whole isn't slow.
-func (n *Node) late(a *attempt) {
+func (n *Node) handleLate(a *attempt) {
 	if n.attempts[a.id] != a || a.streaming {
 		return
 	}
@@ -266,17 +266,17 @@
 // held as a whole.
 func (n *Node) hedge(a *attempt) {
 	r := a.request
-	if n.attempts[a.id] != a || r.answered || r.gone || !r.idempotent || !r.arrived.Held || n.reconsider(r) != "" {
+	if n.attempts[a.id] != a || r.answered || r.callerGone || !r.idempotent || !r.arrived.Held || n.revalidate(r) != "" {
 		return
 	}
 	state := n.retryState(r, AttemptEnded{Result: health.Late, Replayable: true})
 	if retry.DecideHedge(n.now, state, n.budget(r.service.Name)).Action == retry.Hedge {
-		n.send(r)
+		n.startAttempt(r)
 	}
 }
 
-// forget drops an attempt that has ended.
-func (n *Node) forget(a *attempt) {
+// removeAttempt drops an attempt that has ended.
+func (n *Node) removeAttempt(a *attempt) {
 	delete(n.attempts, a.id)
 	r := a.request
 	r.running = slices.DeleteFunc(r.running, func(other *attempt) bool { return other == a })
--- a/node/claims.go
+++ b/node/claims.go
@@ -14,35 +14,35 @@
 const (
 	// claimRetention is how long the row of a caller-made key is kept.
 	claimRetention = 24 * time.Hour
-	// pruneEvery is the time between two reads of the claims table for old
+	// pruneInterval is the time between two reads of the claims table for old
 	// rows; each covers one of pruneSlices slices of it.
-	pruneEvery  = 10 * time.Second
-	pruneSlices = 256
+	pruneInterval = 10 * time.Second
+	pruneSlices   = 256
 	// pruneLimit bounds the rows deleted at once.
 	pruneLimit = 200
 	// pruneSubject marks the reads and writes of pruning.
 	pruneSubject = "prune"
-	// sweepEvery is the time between two looks at claims that this instance
+	// abandonedInterval is the time between two looks at claims that this instance
 	// gave up without knowing whether they took effect.
-	sweepEvery = 5 * time.Second
-	// sweepLimit bounds the claims looked at each time.
-	sweepLimit = 8
+	abandonedInterval = 5 * time.Second
+	// abandonedLimit bounds the claims looked at each time.
+	abandonedLimit = 8
 )
 
 // pruning is the state of deleting old claims.
 type pruning struct {
-	next    time.Duration
-	sweepAt time.Duration
-	slice   int
-	horizon *claim.RetentionTracker
+	nextPrune          time.Duration
+	nextAbandonedCheck time.Duration
+	slice              int
+	retention          *claim.RetentionTracker
 }
 
-// claimStep does what comes next for a caller-made key.
-func (n *Node) claimStep(id claim.ID, request string, s claim.Step) {
+// runClaimStep does what comes next for a caller-made key.
+func (n *Node) runClaimStep(id claim.ID, request string, s claim.Step) {
 	p := pending{owner: ownerClaim, id: uint64(id), subject: request}
 	switch {
 	case s.Decision != nil:
-		n.claimDecided(id, request, *s.Decision)
+		n.handleClaimDecision(id, request, *s.Decision)
 	case s.Write != nil && s.Delay > 0:
 		write := effect.WriteTable{Txn: *s.Write}
 		n.timers.add(n.now+s.Delay, func() { n.emit(n.own(p, write)) })
@@ -53,16 +53,16 @@
 	}
 }
 
-func (n *Node) claimDecided(id claim.ID, request string, d claim.Decision) {
+func (n *Node) handleClaimDecision(id claim.ID, request string, d claim.Decision) {
 	r, waiting := n.requests[request]
 	switch {
 	case d.Verdict == claim.Run && !waiting:
-		n.claimStep(id, "", n.claimer.Finish(id, claim.NotRun, nil))
+		n.runClaimStep(id, "", n.claimer.Finish(id, claim.NotRun, nil))
 	case d.Verdict == claim.Run:
 		r.operation = &operation{claim: id}
-		n.goOn(r)
+		n.resume(r)
 	case waiting:
-		n.answerRepeat(r, claim.ResolveInProgress(d, n.peerState(d.Owner)))
+		n.answerDuplicate(r, claim.ResolveInProgress(d, n.peerState(d.Owner)))
 	}
 }
 
@@ -74,35 +74,35 @@
 	return claim.PeerLive
 }
 
-func (n *Node) claimRead(p pending, e TableRead) {
+func (n *Node) handleClaimRead(p pending, e TableRead) {
 	if e.OK {
-		n.pruning.horizon.Observe(n.now, e.Changes.Revision)
+		n.pruning.retention.Observe(n.now, e.Changes.Revision)
 	}
 	switch {
 	case p.subject == pruneSubject:
-		n.prune(e)
+		n.deleteExpiredClaims(e)
 	case strings.HasPrefix(p.subject, claim.RowPrefix):
-		n.sweep(p.subject, e)
+		n.releaseAbandonedClaim(p.subject, e)
 	case e.OK:
-		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleReadResult(claim.ID(p.id), e.Changes))
+		n.runClaimStep(claim.ID(p.id), p.subject, n.claimer.HandleReadResult(claim.ID(p.id), e.Changes))
 	default:
-		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleReadFailure(claim.ID(p.id)))
+		n.runClaimStep(claim.ID(p.id), p.subject, n.claimer.HandleReadFailure(claim.ID(p.id)))
 	}
 }
 
-func (n *Node) claimWritten(p pending, r storage.WriteResult) {
+func (n *Node) handleClaimWrite(p pending, r storage.WriteResult) {
 	if p.subject != pruneSubject {
-		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleWriteResult(claim.ID(p.id), r))
+		n.runClaimStep(claim.ID(p.id), p.subject, n.claimer.HandleWriteResult(claim.ID(p.id), r))
 	}
 }
 
-// lookForOldClaims reads one slice of the claims table now and then, if this
+// readExpiredClaims reads one slice of the claims table now and then, if this
 // instance is the one that does so.
-func (n *Node) lookForOldClaims() {
-	if n.now < n.pruning.next || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
+func (n *Node) readExpiredClaims() {
+	if n.now < n.pruning.nextPrune || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
 	}
-	n.pruning.next = n.now + pruneEvery
+	n.pruning.nextPrune = n.now + pruneInterval
 	if membership.TopRanked("claim-pruner", n.entryIDs()) != n.settings.Self.ID {
 		return
 	}
@@ -112,39 +112,39 @@
 	n.emit(n.own(pending{owner: ownerClaim, subject: pruneSubject}, effect.ReadTable{Read: read}))
 }
 
-func (n *Node) prune(e TableRead) {
+func (n *Node) deleteExpiredClaims(e TableRead) {
 	if !e.OK {
 		return
 	}
-	if txn, some := n.claimer.Prune(e.Changes.Rows, n.pruning.horizon.ExpiredRevision(n.now), pruneLimit); some {
-		n.tidy(txn)
+	if txn, some := n.claimer.Prune(e.Changes.Rows, n.pruning.retention.ExpiredRevision(n.now), pruneLimit); some {
+		n.deleteClaims(txn)
 	}
 }
 
-// lookForAbandonedClaims reads the rows of claims that were given up while
+// readAbandonedClaims reads the rows of claims that were given up while
 // the table didn't answer. One that took effect late is deleted: it would make
 // every instance say "in progress" of an operation that nobody runs.
-func (n *Node) lookForAbandonedClaims() {
-	if n.now < n.pruning.sweepAt || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
+func (n *Node) readAbandonedClaims() {
+	if n.now < n.pruning.nextAbandonedCheck || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
 	}
-	n.pruning.sweepAt = n.now + sweepEvery
-	for _, key := range n.claimer.AbandonedKeys(sweepLimit) {
+	n.pruning.nextAbandonedCheck = n.now + abandonedInterval
+	for _, key := range n.claimer.AbandonedKeys(abandonedLimit) {
 		read := storage.ReadRequest{Table: storage.Claims, Prefix: key}
 		n.emit(n.own(pending{owner: ownerClaim, subject: key}, effect.ReadTable{Read: read}))
 	}
 }
 
-func (n *Node) sweep(key string, e TableRead) {
+func (n *Node) releaseAbandonedClaim(key string, e TableRead) {
 	if !e.OK {
 		return
 	}
 	if txn, some := n.claimer.ReleaseAbandoned(key, e.Changes); some {
-		n.tidy(txn)
+		n.deleteClaims(txn)
 	}
 }
 
-// tidy deletes rows that nobody needs. If it fails, a later look repeats it.
-func (n *Node) tidy(txn storage.Txn) {
+// deleteClaims deletes rows that nobody needs. If it fails, a later look repeats it.
+func (n *Node) deleteClaims(txn storage.Txn) {
 	n.emit(n.own(pending{owner: ownerClaim, subject: pruneSubject}, effect.WriteTable{Txn: txn}))
 }
--- a/node/detection.go
+++ b/node/detection.go
@@ -9,41 +9,41 @@
 	"foxtailspoke/storage"
 )
 
-// doubtMemory is how long after its last bad attempt a server is in doubt. A
+// failureSpanGap is how long after its last bad attempt a server is in doubt. A
 // later one begins a new doubt, so that a rare failure hours ago doesn't count
 // as the beginning of today's fault.
-const doubtMemory = 30 * time.Second
+const failureSpanGap = 30 * time.Second
 
-// doubt is when the attempts reported against a server began and last came.
-type doubt struct{ first, last time.Duration }
+// failureSpan is when the attempts reported against a server began and last came.
+type failureSpan struct{ first, last time.Duration }
 
-// noteDoubts follows the servers that reports speak against, for the time
+// recordFailures follows the servers that reports speak against, for the time
 // from the first bad attempt reported to the ejection.
-func (n *Node) noteDoubts(r health.Report) {
+func (n *Node) recordFailures(r health.Report) {
 	for _, s := range r.Servers {
 		bad := slices.ContainsFunc(s.Workspaces, func(w health.WorkspaceCount) bool { return w.Failed+w.Late > 0 })
 		if !bad {
 			continue
 		}
-		d, known := n.doubts[s.Server]
-		if !known || n.now-d.last > doubtMemory {
+		d, known := n.failureSpans[s.Server]
+		if !known || n.now-d.last > failureSpanGap {
 			d.first = n.now
 		}
 		d.last = n.now
-		n.doubts[s.Server] = d
+		n.failureSpans[s.Server] = d
 	}
 }
 
-func (n *Node) forgetDoubts() {
-	for server, d := range n.doubts {
-		if n.now-d.last > doubtMemory {
-			delete(n.doubts, server)
+func (n *Node) evictFailureSpans() {
+	for server, d := range n.failureSpans {
+		if n.now-d.last > failureSpanGap {
+			delete(n.failureSpans, server)
 		}
 	}
 }
 
-// proposed returns the servers that a proposal ejects anew.
-func proposed(before, after config.Permits) []string {
+// newlyEjected returns the servers that a proposal ejects anew.
+func newlyEjected(before, after config.Permits) []string {
 	var added []string
 	for _, e := range after.Ejected {
 		if !isEjected(before, e.Server) {
@@ -55,13 +55,13 @@
 
 // permitsWritten takes the end of a write of a permits row.
 func (n *Node) permitsWritten(service string, r storage.WriteResult) {
-	ejected := n.permitting[service]
-	delete(n.permitting, service)
+	ejected := n.permitWrites[service]
+	delete(n.permitWrites, service)
 	if r.Outcome != storage.Committed {
 		return
 	}
 	for _, server := range ejected {
-		if d, known := n.doubts[server]; known {
+		if d, known := n.failureSpans[server]; known {
 			n.emit(Noted{Note: NoteDetected, Subject: server, Took: n.now - d.first})
 		}
 	}
--- a/node/worst_test.go
+++ b/node/failures_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestWorstServedWorkspace(t *testing.T) {
-	f := newFares()
+	f := newWorkspaceFailures()
 	note := func(workspace string, rule decision.Rule, times int) {
 		for range times {
-			f.note(time.Second, decision.Record{Workspace: workspace, Rule: rule})
+			f.record(time.Second, decision.Record{Workspace: workspace, Rule: rule})
 		}
 	}
 	note("well", decision.RuleServed, 30)
@@ -25,6 +25,6 @@
 	worst, ok := f.worst(time.Second)
 	must.True(t, ok)
 	must.Eq(t, WorkspaceFailures{Workspace: "ill", FailedRatio: 0.25}, worst)
-	f.forget(2 * time.Hour)
-	must.MapEmpty(t, f.by)
+	f.evictIdle(2 * time.Hour)
+	must.MapEmpty(t, f.counts)
 }
--- a/node/locate.go
+++ b/node/locate.go
@@ -11,8 +11,8 @@
 
 // locate answers which addresses a caller should use.
 func (n *Node) locate(e LocateAsked) {
-	r := &request{arrived: RequestArrived{Request: e.Request, At: e.At}, at: n.now}
-	rule, workspace := n.identify(e.Key, e.HasKey, &r.figures)
+	r := &request{arrived: RequestArrived{Request: e.Request, At: e.At}, arrivedAt: n.now}
+	rule, workspace := n.authenticate(e.Key, e.HasKey, &r.figures)
 	if rule != "" {
 		n.refuse(r, rule, 0)
 		return
@@ -34,7 +34,7 @@
 // floods therefore meets few instances, and always the same.
 func (n *Node) addresses(workspace string, self bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
-	ids := n.holders(shard)
+	ids := n.liveHolders(shard)
 	for _, id := range n.member.Directory().HolderCandidates("locate/"+workspace, n.settings.LocateAddresses) {
 		if !slices.Contains(ids, id) {
 			ids = append(ids, id)
@@ -59,8 +59,8 @@
 	return addresses[:min(len(addresses), n.settings.LocateAddresses)]
 }
 
-// holders returns the live holders of a shard, most parts first.
-func (n *Node) holders(shard string) []string {
+// liveHolders returns the live liveHolders of a shard, most parts first.
+func (n *Node) liveHolders(shard string) []string {
 	live := n.entryIDs()
 	ids := quota.AskOrder(n.replica.Shard(shard), "")
 	return slices.DeleteFunc(ids, func(id string) bool { return !slices.Contains(live, id) })
--- a/node/message.go
+++ b/node/message.go
@@ -52,7 +52,7 @@
 	switch {
 	case e.Request.Member != nil:
 		reply := n.member.Handle(n.now, e.From, *e.Request.Member)
-		n.noticeRevision()
+		n.applyUpdates()
 		return PeerReply{Member: &reply}, true
 	case e.Request.Ask != nil:
 		transfer, ok := n.give(*e.Request.Ask)
@@ -63,7 +63,7 @@
 	case e.Request.Report != nil:
 		suspects := n.collector.Accept(n.now, e.From, *e.Request.Report)
 		n.judgeReporter(e.From, e.Request.Report.Service)
-		n.noteDoubts(*e.Request.Report)
+		n.recordFailures(*e.Request.Report)
 		return PeerReply{Advice: &Advice{Service: e.Request.Report.Service, Suspects: suspects}}, true
 	}
 	return PeerReply{}, false
@@ -82,7 +82,7 @@
 			reply = *e.Reply.Member
 		}
 		n.memberEffects(n.member.CallDone(n.now, p.id, reply, answered))
-		n.noticeRevision()
+		n.applyUpdates()
 	case ownerTokens:
 		n.asked(p.subject, p.id, e.Reply.Transfer, e.OK)
 	case ownerSettlement:
--- a/node/node.go
+++ b/node/node.go
@@ -45,30 +45,30 @@
 	timers   timers
 
 	shards shards
-	// seen and seenList are the table's revision and the list's version that
+	// followedRevision and seenList are the table's revision and the list's version that
 	// the node has followed.
-	seen     storage.Revision
-	seenList uint64
-	// state is the confirmation as operators heard of it last.
-	state membership.State
-	// freshUntil is until when this instance could act on what it knew at
+	followedRevision    storage.Revision
+	followedListVersion uint64
+	// reportedState is the confirmation as operators heard of it last.
+	reportedState membership.State
+	// confirmedUntil is until when this instance could act on what it knew at
 	// the end of the last step.
-	freshUntil time.Duration
-	// housekeep and forgetAt are when the regular work is due.
-	housekeep time.Duration
-	forgetAt  time.Duration
-	leaving   bool
-	// permitting has the services whose permits row is being written, with
+	confirmedUntil time.Duration
+	// nextHousekeeping and forgetAt are when the regular work is due.
+	nextHousekeeping time.Duration
+	nextEviction     time.Duration
+	leaving          bool
+	// permitWrites has the services whose permits row is being written, with
 	// the servers that this ejects.
-	permitting map[string][]string
-	doubts     map[string]doubt
-	// leavers are backend servers that said that they leave, until when.
-	leavers map[string]time.Duration
+	permitWrites map[string][]string
+	failureSpans map[string]failureSpan
+	// leavingServers are backend servers that said that they leave, until when.
+	leavingServers map[string]time.Duration
 	// ejected are the servers by service that operators heard of.
-	ejected      map[string]map[string]bool
-	refused      refusals
-	fares        fares
-	unadvertised unadvertised
+	ejected           map[string]map[string]bool
+	rateRefusals      refusals
+	workspaceFailures workspaceFailures
+	unadvertised      unadvertised
 }
 
 // New returns the node of an instance that has just started and knows
@@ -80,28 +80,28 @@
 	rng := rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15))
 	replica := config.NewReplica()
 	return &Node{
-		settings:   s,
-		rng:        rng,
-		replica:    replica,
-		member:     membership.New(s.Membership, replica, rng),
-		holder:     quota.NewHolder(s.Self.ID, s.Shards, s.Quota),
-		minter:     claim.NewMinter(s.Self.ID, s.Secret, s.Claim),
-		claimer:    claim.NewClaimer(s.Self.ID, s.Claimer),
-		pruning:    pruning{horizon: claim.NewRetentionTracker(claimRetention)},
-		observer:   health.NewObserver(s.Health, rng),
-		collector:  health.NewCollector(s.Health),
-		picker:     balance.NewPicker(s.Balance, rng),
-		budgets:    map[string]*retry.Budget{},
-		pending:    map[uint64]pending{},
-		requests:   map[string]*request{},
-		attempts:   map[string]*attempt{},
-		shards:     newShards(s.Shards),
-		permitting: map[string][]string{},
-		doubts:     map[string]doubt{},
-		leavers:    map[string]time.Duration{},
-		ejected:    map[string]map[string]bool{},
-		refused:    refusals{},
-		fares:      newFares(),
+		settings:          s,
+		rng:               rng,
+		replica:           replica,
+		member:            membership.New(s.Membership, replica, rng),
+		holder:            quota.NewHolder(s.Self.ID, s.Shards, s.Quota),
+		minter:            claim.NewMinter(s.Self.ID, s.Secret, s.Claim),
+		claimer:           claim.NewClaimer(s.Self.ID, s.Claimer),
+		pruning:           pruning{retention: claim.NewRetentionTracker(claimRetention)},
+		observer:          health.NewObserver(s.Health, rng),
+		collector:         health.NewCollector(s.Health),
+		picker:            balance.NewPicker(s.Balance, rng),
+		budgets:           map[string]*retry.Budget{},
+		pending:           map[uint64]pending{},
+		requests:          map[string]*request{},
+		attempts:          map[string]*attempt{},
+		shards:            newShards(s.Shards),
+		permitWrites:      map[string][]string{},
+		failureSpans:      map[string]failureSpan{},
+		leavingServers:    map[string]time.Duration{},
+		ejected:           map[string]map[string]bool{},
+		rateRefusals:      refusals{},
+		workspaceFailures: newWorkspaceFailures(),
 	}
 }
 
@@ -112,7 +112,7 @@
 	n.now = max(n.now, now)
 	n.effects = n.effects[:0]
 	n.handle(e)
-	n.noticeState()
+	n.reportConfirmation()
 	return n.effects
 }
 
@@ -121,9 +121,9 @@
 	case Wake:
 		n.wake()
 	case RequestArrived:
-		n.arrive(e)
+		n.handleRequest(e)
 	case RequestGone:
-		n.gone(e.Request)
+		n.handleCallerGone(e.Request)
 	case AttemptEnded:
 		n.attemptEnded(e)
 	case StreamEnded:
@@ -150,7 +150,7 @@
 // NextWake returns the time at which Step with Wake has something to do. Ask
 // again after every step.
 func (n *Node) NextWake() time.Duration {
-	next := min(n.member.NextWake(), n.housekeep, n.shards.next, n.shards.wakeWriter())
+	next := min(n.member.NextWake(), n.nextHousekeeping, n.shards.next, n.shards.wakeWriter())
 	if at, ok := n.timers.first(); ok {
 		next = min(next, at)
 	}
@@ -159,14 +159,14 @@
 
 func (n *Node) wake() {
 	n.memberEffects(n.member.Tick(n.now))
-	n.noticeRevision()
+	n.applyUpdates()
 	n.runTimers()
 	n.settleShards()
 	if n.now >= n.shards.wakeWriter() {
 		n.planShards()
 	}
-	if n.now >= n.housekeep {
-		n.housekeep = n.now + n.settings.HousekeepEvery
+	if n.now >= n.nextHousekeeping {
+		n.nextHousekeeping = n.now + n.settings.HousekeepEvery
 		n.runHousekeeping()
 	}
 }
@@ -176,14 +176,14 @@
 	n.collect()
 	n.endUnadvertised()
 	n.planShards()
-	n.lookForOldClaims()
-	n.lookForAbandonedClaims()
-	if n.now >= n.forgetAt {
-		n.forgetAt = n.now + time.Minute
+	n.readExpiredClaims()
+	n.readAbandonedClaims()
+	if n.now >= n.nextEviction {
+		n.nextEviction = n.now + time.Minute
 		n.holder.EvictIdle(n.now)
 		n.forgetLeavers()
-		n.forgetDoubts()
-		n.fares.forget(n.now)
+		n.evictFailureSpans()
+		n.workspaceFailures.evictIdle(n.now)
 	}
 }
 
@@ -193,11 +193,11 @@
 		return
 	}
 	if p.owner == ownerClaim {
-		n.claimRead(p, e)
+		n.handleClaimRead(p, e)
 		return
 	}
 	n.memberEffects(n.member.ReadDone(n.now, p.id, e.Changes, e.OK))
-	n.noticeRevision()
+	n.applyUpdates()
 }
 
 func (n *Node) tableWritten(e TableWritten) {
@@ -211,7 +211,7 @@
 	case ownerShard:
 		n.shardWritten(p.subject, e.Result)
 	case ownerClaim:
-		n.claimWritten(p, e.Result)
+		n.handleClaimWrite(p, e.Result)
 	case ownerUnadvertised:
 		n.unadvertised.writing = false
 	case ownerPermits:
@@ -225,37 +225,37 @@
 		return
 	}
 	n.memberEffects(n.member.InstancesDone(n.now, p.id, e.Changes, e.OK))
-	n.noticeRevision()
+	n.applyUpdates()
 }
 
-// noticeRevision follows the replica and the instance list after anything
+// applyUpdates follows the replica and the instance list after anything
 // that may have changed them.
-func (n *Node) noticeRevision() {
-	if list := n.member.Directory().Version(); list != n.seenList {
-		n.seenList = list
+func (n *Node) applyUpdates() {
+	if list := n.member.Directory().Version(); list != n.followedListVersion {
+		n.followedListVersion = list
 		n.rankShards()
 		n.collector.SetFleetSize(len(n.member.Directory().Entries()), len(n.member.Directory().DataCentres()))
 		n.noticeServers()
 	}
-	if n.replica.Revision() == n.seen {
+	if n.replica.Revision() == n.followedRevision {
 		return
 	}
-	n.seen = n.replica.Revision()
+	n.followedRevision = n.replica.Revision()
 	n.refreshShards()
 	n.noticePermits()
 	n.noticeUnadvertised()
 	n.noticeServers()
 }
 
-func (n *Node) noticeState() {
+func (n *Node) reportConfirmation() {
 	c := n.member.Confirmation(n.now)
 	if c.State != membership.CutOff {
-		n.freshUntil = n.now - c.Age + n.member.Settings().Fresh
+		n.confirmedUntil = n.now - c.Age + n.member.Settings().Fresh
 	}
-	if c.State == n.state {
+	if c.State == n.reportedState {
 		return
 	}
-	n.state = c.State
+	n.reportedState = c.State
 	n.emit(Noted{Note: NoteConfirmation, Subject: c.State.String()})
 }
 
--- a/node/operations.go
+++ b/node/operations.go
@@ -21,7 +21,7 @@
 func (n *Node) beginOperation(r *request) {
 	if !claim.IsOperationKey(r.arrived.Operation) {
 		id, step := n.claimer.Begin(r.workspace.Name, r.arrived.Operation, r.arrived.Digest)
-		n.claimStep(id, r.arrived.Request, step)
+		n.runClaimStep(id, r.arrived.Request, step)
 		return
 	}
 	key, err := claim.Parse(r.arrived.Operation)
@@ -40,14 +40,14 @@
 		n.takeTokens(r)
 		return
 	}
-	n.answerRepeat(r, d)
+	n.answerDuplicate(r, d)
 }
 
-// answerRepeat ends a request that the claim doesn't let run.
-func (n *Node) answerRepeat(r *request, d claim.Decision) {
+// answerDuplicate ends a request that the claim doesn't let run.
+func (n *Node) answerDuplicate(r *request, d claim.Decision) {
 	switch d.Verdict {
 	case claim.Replay:
-		n.repeat(r, *d.Answer)
+		n.replayAnswer(r, *d.Answer)
 	case claim.InProgress:
 		n.refuse(r, decision.RuleStillRunning, 0)
 	case claim.RanAlready:
@@ -59,19 +59,19 @@
 	}
 }
 
-func (n *Node) repeat(r *request, a claim.Answer) {
+func (n *Node) replayAnswer(r *request, a claim.Answer) {
 	delete(n.requests, r.arrived.Request)
 	record := n.record(r, decision.RuleServed)
 	record.Outcome = decision.RanBefore
 	n.emit(Repeat{Request: r.arrived.Request, Answer: a})
-	n.recorded(record)
+	n.emitRecord(record)
 }
 
 // claimDetails tells callers why a key was refused.
 var claimDetails = map[claim.Reason]string{
-	claim.Forged:         "its operation key wasn't made by this system",
+	claim.Forged:            "its operation key wasn't made by this system",
 	claim.WorkspaceMismatch: "its operation key was made for another workspace",
-	claim.Expired:        "its operation key is too old",
+	claim.Expired:           "its operation key is too old",
 	claim.RequestMismatch:   "its operation key was used for a different request before",
 }
 
@@ -85,7 +85,7 @@
 	if !d.NeverRan && d.Reason != claim.RequestMismatch {
 		record.Outcome = decision.Unknown
 	}
-	n.refuseAs(r, record)
+	n.refuseWithRecord(r, record)
 }
 
 // endOperation reports how a request under a key ended.
@@ -93,7 +93,7 @@
 	switch {
 	case r.operation == nil:
 	case r.operation.claim != 0:
-		n.claimStep(r.operation.claim, "", n.claimer.Finish(r.operation.claim, o, a))
+		n.runClaimStep(r.operation.claim, "", n.claimer.Finish(r.operation.claim, o, a))
 	default:
 		n.minter.Finish(n.now, r.operation.key, o, a)
 	}
@@ -117,7 +117,7 @@
 		Workspace: r.workspace.Name,
 		Operation: r.arrived.Operation,
 		Timeout:   r.deadline - n.now,
-		Until:     n.until(),
+		Until:     n.confirmationEnd(),
 		Forward:   true,
 	})
 }
@@ -130,36 +130,36 @@
 		if e.Streaming {
 			a.streaming = true
 		}
-		n.passOn(a)
+		n.relayMinterAnswer(a)
 		return
 	}
-	n.forget(a)
-	if n.forwardAgain(r, e) {
+	n.removeAttempt(a)
+	if n.retryForward(r, e) {
 		return
 	}
 	r.figures.Detail = e.Detail
 	record := n.record(r, decision.RuleOperationElsewhere)
 	record.Outcome = decision.Unknown
 	record.RetryAfter = n.settings.Retry.RetryAfter
-	n.refuseAs(r, record)
+	n.refuseWithRecord(r, record)
 }
 
 const (
 	// maxForwards bounds how often a request is passed on to its minter.
 	maxForwards = 3
-	// forwardGap is the pause before it is passed on again.
-	forwardGap = 50 * time.Millisecond
+	// forwardRetryDelay is the pause before it is passed on again.
+	forwardRetryDelay = 50 * time.Millisecond
 )
 
-// forwardAgain passes a request on once more after a connection failed. The
+// retryForward passes a request on once more after a connection failed. The
 // minter runs a key once, so this can't run it twice.
-func (n *Node) forwardAgain(r *request, e AttemptEnded) bool {
+func (n *Node) retryForward(r *request, e AttemptEnded) bool {
 	failed := e.Result == health.ConnectFailed || e.Result == health.Incomplete
-	if !failed || !e.Replayable || r.gone || r.forwards >= maxForwards || n.now+2*forwardGap >= r.deadline {
+	if !failed || !e.Replayable || r.callerGone || r.forwards >= maxForwards || n.now+2*forwardRetryDelay >= r.deadline {
 		return false
 	}
-	n.timers.add(n.now+forwardGap, func() {
-		if rule := n.reconsider(r); rule != "" {
+	n.timers.add(n.now+forwardRetryDelay, func() {
+		if rule := n.revalidate(r); rule != "" {
 			n.refuse(r, rule, 0)
 			return
 		}
@@ -174,15 +174,15 @@
 	return r == health.OK || r == health.ServerError || r == health.Shed || r == health.NotRun
 }
 
-func (n *Node) passOn(a *attempt) {
+func (n *Node) relayMinterAnswer(a *attempt) {
 	r := a.request
 	r.answered = true
-	if !r.gone {
+	if !r.callerGone {
 		n.emit(Relay{Request: r.arrived.Request, Attempt: a.id, Forwarded: true})
 	}
 	if a.streaming {
 		return
 	}
-	n.forget(a)
+	n.removeAttempt(a)
 	delete(n.requests, r.arrived.Request)
 }
--- a/node/request.go
+++ b/node/request.go
@@ -14,7 +14,7 @@
 // request is a caller's request in progress.
 type request struct {
 	arrived   RequestArrived
-	at        time.Duration
+	arrivedAt time.Duration
 	deadline  time.Duration
 	workspace config.Workspace
 	service   config.Service
@@ -25,8 +25,8 @@
 	operation *operation
 
 	search *quota.Search
-	// lost counts the asks that got no answer.
-	lost int
+	// unansweredAsks counts the asks that got no answer.
+	unansweredAsks int
 	// forwards counts how often it was passed on to its key's minter.
 	forwards int
 
@@ -37,17 +37,17 @@
 	// mayHaveRun says that an attempt wasn't proved not run.
 	mayHaveRun bool
 	// answered says that the caller has its answer, or the beginning of it.
-	answered bool
-	gone     bool
-	server   string
-	figures  decision.Figures
+	answered   bool
+	callerGone bool
+	server     string
+	figures    decision.Figures
 }
 
-// arrive decides what can be decided at once, in the order of the least
+// handleRequest decides what can be decided at once, in the order of the least
 // information given away: a request whose configuration isn't confirmed, or
 // without a valid key, learns nothing else.
-func (n *Node) arrive(e RequestArrived) {
-	r := &request{arrived: e, at: n.now, deadline: n.now + n.settings.DefaultTimeout}
+func (n *Node) handleRequest(e RequestArrived) {
+	r := &request{arrived: e, arrivedAt: n.now, deadline: n.now + n.settings.DefaultTimeout}
 	if rule := n.admit(r); rule != "" {
 		n.refuse(r, rule, 0)
 		return
@@ -63,7 +63,7 @@
 // admit fills in what the configuration says of the request, or returns the
 // rule by which it is refused.
 func (n *Node) admit(r *request) decision.Rule {
-	rule, workspace := n.identify(r.arrived.Key, r.arrived.HasKey, &r.figures)
+	rule, workspace := n.authenticate(r.arrived.Key, r.arrived.HasKey, &r.figures)
 	if rule != "" {
 		return rule
 	}
@@ -91,11 +91,11 @@
 	return ""
 }
 
-// reconsider looks again at a request that waited for another instance or for
+// revalidate looks again at a request that waited for another instance or for
 // the platform: meanwhile its key may have been withdrawn, its plan changed,
 // or this instance been cut off.
-func (n *Node) reconsider(r *request) decision.Rule {
-	if rule, _ := n.identify(r.arrived.Key, r.arrived.HasKey, &r.figures); rule != "" {
+func (n *Node) revalidate(r *request) decision.Rule {
+	if rule, _ := n.authenticate(r.arrived.Key, r.arrived.HasKey, &r.figures); rule != "" {
 		return rule
 	}
 	limit, ok := n.replica.Limit(r.workspace.Name, r.service.Name)
@@ -106,17 +106,17 @@
 	return ""
 }
 
-// goOn takes tokens for a request that waited.
-func (n *Node) goOn(r *request) {
-	if rule := n.reconsider(r); rule != "" {
+// resume takes tokens for a request that waited.
+func (n *Node) resume(r *request) {
+	if rule := n.revalidate(r); rule != "" {
 		n.refuse(r, rule, 0)
 		return
 	}
 	n.takeTokens(r)
 }
 
-// identify finds the workspace of a key.
-func (n *Node) identify(key config.KeyHash, has bool, f *decision.Figures) (decision.Rule, config.Workspace) {
+// authenticate finds the workspace of a key.
+func (n *Node) authenticate(key config.KeyHash, has bool, f *decision.Figures) (decision.Rule, config.Workspace) {
 	c := n.member.Confirmation(n.now)
 	f.Revision = uint64(c.Revision)
 	if c.State == membership.CutOff {
@@ -151,14 +151,14 @@
 	return quota.Bucket{Workspace: r.workspace.Name, Service: r.service.Name}
 }
 
-// gone takes note that the caller hung up. An operation with a key runs to
+// handleCallerGone takes note that the caller hung up. An operation with a key runs to
 // its end, so that a repeat can get its answer.
-func (n *Node) gone(id string) {
+func (n *Node) handleCallerGone(id string) {
 	r, ok := n.requests[id]
 	if !ok {
 		return
 	}
-	r.gone = true
+	r.callerGone = true
 	if r.operation != nil {
 		return
 	}
@@ -174,17 +174,17 @@
 	if r.mayHaveRun || r.forwards > 0 {
 		record.Outcome = decision.Unknown
 	}
-	n.refuseAs(r, record)
+	n.refuseWithRecord(r, record)
 }
 
-func (n *Node) refuseAs(r *request, record decision.Record) {
+func (n *Node) refuseWithRecord(r *request, record decision.Record) {
 	delete(n.requests, r.arrived.Request)
 	n.endOperation(r, outcomeOf(record), nil)
-	n.refused.count(record)
-	if !r.gone {
+	n.rateRefusals.count(record)
+	if !r.callerGone {
 		n.emit(Refuse{Request: r.arrived.Request, Record: record, Addresses: n.otherAddresses(r)})
 	}
-	n.recorded(record)
+	n.emitRecord(record)
 }
 
 // outcomeOf returns what a refusal means for the operation that it ends.
@@ -208,21 +208,21 @@
 		Rule:      rule,
 		Server:    r.server,
 		Attempts:  len(r.tried),
-		Took:      n.now - r.at,
+		Took:      n.now - r.arrivedAt,
 		Figures:   r.figures,
 	}
 }
 
-// recorded hands out the decision on a request that has ended.
-func (n *Node) recorded(record decision.Record) {
-	n.fares.note(n.now, record)
+// emitRecord hands out the decision on a request that has ended.
+func (n *Node) emitRecord(record decision.Record) {
+	n.workspaceFailures.record(n.now, record)
 	n.emit(Recorded{Record: record})
 }
 
 // otherAddresses names the instances to try instead, for refusals that are
 // this instance's own trouble.
 func (n *Node) otherAddresses(r *request) []string {
-	if n.state != membership.CutOff && !n.leaving {
+	if n.reportedState != membership.CutOff && !n.leaving {
 		return nil
 	}
 	return n.addresses(r.workspace.Name, false)
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -86,7 +86,7 @@
 		l.pass(250 * time.Millisecond)
 	}
 	must.Eq(tb, l.revision, l.node.replica.Revision())
-	must.Eq(tb, membership.ConfirmedByTable, l.node.state)
+	must.Eq(tb, membership.ConfirmedByTable, l.node.reportedState)
 	return l
 }
 
--- a/node/servers.go
+++ b/node/servers.go
@@ -32,7 +32,7 @@
 			ID:         id,
 			DataCentre: s.DataCentre,
 			Slots:      s.Slots,
-			Leaving:    s.State != storage.Live || n.now < n.leavers[id],
+			Leaving:    s.State != storage.Live || n.now < n.leavingServers[id],
 			Ejected:    isEjected(permits, id),
 		}
 		view = append(view, b)
@@ -53,13 +53,13 @@
 // platform's list may lag by minutes; every request in between would cost an
 // attempt that is refused.
 func (n *Node) noteLeaver(server string) {
-	n.leavers[server] = n.now + leaverMemory
+	n.leavingServers[server] = n.now + leaverMemory
 }
 
 func (n *Node) forgetLeavers() {
-	for server, until := range n.leavers {
+	for server, until := range n.leavingServers {
 		if n.now >= until {
-			delete(n.leavers, server)
+			delete(n.leavingServers, server)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		case n.settings.Self.ID:
 			suspects := n.collector.Accept(n.now, collector, report)
 			n.judgeReporter(collector, report.Service)
-			n.noteDoubts(report)
+			n.recordFailures(report)
 			n.observer.ApplyAdvice(n.now, report.Service, suspects)
 		default:
 			p := pending{owner: ownerReport, subject: report.Service}
@@ -143,7 +143,7 @@
 }
 
 func (n *Node) propose(service string) {
-	if _, writing := n.permitting[service]; writing {
+	if _, writing := n.permitWrites[service]; writing {
 		return
 	}
 	var live []string
@@ -161,7 +161,7 @@
 	if err != nil {
 		panic(err)
 	}
-	n.permitting[service] = proposed(n.replica.Permits(service), proposal.Permits)
+	n.permitWrites[service] = newlyEjected(n.replica.Permits(service), proposal.Permits)
 	p := pending{owner: ownerPermits, subject: service}
 	n.emit(n.own(p, effect.WriteTable{Txn: n.txn(config.PermitPrefix+service, value)}))
 }
--- a/node/shards.go
+++ b/node/shards.go
@@ -116,7 +116,7 @@
 	}
 	held.revision = row.Revision
 	n.memberEffects(n.member.Require(n.now, row.Revision))
-	n.settleShard(name, held, n.freshUntil)
+	n.settleShard(name, held, n.confirmedUntil)
 }
 
 // holderRow returns a shard's row for asking its holders. Until a new row is
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -77,7 +77,7 @@
 
 func (n *Node) basis(name string) basis {
 	row, _ := n.replica.Row(shardKey(name))
-	return basis{row: row.Revision, list: n.seenList, lists: n.replica.Lists().Version, leaving: n.leaving}
+	return basis{row: row.Revision, list: n.followedListVersion, lists: n.replica.Lists().Version, leaving: n.leaving}
 }
 
 func (n *Node) planShard(name string, place int, candidates []quota.Candidate) bool {
--- a/node/status.go
+++ b/node/status.go
@@ -34,7 +34,7 @@
 // often enough to tell.
 func (n *Node) Worst(now time.Duration) (WorkspaceFailures, bool) {
 	n.now = max(n.now, now)
-	return n.fares.worst(n.now)
+	return n.workspaceFailures.worst(n.now)
 }
 
 // ServiceStatus is one service as this instance sees it.
@@ -120,8 +120,8 @@
 }
 
 func (n *Node) refusalStatus() []Refusals {
-	list := make([]Refusals, 0, len(n.refused))
-	for b, count := range n.refused {
+	list := make([]Refusals, 0, len(n.rateRefusals))
+	for b, count := range n.rateRefusals {
 		limit, _ := n.replica.Limit(b.Workspace, b.Service)
 		shard := n.replica.Shard(quota.ShardOf(b.Workspace, n.settings.Shards))
 		list = append(list, Refusals{
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -25,7 +25,7 @@
 	n.balanceTokens(row, r.bucket(), r.limit)
 	switch {
 	case step.Admitted:
-		n.begin(r)
+		n.startFirstAttempt(r)
 	case step.To != "":
 		n.ask(step.To, step.Ask, r.arrived.Request)
 	default:
@@ -70,9 +70,9 @@
 		return
 	}
 	if !answered {
-		r.lost++
+		r.unansweredAsks++
 	}
-	if rule := n.reconsider(r); rule != "" {
+	if rule := n.revalidate(r); rule != "" {
 		n.refuse(r, rule, 0)
 		return
 	}
@@ -85,7 +85,7 @@
 	case n.unheld(n.shardOf(r)):
 		rule = decision.RulePeerUnreachable
 		r.figures.Detail = "no instance holds them yet"
-	case r.lost > 0:
+	case r.unansweredAsks > 0:
 		rule = decision.RulePeerUnreachable
 	}
 	r.figures.Parts = quota.PartsByInstance(n.replica.Shard(n.shardOf(r)))[n.settings.Self.ID]
