--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -15,8 +15,8 @@
 	revision storage.Revision
 }
 
-// write commits a row of the control table at once, as operators do.
-func (f *fleet) write(key string, value any) {
+// putRow commits a row of the control table at once, as operators do.
+func (f *fleet) putRow(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -24,7 +24,7 @@
 	f.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: key, Value: data}}})
 }
 
-func (f *fleet) drop(key string) {
+func (f *fleet) deleteRow(key string) {
 	f.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: key, Delete: true}}})
 }
 
@@ -57,7 +57,7 @@
 	return result
 }
 
-func (f *fleet) read(r storage.ReadRequest) storage.Changes {
+func (f *fleet) readTable(r storage.ReadRequest) storage.Changes {
 	from := f.tables[r.Table]
 	c := storage.Changes{Revision: from.revision, Full: r.Since == 0}
 	for _, row := range from.rows {
@@ -71,8 +71,8 @@
 	return c
 }
 
-// platform does something at the table, and brings the answer or none.
-func (f *fleet) platform(i *instance, do func() Event, none Event) {
+// callPlatform does something at the table, and brings the answer or none.
+func (f *fleet) callPlatform(i *instance, do func() Event, none Event) {
 	ended := false
 	end := func(e Event) {
 		if !ended {
@@ -80,14 +80,14 @@
 			f.step(i, e)
 		}
 	}
-	f.at(hop, func() {
+	f.after(hop, func() {
 		if f.tableAway || !f.open(i.name, "table") {
 			return
 		}
 		e := do()
 		if f.open("table", i.name) {
-			f.at(hop, func() { end(e) })
+			f.after(hop, func() { end(e) })
 		}
 	})
-	f.at(readTime, func() { end(none) })
+	f.after(readTime, func() { end(none) })
 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -18,7 +18,7 @@
 	rng   *rand.Rand
 	now   time.Duration
 	seq   int
-	queue jobs
+	queue eventQueue
 
 	tables    map[storage.TableName]*table
 	tableAway bool
@@ -165,7 +165,7 @@
 		return
 	}
 	i.wakeAt = at
-	f.at(at-f.now, func() {
+	f.after(at-f.now, func() {
 		if i.wakeAt == f.now && !i.frozen {
 			f.step(i, Wake{})
 		}
@@ -187,7 +187,7 @@
 
 func (f *fleet) kill(name string) {
 	f.nodes[name].dead = true
-	f.at(3*time.Second, func() {
+	f.after(3*time.Second, func() {
 		self := f.nodes[name].node.settings.Self
 		self.State = storage.Ended
 		f.announce(self)
@@ -218,11 +218,11 @@
 	case effect.Call:
 		f.call(i, e)
 	case effect.ReadTable:
-		f.platform(i, func() Event { return TableRead{ID: e.ID, Changes: f.read(e.Read), OK: true} }, TableRead{ID: e.ID})
+		f.callPlatform(i, func() Event { return TableRead{ID: e.ID, Changes: f.readTable(e.Read), OK: true} }, TableRead{ID: e.ID})
 	case effect.WriteTable:
-		f.platform(i, func() Event { return TableWritten{ID: e.ID, Result: f.commit(e.Txn)} }, TableWritten{ID: e.ID})
+		f.callPlatform(i, func() Event { return TableWritten{ID: e.ID, Result: f.commit(e.Txn)} }, TableWritten{ID: e.ID})
 	case effect.ReadInstances:
-		f.platform(i, func() Event {
+		f.callPlatform(i, func() Event {
 			return InstancesRead{ID: e.ID, OK: true, Changes: storage.InstanceChanges{Version: f.version, Changed: slices.Clone(f.list), Full: true}}
 		}, InstancesRead{ID: e.ID})
 	}
@@ -247,7 +247,7 @@
 	f.noteStart(i, e)
 	s := f.servers[e.Server.ID]
 	end := func(in time.Duration, r health.Result) {
-		f.at(in, func() {
+		f.after(in, func() {
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: r, Latency: in, Replayable: true})
 		})
 	}
@@ -257,7 +257,7 @@
 	}
 	if s.mode == "leaving" {
 		s.refused++
-		f.at(2*hop, func() {
+		f.after(2*hop, func() {
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.NotRun, Replayable: true, Leaving: true})
 		})
 		return
@@ -266,7 +266,7 @@
 		end(2*hop, health.Shed)
 		return
 	}
-	f.at(hop, func() {
+	f.after(hop, func() {
 		f.executed = append(f.executed, execution{at: f.now, request: e.Request, operation: e.Operation})
 	})
 	switch {
@@ -294,15 +294,15 @@
 	f.forwarded[r.Request] = e.Request
 	minter := f.nodes[e.Server.ID]
 	if minter.dead || !f.open(i.name, minter.name) {
-		f.at(hop, func() { f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.ConnectFailed}) })
+		f.after(hop, func() { f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.ConnectFailed}) })
 		return
 	}
-	f.at(hop, func() { f.step(minter, r) })
+	f.after(hop, func() { f.step(minter, r) })
 	f.awaitForward(i, e, r.Request, f.now+e.Timeout)
 }
 
 func (f *fleet) awaitForward(i *instance, e StartAttempt, request string, until time.Duration) {
-	f.at(5*hop, func() {
+	f.after(5*hop, func() {
 		switch _, done := f.answers[request]; {
 		case done && f.open(e.Server.ID, i.name):
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.OK})
@@ -325,15 +325,15 @@
 			f.step(i, c)
 		}
 	}
-	f.at(callTime, func() { end(CallEnded{ID: e.ID}) })
+	f.after(callTime, func() { end(CallEnded{ID: e.ID}) })
 	to, ok := f.nodes[i.node.PeerAddress(e.To)]
 	if !ok || to.dead || !f.open(i.name, to.name) {
 		return
 	}
-	f.at(hop, func() {
+	f.after(hop, func() {
 		f.replying[token] = func(r ReplyCall) {
 			if r.OK && f.open(to.name, i.name) {
-				f.at(hop, func() { end(CallEnded{ID: e.ID, Reply: r.Reply, OK: true}) })
+				f.after(hop, func() { end(CallEnded{ID: e.ID, Reply: r.Reply, OK: true}) })
 			}
 		}
 		f.step(to, Called{Token: token, From: i.name, Request: e.Request.(PeerRequest)})
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -12,53 +12,53 @@
 	"foxtailspoke/storage"
 )
 
-// disturb makes one fault at random, and undoes it later.
-func (f *fleet) disturb() {
+// injectFault makes one fault at random, and undoes it later.
+func (f *fleet) injectFault() {
 	name := f.names[f.rng.IntN(len(f.names))]
 	long := time.Duration(1+f.rng.IntN(9)) * time.Second
 	switch f.rng.IntN(10) {
 	case 0:
 		f.freeze(name)
-		f.at(long, func() { f.thaw(name) })
+		f.after(long, func() { f.thaw(name) })
 	case 1:
 		f.tableAway = true
-		f.at(long, func() { f.tableAway = false })
+		f.after(long, func() { f.tableAway = false })
 	case 2, 3:
-		f.split(name, true, false, long)
+		f.partition(name, true, false, long)
 	case 4:
-		f.split(name, false, true, long)
+		f.partition(name, false, true, long)
 	case 5:
-		f.split(name, true, true, long)
+		f.partition(name, true, true, long)
 	case 6:
 		f.cut["table>"+name] = true
-		f.at(long, func() { f.cut["table>"+name] = false })
+		f.after(long, func() { f.cut["table>"+name] = false })
 	case 7:
 		if len(f.names) < 9 && !f.nodes[name].dead {
 			f.kill(name)
-			f.at(time.Second, func() { f.start(fmt.Sprintf("n%d", len(f.names)), f.rng.IntN(3)) })
+			f.after(time.Second, func() { f.start(fmt.Sprintf("n%d", len(f.names)), f.rng.IntN(3)) })
 		}
 	default:
-		f.declareEnded(name)
+		f.markEnded(name)
 	}
 }
 
-// declareEnded cuts an instance off, and the platform takes it for ended
+// markEnded cuts an instance off, and the platform takes it for ended
 // while it still runs and callers still reach it. Its parts go to others.
-func (f *fleet) declareEnded(name string) {
+func (f *fleet) markEnded(name string) {
 	if len(f.names) >= 9 || f.nodes[name].dead {
 		return
 	}
-	f.split(name, true, true, 20*time.Second)
+	f.partition(name, true, true, 20*time.Second)
 	self := f.nodes[name].node.settings.Self
 	self.State = storage.Ended
 	f.announce(self)
-	f.at(20*time.Second, func() { f.nodes[name].dead = true })
+	f.after(20*time.Second, func() { f.nodes[name].dead = true })
 	f.start(fmt.Sprintf("n%d", len(f.names)), f.rng.IntN(3))
 }
 
-// split cuts an instance and perhaps a second one off from all others and
+// partition cuts an instance and perhaps a second one off from all others and
 // from the platform, in one direction or both.
-func (f *fleet) split(name string, out, in bool, long time.Duration) {
+func (f *fleet) partition(name string, out, in bool, long time.Duration) {
 	others := append(slices.Clone(f.names), "table")
 	for _, other := range others {
 		if other == name {
@@ -67,7 +67,7 @@
 		f.cut[name+">"+other] = out
 		f.cut[other+">"+name] = in
 	}
-	f.at(long, func() {
+	f.after(long, func() {
 		for _, other := range others {
 			f.cut[name+">"+other] = false
 			f.cut[other+">"+name] = false
@@ -75,9 +75,9 @@
 	})
 }
 
-// overspent replays admissions against one bucket of the whole limit, and
+// maxOverspend replays admissions against one bucket of the whole limit, and
 // returns by how many tokens they went beyond it.
-func overspent(starts []started, rate, burst float64) float64 {
+func maxOverspend(starts []started, rate, burst float64) float64 {
 	level, at, worst := burst, time.Duration(0), 0.0
 	for _, s := range starts {
 		level = min(burst, level+(s.at-at).Seconds()*rate) - 1
@@ -91,7 +91,7 @@
 // while instances are frozen, cut off one way, killed and replaced, and the
 // platform comes and goes. The fleet as a whole must stay within rate and
 // burst over every window, and never run an order twice or deny one that ran.
-func TestHistories(t *testing.T) {
+func TestRateAndOutcomesHoldUnderFaults(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
 		seeds = 5
@@ -99,9 +99,9 @@
 	served := 0
 	for seed := range seeds {
 		f := ready(seed, 5, 3)
-		flood(f, 40*time.Second)
-		must.LessEq(t, 1e-6, overspent(f.starts, rate, burst), must.Sprint("seed ", seed))
-		checkOrders(t, f, seed)
+		generateLoad(f, 40*time.Second)
+		must.LessEq(t, 1e-6, maxOverspend(f.starts, rate, burst), must.Sprint("seed ", seed))
+		checkOutcomes(t, f, seed)
 		for _, a := range f.answers {
 			if a.outcome == "served" {
 				served++
@@ -111,17 +111,17 @@
 	must.Greater(t, int(seeds)*150, served)
 }
 
-// flood sends requests to random instances at about three times the rate:
+// generateLoad sends requests to random instances at about three times the rate:
 // orders under keys that are repeated elsewhere, orders without keys, lookups.
-func flood(f *fleet, d time.Duration) {
+func generateLoad(f *fleet, d time.Duration) {
 	until := f.now + d
 	keys := []string{"made-by-caller-0"}
 	for f.now < until {
 		if f.rng.IntN(120) == 0 {
-			f.disturb()
+			f.injectFault()
 		}
 		if f.rng.IntN(50) == 0 {
-			f.server().mode = []string{"ok", "half", "hang", "shed", "refuse"}[f.rng.IntN(5)]
+			f.randomServer().mode = []string{"ok", "half", "hang", "shed", "refuse"}[f.rng.IntN(5)]
 		}
 		name := f.names[f.rng.IntN(len(f.names))]
 		switch f.rng.IntN(4) {
@@ -138,17 +138,17 @@
 		default:
 			f.arrive(name, key, post(keys[max(0, len(keys)-1-f.rng.IntN(6))]))
 		}
-		f.run(time.Duration(f.rng.IntN(32)) * time.Millisecond)
+		f.advance(time.Duration(f.rng.IntN(32)) * time.Millisecond)
 	}
-	f.run(10 * time.Second)
+	f.advance(10 * time.Second)
 }
 
-func (f *fleet) server() *server {
+func (f *fleet) randomServer() *server {
 	return f.servers[fmt.Sprintf("s%d", f.rng.IntN(len(f.servers)))]
 }
 
-// checkOrders compares what callers were told with what backend servers ran.
-func checkOrders(t *testing.T, f *fleet, seed uint64) {
+// checkOutcomes compares what callers were told with what backend servers ran.
+func checkOutcomes(t *testing.T, f *fleet, seed uint64) {
 	byOperation := map[string]int{}
 	byRequest := map[string]int{}
 	for _, e := range f.executed {
@@ -170,10 +170,10 @@
 
 // A run that was recorded is replayed on a fresh node: the same events at the
 // same times give the same effects.
-func TestReplay(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	one, two := ready(5, 5, 3), ready(5, 5, 3)
-	flood(one, 20*time.Second)
-	flood(two, 20*time.Second)
+	generateLoad(one, 20*time.Second)
+	generateLoad(two, 20*time.Second)
 	must.Eq(t, one.answers, two.answers)
 	must.Eq(t, one.executed, two.executed)
 }
--- a/node/lost_bench_test.go
+++ b/node/lost_bench_test.go
@@ -18,7 +18,7 @@
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
 			for range b.N {
 				f := wideFleet(size)
-				f.run(40 * time.Second)
+				f.advance(40 * time.Second)
 				rows, most, last := f.loseCentre()
 				b.ReportMetric(float64(rows), "rows")
 				b.ReportMetric(float64(most), "rows/s(max)")
@@ -32,12 +32,12 @@
 
 func wideFleet(size int) *fleet {
 	f := newFleet(1, 0, 1)
-	f.write(config.PlanPrefix+"p", config.Plan{Services: map[string]config.Limit{"orders": {Rate: 1000, Burst: 1000}}})
-	f.write(config.ServicePrefix+"orders", config.Service{Routes: []config.Route{{Prefix: "/o/"}}})
+	f.putRow(config.PlanPrefix+"p", config.Plan{Services: map[string]config.Limit{"orders": {Rate: 1000, Burst: 1000}}})
+	f.putRow(config.ServicePrefix+"orders", config.Service{Routes: []config.Route{{Prefix: "/o/"}}})
 	for i := range 600 {
-		f.write(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: "p"})
+		f.putRow(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: "p"})
 	}
-	f.write(config.ListsKey, config.Lists{Version: 1})
+	f.putRow(config.ListsKey, config.Lists{Version: 1})
 	for i := range size {
 		f.startWide(i)
 	}
@@ -68,10 +68,10 @@
 			f.kill(name)
 		}
 	}
-	f.run(3 * time.Second)
+	f.advance(3 * time.Second)
 	for at := time.Duration(0); at < 30*time.Second; at += time.Second {
 		before := f.controlWrites()
-		f.run(time.Second)
+		f.advance(time.Second)
 		written := f.controlWrites() - before
 		rows += written
 		most = max(most, written)
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -24,17 +24,17 @@
 func ready(seed uint64, entries, servers int) *fleet {
 	f := newFleet(seed, entries, servers)
 	f.configure()
-	f.run(12 * time.Second)
+	f.advance(12 * time.Second)
 	return f
 }
 
 // configure writes one service, one plan and one workspace with its key.
 func (f *fleet) configure() {
-	f.write(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(2 * time.Second), Routes: []config.Route{{Prefix: "/orders/"}}})
-	f.write(config.PlanPrefix+"p", config.Plan{Services: map[string]config.Limit{"orders": {Rate: rate, Burst: burst}}})
-	f.write(config.WorkspacePrefix+"a", config.Workspace{Plan: "p"})
-	f.write(config.KeyPrefix+config.HashKey(key).String(), config.Key{Workspace: "a"})
-	f.write(config.ListsKey, config.Lists{Version: 1})
+	f.putRow(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(2 * time.Second), Routes: []config.Route{{Prefix: "/orders/"}}})
+	f.putRow(config.PlanPrefix+"p", config.Plan{Services: map[string]config.Limit{"orders": {Rate: rate, Burst: burst}}})
+	f.putRow(config.WorkspacePrefix+"a", config.Workspace{Plan: "p"})
+	f.putRow(config.KeyPrefix+config.HashKey(key).String(), config.Key{Workspace: "a"})
+	f.putRow(config.ListsKey, config.Lists{Version: 1})
 }
 
 func get() RequestArrived {
@@ -51,7 +51,7 @@
 	for _, name := range f.names {
 		ids[name] = f.arrive(name, key, get())
 	}
-	f.run(time.Second)
+	f.advance(time.Second)
 	for name, id := range ids {
 		must.Eq(t, "served", f.answers[id].outcome, must.Sprint(name, f.answers[id]))
 	}
@@ -69,7 +69,7 @@
 	must.Len(t, 1, empty)
 	must.Less(t, 1, empty[0].Tokens)
 	must.Positive(t, empty[0].Count)
-	f.run(time.Minute)
+	f.advance(time.Minute)
 	must.Eq(t, burst, n.node.Status(n.local(f.now)).Refusals[0].Tokens)
 }
 
@@ -79,13 +79,13 @@
 func TestWithdrawnKeyStops(t *testing.T) {
 	for seed := range uint64(20) {
 		f := ready(seed, 5, 3)
-		f.split(f.names[seed%5], seed%2 == 0, seed%3 == 0, 20*time.Second)
+		f.partition(f.names[seed%5], seed%2 == 0, seed%3 == 0, 20*time.Second)
 		f.freeze(f.names[(seed+1)%5])
-		f.at(time.Duration(seed)*500*time.Millisecond, func() { f.thaw(f.names[(seed+1)%5]) })
-		f.run(time.Second)
+		f.after(time.Duration(seed)*500*time.Millisecond, func() { f.thaw(f.names[(seed+1)%5]) })
+		f.advance(time.Second)
 		withdrawn := f.now
-		f.drop(config.KeyPrefix + config.HashKey(key).String())
-		flood(f, 15*time.Second)
+		f.deleteRow(config.KeyPrefix + config.HashKey(key).String())
+		generateLoad(f, 15*time.Second)
 		for _, s := range f.starts {
 			must.LessEq(t, withdrawn+3*time.Second, s.at, must.Sprint("seed ", seed))
 		}
@@ -97,18 +97,18 @@
 // another server under the key that was withdrawn long before.
 func TestWithdrawnKeyIsNotRetried(t *testing.T) {
 	f := ready(7, 3, 3)
-	f.write(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(time.Minute), Routes: []config.Route{{Prefix: "/orders/"}}})
+	f.putRow(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(time.Minute), Routes: []config.Route{{Prefix: "/orders/"}}})
 	for _, s := range f.servers {
 		s.mode, s.latency = "half", 20*time.Second
 	}
-	f.run(3 * time.Second)
+	f.advance(3 * time.Second)
 	id := f.arrive(f.names[0], key, get())
-	f.run(10 * time.Millisecond)
-	f.drop(config.KeyPrefix + config.HashKey(key).String())
+	f.advance(10 * time.Millisecond)
+	f.deleteRow(config.KeyPrefix + config.HashKey(key).String())
 	sent := len(f.executed)
-	f.run(4 * time.Second)
+	f.advance(4 * time.Second)
 	hedged := len(f.executed)
-	f.run(time.Minute)
+	f.advance(time.Minute)
 	must.Eq(t, hedged, len(f.executed), must.Sprint(sent, f.executed))
 	must.Eq(t, "unknown", f.answers[id].outcome)
 }
@@ -120,12 +120,12 @@
 	f := ready(3, 5, 3)
 	f.tableAway = true
 	for range 3 {
-		f.run(time.Hour)
+		f.advance(time.Hour)
 		for _, name := range f.names {
 			must.Eq(t, membership.ConfirmedByWitnesses, f.nodes[name].node.member.Confirmation(f.nodes[name].local(f.now)).State)
 			operation := f.operationKey(name, key)
 			id := f.arrive(f.names[0], key, post(operation))
-			f.run(time.Second)
+			f.advance(time.Second)
 			must.Eq(t, "served", f.answers[id].outcome, must.Sprint(f.answers[id]))
 		}
 	}
@@ -137,14 +137,14 @@
 func TestStartWhilePlatformIsAway(t *testing.T) {
 	f := ready(6, 5, 3)
 	f.tableAway = true
-	f.run(10 * time.Second)
+	f.advance(10 * time.Second)
 	f.seeds = []string{"gone", f.names[2]}
 	f.start("late", 1)
 	f.seeds = []string{"gone"}
 	f.start("lost", 2)
-	f.run(3 * time.Second)
+	f.advance(3 * time.Second)
 	served, refused := f.arrive("late", key, get()), f.arrive("lost", key, get())
-	f.run(time.Second)
+	f.advance(time.Second)
 	must.Eq(t, "served", f.answers[served].outcome, must.Sprint(f.answers[served]))
 	must.Eq(t, "not-run", f.answers[refused].outcome)
 	must.Eq(t, "cut-off", f.answers[refused].rule)
@@ -158,14 +158,14 @@
 		f := ready(10, 3, 3)
 		for range 40 { // teaches the instance how long answers take
 			f.arrive(f.names[0], key, get())
-			f.run(60 * time.Millisecond)
+			f.advance(60 * time.Millisecond)
 		}
 		for _, s := range f.servers {
 			s.latency = 1500 * time.Millisecond
 		}
 		before := len(f.executed)
 		f.arrive(f.names[0], key, RequestArrived{Method: http.MethodPut, Path: "/orders/1", Held: held})
-		f.run(2 * time.Second)
+		f.advance(2 * time.Second)
 		must.Eq(t, executions, len(f.executed)-before, must.Sprint("held ", held))
 	}
 }
@@ -177,8 +177,8 @@
 	f := ready(11, 5, 4)
 	keys := []string{key, "fsk_b", "fsk_c", "fsk_d"}
 	for _, k := range keys[1:] {
-		f.write(config.WorkspacePrefix+k, config.Workspace{Plan: "p"})
-		f.write(config.KeyPrefix+config.HashKey(k).String(), config.Key{Workspace: k})
+		f.putRow(config.WorkspacePrefix+k, config.Workspace{Plan: "p"})
+		f.putRow(config.KeyPrefix+config.HashKey(k).String(), config.Key{Workspace: k})
 	}
 	bad := f.names[0]
 	for id := range f.servers {
@@ -188,15 +188,15 @@
 		f.operationKey(f.names[1], key)
 		return slices.Contains(f.located["l"+strconv.Itoa(f.requests)].Addresses, bad)
 	}
-	f.run(5 * time.Second)
+	f.advance(5 * time.Second)
 	must.True(t, named())
 	for i := 0; named() && i < 2000; i++ {
 		f.arrive(f.names[i%5], keys[i%4], get())
-		f.run(20 * time.Millisecond)
+		f.advance(20 * time.Millisecond)
 	}
 	must.False(t, named())
 	must.SliceEmpty(t, f.nodes[f.names[1]].node.replica.Permits("orders").Ejected)
-	f.run(unadvertisedFor + 5*time.Second)
+	f.advance(unadvertisedFor + 5*time.Second)
 	must.True(t, named())
 }
 
@@ -206,13 +206,13 @@
 	f := ready(13, 5, 4)
 	for i := range 50 {
 		f.arrive(f.names[i%5], key, get())
-		f.run(60 * time.Millisecond)
+		f.advance(60 * time.Millisecond)
 	}
 	f.servers["s0"].mode = "half"
 	began := f.now
 	for i := 0; len(f.noted) == 0 && i < 1000; i++ {
 		f.arrive(f.names[i%5], key, get())
-		f.run(60 * time.Millisecond)
+		f.advance(60 * time.Millisecond)
 	}
 	must.Len(t, 1, f.noted)
 	must.Eq(t, "s0", f.noted[0].Subject)
@@ -226,7 +226,7 @@
 	f.servers["s0"].mode = "leaving"
 	for i := range 200 {
 		id := f.arrive(f.names[i%3], key, post(""))
-		f.run(60 * time.Millisecond)
+		f.advance(60 * time.Millisecond)
 		must.Eq(t, "served", f.answers[id].outcome)
 	}
 	must.Between(t, 1, f.servers["s0"].refused, 3)
@@ -237,9 +237,9 @@
 func TestColdStartIsNotOverRate(t *testing.T) {
 	f := newFleet(9, 3, 3)
 	f.configure()
-	f.run(1500 * time.Millisecond)
+	f.advance(1500 * time.Millisecond)
 	id := f.arrive(f.names[0], key, get())
-	f.run(time.Second)
+	f.advance(time.Second)
 	must.Eq(t, "peer-unreachable", f.answers[id].rule)
 	must.Eq(t, "not-run", f.answers[id].outcome)
 }
@@ -249,11 +249,11 @@
 func TestKilledHolder(t *testing.T) {
 	f := ready(4, 5, 3)
 	f.kill(f.names[0])
-	f.run(15 * time.Second)
+	f.advance(15 * time.Second)
 	refused := 0
 	for i := range 100 {
 		id := f.arrive(f.names[1+i%4], key, get())
-		f.run(time.Duration(math.Round(2 * float64(time.Second) / rate)))
+		f.advance(time.Duration(math.Round(2 * float64(time.Second) / rate)))
 		if f.answers[id].outcome != "served" {
 			refused++
 		}
