--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -195,7 +195,7 @@
 	must.SliceEmpty(t, w.Previous)
 	must.Len(t, 7, s.witnessNodes())
 	must.Len(t, 7, w.Members)
-	for centre, seats := range leaver.m.seatsByCentre(w.Members) {
+	for centre, seats := range leaver.m.witnessesByDataCentre(w.Members) {
 		must.Between(t, 1, seats, 2, must.Sprint(centre))
 	}
 }
--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -202,7 +202,7 @@
 // those who must know is.
 func TestRequireReadsFirst(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
-	m.prove(&m.byTable, 100*ms)
+	m.recordProof(&m.byTable, 100*ms)
 	effects := m.Require(100*ms, 11)
 	must.MapNotContainsKey(t, callsTo(effects, false), "b")
 	var read effect.ReadTable
--- a/membership/proof.go
+++ b/membership/proof.go
@@ -49,7 +49,7 @@
 	held  bool
 }
 
-func (p *proof) add(start time.Duration) {
+func (p *proof) update(start time.Duration) {
 	if !p.held || start > p.start {
 		*p = proof{start: start, held: true}
 	}
@@ -85,9 +85,9 @@
 	return m.byTable.age(now, m.set.Fresh), m.byWitnesses.age(now, m.set.Fresh)
 }
 
-// prove takes a proof of either kind.
-func (m *Member) prove(kind *proof, start time.Duration) {
-	kind.add(start)
+// recordProof takes a proof of either kind.
+func (m *Member) recordProof(kind *proof, start time.Duration) {
+	kind.update(start)
 	m.fallback.failures = 0
 }
 
@@ -95,7 +95,7 @@
 func (m *Member) youngestProof() proof {
 	p := m.byTable
 	if m.byWitnesses.held {
-		p.add(m.byWitnesses.start)
+		p.update(m.byWitnesses.start)
 	}
 	return p
 }
--- a/membership/pull.go
+++ b/membership/pull.go
@@ -10,12 +10,12 @@
 
 // pullState is the state of the pulls from other instances, one at a time.
 type pullState struct {
-	// from is the watcher that answered last; empty after it failed.
-	from string
-	// homeAt is when to try the own data centre again, while from is in
+	// source is the watcher that answered last; empty after it failed.
+	source string
+	// nextLocalAttempt is when to try the own data centre again, while from is in
 	// another; homeTries counts those.
-	homeAt    time.Duration
-	homeTries int
+	nextLocalAttempt time.Duration
+	localAttempts    int
 	// lastSent is when the lastSent pull was sent, next when the next is due.
 	lastSent, next time.Duration
 	// inFlight is set while a regular pull has no answer.
@@ -24,18 +24,18 @@
 	failures int
 }
 
-// retryGap is the pause after a pull without a proof, before the next one
-// elsewhere. After quickRetries it doubles up to PollEvery: when nobody has
+// pullRetryDelay is the pause after a pull without a proof, before the next one
+// elsewhere. After fastPullRetries it doubles up to PollEvery: when nobody has
 // a proof, all instances ask, and quick retries would load the watchers
 // with many times the calls of a healthy fleet.
 const (
-	retryGap     = 50 * time.Millisecond
-	quickRetries = 4
+	pullRetryDelay  = 50 * time.Millisecond
+	fastPullRetries = 4
 )
 
-// homeEvery is the time between attempts to pull from the own data centre
+// localAttemptInterval is the time between attempts to pull from the own data centre
 // again.
-const homeEvery = 10 * time.Second
+const localAttemptInterval = 10 * time.Second
 
 // nextPullTime returns when the next pull is due. A watcher proves for itself, and
 // pulls only when it reaches neither the table nor the witnesses.
@@ -85,27 +85,27 @@
 	}
 	own := remove(m.dir.Watchers(m.set.DataCentre), m.set.Self)
 	switch {
-	case m.dir.isWatcher(m.pull.from):
-		return m.stayOrGoHome(now, own)
+	case m.dir.isWatcher(m.pull.source):
+		return m.keepSourceOrTryLocal(now, own)
 	case m.pull.failures < len(own):
 		return Rank(pullKey+m.set.Self, own)[m.pull.failures]
 	}
-	return m.anyWatcher()
+	return m.randomWatcher()
 }
 
-// stayOrGoHome keeps to the watcher that answered. If it is elsewhere, one
+// keepSourceOrTryLocal keeps to the watcher that answered. If it is elsewhere, one
 // pull now and then tries the own data centre; trying it before every pull
 // would age the proofs by its timeouts.
-func (m *Member) stayOrGoHome(now time.Duration, own []string) string {
-	if len(own) == 0 || slices.Contains(own, m.pull.from) || now < m.pull.homeAt {
-		return m.pull.from
+func (m *Member) keepSourceOrTryLocal(now time.Duration, own []string) string {
+	if len(own) == 0 || slices.Contains(own, m.pull.source) || now < m.pull.nextLocalAttempt {
+		return m.pull.source
 	}
-	m.pull.homeAt = now + homeEvery
-	m.pull.homeTries++
-	return own[m.pull.homeTries%len(own)]
+	m.pull.nextLocalAttempt = now + localAttemptInterval
+	m.pull.localAttempts++
+	return own[m.pull.localAttempts%len(own)]
 }
 
-func (m *Member) anyWatcher() string {
+func (m *Member) randomWatcher() string {
 	centres := m.dir.DataCentres()
 	if len(centres) == 0 {
 		return ""
@@ -124,11 +124,11 @@
 	start := m.rules.proofStart(c.sent, now)
 	proved := false
 	if p.TableAge > 0 {
-		m.prove(&m.byTable, start-p.TableAge)
+		m.recordProof(&m.byTable, start-p.TableAge)
 		proved = true
 	}
 	if p.WitnessAge > 0 {
-		m.prove(&m.byWitnesses, start-p.WitnessAge)
+		m.recordProof(&m.byWitnesses, start-p.WitnessAge)
 		proved = true
 	}
 	switch {
@@ -144,16 +144,16 @@
 func (m *Member) pullSucceeded(now time.Duration, c call) {
 	m.listReceivedAt = now
 	m.pull.inFlight = false
-	m.pull.from = c.to
+	m.pull.source = c.to
 	m.pull.failures = 0
 }
 
 func (m *Member) pullFailed(now time.Duration, c call) {
 	m.pull.inFlight = false
-	if c.to == m.pull.from {
-		m.pull.from = ""
+	if c.to == m.pull.source {
+		m.pull.source = ""
 	}
 	m.pull.failures++
-	doublings := min(max(m.pull.failures-quickRetries, 0), maxBackoffDoublings)
-	m.pull.next = now + m.jitter(min(retryGap<<doublings, m.set.PollEvery))
+	doublings := min(max(m.pull.failures-fastPullRetries, 0), maxBackoffDoublings)
+	m.pull.next = now + m.jitter(min(pullRetryDelay<<doublings, m.set.PollEvery))
 }
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -11,7 +11,7 @@
 // with the same ids gets the same order, and an id that comes or goes moves
 // only what it wins or held itself.
 func Rank(key string, ids []string) []string {
-	scored := scores(key, ids)
+	scored := sortedScores(key, ids)
 	ranked := make([]string, len(scored))
 	for i, s := range scored {
 		ranked[i] = s.id
@@ -48,7 +48,7 @@
 	score uint64
 }
 
-func scores(key string, ids []string) []scoredID {
+func sortedScores(key string, ids []string) []scoredID {
 	scored := make([]scoredID, len(ids))
 	for i, id := range ids {
 		scored[i] = scoredID{id: id, score: score(key, id)}
--- a/membership/read.go
+++ b/membership/read.go
@@ -33,11 +33,11 @@
 // readsTableRegularly says whether the instance reads the table regularly.
 func (m *Member) readsTableRegularly() bool { return m.isWatcher() || m.IsWitness() }
 
-// tableAway says whether the last read of the table had no answer or has
+// tableUnavailable says whether the last read of the table had no answer or has
 // been without one for long. A watcher then asks the witnesses. Waiting for
 // ReadTimeout would let the proofs of those who pull from it get so old
 // that many of them read the table themselves, just when it is slow.
-func (m *Member) tableAway(now time.Duration) bool {
+func (m *Member) tableUnavailable(now time.Duration) bool {
 	if m.table.failures > 0 {
 		return true
 	}
@@ -47,29 +47,29 @@
 func (m *Member) tickTable(now time.Duration) []effect.Effect {
 	m.expireRead(now, &m.table)
 	due := m.readsTableRegularly() && now >= m.table.next
-	if m.table.id != 0 || !(due || m.wantedDue(now, &m.table)) {
+	if m.table.id != 0 || !(due || m.requestedReadDue(now, &m.table)) {
 		return nil
 	}
-	m.begin(now, &m.table, m.set.PollEvery)
+	m.startRead(now, &m.table, m.set.PollEvery)
 	read := storage.ReadRequest{Table: storage.Control, Since: m.log.Revision()}
 	return []effect.Effect{effect.ReadTable{ID: m.table.id, Read: read}}
 }
 
 func (m *Member) tickList(now time.Duration) []effect.Effect {
 	m.expireRead(now, &m.list)
-	due := now >= m.listDue()
-	if m.list.id != 0 || !(due || m.wantedDue(now, &m.list)) {
+	due := now >= m.nextListRead()
+	if m.list.id != 0 || !(due || m.requestedReadDue(now, &m.list)) {
 		return nil
 	}
-	m.begin(now, &m.list, m.set.ListEvery)
+	m.startRead(now, &m.list, m.set.ListEvery)
 	return []effect.Effect{effect.ReadInstances{ID: m.list.id, Since: m.dir.version}}
 }
 
-// listPatience is how many times ListEvery an instance may go without word of
+// maxListAgeIntervals is how many times ListEvery an instance may go without word of
 // the list before it reads the list itself.
-const listPatience = 5
+const maxListAgeIntervals = 5
 
-// listDue returns when the next regular read of the list is due.
+// nextListRead returns when the next regular read of the list is due.
 //
 // Most instances hear of the list by their pulls. One that is a witness proves
 // its revision without them, so that it must notice by itself that its list is
@@ -77,14 +77,14 @@
 // An instance without a proof doesn't read here: when the platform returns
 // after all were cut off, everybody's list is old, and reads of all at once
 // would drown it (see tickAlone).
-func (m *Member) listDue() time.Duration {
+func (m *Member) nextListRead() time.Duration {
 	switch {
 	case m.isWatcher():
 		return m.list.next
 	case m.dir.version == 0:
 		return max(m.list.next, m.list.sent+m.set.ListEvery<<min(m.list.failures, maxListDoublings))
 	}
-	due := max(m.list.next, m.listReceivedAt+listPatience*m.set.ListEvery)
+	due := max(m.list.next, m.listReceivedAt+maxListAgeIntervals*m.set.ListEvery)
 	if p := m.youngestProof(); !p.held || due >= p.start+m.set.Fresh {
 		return never
 	}
@@ -95,7 +95,7 @@
 // no list yet, while they fail.
 const maxListDoublings = 3
 
-func (m *Member) begin(now time.Duration, r *readState, every time.Duration) {
+func (m *Member) startRead(now time.Duration, r *readState, every time.Duration) {
 	r.id = m.nextID()
 	r.started = true
 	r.sent = now
@@ -104,12 +104,12 @@
 	m.count.Reads++
 }
 
-func (m *Member) wantedDue(now time.Duration, r *readState) bool {
-	return r.requested && now >= r.wantedAt()
+func (m *Member) requestedReadDue(now time.Duration, r *readState) bool {
+	return r.requested && now >= r.nextRequested()
 }
 
-// wantedAt keeps reads on demand apart, further with every failure.
-func (r *readState) wantedAt() time.Duration {
+// nextRequested keeps reads on demand apart, further with every failure.
+func (r *readState) nextRequested() time.Duration {
 	if !r.started {
 		return 0
 	}
@@ -130,9 +130,9 @@
 	case r.id != 0:
 		return r.sent + timeout
 	case r.requested && regular:
-		return min(r.next, r.wantedAt())
+		return min(r.next, r.nextRequested())
 	case r.requested:
-		return r.wantedAt()
+		return r.nextRequested()
 	case regular:
 		return r.next
 	}
@@ -145,7 +145,7 @@
 
 func (m *Member) wakeList() time.Duration {
 	r := m.list
-	r.next = m.listDue()
+	r.next = m.nextListRead()
 	return r.wake(true, m.set.ReadTimeout)
 }
 
@@ -153,7 +153,7 @@
 // answer.
 func (m *Member) ReadDone(now time.Duration, id uint64, c storage.Changes, ok bool) []effect.Effect {
 	if id != m.table.id {
-		return m.lateRead(now, c, ok)
+		return m.applyLateRead(now, c, ok)
 	}
 	m.table.id = 0
 	if !ok {
@@ -170,14 +170,14 @@
 	m.table.failures = 0
 	m.table.answered = m.table.sent
 	m.apply(now, c)
-	m.prove(&m.byTable, m.rules.proofStart(m.table.sent, now))
+	m.recordProof(&m.byTable, m.rules.proofStart(m.table.sent, now))
 	return m.Tick(now)
 }
 
-// lateRead takes the rows of a read that was given up. They are as good as
+// applyLateRead takes the rows of a read that was given up. They are as good as
 // any, but the time at which the read started isn't known any more, so that
 // it proves nothing.
-func (m *Member) lateRead(now time.Duration, c storage.Changes, ok bool) []effect.Effect {
+func (m *Member) applyLateRead(now time.Duration, c storage.Changes, ok bool) []effect.Effect {
 	if ok {
 		m.apply(now, c)
 	}
--- a/membership/roles.go
+++ b/membership/roles.go
@@ -55,8 +55,8 @@
 // instances came or went. Ranking all instances anew for every service would
 // stop a node with 2,000 instances and 560 services for 60 ms at each change.
 func (d *Directory) updateCollectors(before []string) {
-	came := slices.Clip(without(d.entryIDs, before))
-	went := without(before, d.entryIDs)
+	came := slices.Clip(difference(d.entryIDs, before))
+	went := difference(before, d.entryIDs)
 	for service, collector := range d.collectors {
 		if collector == "" || slices.Contains(went, collector) {
 			delete(d.collectors, service)
@@ -66,8 +66,8 @@
 	}
 }
 
-// without returns the ids that aren't in others; both are sorted.
-func without(ids, others []string) []string {
+// difference returns the ids that aren't in others; both are sorted.
+func difference(ids, others []string) []string {
 	var rest []string
 	for _, id := range ids {
 		if _, found := slices.BinarySearch(others, id); !found {
--- a/membership/round.go
+++ b/membership/round.go
@@ -17,12 +17,12 @@
 	next    time.Duration
 	open    bool
 	answers map[string]Witnessed
-	// fetched are the witnesses that were pulled from because they know more.
-	fetched map[string]bool
+	// pulledFrom are the witnesses that were pulled from because they know more.
+	pulledFrom map[string]bool
 }
 
 func (m *Member) tickRound(now time.Duration) []effect.Effect {
-	if !m.isWatcher() || now < m.round.next || !m.tableAway(now) {
+	if !m.isWatcher() || now < m.round.next || !m.tableUnavailable(now) {
 		return nil
 	}
 	return m.startRound(now)
@@ -53,7 +53,7 @@
 	m.round.start = now
 	m.round.open = true
 	m.round.answers = map[string]Witnessed{}
-	m.round.fetched = map[string]bool{}
+	m.round.pulledFrom = map[string]bool{}
 	var out []effect.Effect
 	for _, id := range currentAndPrevious(w) {
 		if id != m.set.Self {
@@ -78,24 +78,24 @@
 	if c.round == m.round.number && m.round.open {
 		m.round.answers[c.to] = w
 		m.completeRound(now)
-		out = append(out, m.fetchFrom(now, c.to, w)...)
+		out = append(out, m.pullFromWitness(now, c.to, w)...)
 	}
-	out = append(out, m.offerTo(now, c, w)...)
+	out = append(out, m.sendMissingChanges(now, c, w)...)
 	return append(out, m.Tick(now)...)
 }
 
-// fetchFrom pulls from a witness that knows a newer revision.
-func (m *Member) fetchFrom(now time.Duration, from string, w Witnessed) []effect.Effect {
-	if w.Revision <= m.log.Revision() || m.round.fetched[from] {
+// pullFromWitness pulls from a witness that knows a newer revision.
+func (m *Member) pullFromWitness(now time.Duration, from string, w Witnessed) []effect.Effect {
+	if w.Revision <= m.log.Revision() || m.round.pulledFrom[from] {
 		return nil
 	}
-	m.round.fetched[from] = true
+	m.round.pulledFrom[from] = true
 	return []effect.Effect{m.sendPull(now, catchUpPull, from)}
 }
 
-// offerTo sends a witness what it lacks, if that matters: because a change
+// sendMissingChanges sends a witness what it lacks, if that matters: because a change
 // waits for it, or because it doesn't know of its seat.
-func (m *Member) offerTo(now time.Duration, c call, w Witnessed) []effect.Effect {
+func (m *Member) sendMissingChanges(now time.Duration, c call, w Witnessed) []effect.Effect {
 	own := m.log.Revision()
 	if w.Revision >= own || !isWitness(m.log.Witnesses(), c.to) {
 		return nil
@@ -127,7 +127,7 @@
 	}
 	m.round.open = false
 	m.count.ConfirmedRounds++
-	m.prove(&m.byWitnesses, m.rules.proofStart(m.round.start, now))
+	m.recordProof(&m.byWitnesses, m.rules.proofStart(m.round.start, now))
 }
 
 // currentAndPrevious returns everyone who counts.
--- a/membership/seats.go
+++ b/membership/seats.go
@@ -17,70 +17,70 @@
 	id uint64
 	// sent is when the last write was sent, ended when it ended.
 	sent, ended time.Duration
-	// needed says that row needs a change; since is when that was first seen.
-	needed bool
-	since  time.Duration
-	row    storage.Revision
+	// changeNeeded says that row needs a change; since is when that was first seen.
+	changeNeeded bool
+	since        time.Duration
+	rowRevision  storage.Revision
 	// next is when to look again.
 	next     time.Duration
 	attempts uint64
 }
 
-// seatEvery is the time between looks at the list of witnesses.
-const seatEvery = 200 * time.Millisecond
+// witnessCheckInterval is the time between looks at the list of witnesses.
+const witnessCheckInterval = 200 * time.Millisecond
 
-// writeTimeout bounds a write; after it the outcome is unknown, and the
+// witnessWriteTimeout bounds a write; after it the outcome is unknown, and the
 // condition on the row's revision makes sure that it counts at most once.
-const writeTimeout = 2 * time.Second
+const witnessWriteTimeout = 2 * time.Second
 
 // tickWitnessSet changes the list of witnesses by one step if it needs it. Every
 // watcher would do so; the ones further back in the rank wait longer, so
 // that as a rule one of them writes.
 func (m *Member) tickWitnessSet(now time.Duration) []effect.Effect {
-	if m.seats.id != 0 && now-m.seats.sent >= writeTimeout {
+	if m.seats.id != 0 && now-m.seats.sent >= witnessWriteTimeout {
 		m.seats.id, m.seats.ended = 0, now
 	}
 	if m.seats.id != 0 || now < m.seats.next {
 		return nil
 	}
-	m.seats.next = now + seatEvery
-	if !m.maySeat(now) {
+	m.seats.next = now + witnessCheckInterval
+	if !m.canUpdateWitnessSet(now) {
 		return nil
 	}
 	row, _ := m.log.Row(config.WitnessesKey)
-	next, inform, needed := m.planSeats(row.Revision)
+	next, inform, needed := m.planWitnessChange(row.Revision)
 	if !needed {
-		m.seats.needed = false
+		m.seats.changeNeeded = false
 		return nil
 	}
-	if !m.seatTurn(now, row.Revision) {
+	if !m.isUpdateTurn(now, row.Revision) {
 		return nil
 	}
 	if inform {
 		return m.Require(now, row.Revision)
 	}
-	return m.writeSeats(now, row.Revision, next)
+	return m.writeWitnesses(now, row.Revision, next)
 }
 
-func (m *Member) caresForSeats() bool {
+func (m *Member) maintainsWitnessSet() bool {
 	return m.isWatcher() || (m.leaving && m.IsWitness())
 }
 
-// maySeat says whether the instance sees the table now, with a read that
+// canUpdateWitnessSet says whether the instance sees the table now, with a read that
 // started after its last write ended.
-func (m *Member) maySeat(now time.Duration) bool {
-	if !m.caresForSeats() {
+func (m *Member) canUpdateWitnessSet(now time.Duration) bool {
+	if !m.maintainsWitnessSet() {
 		return false
 	}
 	seen := m.table.failures == 0 && m.table.answered >= m.seats.ended
 	return seen && m.Confirmation(now).State == ConfirmedByTable && len(m.dir.entryIDs) > 0
 }
 
-// seatTurn says whether the need for a change has stood for so long that
+// isUpdateTurn says whether the need for a change has stood for so long that
 // it is this instance's turn. An instance that leaves gives its seat at once.
-func (m *Member) seatTurn(now time.Duration, row storage.Revision) bool {
-	if m.seats.row != row || !m.seats.needed {
-		m.seats.needed, m.seats.row, m.seats.since = true, row, now
+func (m *Member) isUpdateTurn(now time.Duration, row storage.Revision) bool {
+	if m.seats.rowRevision != row || !m.seats.changeNeeded {
+		m.seats.changeNeeded, m.seats.rowRevision, m.seats.since = true, row, now
 	}
 	if m.leaving && m.IsWitness() {
 		return true
@@ -95,9 +95,9 @@
 	return now >= m.seats.since+time.Duration(turns)*m.set.SeatStagger
 }
 
-// planSeats returns the next list, if one is needed. With inform it isn't
+// planWitnessChange returns the next list, if one is needed. With inform it isn't
 // time yet: the witnesses must know the present row first.
-func (m *Member) planSeats(row storage.Revision) (next config.Witnesses, inform, needed bool) {
+func (m *Member) planWitnessChange(row storage.Revision) (next config.Witnesses, inform, needed bool) {
 	w := m.log.Witnesses()
 	if len(w.Members) == 0 {
 		chosen := m.chooseWitnesses(nil, m.set.WitnessCount)
@@ -107,17 +107,17 @@
 		drop := m.rules.canDropPrevious(m.inForce.majorityRevision(), row)
 		return config.Witnesses{Members: w.Members}, !drop, true
 	}
-	members, changed := m.improveSeats(w.Members)
+	members, changed := m.replaceOneWitness(w.Members)
 	return config.Witnesses{Members: members, Previous: w.Members}, false, changed
 }
 
-// improveSeats returns the members with one seat changed: one that went
+// replaceOneWitness returns the members with one seat changed: one that went
 // away or leaves is given to another instance, or goes if there is none; a
 // missing one is filled; and one is moved out of a data centre that has too
 // many.
-func (m *Member) improveSeats(members []string) ([]string, bool) {
+func (m *Member) replaceOneWitness(members []string) ([]string, bool) {
 	for _, id := range members {
-		if !m.unfit(id) {
+		if !m.needsReplacement(id) {
 			continue
 		}
 		next := m.chooseWitnesses(remove(members, id), len(members))
@@ -127,13 +127,13 @@
 		next := m.chooseWitnesses(members, len(members)+1)
 		return next, len(next) > len(members)
 	}
-	return m.spreadSeats(members)
+	return m.rebalanceWitnesses(members)
 }
 
-// spreadSeats moves one seat from the data centre with the most to the one
+// rebalanceWitnesses moves one seat from the data centre with the most to the one
 // with the fewest, if they differ by more than one.
-func (m *Member) spreadSeats(members []string) ([]string, bool) {
-	seats := m.seatsByCentre(members)
+func (m *Member) rebalanceWitnesses(members []string) ([]string, bool) {
+	seats := m.witnessesByDataCentre(members)
 	for _, id := range members {
 		i, _ := m.dir.Instance(id)
 		for _, centre := range m.dir.DataCentres() {
@@ -141,7 +141,7 @@
 				continue
 			}
 			next := m.chooseWitnesses(remove(members, id), len(members))
-			if m.seatsByCentre(next)[i.DataCentre] < seats[i.DataCentre] {
+			if m.witnessesByDataCentre(next)[i.DataCentre] < seats[i.DataCentre] {
 				return next, true
 			}
 		}
@@ -149,9 +149,9 @@
 	return nil, false
 }
 
-// unfit says that a witness must be replaced: it ended, it leaves, or the
+// needsReplacement says that a witness must be replaced: it ended, it leaves, or the
 // list doesn't know it any more.
-func (m *Member) unfit(id string) bool {
+func (m *Member) needsReplacement(id string) bool {
 	if id == m.set.Self && m.leaving {
 		return true
 	}
@@ -163,13 +163,13 @@
 // more: always the best ranked one of the data centre with the fewest seats.
 func (m *Member) chooseWitnesses(kept []string, count int) []string {
 	chosen := slices.Clone(kept)
-	seats := m.seatsByCentre(kept)
+	seats := m.witnessesByDataCentre(kept)
 	ranked := m.dir.rankedWitnesses()
 	for len(chosen) < count {
 		best, fewest := "", 0
 		for _, id := range ranked {
 			n := seats[m.dir.instances[id].DataCentre]
-			if (best != "" && n >= fewest) || slices.Contains(chosen, id) || m.unfit(id) {
+			if (best != "" && n >= fewest) || slices.Contains(chosen, id) || m.needsReplacement(id) {
 				continue
 			}
 			best, fewest = id, n
@@ -183,7 +183,7 @@
 	return chosen
 }
 
-func (m *Member) seatsByCentre(ids []string) map[string]int {
+func (m *Member) witnessesByDataCentre(ids []string) map[string]int {
 	seats := map[string]int{}
 	for _, id := range ids {
 		if i, ok := m.dir.Instance(id); ok {
@@ -193,7 +193,7 @@
 	return seats
 }
 
-func (m *Member) writeSeats(now time.Duration, row storage.Revision, w config.Witnesses) []effect.Effect {
+func (m *Member) writeWitnesses(now time.Duration, row storage.Revision, w config.Witnesses) []effect.Effect {
 	value, err := json.Marshal(w)
 	if err != nil {
 		return nil
@@ -201,7 +201,7 @@
 	m.seats.attempts++
 	m.seats.id = m.nextID()
 	m.seats.sent = now
-	m.seats.needed = false
+	m.seats.changeNeeded = false
 	m.count.WitnessListWrites++
 	txn := storage.Txn{
 		Attempt: fmt.Sprintf("%s/%s/%d", m.set.Self, config.WitnessesKey, m.seats.attempts),
@@ -225,9 +225,9 @@
 
 func (m *Member) wakeWitnessSet() time.Duration {
 	if m.seats.id != 0 {
-		return m.seats.sent + writeTimeout
+		return m.seats.sent + witnessWriteTimeout
 	}
-	if !m.caresForSeats() {
+	if !m.maintainsWitnessSet() {
 		return never
 	}
 	return m.seats.next
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -72,29 +72,29 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	orDuration(&s.Fresh, DefaultFresh)
-	orDuration(&s.PollEvery, DefaultPollEvery)
-	orDuration(&s.PullEvery, DefaultPullEvery)
-	orDuration(&s.ListEvery, DefaultListEvery)
-	orDuration(&s.CallTimeout, DefaultCallTimeout)
-	orDuration(&s.ReadTimeout, DefaultReadTimeout)
-	orDuration(&s.HedgeAfter, DefaultHedgeAfter)
-	orDuration(&s.SeatStagger, DefaultSeatStagger)
-	orInt(&s.DriftPPM, DefaultDriftPPM)
-	orInt(&s.WatchersPerDataCentre, DefaultWatchersPerDataCentre)
-	orInt(&s.PullersPerWatcher, DefaultPullersPerWatcher)
-	orInt(&s.WitnessCount, DefaultWitnessCount)
-	orInt(&s.SelfReadsPerSecond, DefaultSelfReadsPerSecond)
+	setDefaultDuration(&s.Fresh, DefaultFresh)
+	setDefaultDuration(&s.PollEvery, DefaultPollEvery)
+	setDefaultDuration(&s.PullEvery, DefaultPullEvery)
+	setDefaultDuration(&s.ListEvery, DefaultListEvery)
+	setDefaultDuration(&s.CallTimeout, DefaultCallTimeout)
+	setDefaultDuration(&s.ReadTimeout, DefaultReadTimeout)
+	setDefaultDuration(&s.HedgeAfter, DefaultHedgeAfter)
+	setDefaultDuration(&s.SeatStagger, DefaultSeatStagger)
+	setDefaultInt(&s.DriftPPM, DefaultDriftPPM)
+	setDefaultInt(&s.WatchersPerDataCentre, DefaultWatchersPerDataCentre)
+	setDefaultInt(&s.PullersPerWatcher, DefaultPullersPerWatcher)
+	setDefaultInt(&s.WitnessCount, DefaultWitnessCount)
+	setDefaultInt(&s.SelfReadsPerSecond, DefaultSelfReadsPerSecond)
 	return s
 }
 
-func orDuration(v *time.Duration, otherwise time.Duration) {
+func setDefaultDuration(v *time.Duration, otherwise time.Duration) {
 	if *v == 0 {
 		*v = otherwise
 	}
 }
 
-func orInt(v *int, otherwise int) {
+func setDefaultInt(v *int, otherwise int) {
 	if *v == 0 {
 		*v = otherwise
 	}
