--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -15,11 +15,10 @@
 	"foxtailspoke/storage"
 )
 
-// An operator's change isn't in force after half a minute. An instance read
-// the platform's list before anybody was on it; then others made it a
-// witness. As a witness it reads the table by itself, so its proofs are always
-// fresh, it never counts as alone, and it never reads the list again: it
-// can't reach the other witnesses and can't tell whether a revision is known.
+// Guards against a witness that keeps an empty instance list. If it read the
+// list before any instance was registered, its own table reads keep its proofs
+// fresh, so the fallback never reads the list again. It then can't reach the
+// other witnesses, and an operator's change doesn't come in force.
 func TestWitnessWithoutListReadsItAgain(t *testing.T) {
 	replica := config.NewReplica()
 	m := New(Settings{Self: "b", DataCentre: "y"}, replica, rand.New(rand.NewPCG(1, 1)))
@@ -45,8 +44,8 @@
 	must.Less(t, 60, lists)
 }
 
-// Instances come, leave, end and change. What a directory keeps up to date
-// change by change must be what one with the same list makes from nothing.
+// A directory that applies changes one by one must equal a directory that is
+// built from the full list, while instances start, leave, end and change.
 func TestDirectoryFollowsTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	kept := newDirectory(Settings{}.withDefaults())
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -12,7 +12,7 @@
 	"foxtailspoke/storage"
 )
 
-// startFleet starts a healthy fleet and lets it choose its witnesses.
+// startFleet starts a healthy fleet and runs it until it has chosen its witnesses.
 func startFleet(seed uint64, set Settings, n, centres int) *sim {
 	s := newSim(seed, set, n, centres)
 	for slot := range n {
@@ -22,7 +22,7 @@
 	return s
 }
 
-// states counts the nodes by state.
+// nodeStates counts the live nodes by state.
 func (s *sim) nodeStates() map[State]int {
 	states := map[State]int{}
 	for _, n := range s.nodes {
@@ -43,9 +43,9 @@
 	return nodes
 }
 
-// The platform goes away for two hours, and two of the five witnesses with
-// it. Callers go on being served on the last accepted configuration,
-// because every instance still hears from a majority of the witnesses.
+// While the platform is unavailable for two hours and two of five witnesses have
+// failed, every instance keeps serving on the last accepted configuration,
+// because it still reaches a majority of the witnesses.
 func TestPlatformAwayForHours(t *testing.T) {
 	t.Parallel()
 	s := startFleet(1, Settings{WatchersPerDataCentre: 1, WitnessCount: 5}, 7, 3)
@@ -65,8 +65,8 @@
 	must.Eq(t, map[State]int{ConfirmedByTable: 5}, s.nodeStates())
 }
 
-// Two instances are cut off from everything while the rest goes on. Within
-// Fresh of the cut they must refuse, and after it they serve again.
+// Two instances are partitioned from the platform and all others. They must
+// stop serving within Fresh and serve again after the partition ends.
 func TestCutOffWithinFresh(t *testing.T) {
 	t.Parallel()
 	s := startFleet(2, Settings{}, 40, 4)
@@ -85,8 +85,9 @@
 	must.Eq(t, map[State]int{ConfirmedByTable: 40}, s.nodeStates())
 }
 
-// All watchers of a data centre end at once, and the list doesn't show it
-// for a while. The others there pull from elsewhere, without a gap.
+// All watchers of a data centre fail at once, and the list of instances still
+// shows them as live. The others there must pull from other data centres with
+// hardly any time cut off.
 func TestWatchersOfADataCentreGone(t *testing.T) {
 	t.Parallel()
 	s := startFleet(3, Settings{}, 40, 4)
@@ -103,15 +104,16 @@
 	}
 	reads = s.reads - reads
 	t.Logf("seconds of one instance cut off: %.1f; reads a second: %d, before: %d", float64(cutOff)/10, reads/30, healthy/30)
-	must.Less(t, 10*7, cutOff) // below one second for each of the 7 left there
-	// Three watchers less read; nobody else reads in their place.
+	must.Less(t, 10*7, cutOff) // below one second for each of the 7 remaining instances
+	// The reads of the three watchers stop, and no other instance replaces them.
 	must.Less(t, healthy-2*3*30, reads)
 	must.Eq(t, map[State]int{ConfirmedByTable: 37}, s.nodeStates())
 }
 
-// The platform is away, and so is a majority of the witnesses: every
-// instance is cut off and tries by itself. When the platform returns, their
-// reads must not drown it, and the fleet must be back within seconds.
+// While the platform and a majority of the witnesses are unavailable, every
+// instance is cut off and uses the fallback. When the platform recovers, the
+// fallback reads must not overload it, and the fleet must be confirmed again
+// within three seconds.
 func TestReturnWithoutStampede(t *testing.T) {
 	t.Parallel()
 	nodes := 400
@@ -140,14 +142,14 @@
 			back = s.now - returned
 		}
 	}
-	t.Logf("%d instances, all cut off: at most %d bytes/s each; back after %v with at most %d reads in 100 ms",
+	t.Logf("%d instances, all cut off: at most %d bytes/s each; confirmed again after %v with at most %d reads in 100 ms",
 		nodes, perSecond, back, most)
 	must.Between(t, 1, back, 3*time.Second)
 	must.Less(t, 100, most)
 }
 
-// An operator withdraws a key. The change is in force everywhere within three
-// seconds of its write, and every instance has it well before.
+// A change is in force within three seconds of its write, and by then every
+// instance has it.
 func TestChangeInForceWithinThreeSeconds(t *testing.T) {
 	t.Parallel()
 	s := startFleet(5, Settings{}, 40, 4)
@@ -168,12 +170,12 @@
 		worst = max(worst, s.now-written)
 		must.False(t, slices.ContainsFunc(s.nodes, lags))
 	}
-	t.Logf("in force after at most %v; the last instance had it after at most %v", worst, spread)
+	t.Logf("in force after at most %v; received by the last instance after at most %v", worst, spread)
 	must.Less(t, 3*time.Second, worst)
 }
 
-// Witnesses end or leave. The list of witnesses must follow, one seat at a
-// time, spread over the data centres; a planned stop gives its seat up.
+// When witnesses end or leave, they must be replaced one at a time, spread over
+// the data centres. An instance that leaves must stop being a witness.
 func TestSeatsFollowTheInstances(t *testing.T) {
 	t.Parallel()
 	s := startFleet(6, Settings{}, 40, 4)
@@ -200,8 +202,8 @@
 	}
 }
 
-// A watcher reaches neither the table nor enough witnesses, only another
-// watcher. It must pull from there like everybody else.
+// A watcher that reaches neither the table nor enough witnesses, but another
+// watcher, must pull from that watcher.
 func TestWatcherThatCantProvePulls(t *testing.T) {
 	t.Parallel()
 	s := startFleet(9, Settings{}, 40, 4)
@@ -218,9 +220,9 @@
 	}
 }
 
-// Every instance is replaced at once, and the platform's list shows it. None
-// of the old witnesses will answer; the new fleet must get its own and put
-// a change in force without an operator.
+// All instances are replaced at once, so that no witness answers any more. The
+// new fleet must choose its own witnesses and bring a change in force without an
+// operator, because the platform's list shows the old witnesses as ended.
 func TestWholeFleetReplaced(t *testing.T) {
 	t.Parallel()
 	s := startFleet(10, Settings{}, 12, 3)
@@ -241,13 +243,13 @@
 	for len(s.witnessNodes()) < 7 && s.now < replaced+time.Minute {
 		s.run(s.now + 10*time.Millisecond)
 	}
-	t.Logf("a change was in force after %v, all seats taken after %v", inForce, s.now-replaced)
+	t.Logf("a change was in force after %v, all witnesses replaced after %v", inForce, s.now-replaced)
 	must.Less(t, 5*time.Second, inForce)
 	must.Less(t, 30*time.Second, s.now-replaced)
 }
 
-// A fleet shrinks to three instances. Its list of witnesses must shrink with
-// it: three of seven seats would be no majority once the platform is away.
+// When a fleet shrinks to three instances, its list of witnesses must shrink
+// too: three of seven witnesses would be no majority in a platform outage.
 func TestSeatsShrinkWithTheFleet(t *testing.T) {
 	t.Parallel()
 	s := startFleet(11, Settings{}, 9, 3)
@@ -266,7 +268,7 @@
 	}
 }
 
-// A fleet of one to three instances serves through an outage as well.
+// Fleets of one to three instances also keep serving in a platform outage.
 func TestSmallFleets(t *testing.T) {
 	t.Parallel()
 	for n := 1; n <= 3; n++ {
@@ -278,10 +280,10 @@
 	}
 }
 
-// The platform goes away and comes back, or answers after 700 ms only. No
-// instance may refuse a caller at the turn, also none whose proof happened
-// to be old, so that every one is looked at twenty times a second. Nor may
-// all of them turn to the platform themselves.
+// The platform repeatedly becomes unavailable, slow (700 ms) and healthy again.
+// No instance may be cut off at a transition, not even one whose proof was old at
+// that moment; all instances are checked every 50 ms to catch this. The fleet must
+// not fall back to reading the platform from every instance either.
 func TestNoGapWhenThePlatformTurns(t *testing.T) {
 	t.Parallel()
 	s := startFleet(13, Settings{}, 400, 4)
@@ -297,7 +299,7 @@
 			cutOff += s.nodeStates()[CutOff]
 		}
 		perSecond := (s.reads - reads) / 8
-		t.Logf("away %v, slow %v: %d reads/s, %d ms of one instance cut off", s.platformDown, s.tableDelay, perSecond, cutOff*50)
+		t.Logf("platform down %v, table delay %v: %d reads/s, %d ms of one instance cut off", s.platformDown, s.tableDelay, perSecond, cutOff*50)
 		must.Zero(t, cutOff)
 		must.Less(t, 60, perSecond)
 	}
--- a/membership/main_test.go
+++ b/membership/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests.
+// TestMain sets a fixed seed for the property tests.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/membership/proof.go
+++ b/membership/proof.go
@@ -10,13 +10,13 @@
 type State int
 
 const (
-	// CutOff means that there is no proof within Fresh. The instance refuses
-	// work as not run.
+	// CutOff means that no proof is younger than Settings.Fresh. The instance
+	// rejects requests without executing them.
 	CutOff State = iota
-	// ConfirmedByWitnesses means that the table can't be reached and the witnesses
-	// know of nothing newer. The instance keeps serving.
+	// ConfirmedByWitnesses means that the table is unreachable and a majority of
+	// the witnesses reports no newer revision. The instance keeps serving.
 	ConfirmedByWitnesses
-	// ConfirmedByTable means that a read of the table is the proof.
+	// ConfirmedByTable means that the proof is a read of the table.
 	ConfirmedByTable
 )
 
@@ -32,18 +32,18 @@
 	}
 }
 
-// Confirmation is what is known of the instance's revision.
+// Confirmation describes how recently the instance's revision was proved current.
 type Confirmation struct {
 	State State
-	// Age of the youngest proof; meaningless when cut off.
+	// Age of the youngest proof; undefined in state CutOff.
 	Age time.Duration
 	// Revision that the instance acts on.
 	Revision storage.Revision
 }
 
-// proof says that no revision newer than the replica's was in force at
-// start, on the own clock. The replica's revision only rises, so a proof
-// for one revision stays one for every later revision of the replica.
+// proof records that no revision newer than the replica's was in force at
+// start, measured on the local clock. The replica's revision never decreases,
+// so a proof for one revision also holds for every later revision.
 type proof struct {
 	start time.Duration
 	held  bool
@@ -55,7 +55,8 @@
 	}
 }
 
-// age returns the proof's age, at least 1 ns, and 0 if it isn't fresh.
+// age returns the proof's age, at least 1 ns, or 0 if the proof is missing or
+// older than fresh.
 func (p proof) age(now, fresh time.Duration) time.Duration {
 	age := max(now-p.start, 1)
 	if !p.held || age > fresh {
@@ -64,8 +65,9 @@
 	return age
 }
 
-// Confirmation returns how the instance's revision is confirmed now. Ask again
-// for each decision: a process that was frozen learns it here.
+// Confirmation returns how the instance's revision is confirmed now. Callers
+// must call it again for each decision, because a process that was suspended
+// only notices here that its proofs have expired.
 func (m *Member) Confirmation(now time.Duration) Confirmation {
 	c := Confirmation{Revision: m.log.Revision()}
 	table, witnesses := m.proofAges(now)
@@ -85,13 +87,13 @@
 	return m.byTable.age(now, m.set.Fresh), m.byWitnesses.age(now, m.set.Fresh)
 }
 
-// recordProof takes a proof of either kind.
+// recordProof adds a proof of either kind and resets the fallback back-off.
 func (m *Member) recordProof(kind *proof, start time.Duration) {
 	kind.update(start)
 	m.fallback.failures = 0
 }
 
-// youngestProof returns the younger proof of the two kinds.
+// youngestProof returns the younger of the two proofs.
 func (m *Member) youngestProof() proof {
 	p := m.byTable
 	if m.byWitnesses.held {
--- a/membership/pull.go
+++ b/membership/pull.go
@@ -8,37 +8,38 @@
 	"foxtailspoke/effect"
 )
 
-// pullState is the state of the pulls from other instances, one at a time.
+// pullState is the state of the pulls from other instances. At most one
+// periodic pull is in flight.
 type pullState struct {
 	// source is the watcher that answered last; empty after it failed.
 	source string
-	// nextLocalAttempt is when to try the own data centre again, while from is in
-	// another; homeTries counts those.
+	// nextLocalAttempt is when to try the local data centre again while source
+	// is in another one; localAttempts counts these attempts.
 	nextLocalAttempt time.Duration
 	localAttempts    int
-	// lastSent is when the lastSent pull was sent, next when the next is due.
+	// lastSent is when the last pull was sent, next when the next is due.
 	lastSent, next time.Duration
-	// inFlight is set while a regular pull has no answer.
+	// inFlight is set while a periodic pull is unanswered.
 	inFlight bool
-	// failures counts the pulls without a proof since the last with one.
+	// failures counts consecutive pulls that gave no proof.
 	failures int
 }
 
-// pullRetryDelay is the pause after a pull without a proof, before the next one
-// elsewhere. After fastPullRetries it doubles up to PollEvery: when nobody has
-// a proof, all instances ask, and quick retries would load the watchers
-// with many times the calls of a healthy fleet.
+// pullRetryDelay is the delay between a pull that gave no proof and the retry at
+// another watcher. After fastPullRetries it doubles up to PollEvery: when no
+// instance has a proof, all instances retry, and short delays would load the
+// watchers with many times the calls of a healthy fleet.
 const (
 	pullRetryDelay  = 50 * time.Millisecond
 	fastPullRetries = 4
 )
 
-// localAttemptInterval is the time between attempts to pull from the own data centre
-// again.
+// localAttemptInterval is the time between attempts to return to a watcher in
+// the local data centre.
 const localAttemptInterval = 10 * time.Second
 
-// nextPullTime returns when the next pull is due. A watcher proves for itself, and
-// pulls only when it reaches neither the table nor the witnesses.
+// nextPullTime returns when the next periodic pull is due. A watcher obtains its
+// own proofs and pulls only when it reaches neither the table nor the witnesses.
 func (m *Member) nextPullTime() time.Duration {
 	switch {
 	case m.pull.inFlight || (m.dir.version == 0 && len(m.set.Seeds) == 0):
@@ -49,11 +50,11 @@
 	return m.pull.next
 }
 
-// seedPrefix begins the name under which a Call goes to a seed.
+// seedPrefix marks the destination of a Call as the address of a seed.
 const seedPrefix = "seed/"
 
-// SeedAddress returns the address of a seed that a Call goes to; false if the
-// Call goes to an instance by its id.
+// SeedAddress returns the seed address in the destination of a Call, or false
+// if the destination is an instance id.
 func SeedAddress(to string) (string, bool) { return strings.CutPrefix(to, seedPrefix) }
 
 func (m *Member) tickPull(now time.Duration) []effect.Effect {
@@ -76,9 +77,9 @@
 	return m.sendCall(now, call{kind: kind, to: to}, Request{Pull: p})
 }
 
-// pullTarget returns the watcher that answered last, or else the next: those
-// of the own data centre first, in an order of the instance's own, then one
-// anywhere at random.
+// pullTarget returns the watcher that answered last. After a failure it tries
+// the watchers of the local data centre, in an order specific to this instance,
+// and then random watchers of any data centre.
 func (m *Member) pullTarget(now time.Duration) string {
 	if m.dir.version == 0 {
 		return seedPrefix + m.set.Seeds[m.pull.failures%len(m.set.Seeds)]
@@ -93,9 +94,9 @@
 	return m.randomWatcher()
 }
 
-// keepSourceOrTryLocal keeps to the watcher that answered. If it is elsewhere, one
-// pull now and then tries the own data centre; trying it before every pull
-// would age the proofs by its timeouts.
+// keepSourceOrTryLocal returns the watcher that answered last. If that one is in
+// another data centre, one pull per localAttemptInterval tries a local watcher
+// instead; trying one before every pull would age the proofs by its timeouts.
 func (m *Member) keepSourceOrTryLocal(now time.Duration, own []string) string {
 	if len(own) == 0 || slices.Contains(own, m.pull.source) || now < m.pull.nextLocalAttempt {
 		return m.pull.source
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders ids by rendezvous hash for a key, best first. Every instance
-// with the same ids gets the same order, and an id that comes or goes moves
-// only what it wins or held itself.
+// Rank orders ids by rendezvous hash for a key, highest score first. Every
+// instance with the same ids gets the same order. Adding or removing an id
+// doesn't change the relative order of the others.
 func Rank(key string, ids []string) []string {
 	scored := sortedScores(key, ids)
 	ranked := make([]string, len(scored))
@@ -19,7 +19,8 @@
 	return ranked
 }
 
-// TopRanked returns the best id for a key; empty if there is none.
+// TopRanked returns the id with the highest score for a key, or an empty string
+// if ids is empty.
 func TopRanked(key string, ids []string) string {
 	var best scoredID
 	for _, id := range ids {
@@ -73,10 +74,10 @@
 	return d.Sum64()
 }
 
-// separator keeps ("ab", "c") and ("a", "bc") apart.
+// separator makes ("ab", "c") and ("a", "bc") hash differently.
 var separator = []byte{0}
 
-// remove returns ids without one of them.
+// remove returns a copy of ids without id.
 func remove(ids []string, id string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(other string) bool { return other == id })
 }
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/storage"
 )
 
-// A role must not move when somebody else comes or goes: an id that is
-// removed may only hand over what it held itself.
+// Removing an id must not change the order of the others, so that only the roles
+// of the removed instance move.
 func TestRankMovesOnlyWhatTheRemovedHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 20, rapid.ID).Draw(t, "ids")
@@ -50,7 +50,7 @@
 	must.MapLen(t, 4, centres)
 	must.Len(t, 400, d.HolderCandidates("shard", 1000))
 
-	// A caller that is older than the last full list gets a full one.
+	// A caller whose version is older than the last full list gets a full list.
 	must.True(t, d.apply(storage.InstanceChanges{Version: 2, Changed: []storage.Instance{
 		{ID: "i0000", Kind: storage.Entry, DataCentre: "dc0", State: storage.Leaving},
 		{ID: "b", Kind: storage.BackendServer, Service: "s", State: storage.Leaving},
@@ -62,7 +62,8 @@
 	must.True(t, d.since(0).Full)
 	must.Len(t, 401, d.since(0).Changed)
 
-	// Too many ended ones: the oldest go, and whoever lacks that gets all.
+	// When too many ended instances are remembered, the oldest are dropped, and
+	// callers older than those get the full list.
 	for version, n := range []int{3: 600, 4: 500} {
 		ended := entryInstances(n, 1)
 		for i := range ended {
--- a/membership/read.go
+++ b/membership/read.go
@@ -8,35 +8,36 @@
 	"foxtailspoke/storage"
 )
 
-// never is later than any time that a clock shows.
+// never is the wake time of a timer that isn't set.
 const never = time.Duration(math.MaxInt64)
 
-// readState is the state of the reads of the table or of the instance list:
-// at most one at a time.
+// readState is the state of the reads of the table or of the instance list.
+// At most one read of each is in flight.
 type readState struct {
 	// id of the read in flight; 0 if there is none.
 	id uint64
-	// started says that there was a read; sent is when the last one started.
+	// started is set once a read was sent; sent is when the last one was.
 	started bool
 	sent    time.Duration
-	// next is when the next read is due for a regular reader.
+	// next is when the next periodic read is due.
 	next time.Duration
-	// requested asks for one read also from an instance that isn't a regular
-	// reader, or before the next is due.
+	// requested asks for one read before the next periodic one, or on an
+	// instance that doesn't read periodically.
 	requested bool
-	// failures counts the reads without an answer since the last answer.
+	// failures counts consecutive reads without a usable answer.
 	failures int
-	// answered is when the last read that was answered started.
+	// answered is when the last successful read was sent.
 	answered time.Duration
 }
 
-// readsTableRegularly says whether the instance reads the table regularly.
+// readsTableRegularly says whether the instance reads the table periodically:
+// watchers and witnesses do.
 func (m *Member) readsTableRegularly() bool { return m.isWatcher() || m.IsWitness() }
 
-// tableUnavailable says whether the last read of the table had no answer or has
-// been without one for long. A watcher then asks the witnesses. Waiting for
-// ReadTimeout would let the proofs of those who pull from it get so old
-// that many of them read the table themselves, just when it is slow.
+// tableUnavailable says whether the last read of the table failed or has been
+// unanswered for HedgeAfter. A watcher then asks the witnesses. If it waited for
+// ReadTimeout, the proofs of the instances that pull from it would become so old
+// that many of them would read the table themselves while it is slow.
 func (m *Member) tableUnavailable(now time.Duration) bool {
 	if m.table.failures > 0 {
 		return true
@@ -65,18 +66,18 @@
 	return []effect.Effect{effect.ReadInstances{ID: m.list.id, Since: m.dir.version}}
 }
 
-// maxListAgeIntervals is how many times ListEvery an instance may go without word of
-// the list before it reads the list itself.
+// maxListAgeIntervals is the number of ListEvery intervals without an update of
+// the list after which an instance reads the list itself.
 const maxListAgeIntervals = 5
 
-// nextListRead returns when the next regular read of the list is due.
+// nextListRead returns when the next periodic read of the list is due.
 //
-// Most instances hear of the list by their pulls. One that is a witness proves
-// its revision without them, so that it must notice by itself that its list is
-// old: with a list from before the others had started it would reach nobody.
-// An instance without a proof doesn't read here: when the platform returns
-// after all were cut off, everybody's list is old, and reads of all at once
-// would drown it (see tickAlone).
+// Most instances receive the list with their pulls. A witness proves its
+// revision without pulls, so it must detect an outdated list itself: with a list
+// from before the other instances started it could reach none of them.
+// An instance without a proof doesn't read the list here: when the platform
+// recovers after all instances were cut off, every list is outdated, and
+// simultaneous reads would overload the platform (see tickFallback).
 func (m *Member) nextListRead() time.Duration {
 	switch {
 	case m.isWatcher():
@@ -91,8 +92,8 @@
 	return due
 }
 
-// maxListDoublings bounds the time between the reads of an instance that has
-// no list yet, while they fail.
+// maxListDoublings limits the back-off between failing reads of an instance
+// that has no list yet.
 const maxListDoublings = 3
 
 func (m *Member) startRead(now time.Duration, r *readState, every time.Duration) {
@@ -108,7 +109,8 @@
 	return r.requested && now >= r.nextRequested()
 }
 
-// nextRequested keeps reads on demand apart, further with every failure.
+// nextRequested returns when the next requested read may start, with
+// exponential back-off after failures.
 func (r *readState) nextRequested() time.Duration {
 	if !r.started {
 		return 0
@@ -149,8 +151,8 @@
 	return r.wake(true, m.set.ReadTimeout)
 }
 
-// ReadDone takes the end of a ReadTable effect; ok is false if there was no
-// answer.
+// ReadDone handles the completion of a ReadTable effect; ok is false if the
+// read failed.
 func (m *Member) ReadDone(now time.Duration, id uint64, c storage.Changes, ok bool) []effect.Effect {
 	if id != m.table.id {
 		return m.applyLateRead(now, c, ok)
@@ -161,8 +163,9 @@
 		return m.Tick(now)
 	}
 	if c.Revision < m.log.Revision() {
-		// The platform's table went back, say to a backup. Accepted changes
-		// mustn't revert: it counts as away, and the witnesses are asked.
+		// The platform's table was rolled back, for example to a backup.
+		// Accepted changes must not be reverted, so the table counts as
+		// unavailable and the witnesses are asked.
 		m.count.StaleReads++
 		m.table.failures++
 		return m.Tick(now)
@@ -174,9 +177,9 @@
 	return m.Tick(now)
 }
 
-// applyLateRead takes the rows of a read that was given up. They are as good as
-// any, but the time at which the read started isn't known any more, so that
-// it proves nothing.
+// applyLateRead applies the rows of a read that had already timed out. The rows
+// are valid, but the start time of the read is no longer known, so that it gives
+// no proof.
 func (m *Member) applyLateRead(now time.Duration, c storage.Changes, ok bool) []effect.Effect {
 	if ok {
 		m.apply(now, c)
@@ -184,7 +187,7 @@
 	return m.Tick(now)
 }
 
-// InstancesDone takes the end of a ReadInstances effect.
+// InstancesDone handles the completion of a ReadInstances effect.
 func (m *Member) InstancesDone(now time.Duration, id uint64, c storage.InstanceChanges, ok bool) []effect.Effect {
 	if id == m.list.id {
 		m.list.id = 0
--- a/membership/roles.go
+++ b/membership/roles.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Keys of the rendezvous hashes, one per role.
+// Rendezvous hash keys of the roles.
 const (
 	watcherKey   = "watcher"
 	witnessKey   = "witness"
@@ -11,8 +11,8 @@
 	pullKey      = "pull/"
 )
 
-// Watchers returns the entry instances of a data centre that read the table
-// for the others there, best first.
+// Watchers returns the entry instances of a data centre that read the table on
+// behalf of the others there, highest rank first.
 func (d *Directory) Watchers(dataCentre string) []string {
 	watchers, ok := d.watchers[dataCentre]
 	if !ok {
@@ -33,15 +33,15 @@
 	return all
 }
 
-// watcherCount grows with the data centre, so that the pulls of the others
-// stay a small load on each watcher.
+// watcherCount returns the number of watchers of a data centre. It grows with
+// the number of instances to bound the pulls that each watcher serves.
 func (d *Directory) watcherCount(instances int) int {
 	pullers := d.set.PullersPerWatcher
 	return max(d.set.WatchersPerDataCentre, (instances+pullers-1)/pullers)
 }
 
-// Collector returns the entry instance that gathers the evidence against
-// the backend servers of a service; empty if there is no live instance.
+// Collector returns the entry instance that collects the failure evidence about
+// the backend servers of a service, or an empty string if no instance is live.
 func (d *Directory) Collector(service string) string {
 	collector, ok := d.collectors[service]
 	if !ok {
@@ -51,9 +51,9 @@
 	return collector
 }
 
-// updateCollectors keeps the collectors that are known right after entry
-// instances came or went. Ranking all instances anew for every service would
-// stop a node with 2,000 instances and 560 services for 60 ms at each change.
+// updateCollectors updates the cached collectors after entry instances were added
+// or removed. Ranking all instances again for every service would block a node
+// with 2,000 instances and 560 services for 60 ms at each change.
 func (d *Directory) updateCollectors(before []string) {
 	came := slices.Clip(difference(d.entryIDs, before))
 	went := difference(before, d.entryIDs)
@@ -66,7 +66,7 @@
 	}
 }
 
-// difference returns the ids that aren't in others; both are sorted.
+// difference returns the ids that aren't in others. Both slices are sorted.
 func difference(ids, others []string) []string {
 	var rest []string
 	for _, id := range ids {
@@ -77,8 +77,8 @@
 	return rest
 }
 
-// HolderCandidates returns up to count entry instances for a shard, best
-// first. They are in different data centres as long as there are enough.
+// HolderCandidates returns up to count entry instances for a shard, highest rank
+// first. The first ones are in different data centres, as far as there are any.
 func (d *Directory) HolderCandidates(shard string, count int) []string {
 	ranked := Rank(holderKey+shard, d.entryIDs)
 	var chosen, rest []string
@@ -96,7 +96,8 @@
 	return chosen[:min(count, len(chosen))]
 }
 
-// rankedWitnesses returns the live entry instances, best witness first.
+// rankedWitnesses returns the live entry instances in the order of the witness
+// role, highest rank first.
 func (d *Directory) rankedWitnesses() []string {
 	if d.witnesses == nil {
 		d.witnesses = Rank(witnessKey, d.entryIDs)
--- a/membership/round.go
+++ b/membership/round.go
@@ -9,15 +9,17 @@
 	"foxtailspoke/storage"
 )
 
-// roundState is the last roundState to the witnesses.
+// roundState is the state of the last round, a query to all witnesses.
 type roundState struct {
 	number uint64
 	start  time.Duration
-	// next is when a watcher starts the next round while the table is away.
+	// next is when a watcher starts the next round while the table is
+	// unavailable.
 	next    time.Duration
 	open    bool
 	answers map[string]Witnessed
-	// pulledFrom are the witnesses that were pulled from because they know more.
+	// pulledFrom holds the witnesses that were pulled from because they reported
+	// a newer revision.
 	pulledFrom map[string]bool
 }
 
@@ -40,8 +42,8 @@
 	return never
 }
 
-// startRound asks every witness. The round before it, if it isn't finished,
-// is given up.
+// startRound queries every witness. It abandons a previous round that is still
+// open.
 func (m *Member) startRound(now time.Duration) []effect.Effect {
 	w := m.log.Witnesses()
 	m.round.next = now + m.jitter(m.set.PollEvery)
@@ -69,8 +71,8 @@
 	return m.sendCall(now, call{kind: witnessCall, to: to, round: round}, Request{Witness: w})
 }
 
-// handleWitnessed takes a witness's answer: into the open round if it belongs to
-// it, and into what is known of that witness in any case.
+// handleWitnessed records the revision that a witness reported, and counts the
+// answer if it belongs to the open round.
 func (m *Member) handleWitnessed(now time.Duration, c call, w Witnessed) []effect.Effect {
 	m.inForce.recordRevision(c.to, w.Revision)
 	m.updateMajority(now)
@@ -84,7 +86,7 @@
 	return append(out, m.Tick(now)...)
 }
 
-// pullFromWitness pulls from a witness that knows a newer revision.
+// pullFromWitness pulls from a witness that reported a newer revision.
 func (m *Member) pullFromWitness(now time.Duration, from string, w Witnessed) []effect.Effect {
 	if w.Revision <= m.log.Revision() || m.round.pulledFrom[from] {
 		return nil
@@ -93,8 +95,8 @@
 	return []effect.Effect{m.sendPull(now, catchUpPull, from)}
 }
 
-// sendMissingChanges sends a witness what it lacks, if that matters: because a change
-// waits for it, or because it doesn't know of its seat.
+// sendMissingChanges sends a witness the changes it lacks if a revision waits for
+// it to come in force, or if the witness doesn't know that it is one.
 func (m *Member) sendMissingChanges(now time.Duration, c call, w Witnessed) []effect.Effect {
 	own := m.log.Revision()
 	if w.Revision >= own || !isWitness(m.log.Witnesses(), c.to) {
@@ -106,9 +108,9 @@
 	return []effect.Effect{m.callWitness(now, c.to, c.round, m.offerChanges(w.Revision), w.Revision)}
 }
 
-// completeRound ends the open round with a proof if a majority answered and
-// nobody knows a newer revision. The replica may have caught up meanwhile;
-// then its present list of witnesses counts.
+// completeRound ends the open round with a proof if a majority answered and no
+// witness reported a newer revision. If the replica was updated during the round,
+// its current list of witnesses applies.
 func (m *Member) completeRound(now time.Duration) {
 	if !m.round.open {
 		return
@@ -130,7 +132,8 @@
 	m.recordProof(&m.byWitnesses, m.rules.proofStart(m.round.start, now))
 }
 
-// currentAndPrevious returns everyone who counts.
+// currentAndPrevious returns the current and previous witnesses without
+// duplicates.
 func currentAndPrevious(w config.Witnesses) []string {
 	ids := slices.Clone(w.Members)
 	for _, id := range w.Previous {
--- a/membership/rules.go
+++ b/membership/rules.go
@@ -7,23 +7,28 @@
 	"foxtailspoke/storage"
 )
 
-// rules are the decisions that the safety of confirmed age rests on. They
-// are values so that the model test can replace one at a time and show that
-// it breaks without it.
+// rules are the decisions on which the safety of confirmed age depends. They are
+// values so that the mutation test can replace one at a time and check that the
+// model then fails.
 type rules struct {
-	// proofStart returns from when a proof counts, of an exchange that was
-	// sent and answered at these times.
+	// proofStart returns the start time of a proof from the times at which its
+	// exchange was sent and answered.
 	proofStart func(sent, answered time.Duration) time.Duration
-	// inForceDelay is how long after a majority knew a revision it is in force.
+	// inForceDelay is the time from when a majority knows a revision until it
+	// is in force.
 	inForceDelay time.Duration
-	// answeredByQuorum says whether the instances that answeredByQuorum a round are enough.
+	// answeredByQuorum says whether the instances that answered a round
+	// form a quorum.
 	answeredByQuorum func(config.Witnesses, func(id string) bool) bool
-	// knownByQuorum says whether the instances that know a revision are enough.
+	// knownByQuorum says whether the instances that know a revision form a
+	// quorum.
 	knownByQuorum func(config.Witnesses, func(id string) bool) bool
-	// canDropPrevious says whether the list before may go, when a majority knows
-	// revision known and the row that changed the list is at revision row.
+	// canDropPrevious says whether the previous list of witnesses may be
+	// dropped when a majority knows revision known and the row that changed
+	// the list has revision row.
 	canDropPrevious func(known, row storage.Revision) bool
-	// isInForce says whether a revision being in force puts another in force.
+	// isInForce says whether a revision is in force, given the highest one
+	// that is.
 	isInForce func(inForce, revision storage.Revision) bool
 }
 
@@ -39,10 +44,10 @@
 }
 
 // jointMajority says whether has holds for a majority of the witnesses and,
-// while a change of the list isn't finished, of the list before as well.
-// Without the second, a majority of the old list and one of the new could
-// have no instance in common: one side would take parts over while the
-// other still confirms the old holder.
+// while a change of the list is in progress, for a majority of the previous list
+// as well. Without the second condition, a majority of the old list and one of
+// the new list might not intersect: one side would take over parts while the
+// other still confirms the previous holder.
 func jointMajority(w config.Witnesses, has func(id string) bool) bool {
 	if len(w.Previous) > 0 && !majority(w.Previous, has) {
 		return false
--- a/membership/seats.go
+++ b/membership/seats.go
@@ -11,31 +11,33 @@
 	"foxtailspoke/storage"
 )
 
-// witnessSetState is the state of the instance's care for the list of witnesses.
+// witnessSetState is the state of this instance's maintenance of the list of
+// witnesses. A seat is one place in that list.
 type witnessSetState struct {
 	// id of the write in flight; 0 if there is none.
 	id uint64
-	// sent is when the last write was sent, ended when it ended.
+	// sent is when the last write was sent, ended when it completed or timed out.
 	sent, ended time.Duration
-	// changeNeeded says that row needs a change; since is when that was first seen.
+	// changeNeeded says that the list at revision rowRevision needs a change;
+	// since is when that was first seen.
 	changeNeeded bool
 	since        time.Duration
 	rowRevision  storage.Revision
-	// next is when to look again.
+	// next is when the list is checked again.
 	next     time.Duration
 	attempts uint64
 }
 
-// witnessCheckInterval is the time between looks at the list of witnesses.
+// witnessCheckInterval is the time between checks of the list of witnesses.
 const witnessCheckInterval = 200 * time.Millisecond
 
-// witnessWriteTimeout bounds a write; after it the outcome is unknown, and the
-// condition on the row's revision makes sure that it counts at most once.
+// witnessWriteTimeout bounds a write. After it the outcome is unknown; the
+// condition on the row's revision prevents that the write is applied twice.
 const witnessWriteTimeout = 2 * time.Second
 
-// tickWitnessSet changes the list of witnesses by one step if it needs it. Every
-// watcher would do so; the ones further back in the rank wait longer, so
-// that as a rule one of them writes.
+// tickWitnessSet changes the list of witnesses by one step if necessary. Every
+// watcher does this; lower-ranked watchers wait longer, so that normally only
+// one of them writes.
 func (m *Member) tickWitnessSet(now time.Duration) []effect.Effect {
 	if m.seats.id != 0 && now-m.seats.sent >= witnessWriteTimeout {
 		m.seats.id, m.seats.ended = 0, now
@@ -66,8 +68,8 @@
 	return m.isWatcher() || (m.leaving && m.IsWitness())
 }
 
-// canUpdateWitnessSet says whether the instance sees the table now, with a read that
-// started after its last write ended.
+// canUpdateWitnessSet says whether the instance has a current view of the table,
+// from a read that started after its last write ended.
 func (m *Member) canUpdateWitnessSet(now time.Duration) bool {
 	if !m.maintainsWitnessSet() {
 		return false
@@ -76,8 +78,8 @@
 	return seen && m.Confirmation(now).State == ConfirmedByTable && len(m.dir.entryIDs) > 0
 }
 
-// isUpdateTurn says whether the need for a change has stood for so long that
-// it is this instance's turn. An instance that leaves gives its seat at once.
+// isUpdateTurn says whether a change has been needed for so long that it is this
+// instance's turn to write it. A witness that is leaving replaces itself at once.
 func (m *Member) isUpdateTurn(now time.Duration, row storage.Revision) bool {
 	if m.seats.rowRevision != row || !m.seats.changeNeeded {
 		m.seats.changeNeeded, m.seats.rowRevision, m.seats.since = true, row, now
@@ -87,16 +89,16 @@
 	}
 	turns := position(witnessKey, m.set.Self, m.dir.allWatchers())
 	if len(m.log.Witnesses().Previous) == 0 {
-		// Whoever chose the present witnesses may have had a newer list of
-		// instances. Until the own list caught up, a new witness that it
-		// lacks looks as if it had gone.
+		// The instance that chose the current witnesses may have had a newer
+		// list of instances. Until the local list is up to date, a new witness
+		// that it lacks looks as if it had ended.
 		turns++
 	}
 	return now >= m.seats.since+time.Duration(turns)*m.set.SeatStagger
 }
 
-// planWitnessChange returns the next list, if one is needed. With inform it isn't
-// time yet: the witnesses must know the present row first.
+// planWitnessChange returns the next list and whether a change is needed. If
+// inform is set, the witnesses must learn the current row before it is written.
 func (m *Member) planWitnessChange(row storage.Revision) (next config.Witnesses, inform, needed bool) {
 	w := m.log.Witnesses()
 	if len(w.Members) == 0 {
@@ -111,10 +113,10 @@
 	return config.Witnesses{Members: members, Previous: w.Members}, false, changed
 }
 
-// replaceOneWitness returns the members with one seat changed: one that went
-// away or leaves is given to another instance, or goes if there is none; a
-// missing one is filled; and one is moved out of a data centre that has too
-// many.
+// replaceOneWitness returns the members with one change, and whether there is one.
+// It replaces a witness that ended or is leaving, or removes it if there is no
+// candidate; otherwise it adds a missing witness; otherwise it moves a witness
+// out of a data centre that has too many.
 func (m *Member) replaceOneWitness(members []string) ([]string, bool) {
 	for _, id := range members {
 		if !m.needsReplacement(id) {
@@ -130,8 +132,8 @@
 	return m.rebalanceWitnesses(members)
 }
 
-// rebalanceWitnesses moves one seat from the data centre with the most to the one
-// with the fewest, if they differ by more than one.
+// rebalanceWitnesses moves one witness from a data centre to another that has at
+// least two fewer.
 func (m *Member) rebalanceWitnesses(members []string) ([]string, bool) {
 	seats := m.witnessesByDataCentre(members)
 	for _, id := range members {
@@ -149,8 +151,8 @@
 	return nil, false
 }
 
-// needsReplacement says that a witness must be replaced: it ended, it leaves, or the
-// list doesn't know it any more.
+// needsReplacement says whether a witness must be replaced because it ended, is
+// leaving, or is no longer on the list of instances.
 func (m *Member) needsReplacement(id string) bool {
 	if id == m.set.Self && m.leaving {
 		return true
@@ -160,7 +162,8 @@
 }
 
 // chooseWitnesses adds live instances to kept until there are count or no
-// more: always the best ranked one of the data centre with the fewest seats.
+// candidates are left. It always adds the highest-ranked one of the data centre
+// with the fewest witnesses.
 func (m *Member) chooseWitnesses(kept []string, count int) []string {
 	chosen := slices.Clone(kept)
 	seats := m.witnessesByDataCentre(kept)
@@ -213,8 +216,8 @@
 	return []effect.Effect{effect.WriteTable{ID: m.seats.id, Txn: txn}}
 }
 
-// WriteDone takes the end of a WriteTable effect. Whatever the outcome, the
-// next read of the table shows the list as it stands.
+// WriteDone handles the completion of a WriteTable effect. It ignores the outcome
+// and requests a read of the table, which shows the resulting list.
 func (m *Member) WriteDone(now time.Duration, id uint64, _ storage.WriteResult) []effect.Effect {
 	if id == m.seats.id {
 		m.seats.id, m.seats.ended = 0, now
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Settings of a Member. Zero values take the defaults.
+// Settings of a Member. Zero values are replaced by the defaults.
 type Settings struct {
-	// Self is the instance's own id, new with every start.
+	// Self is the instance's own id, which changes with every start.
 	Self string
 	// DataCentre that the instance runs in.
 	DataCentre string
-	// Seeds are peer addresses of instances that probably run. An instance
-	// that starts while the platform is away asks them for the configuration
-	// and the list; without one it stays cut off until the platform returns.
+	// Seeds are peer addresses of instances that are likely to run. An instance
+	// that starts while the platform is unavailable pulls the configuration and
+	// the list of instances from them; if none answers, it stays cut off until
+	// the platform recovers.
 	Seeds []string
-	// Fresh is how old a proof may be, from the start of its exchange.
+	// Fresh is the maximum age of a proof, counted from the start of its exchange.
 	Fresh time.Duration
-	// DriftPPM bounds the rate error of any instance's clock, in millionths.
+	// DriftPPM bounds the rate error of any instance's clock, in parts per
+	// million.
 	DriftPPM int
 	// PollEvery is the time between reads of the table by a watcher or a
-	// witness, and between a watcher's rounds while the table is away.
+	// witness, and between a watcher's rounds while the table is unavailable.
 	PollEvery time.Duration
-	// PullEvery is the time between pulls of everybody else.
+	// PullEvery is the time between pulls of an instance that isn't a watcher.
 	PullEvery time.Duration
 	// ListEvery is the time between reads of the instance list by a watcher.
 	ListEvery time.Duration
@@ -27,20 +29,21 @@
 	CallTimeout time.Duration
 	// ReadTimeout bounds a read of the table or of the instance list.
 	ReadTimeout time.Duration
-	// HedgeAfter is how long a watcher's read may take before the table
-	// counts as away and a round starts beside it.
+	// HedgeAfter is how long a watcher's read may take before the table counts
+	// as unavailable and a round to the witnesses starts in parallel.
 	HedgeAfter time.Duration
-	// WatchersPerDataCentre is the least number of watchers.
+	// WatchersPerDataCentre is the minimum number of watchers in a data centre.
 	WatchersPerDataCentre int
-	// PullersPerWatcher adds watchers in data centres with many instances.
+	// PullersPerWatcher is the number of instances per watcher above which a
+	// data centre gets more watchers than the minimum.
 	PullersPerWatcher int
-	// WitnessCount is how many witnesses the fleet keeps, if it is large
-	// enough.
+	// WitnessCount is the number of witnesses, if the fleet has that many
+	// instances.
 	WitnessCount int
-	// SelfReadsPerSecond bounds, over the whole fleet, the reads of
-	// instances that aren't watchers or witnesses and reach none.
+	// SelfReadsPerSecond limits, over the whole fleet, the fallback reads of
+	// instances that obtain no proof from watchers or witnesses.
 	SelfReadsPerSecond int
-	// SeatStagger is how much longer each further instance in rank waits
+	// SeatStagger is the additional time that each lower-ranked instance waits
 	// before it changes the list of witnesses.
 	SeatStagger time.Duration
 }
@@ -62,9 +65,10 @@
 	DefaultSeatStagger           = time.Second
 )
 
-// InForceDelay is how long after a majority of the witnesses knew a revision it is
-// in force. The holder of an old proof may count Fresh on a slow clock while
-// the one who waits counts on a fast one.
+// InForceDelay is the time from when a majority of the witnesses knows a revision
+// until it is in force. It exceeds Fresh by the clock error: the owner of an old
+// proof may measure Fresh on a slow clock while the waiting instance measures
+// the delay on a fast one.
 func (s Settings) InForceDelay() time.Duration {
 	const million = 1_000_000
 	slow, fast := int64(million-s.DriftPPM), int64(million+s.DriftPPM)
--- a/membership/sim_holder_test.go
+++ b/membership/sim_holder_test.go
@@ -12,7 +12,7 @@
 
 const shardRow = config.ShardPrefix + "s"
 
-// tryToHold lets a node try to become the only holder of the shard.
+// tryToHold makes a node try to become the only holder of the shard.
 func (s *sim) tryToHold(n *simNode) {
 	s.deliver(n, func(time.Duration) []effect.Effect {
 		row, _ := n.log.Row(shardRow)
@@ -30,20 +30,22 @@
 	})
 }
 
-// holds says whether the node's replica names it, and with which revision.
+// holds says whether the node's replica names it as the only holder, and returns
+// the revision of the shard's row.
 func (n *simNode) holds() (storage.Revision, bool) {
 	row, ok := n.log.Row(shardRow)
 	holders := n.log.Shard("s").Holders
 	return row.Revision, ok && len(holders) == 1 && holders[0].Instance == n.id
 }
 
-// acts says whether the node spends the shard's parts now.
+// acts says whether the node currently uses the shard's parts.
 func (n *simNode) acts(now time.Duration) bool {
 	rev, holds := n.holds()
 	return holds && n.m.Confirmation(now).State != CutOff && n.m.InForce(now, rev)
 }
 
-// checkInvariants notes a violation of what must always hold.
+// checkInvariants records violations of the safety invariants: replicas never revert, at
+// most one holder acts, and no node acts on a revision older than the one in force.
 func (s *sim) checkInvariants() {
 	var acting []string
 	for _, n := range s.nodes {
@@ -58,13 +60,13 @@
 			acting = append(acting, n.id)
 		}
 		if n.log.Revision() < n.revision {
-			s.fail("%s went from revision %d back to %d", n.id, n.revision, n.log.Revision())
+			s.fail("%s reverted from revision %d to %d", n.id, n.revision, n.log.Revision())
 		}
 		n.revision = n.log.Revision()
 	}
 	s.actingChecks += min(len(acting), 1)
 	if len(acting) > 1 {
-		s.fail("two holders act: %v", acting)
+		s.fail("more than one holder acts: %v", acting)
 	}
 	for _, n := range s.nodes {
 		if n == nil || n.dead || s.now < n.frozenUntil {
--- a/membership/sim_platform_test.go
+++ b/membership/sim_platform_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// write commits a transaction if its conditions hold. It may arrive late,
-// and its answer may be lost.
+// write commits a transaction if its conditions hold. The transaction may be
+// delayed, and its answer may be lost.
 func (s *sim) write(n *simNode, t storage.Txn, done func(time.Duration, storage.WriteResult) []effect.Effect) {
 	answer := func(d time.Duration, r storage.WriteResult) {
 		s.after(d, func() {
@@ -90,7 +90,7 @@
 	}
 }
 
-// saveStaleTable keeps a copy of the table as it is now, for old-copy reads.
+// saveStaleTable keeps a copy of the current table for stale reads.
 func (s *sim) saveStaleTable() {
 	s.staleTable = config.NewReplica()
 	s.staleTable.Apply(s.table.Since(0))
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -13,8 +13,9 @@
 	"foxtailspoke/storage"
 )
 
-// sim drives real Members over fakes of the table, of the instance list and
-// of the links. One goroutine, one queue of events, one seed.
+// sim runs real Members on simulated time, with fakes of the table, the instance
+// list and the network. A run is deterministic: it has one goroutine, one event
+// queue and one seed.
 type sim struct {
 	rng   *rand.Rand
 	now   time.Duration
@@ -23,14 +24,15 @@
 	set   Settings
 	rules func(*rules)
 
-	nodes    []*simNode // one per slot; a restart replaces it
+	nodes    []*simNode // one per slot; replaced on restart
 	cutLinks map[[2]int]bool
-	// tableUnreachable are the slots that don't reach the table; answersLost are those that
-	// reach it without hearing its answers.
+	// tableUnreachable are the slots whose requests don't reach the table;
+	// answersLost are those whose requests do but whose answers are lost.
 	tableUnreachable, answersLost map[int]bool
 	platformDown                  bool
 	tableDelay                    time.Duration // added to every read of the table
-	// staleFrom serves unseen slots an old copy of the table (mutant).
+	// serveStaleTable answers reads of slots that can't reach the table from
+	// staleTable. A mutant sets it.
 	serveStaleTable bool
 	staleTable      *config.Replica
 
@@ -44,8 +46,8 @@
 	encoder      *gob.Encoder
 	encoded      int
 	failures     []string
-	actingChecks int           // checks that found a holder acting
-	states       map[State]int // checks of one node, by state
+	actingChecks int           // checks in which a holder acted
+	states       map[State]int // number of node checks, by state
 	afterEvent   func()
 }
 
@@ -151,7 +153,7 @@
 	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, do: do})
 }
 
-// run handles events until a time.
+// run processes events up to a simulated time.
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until && len(s.failures) == 0 {
 		e := heap.Pop(&s.queue).(event)
@@ -164,7 +166,7 @@
 	s.now = max(s.now, until)
 }
 
-// deliver hands a node one event, after its freeze if it is frozen.
+// deliver delivers an event to a node, or defers it while the node is frozen.
 func (s *sim) deliver(n *simNode, do func(now time.Duration) []effect.Effect) {
 	if n.dead {
 		return
@@ -193,7 +195,7 @@
 			s.deliver(n, func(now time.Duration) []effect.Effect {
 				effects := n.m.Tick(now)
 				if n.m.NextWake() <= now {
-					panic("a Tick left something to do at once")
+					panic("Tick left work that is already due")
 				}
 				return effects
 			})
@@ -272,7 +274,8 @@
 	return nil
 }
 
-// nodesAt finds the slot in the id, so that large fleets stay quick.
+// nodesAt returns the slot that an id contains. It avoids a search over all nodes
+// of a large fleet.
 func (s *sim) nodesAt(id string) []*simNode {
 	slot, err := strconv.ParseUint(id[:8], 16, 32)
 	if err != nil {
