--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -87,7 +87,7 @@
 
 // All watchers of a data centre fail at once, and the list of instances still
 // shows them as live. The others there must pull from other data centres with
-// hardly any time cut off.
+// less than one second cut off per instance.
 func TestWatchersOfADataCentreGone(t *testing.T) {
 	t.Parallel()
 	s := startFleet(3, Settings{}, 40, 4)
--- a/membership/seats.go
+++ b/membership/witnesses.go
@@ -98,7 +98,8 @@
 }
 
 // planWitnessChange returns the next list and whether a change is needed. If
-// inform is set, the witnesses must learn the current row before it is written.
+// inform is set, the witnesses must learn the current row before the next list is
+// written.
 func (m *Member) planWitnessChange(row storage.Revision) (next config.Witnesses, inform, needed bool) {
 	w := m.log.Witnesses()
 	if len(w.Members) == 0 {
