--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -19,7 +19,7 @@
 // list before any instance was registered, its own table reads keep its proofs
 // fresh, so the fallback never reads the list again. It then can't reach the
 // other witnesses, and an operator's change doesn't come in force.
-func TestWitnessWithoutListReadsItAgain(t *testing.T) {
+func TestWitnessWithEmptyListReadsListAgain(t *testing.T) {
 	replica := config.NewReplica()
 	m := New(Settings{Self: "b", DataCentre: "y"}, replica, rand.New(rand.NewPCG(1, 1)))
 	witnesses := storage.Row{Key: config.WitnessesKey, Value: []byte(`{"members":["a","b"]}`), Revision: 1}
@@ -46,7 +46,7 @@
 
 // A directory that applies changes one by one must equal a directory that is
 // built from the full list, while instances start, leave, end and change.
-func TestDirectoryFollowsTheList(t *testing.T) {
+func TestDirectoryUpdatesEqualFullRebuild(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	kept := newDirectory(Settings{}.withDefaults())
 	all := map[string]storage.Instance{}
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -46,7 +46,7 @@
 // While the platform is unavailable for two hours and two of five witnesses have
 // failed, every instance keeps serving on the last accepted configuration,
 // because it still reaches a majority of the witnesses.
-func TestPlatformAwayForHours(t *testing.T) {
+func TestLongPlatformOutage(t *testing.T) {
 	t.Parallel()
 	s := startFleet(1, Settings{WatchersPerDataCentre: 1, WitnessCount: 5}, 7, 3)
 	must.Len(t, 5, s.table.Witnesses().Members)
@@ -67,11 +67,11 @@
 
 // Two instances are partitioned from the platform and all others. They must
 // stop serving within Fresh and serve again after the partition ends.
-func TestCutOffWithinFresh(t *testing.T) {
+func TestPartitionedInstanceCutOffWithinFresh(t *testing.T) {
 	t.Parallel()
 	s := startFleet(2, Settings{}, 40, 4)
-	isolated := []*simNode{s.nodes[3], s.witnessNodes()[0]}
-	for _, n := range isolated {
+	partitioned := []*simNode{s.nodes[3], s.witnessNodes()[0]}
+	for _, n := range partitioned {
 		s.tableUnreachable[n.slot] = true
 		for slot := range s.nodes {
 			s.cutLinks[[2]int{n.slot, slot}] = true
@@ -88,7 +88,7 @@
 // All watchers of a data centre fail at once, and the list of instances still
 // shows them as live. The others there must pull from other data centres with
 // less than one second cut off per instance.
-func TestWatchersOfADataCentreGone(t *testing.T) {
+func TestAllWatchersOfDataCentreFail(t *testing.T) {
 	t.Parallel()
 	s := startFleet(3, Settings{}, 40, 4)
 	healthy := s.reads
@@ -114,7 +114,7 @@
 // instance is cut off and uses the fallback. When the platform recovers, the
 // fallback reads must not overload it, and the fleet must be confirmed again
 // within three seconds.
-func TestReturnWithoutStampede(t *testing.T) {
+func TestPlatformRecoveryWithoutReadSurge(t *testing.T) {
 	t.Parallel()
 	nodes := 400
 	if *large {
@@ -176,15 +176,15 @@
 
 // When witnesses end or leave, they must be replaced one at a time, spread over
 // the data centres. An instance that leaves must stop being a witness.
-func TestSeatsFollowTheInstances(t *testing.T) {
+func TestWitnessesFollowInstances(t *testing.T) {
 	t.Parallel()
 	s := startFleet(6, Settings{}, 40, 4)
 	first := s.witnessNodes()
 	must.Len(t, 7, first)
-	leaver := first[0]
-	s.deliver(leaver, leaver.m.Leave)
+	leaving := first[0]
+	s.deliver(leaving, leaving.m.Leave)
 	s.run(s.now + 2*time.Second)
-	must.False(t, leaver.m.IsWitness())
+	must.False(t, leaving.m.IsWitness())
 
 	for _, n := range first[1:6] {
 		n.dead = true
@@ -197,14 +197,14 @@
 	must.SliceEmpty(t, w.Previous)
 	must.Len(t, 7, s.witnessNodes())
 	must.Len(t, 7, w.Members)
-	for centre, seats := range leaver.m.witnessesByDataCentre(w.Members) {
-		must.Between(t, 1, seats, 2, must.Sprint(centre))
+	for centre, count := range leaving.m.witnessesByDataCentre(w.Members) {
+		must.Between(t, 1, count, 2, must.Sprint(centre))
 	}
 }
 
 // A watcher that reaches neither the table nor enough witnesses, but another
 // watcher, must pull from that watcher.
-func TestWatcherThatCantProvePulls(t *testing.T) {
+func TestWatcherWithoutProofPulls(t *testing.T) {
 	t.Parallel()
 	s := startFleet(9, Settings{}, 40, 4)
 	n := s.liveNode(s.list.Watchers("dc0")[0])
@@ -250,7 +250,7 @@
 
 // When a fleet shrinks to three instances, its list of witnesses must shrink
 // too: three of seven witnesses would be no majority in a platform outage.
-func TestSeatsShrinkWithTheFleet(t *testing.T) {
+func TestWitnessListShrinksWithFleet(t *testing.T) {
 	t.Parallel()
 	s := startFleet(11, Settings{}, 9, 3)
 	for _, n := range s.nodes[3:] {
@@ -269,7 +269,7 @@
 }
 
 // Fleets of one to three instances also keep serving in a platform outage.
-func TestSmallFleets(t *testing.T) {
+func TestSmallFleetsInPlatformOutage(t *testing.T) {
 	t.Parallel()
 	for n := 1; n <= 3; n++ {
 		s := startFleet(12, Settings{}, n, 2)
@@ -284,13 +284,13 @@
 // No instance may be cut off at a transition, not even one whose proof was old at
 // that moment; all instances are checked every 50 ms to catch this. The fleet must
 // not fall back to reading the platform from every instance either.
-func TestNoGapWhenThePlatformTurns(t *testing.T) {
+func TestNoGapAtPlatformTransitions(t *testing.T) {
 	t.Parallel()
 	s := startFleet(13, Settings{}, 400, 4)
-	for turn := range 6 {
-		s.platformDown = turn%3 == 0
+	for transition := range 6 {
+		s.platformDown = transition%3 == 0
 		s.tableDelay = 0
-		if turn%3 == 1 {
+		if transition%3 == 1 {
 			s.tableDelay = 700 * time.Millisecond
 		}
 		cutOff, reads := 0, s.reads
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -13,7 +13,7 @@
 
 // Removing an id must not change the order of the others, so that only the roles
 // of the removed instance move.
-func TestRankMovesOnlyWhatTheRemovedHeld(t *testing.T) {
+func TestRankKeepsOrderWhenIDRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 20, rapid.ID).Draw(t, "ids")
 		key := rapid.String().Draw(t, "key")
--- a/membership/roles.go
+++ b/membership/roles.go
@@ -55,14 +55,14 @@
 // or removed. Ranking all instances again for every service would block a node
 // with 2,000 instances and 560 services for 60 ms at each change.
 func (d *Directory) updateCollectors(before []string) {
-	came := slices.Clip(difference(d.entryIDs, before))
-	went := difference(before, d.entryIDs)
+	added := slices.Clip(difference(d.entryIDs, before))
+	removed := difference(before, d.entryIDs)
 	for service, collector := range d.collectors {
-		if collector == "" || slices.Contains(went, collector) {
+		if collector == "" || slices.Contains(removed, collector) {
 			delete(d.collectors, service)
 			continue
 		}
-		d.collectors[service] = TopRanked(collectorKey+service, append(came, collector))
+		d.collectors[service] = TopRanked(collectorKey+service, append(added, collector))
 	}
 }
 
--- a/membership/sim_holder_test.go
+++ b/membership/sim_holder_test.go
@@ -38,8 +38,8 @@
 	return row.Revision, ok && len(holders) == 1 && holders[0].Instance == n.id
 }
 
-// acts says whether the node currently uses the shard's parts.
-func (n *simNode) acts(now time.Duration) bool {
+// actsAsHolder says whether the node currently uses the shard's parts.
+func (n *simNode) actsAsHolder(now time.Duration) bool {
 	rev, holds := n.holds()
 	return holds && n.m.Confirmation(now).State != CutOff && n.m.InForce(now, rev)
 }
@@ -56,7 +56,7 @@
 		if n.m.InForce(now, 0); n.m.inForce.revision > s.inForce {
 			s.inForce = n.m.inForce.revision
 		}
-		if n.acts(now) {
+		if n.actsAsHolder(now) {
 			acting = append(acting, n.id)
 		}
 		if n.log.Revision() < n.revision {
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -93,7 +93,7 @@
 		list: newDirectory(set.withDefaults()), nodes: make([]*simNode, nodes), now: time.Second,
 	}
 	s.encoder = gob.NewEncoder(s)
-	s.announce(fleetOf(nodes, centres)...)
+	s.announce(addressedEntryInstances(nodes, centres)...)
 	return s
 }
 
@@ -103,7 +103,7 @@
 	return len(p), nil
 }
 
-func fleetOf(n, centres int) []storage.Instance {
+func addressedEntryInstances(n, centres int) []storage.Instance {
 	all := entryInstances(n, centres)
 	for i := range all {
 		all[i].ID = nodeID(i, 0)
@@ -176,7 +176,7 @@
 		return
 	}
 	effects := do(n.clock(s.now))
-	s.carryOut(n, effects)
+	s.runEffects(n, effects)
 	if n.nextFreeze > 0 && len(effects) > 0 {
 		n.frozenUntil, n.nextFreeze = s.now+n.nextFreeze, 0
 	}
@@ -203,7 +203,7 @@
 	})
 }
 
-func (s *sim) carryOut(n *simNode, effects []effect.Effect) {
+func (s *sim) runEffects(n *simNode, effects []effect.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case effect.Call:
--- a/membership/witnesses.go
+++ b/membership/witnesses.go
@@ -107,8 +107,8 @@
 		return config.Witnesses{Members: chosen}, false, len(chosen) > 0
 	}
 	if len(w.Previous) > 0 {
-		drop := m.rules.canDropPrevious(m.inForce.majorityRevision(), row)
-		return config.Witnesses{Members: w.Members}, !drop, true
+		mayDrop := m.rules.canDropPrevious(m.inForce.majorityRevision(), row)
+		return config.Witnesses{Members: w.Members}, !mayDrop, true
 	}
 	members, changed := m.replaceOneWitness(w.Members)
 	return config.Witnesses{Members: members, Previous: w.Members}, false, changed
@@ -136,15 +136,15 @@
 // rebalanceWitnesses moves one witness from a data centre to another that has at
 // least two fewer.
 func (m *Member) rebalanceWitnesses(members []string) ([]string, bool) {
-	seats := m.witnessesByDataCentre(members)
+	counts := m.witnessesByDataCentre(members)
 	for _, id := range members {
 		i, _ := m.dir.Instance(id)
 		for _, centre := range m.dir.DataCentres() {
-			if seats[i.DataCentre] < seats[centre]+2 {
+			if counts[i.DataCentre] < counts[centre]+2 {
 				continue
 			}
 			next := m.chooseWitnesses(remove(members, id), len(members))
-			if m.witnessesByDataCentre(next)[i.DataCentre] < seats[i.DataCentre] {
+			if m.witnessesByDataCentre(next)[i.DataCentre] < counts[i.DataCentre] {
 				return next, true
 			}
 		}
@@ -167,12 +167,12 @@
 // with the fewest witnesses.
 func (m *Member) chooseWitnesses(kept []string, count int) []string {
 	chosen := slices.Clone(kept)
-	seats := m.witnessesByDataCentre(kept)
+	counts := m.witnessesByDataCentre(kept)
 	ranked := m.dir.rankedWitnesses()
 	for len(chosen) < count {
 		best, fewest := "", 0
 		for _, id := range ranked {
-			n := seats[m.dir.instances[id].DataCentre]
+			n := counts[m.dir.instances[id].DataCentre]
 			if (best != "" && n >= fewest) || slices.Contains(chosen, id) || m.needsReplacement(id) {
 				continue
 			}
@@ -182,19 +182,19 @@
 			break
 		}
 		chosen = append(chosen, best)
-		seats[m.dir.instances[best].DataCentre]++
+		counts[m.dir.instances[best].DataCentre]++
 	}
 	return chosen
 }
 
 func (m *Member) witnessesByDataCentre(ids []string) map[string]int {
-	seats := map[string]int{}
+	counts := map[string]int{}
 	for _, id := range ids {
 		if i, ok := m.dir.Instance(id); ok {
-			seats[i.DataCentre]++
+			counts[i.DataCentre]++
 		}
 	}
-	return seats
+	return counts
 }
 
 func (m *Member) writeWitnesses(now time.Duration, row storage.Revision, w config.Witnesses) []effect.Effect {
