--- a/claim/record.go
+++ b/claim/record.go
@@ -37,8 +37,8 @@
 type Record struct {
 	// Digest of the request, in hex.
 	Digest string `json:"digest"`
-	// By is the claimer's incarnation id.
-	By    string `json:"by"`
+	// Owner is the claimer's incarnation id.
+	Owner    string `json:"by"`
 	State State  `json:"state"`
 	// Answer is kept if it is short.
 	Answer *Answer `json:"answer,omitempty"`
@@ -68,26 +68,26 @@
 	r, err := decode(row)
 	switch {
 	case err != nil:
-		return Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	case r.Digest != d.String():
-		return Decision{Verdict: Refused, Reason: OtherRequest}
+		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	case r.State == StateStarted:
-		return Decision{Verdict: InProgress, By: r.By}
+		return Decision{Verdict: InProgress, Owner: r.Owner}
 	case r.State == StateRan && r.Answer != nil:
 		return Decision{Verdict: Replay, Answer: r.Answer}
 	case r.State == StateRan:
 		return Decision{Verdict: RanAlready}
 	default:
-		return Decision{Verdict: UnknownOutcome, Reason: AttemptLost}
+		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
 }
 
-// InDoubt turns a decision InProgress at another instance into what can be
+// ResolveInProgress turns a decision InProgress at another instance into what can be
 // said when that instance's state is known. A claim whose claimer is gone
 // stays unknown for good: the claimer may have sent the request just before.
-func InDoubt(d Decision, claimer PeerState) Decision {
+func ResolveInProgress(d Decision, claimer PeerState) Decision {
 	if d.Verdict != InProgress || claimer == PeerLive {
 		return d
 	}
-	return Decision{Verdict: UnknownOutcome, Reason: ClaimerGone, By: d.By}
+	return Decision{Verdict: UnknownOutcome, Reason: ClaimerUnavailable, Owner: d.Owner}
 }
--- a/health/collector.go
+++ b/health/collector.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Collector pools what instances report on services. One instance collects
-// for a service; if another one believes that it does, both see part of the
-// evidence and are slower, and the conditional write of the permits row keeps
-// them from ejecting too many together.
+// Collector pools the reports of all instances on a service. One instance
+// collects for a service. If a second one also believes that it is the
+// collector, each sees part of the evidence and decides later, and the
+// conditional write of the permits row keeps the two from ejecting too many
+// servers together.
 type Collector struct {
 	settings    Settings
 	instances   int
@@ -21,65 +22,76 @@
 type pool struct {
 	failed *outcomeStats
 	late   *outcomeStats
-	// reporters are the instances that reported lately.
+	// reporters are the instances that reported recently.
 	reporters map[string]*reporter
-	// servers are those under suspicion, relieved, ejected or returned.
-	servers  map[string]*serverState
-	silentAt time.Duration
-	// room is how many more servers the floor allows to take out of use.
-	room int
-	// advised is the advice given since adviceAt.
+	// servers holds the servers that are suspect, relieved of load, ejected
+	// or returned.
+	servers map[string]*serverState
+	// unreportedAt is when addUnreported last ran.
+	unreportedAt time.Duration
+	// ejectionBudget is how many more servers may be ejected without going
+	// below the floor.
+	ejectionBudget int
+	// advised is the advice computed at adviceAt.
 	advised  []Suspect
 	adviceAt time.Duration
 }
 
-// reporter is what the collector remembers of a reporting instance.
+// reporter is the last known state of a reporting instance.
 type reporter struct {
 	dataCentre string
 	rate       float64
 	lateShare  float64
 	at         time.Duration
-	complaints complaints
+	failures   recentFailures
 }
 
-// serverState is the collector's course of action against one server.
+// serverState is the collector's state for one server.
 type serverState struct {
-	// relievedAt is when lower weights were advised for slowness.
+	// relieved is set while instances are advised to lower the server's
+	// weight because it answers late.
 	relieved   bool
 	relievedAt time.Duration
-	// inEffect says that most instances have heard, since effectAt.
+	// inEffect is set once enough instances have received the advice, at
+	// effectAt.
 	inEffect bool
 	effectAt time.Duration
-	// reset says that evidence from before the relief was dropped.
-	reset bool
-	// unwell is when the server last reported itself as sick.
-	unwell   bool
-	unwellAt time.Duration
-	// advised is when which instance was advised to lower the weight.
+	// evidenceReset is set once the late answers from before the relief are
+	// discarded.
+	evidenceReset bool
+	// reportedSick is set once the server has reported itself as sick;
+	// reportedSickAt is the last time.
+	reportedSick   bool
+	reportedSickAt time.Duration
+	// advised is when each instance was last advised to lower the weight.
 	advised map[string]time.Duration
 	probing probeState
 }
 
-// reporterMemory is how long a reporter counts as one.
-const reporterMemory = 30 * time.Second
+// reporterTTL is how long after its last report an instance counts as a
+// reporter.
+const reporterTTL = 30 * time.Second
 
-// unwellMemory is how long a server's own report of sickness matters.
-const unwellMemory = 10 * time.Second
+// selfReportTTL is how long a server's report of its own sickness is taken
+// into account.
+const selfReportTTL = 10 * time.Second
 
-// NewCollector returns a collector without evidence.
+// NewCollector returns a collector without any evidence.
 func NewCollector(s Settings) *Collector {
 	return &Collector{settings: s, instances: 1, dataCentres: 1, services: map[string]*pool{}}
 }
 
-// SetFleetSize tells how many entry instances are live, and in how many data
-// centres. An ejection needs evidence from several of each, if there are.
+// SetFleetSize sets the number of live entry instances and of the data
+// centres they run in. An ejection needs evidence from several data
+// centres, or from several instances if there is only one data centre.
 func (c *Collector) SetFleetSize(instances, dataCentres int) {
 	c.instances = max(1, instances)
 	c.dataCentres = max(1, dataCentres)
 }
 
-// Accept takes in a report of instance from, and returns advice for it: the
-// servers that the pooled evidence speaks against. See Observer.Advise.
+// Accept adds a report from instance from and returns the advice for that
+// instance: the servers that the pooled evidence speaks against. See
+// Observer.ApplyAdvice.
 func (c *Collector) Accept(now time.Duration, from string, r Report) []Suspect {
 	p := c.pool(r.Service)
 	rep := p.reporters[from]
@@ -88,7 +100,7 @@
 		p.reporters[from] = rep
 	}
 	rep.dataCentre, rep.rate, rep.lateShare, rep.at = r.DataCentre, r.Rate, r.LateShare, now
-	rep.complaints.add(now, r, c.settings.PooledMemory)
+	rep.failures.add(now, r, c.settings.PooledMemory)
 	for _, s := range r.Servers {
 		for _, w := range s.Workspaces {
 			src := source{reporter: from, workspace: w.Workspace}
@@ -100,8 +112,8 @@
 	return c.advice(now, p, from)
 }
 
-// addElsewhere adds the named workspaces' attempts at servers that the report
-// doesn't name.
+// addElsewhere counts the attempts of the workspaces in the report at
+// servers that the report doesn't name.
 func (p *pool) addElsewhere(r Report) {
 	for _, total := range r.Elsewhere {
 		for _, s := range r.Servers {
@@ -112,21 +124,22 @@
 				}
 			}
 		}
-		p.failed.addTally(total.Workspace, float64(total.Attempts), 0)
-		p.late.addTally(total.Workspace, float64(total.LateAttempts), 0)
+		p.failed.addWorkspaceTotal(total.Workspace, float64(total.Attempts), 0)
+		p.late.addWorkspaceTotal(total.Workspace, float64(total.LateAttempts), 0)
 	}
 }
 
-// AcceptSelfReport takes in what a server says of its own health. "Sick" shortens
-// the suspicion; "healthy" means nothing, because servers say so while they
-// fail requests.
+// AcceptSelfReport records what a server reports about its own health. A
+// report of sickness lowers the score needed to eject the server. A report
+// of health is ignored, because servers send it even while they fail
+// requests.
 func (c *Collector) AcceptSelfReport(now time.Duration, service, server string, healthy bool) {
 	if healthy {
 		return
 	}
 	s := c.pool(service).server(server)
-	s.unwell = true
-	s.unwellAt = now
+	s.reportedSick = true
+	s.reportedSickAt = now
 }
 
 func (c *Collector) pool(service string) *pool {
@@ -153,15 +166,16 @@
 	return s
 }
 
-// adviceInterval is how often the advice is worked out anew.
+// adviceInterval is the least time between two computations of the advice.
 const adviceInterval = 100 * time.Millisecond
 
-// advice lists the servers whose weight every instance should lower.
+// advice returns the servers whose weight every instance should lower, and
+// records that instance to was advised.
 func (c *Collector) advice(now time.Duration, p *pool, to string) []Suspect {
 	if now-p.adviceAt >= adviceInterval {
 		p.adviceAt = now
-		p.late.setBaseline(p.usualLateShare(), c.settings.healthyLateShare(), c.settings.SickLateShare)
-		p.advised = c.advise(now, p)
+		p.late.setBaseline(p.medianLateShare(), c.settings.healthyLateShare(), c.settings.SickLateShare)
+		p.advised = c.selectSuspects(now, p)
 	}
 	for _, s := range p.advised {
 		p.server(s.Server).advised[to] = now
@@ -169,10 +183,11 @@
 	return p.advised
 }
 
-// advise lists the servers that fail, the worst first, then those that are
-// relieved: no more than could be ejected, or the load of all of them would
-// make the others late as well, and they would be advised against in turn.
-func (c *Collector) advise(now time.Duration, p *pool) []Suspect {
+// selectSuspects returns the failing servers, highest score first, followed
+// by the relieved ones. It returns no more than could be ejected: moving the
+// load of more servers to the rest would make those late too, and they would
+// become suspects in turn.
+func (c *Collector) selectSuspects(now time.Duration, p *pool) []Suspect {
 	type scored struct {
 		Suspect
 		score float64
@@ -188,11 +203,12 @@
 	}
 	slices.SortStableFunc(list, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	suspects := make([]Suspect, 0, len(list))
-	for _, s := range list[:min(len(list), p.room)] {
+	for _, s := range list[:min(len(list), p.ejectionBudget)] {
 		suspects = append(suspects, s.Suspect)
 	}
 	return suspects
 }
 
-// adviceWeight leaves enough requests to go on judging a relieved server.
+// adviceWeight leaves a relieved server enough requests to go on measuring
+// it.
 const adviceWeight = 0.15
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -7,126 +7,129 @@
 	"foxtailspoke/storage"
 )
 
-// Directory is the platform's list of instances as far as it was heard,
-// with the roles that follow from it. Its answers are the same on every
-// instance that has the same version. Slices that it returns are shared:
-// callers don't change them.
+// Directory is the platform's list of instances as last received, with the
+// roles derived from it. Every instance that has the same version derives the
+// same roles. Returned slices are shared and must not be modified.
 type Directory struct {
 	set     Settings
 	version uint64
-	// base is the version of the last full list, or the last that was
-	// forgotten in part. What went away before it isn't known any more, so
-	// that older callers need a full list.
-	base      uint64
-	instances map[string]listed
+	// oldestDelta is the oldest version from which changes can be served as
+	// a delta: the version of the last full list or of the last pruned
+	// record. Removals before it are no longer known, so callers with an
+	// older version get the full list.
+	oldestDelta uint64
+	instances   map[string]instanceRecord
 
 	entries              []storage.Instance
 	entryIDs             []string
-	byService            map[string][]storage.Instance
+	serversByService     map[string][]storage.Instance
 	dataCentres          []string
 	entryIDsByDataCentre map[string][]string
 	watchers             map[string][]string
 	collectors           map[string]string
 	witnesses            []string // all live entries in the order of the witness role
-	// strings has the names that many instances share.
-	strings map[string]string
-	// selfIsWatcher says that the instance itself is a watcher.
+	// interned holds one copy of each string that many instances share.
+	interned map[string]string
+	// selfIsWatcher reports whether this instance is a watcher.
 	selfIsWatcher bool
 }
 
-type listed struct {
+type instanceRecord struct {
 	storage.Instance
-	// changed is the version of the changes that brought it.
+	// changed is the list version at which the instance last changed.
 	changed uint64
 }
 
 func newDirectory(s Settings) *Directory {
-	d := &Directory{set: s, instances: map[string]listed{}, collectors: map[string]string{}, strings: map[string]string{}}
-	d.index()
-	d.followEntries(nil)
+	d := &Directory{set: s, instances: map[string]instanceRecord{}, collectors: map[string]string{}, interned: map[string]string{}}
+	d.rebuildIndex()
+	d.updateEntryRoles(nil)
 	return d
 }
 
-// Version of the platform's list that the directory has; 0 before the first.
+// Version returns the version of the platform's list; 0 before the first
+// list was received.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Instance returns an instance by id, in whatever state.
+// Instance returns an instance by id, whatever its state.
 func (d *Directory) Instance(id string) (storage.Instance, bool) {
 	i, ok := d.instances[id]
 	return i.Instance, ok
 }
 
-// Entries returns the live entry instances, by id.
+// Entries returns the live entry instances, ordered by id.
 func (d *Directory) Entries() []storage.Instance { return d.entries }
 
-// Servers returns the backend servers of a service that haven't ended, by
-// id. Those with State Leaving take no new work.
-func (d *Directory) Servers(service string) []storage.Instance { return d.byService[service] }
+// Servers returns the backend servers of a service that have not ended,
+// ordered by id. Those in state Leaving accept no new work.
+func (d *Directory) Servers(service string) []storage.Instance { return d.serversByService[service] }
 
 // DataCentres returns the data centres with live entry instances, sorted.
 func (d *Directory) DataCentres() []string { return d.dataCentres }
 
-// apply takes changes that were read since the directory's version or an
-// earlier one. It returns false for changes that aren't newer.
+// apply applies changes since the directory's version or an earlier one. It
+// returns false, and has no effect, if they are not newer.
 func (d *Directory) apply(c storage.InstanceChanges) bool {
 	if c.Version <= d.version {
 		return false
 	}
 	if c.Full {
-		d.instances = make(map[string]listed, len(c.Changed))
-		d.base = c.Version
+		d.instances = make(map[string]instanceRecord, len(c.Changed))
+		d.oldestDelta = c.Version
 	}
 	before := d.entryIDs
 	for _, i := range c.Changed {
 		former := d.instances[i.ID].Instance
-		d.instances[i.ID] = listed{Instance: d.shared(i), changed: c.Version}
+		d.instances[i.ID] = instanceRecord{Instance: d.internStrings(i), changed: c.Version}
 		if !c.Full {
 			d.removeFromIndex(former)
 			d.addToIndex(d.instances[i.ID].Instance)
 		}
 	}
 	d.version = c.Version
-	d.forgetEnded()
+	d.pruneEnded()
 	if c.Full {
-		d.index()
+		d.rebuildIndex()
 	}
-	d.followEntries(before)
+	d.updateEntryRoles(before)
 	return true
 }
 
-// keptEnded is how many ended instances a directory remembers. Instances
-// are replaced all the time; without a bound the list would grow for months.
-const keptEnded = 1000
+// maxEndedInstances bounds the number of ended instances that a directory
+// keeps. Instances are replaced continually, so an unbounded list would grow
+// for as long as the process runs.
+const maxEndedInstances = 1000
 
-// forgetEnded drops the oldest half of the ended instances when there are
-// too many. Others that are older than what was dropped get the full list,
-// because a delta couldn't tell them what ended.
-func (d *Directory) forgetEnded() {
-	var ended []listed
+// pruneEnded drops the oldest ended instances, down to half of
+// maxEndedInstances, when there are more than maxEndedInstances. Callers with
+// a version older than the dropped records get the full list, because a delta
+// would not include those ends.
+func (d *Directory) pruneEnded() {
+	var ended []instanceRecord
 	for _, i := range d.instances {
 		if i.State == storage.Ended {
 			ended = append(ended, i)
 		}
 	}
-	if len(ended) <= keptEnded {
+	if len(ended) <= maxEndedInstances {
 		return
 	}
-	slices.SortFunc(ended, func(a, b listed) int {
+	slices.SortFunc(ended, func(a, b instanceRecord) int {
 		return cmp.Or(cmp.Compare(a.changed, b.changed), cmp.Compare(a.ID, b.ID))
 	})
-	for _, i := range ended[:len(ended)-keptEnded/2] {
+	for _, i := range ended[:len(ended)-maxEndedInstances/2] {
 		delete(d.instances, i.ID)
-		d.base = max(d.base, i.changed)
+		d.oldestDelta = max(d.oldestDelta, i.changed)
 	}
 }
 
-// since returns what changed after a version, for another instance.
-func (d *Directory) since(version uint64) storage.InstanceChanges {
+// changesSince returns the changes after a version, for another instance.
+func (d *Directory) changesSince(version uint64) storage.InstanceChanges {
 	c := storage.InstanceChanges{Version: d.version}
 	if version >= d.version {
 		return c
 	}
-	c.Full = version < d.base
+	c.Full = version < d.oldestDelta
 	var ids []string
 	for id, i := range d.instances {
 		if c.Full || i.changed > version {
@@ -140,12 +143,10 @@
 	return c
 }
 
-// index works the roles out anew. Ids are sorted and not instances, because
-// a list of some thousands changes every few seconds.
-// shared returns the instance with those of its strings that many instances
-// have in common held once. Decoding makes a copy of each for every instance;
-// at 26,000 instances these take megabytes.
-func (d *Directory) shared(i storage.Instance) storage.Instance {
+// internStrings returns the instance with the strings that many instances have
+// in common replaced by a single copy. Decoding allocates a copy of each string
+// per instance, which takes megabytes for 26,000 instances.
+func (d *Directory) internStrings(i storage.Instance) storage.Instance {
 	i.Kind = storage.Kind(d.intern(string(i.Kind)))
 	i.State = storage.State(d.intern(string(i.State)))
 	i.Service = d.intern(i.Service)
@@ -155,26 +156,28 @@
 }
 
 func (d *Directory) intern(s string) string {
-	if known, ok := d.strings[s]; ok {
+	if known, ok := d.interned[s]; ok {
 		return known
 	}
-	d.strings[s] = s
+	d.interned[s] = s
 	return s
 }
 
-// index makes the index from nothing.
-func (d *Directory) index() {
+// rebuildIndex rebuilds the index from all instances. It sorts ids rather than
+// whole instances to keep this cheap for lists of thousands.
+func (d *Directory) rebuildIndex() {
 	d.entries = nil
 	d.entryIDs = nil
-	d.byService = map[string][]storage.Instance{}
+	d.serversByService = map[string][]storage.Instance{}
 	d.entryIDsByDataCentre = map[string][]string{}
 	for _, id := range sortedKeys(d.instances) {
-		d.indexInstance(d.instances[id].Instance)
+		d.appendToIndex(d.instances[id].Instance)
 	}
 }
 
-// followEntries brings up to date what depends on the live entry instances.
-func (d *Directory) followEntries(before []string) {
+// updateEntryRoles updates the roles that depend on the live entry instances;
+// before holds the ids of the previous ones.
+func (d *Directory) updateEntryRoles(before []string) {
 	d.watchers = map[string][]string{}
 	d.witnesses = nil
 	d.updateCollectors(before)
@@ -182,9 +185,10 @@
 	d.selfIsWatcher = d.isWatcher(d.set.Self)
 }
 
-// addToIndex puts one instance where indexInstance would. Making the index
-// from nothing takes 16 ms with 26,000 instances, in which a node does nothing
-// else. Lists that were handed out stay as they are.
+// addToIndex inserts one instance at its sorted position. A list of some
+// thousands of instances changes every few seconds, and rebuilding the whole
+// index takes 16 ms with 26,000 instances, which blocks the node. Slices
+// returned earlier are not modified.
 func (d *Directory) addToIndex(i storage.Instance) {
 	switch {
 	case isLiveEntry(i):
@@ -195,9 +199,9 @@
 		at, _ = slices.BinarySearch(ids, i.ID)
 		d.entryIDsByDataCentre[i.DataCentre] = slices.Insert(slices.Clone(ids), at, i.ID)
 	case isServer(i):
-		servers := d.byService[i.Service]
+		servers := d.serversByService[i.Service]
 		at, _ := slices.BinarySearchFunc(servers, i, compareInstances)
-		d.byService[i.Service] = slices.Insert(slices.Clone(servers), at, i)
+		d.serversByService[i.Service] = slices.Insert(slices.Clone(servers), at, i)
 	}
 }
 
@@ -212,7 +216,7 @@
 			delete(d.entryIDsByDataCentre, i.DataCentre)
 		}
 	case isServer(i):
-		d.byService[i.Service] = slices.DeleteFunc(slices.Clone(d.byService[i.Service]), same)
+		d.serversByService[i.Service] = slices.DeleteFunc(slices.Clone(d.serversByService[i.Service]), same)
 	}
 }
 
@@ -226,14 +230,14 @@
 	return i.Kind == storage.BackendServer && i.State != storage.Ended
 }
 
-func (d *Directory) indexInstance(i storage.Instance) {
+func (d *Directory) appendToIndex(i storage.Instance) {
 	switch {
 	case isLiveEntry(i):
 		d.entries = append(d.entries, i)
 		d.entryIDs = append(d.entryIDs, i.ID)
 		d.entryIDsByDataCentre[i.DataCentre] = append(d.entryIDsByDataCentre[i.DataCentre], i.ID)
 	case isServer(i):
-		d.byService[i.Service] = append(d.byService[i.Service], i)
+		d.serversByService[i.Service] = append(d.serversByService[i.Service], i)
 	}
 }
 
--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -117,7 +117,7 @@
 func TestPlatformRecoveryWithoutReadSurge(t *testing.T) {
 	t.Parallel()
 	nodes := 400
-	if *large {
+	if *measureLargeFleets {
 		nodes = 2000
 	}
 	s := startFleet(4, Settings{}, nodes, 4)
@@ -130,7 +130,7 @@
 	s.run(s.now + 20*time.Second)
 	must.Eq(t, map[State]int{CutOff: nodes - 4}, s.nodeStates())
 	perSecond := slices.Max(slices.Collect(maps.Values(s.sent))) / 20
-	must.Less(t, budget, perSecond)
+	must.Less(t, maxBytesPerSecond, perSecond)
 	s.platformDown = false
 	most, back := 0, time.Duration(0)
 	returned := s.now
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -8,78 +8,79 @@
 	"foxtailspoke/config"
 )
 
-// Decision is what one instance can say about a request's tokens.
+// Decision is the result of Take.
 type Decision struct {
 	Admitted bool
-	// Missing is what lacks here. Other holders may have it.
+	// Missing is the amount that this instance lacks. Other holders may have
+	// it.
 	Missing Amount
-	// RetryAfter is when the tokens will be there if nobody else uses them;
-	// 0 if they never will be.
+	// RetryAfter is the time until the tokens are available if nobody else
+	// uses them, or 0 if they never will be.
 	RetryAfter time.Duration
 }
 
-// Holder has one instance's tokens: its own buckets of the shards that it
-// holds parts of, and what other holders gave it.
+// Holder manages one instance's tokens: its local buckets of the shards that
+// it holds parts of, and the tokens received from other holders.
 //
-// Take and Give must only be called while the instance's configuration is
+// Take and HandleAsk must only be called while the instance's configuration is
 // fresh (package membership), and with the limits of that configuration.
 type Holder struct {
 	self     string
 	settings Settings
 	shards   map[string]*shard
-	// shardCount is given to ShardOf.
+	// shardCount is the number of shards for ShardOf.
 	shardCount int
 
-	// asks are ordered by id.
-	asks    []*ask
-	lastAsk uint64
-	// due has the settlements to send.
-	due []Settlement
-	// turn counts the calls of Peers.
-	turn int
-	// short has the holders that have too little to give.
-	short map[Bucket]map[string]shortage
+	// asks are ordered by ID.
+	asks              []*pendingAsk
+	lastAskID         uint64
+	unsentSettlements []Settlement
+	// targetRotation counts the calls of AskTargets, to vary the first target.
+	targetRotation int
+	// shortages has the holders that reported too few tokens, by bucket and
+	// instance.
+	shortages map[Bucket]map[string]shortage
 }
 
-// shard is what this instance holds of one shard.
+// shard is this instance's share of one shard.
 type shard struct {
 	grants  []grant
 	buckets map[Bucket]*bucket
-	// lost is the latest use of a bucket that was forgotten. An unknown
-	// bucket may be one of these and counts as empty at that time.
-	lost time.Duration
-	// forgot tells that lost is set.
-	forgot bool
+	// evictedLastUse is the latest use of an evicted bucket. An unknown bucket
+	// may be one of these, so it counts as empty at that time.
+	evictedLastUse time.Duration
+	// hasEvicted reports whether evictedLastUse is set.
+	hasEvicted bool
 }
 
-// NewHolder returns the tokens of an instance that holds nothing yet. The
-// number of shards must be the same on all instances.
+// NewHolder returns a Holder without grants. The number of shards must be the
+// same on all instances.
 func NewHolder(self string, shards int, s Settings) *Holder {
 	return &Holder{
 		self:       self,
 		settings:   s,
 		shards:     map[string]*shard{},
 		shardCount: shards,
-		short:      map[Bucket]map[string]shortage{},
+		shortages:  map[Bucket]map[string]shortage{},
 	}
 }
 
-// SetGrants replaces the entries of a shard's row that this instance may
-// use. To be called whenever the instance learns another row, at once, and
-// when an entry's write has come in force.
+// SetGrants replaces the entries of a shard's row that this instance may use.
+// Call it as soon as the instance learns a new row, and when an entry's write
+// takes effect.
 //
-// A new entry starts empty, and only after the time in which tokens that
-// the former holders gave may still be used. Fewer parts take their share
-// of the tokens along.
+// A new entry starts empty, and only after the time in which tokens given by
+// the former holders may still be used. If parts are removed, their share of
+// the tokens is removed too.
 func (h *Holder) SetGrants(now time.Duration, name string, grants []Grant) {
 	h.SetGrantsWithGrace(now, name, grants, now)
 }
 
-// SetGrantsWithGrace is SetGrants for a new row, where the parts that it takes
-// away may be used for a little longer: until the end of the time for which
-// the instance was fresh by the row before. Nobody else uses them before that,
-// because the new row comes in force later still, and stopping at once would
-// leave these parts unused in between.
+// SetGrantsWithGrace is SetGrants for a new row, with a grace period for the
+// parts that the row takes away: they may be used until the given time, at
+// which the instance stops being fresh by the previous row. Nobody else uses
+// them before that, because the new row takes effect later still. Without the
+// grace period these parts would be unused in between.
 func (h *Holder) SetGrantsWithGrace(now time.Duration, name string, grants []Grant, until time.Duration) {
 	s := h.shards[name]
 	if s == nil {
@@ -89,20 +90,20 @@
 		s = &shard{buckets: map[Bucket]*bucket{}}
 		h.shards[name] = s
 	}
-	next := s.merge(grants, now+h.settings.settleTime())
-	next = append(next, s.lostParts(now, grants, until)...)
-	s.replace(now, next, h.settings.Drift)
+	next := s.mergeGrants(grants, now+h.settings.settleTime())
+	next = append(next, s.revokedGrants(now, grants, until)...)
+	s.setGrants(now, next, h.settings.Drift)
 	if len(next) == 0 {
 		delete(h.shards, name)
 	}
 }
 
-// merge returns the new grants; those known before keep their times and
+// mergeGrants returns the new grants. Those known before keep their times and
 // never gain parts.
-func (s *shard) merge(grants []Grant, from time.Duration) []grant {
+func (s *shard) mergeGrants(grants []Grant, from time.Duration) []grant {
 	var next []grant
 	for _, g := range grants {
-		known, ok := s.known(g.Since)
+		known, ok := s.findGrant(g.Since)
 		if !ok {
 			next = append(next, grant{Grant: g, from: from})
 			continue
@@ -113,71 +114,73 @@
 	return next
 }
 
-// known returns the grant of an entry as it was before.
-func (s *shard) known(since uint64) (grant, bool) {
+// findGrant returns the existing unrevoked grant of an entry.
+func (s *shard) findGrant(since uint64) (grant, bool) {
 	for _, g := range s.grants {
-		if g.Since == since && !g.lost {
+		if g.Since == since && !g.revoked {
 			return g, true
 		}
 	}
 	return grant{}, false
 }
 
-// lostParts returns what was lost before and still counts, and what the new
-// grants lack.
-func (s *shard) lostParts(now time.Duration, grants []Grant, until time.Duration) []grant {
-	var lost []grant
+// revokedGrants returns the revoked grants that are still active, and the
+// parts that the new grants lack.
+func (s *shard) revokedGrants(now time.Duration, grants []Grant, until time.Duration) []grant {
+	var revoked []grant
 	for _, g := range s.grants {
-		if g.lost {
-			lost = append(lost, g)
+		if g.revoked {
+			revoked = append(revoked, g)
 			continue
 		}
 		i := slices.IndexFunc(grants, func(n Grant) bool { return n.Since == g.Since })
 		if i >= 0 {
 			g.Parts -= min(g.Parts, grants[i].Parts)
 		}
-		g.lost, g.end = true, until
-		lost = append(lost, g)
+		g.revoked, g.end = true, until
+		revoked = append(revoked, g)
 	}
-	return slices.DeleteFunc(lost, func(g grant) bool { return g.end <= now || g.Parts == 0 })
+	return slices.DeleteFunc(revoked, func(g grant) bool { return g.end <= now || g.Parts == 0 })
 }
 
-// replace puts new grants in place.
-func (s *shard) replace(now time.Duration, next []grant, drift float64) {
-	before := active(s.grants, now)
-	after := active(next, now)
+// setGrants replaces the grants and adjusts the buckets to the change of
+// capacity.
+func (s *shard) setGrants(now time.Duration, next []grant, drift float64) {
+	before := activeParts(s.grants, now)
+	after := activeParts(next, now)
 	for _, b := range s.buckets {
 		b.advance(now, s.grants, drift)
-		b.lose(before, after)
-		b.clamp(now, after)
+		b.scaleToParts(before, after)
+		b.clampToCapacity(now, after)
 	}
 	s.grants = next
 }
 
 // Take takes n tokens for a request if this instance has them: first those
-// that other holders gave, which run out soon, then its own.
+// received from other holders, which expire soon, then its own.
 func (h *Holder) Take(now time.Duration, b Bucket, l config.Limit, n Amount) Decision {
-	h.expire(now)
-	received := h.received(b)
+	h.expireAsks(now)
+	received := h.receivedAmount(b)
 	own, parts := h.bucket(now, b, l)
-	has := received
+	available := received
 	if own != nil {
-		has += own.level
+		available += own.level
 	}
-	if has < n {
-		return h.refuse(l, parts, n, n-has)
+	if available < n {
+		return h.refusal(l, parts, n, n-available)
 	}
-	rest := n - h.spend(b, min(n, received))
+	rest := n - h.spendReceived(b, min(n, received))
 	if own != nil {
 		own.level -= rest
-		own.used = now
+		own.lastUsed = now
 	}
 	return Decision{Admitted: true}
 }
 
-// refuse estimates when the missing tokens will be there. A holder whose own
-// share can never store as much has to wait for the others as well.
-func (h *Holder) refuse(l config.Limit, parts int, n, missing Amount) Decision {
+// refusal returns a negative Decision with an estimate of when the missing
+// tokens will be available. If the local share can never store that many, the
+// estimate uses the refill of all parts.
+func (h *Holder) refusal(l config.Limit, parts int, n, missing Amount) Decision {
 	d := Decision{Missing: missing}
 	switch {
 	case Tokens(l.Burst) < n:
@@ -185,24 +188,24 @@
 	case capacity(l, parts) < n:
 		parts = config.PartsPerShard
 	}
-	d.RetryAfter = fillTime(l, parts, missing, h.settings.Drift)
+	d.RetryAfter = timeToRefill(l, parts, missing, h.settings.Drift)
 	return d
 }
 
-// bucket returns the own share of a bucket at a time with the parts that
-// count, or nil if there is none.
+// bucket returns the local share of a bucket, updated to now, and its active
+// parts. It returns nil if there are none.
 func (h *Holder) bucket(now time.Duration, b Bucket, l config.Limit) (*bucket, int) {
 	s := h.shards[ShardOf(b.Workspace, h.shardCount)]
 	if s == nil {
 		return nil, 0
 	}
-	parts := active(s.grants, now)
+	parts := activeParts(s.grants, now)
 	if parts == 0 {
 		return nil, 0
 	}
 	own := s.buckets[b]
 	if own == nil {
-		own = s.create(l)
+		own = s.newBucket(l)
 		s.buckets[b] = own
 	}
 	own.advance(now, s.grants, h.settings.Drift)
@@ -210,51 +213,51 @@
 	return own, parts
 }
 
-// create returns a bucket that was empty when the first grant began to
-// count, or when it may last have been used before it was forgotten.
-func (s *shard) create(l config.Limit) *bucket {
+// newBucket returns a bucket that was empty when the first grant became
+// active, or at the last use of any evicted bucket if that is later.
+func (s *shard) newBucket(l config.Limit) *bucket {
 	start := s.grants[0].from
 	for _, g := range s.grants {
 		start = min(start, g.from)
 	}
-	if s.forgot {
-		start = max(start, s.lost)
+	if s.hasEvicted {
+		start = max(start, s.evictedLastUse)
 	}
-	return &bucket{limit: l, at: start, used: start}
+	return &bucket{limit: l, updatedAt: start, lastUsed: start}
 }
 
-// EvictIdle drops the buckets that would be full by now even if their last use
-// had emptied them, to be called about once a minute. It bounds the memory
-// by the buckets in use.
+// EvictIdle removes the buckets that would be full by now even if their last
+// use had emptied them. Call it about once a minute. It bounds the memory by
+// the number of buckets in use.
 func (h *Holder) EvictIdle(now time.Duration) {
-	h.expire(now)
+	h.expireAsks(now)
 	for name, s := range h.shards {
-		s.forget(now, h.settings)
-		ended := func(g grant) bool { return g.lost && g.end <= now }
-		s.replace(now, slices.DeleteFunc(slices.Clone(s.grants), ended), h.settings.Drift)
+		s.evictIdle(now, h.settings)
+		ended := func(g grant) bool { return g.revoked && g.end <= now }
+		s.setGrants(now, slices.DeleteFunc(slices.Clone(s.grants), ended), h.settings.Drift)
 		if len(s.grants) == 0 {
 			delete(h.shards, name)
 		}
 	}
-	for b, known := range h.short {
+	for b, known := range h.shortages {
 		maps.DeleteFunc(known, func(_ string, s shortage) bool { return s.until <= now })
 		if len(known) == 0 {
-			delete(h.short, b)
+			delete(h.shortages, b)
 		}
 	}
 }
 
-func (s *shard) forget(now time.Duration, settings Settings) {
-	parts := active(s.grants, now)
+func (s *shard) evictIdle(now time.Duration, settings Settings) {
+	parts := activeParts(s.grants, now)
 	for key, b := range s.buckets {
 		b.advance(now, s.grants, settings.Drift)
-		idle := now - b.used
+		idle := now - b.lastUsed
 		full := refill(b.limit, parts, idle, settings.Drift) >= capacity(b.limit, parts)
-		if idle < settings.IdleTime || !full || len(b.gifts) > 0 {
+		if idle < settings.IdleTime || !full || len(b.outstanding) > 0 {
 			continue
 		}
-		if !s.forgot || b.used > s.lost {
-			s.lost, s.forgot = b.used, true
+		if !s.hasEvicted || b.lastUsed > s.evictedLastUse {
+			s.evictedLastUse, s.hasEvicted = b.lastUsed, true
 		}
 		delete(s.buckets, key)
 	}
@@ -262,14 +265,14 @@
 
 // Available returns the tokens that this instance has for a bucket now.
 func (h *Holder) Available(now time.Duration, b Bucket, l config.Limit) Amount {
-	level := h.received(b)
+	level := h.receivedAmount(b)
 	if own, _ := h.bucket(now, b, l); own != nil {
 		level += own.level
 	}
 	return level
 }
 
-// BucketCount returns how many buckets are kept, for metrics.
+// BucketCount returns the number of buckets in memory, for metrics.
 func (h *Holder) BucketCount() int {
 	n := 0
 	for _, s := range h.shards {
