--- a/membership/live_test.go
+++ b/membership/live_test.go
@@ -148,8 +148,8 @@
 	must.Less(t, 100, most)
 }
 
-// A change is in force within three seconds of its write, and by then every
-// instance has it.
+// A change, such as the withdrawal of an API key by an operator, must be in force
+// within three seconds of its write, and by then every instance must have it.
 func TestChangeInForceWithinThreeSeconds(t *testing.T) {
 	t.Parallel()
 	s := startFleet(5, Settings{}, 40, 4)
--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -17,11 +17,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 20, rapid.ID).Draw(t, "ids")
 		key := rapid.String().Draw(t, "key")
-		gone := rapid.SampledFrom(ids).Draw(t, "gone")
+		removed := rapid.SampledFrom(ids).Draw(t, "removed")
 		ranked := Rank(key, ids)
 		must.Eq(t, ranked[0], TopRanked(key, ids))
-		must.Eq(t, slices.Index(ranked, gone), position(key, gone, ids))
-		must.Eq(t, remove(ranked, gone), Rank(key, remove(ids, gone)))
+		must.Eq(t, slices.Index(ranked, removed), position(key, removed, ids))
+		must.Eq(t, remove(ranked, removed), Rank(key, remove(ids, removed)))
 	})
 }
 
--- a/membership/witnesses.go
+++ b/membership/witnesses.go
@@ -32,7 +32,7 @@
 const witnessCheckInterval = 200 * time.Millisecond
 
 // witnessWriteTimeout bounds a write. After it the outcome is unknown; the
-// condition on the row's revision prevents that the write is applied twice.
+// condition on the row's revision ensures that the write is applied at most once.
 const witnessWriteTimeout = 2 * time.Second
 
 // tickWitnessSet changes the list of witnesses by one step if necessary. Every
