--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -209,7 +209,7 @@
 func (e *Edge) mayHedge(c *call, number int, mayHaveRun bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !c.route.Kind.Repeatable() || !e.mechanisms.On(mechanism.Hedge) {
+	if !c.route.Kind.Repeatable() || !e.mechanisms.Enabled(mechanism.Hedge) {
 		return false
 	}
 	a := e.retryState(c, health.Late, number, 1, mayHaveRun)
@@ -278,7 +278,7 @@
 	return upstream.Request{
 		Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body,
 		IDHeader: platform.HeaderAttempt, ID: c.id,
-		NonIdempotent: !c.route.Kind.Repeatable() && e.mechanisms.On(mechanism.Fresh),
+		NonIdempotent: !c.route.Kind.Repeatable() && e.mechanisms.Enabled(mechanism.FreshConnections),
 	}
 }
 
--- a/edge/call.go
+++ b/edge/call.go
@@ -200,7 +200,7 @@
 		return choice, e.noServerRefusal(r, now)
 	}
 	rank := routing.Priority(c.route, c.workspace)
-	if !e.mechanisms.On(mechanism.Rank) {
+	if !e.mechanisms.Enabled(mechanism.Priorities) {
 		rank = 0
 	}
 	if ok, wait := placement.Admit(choice, r, rank, rand.Float64()); !ok {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -66,7 +66,7 @@
 	// topology maps each data centre to its region.
 	topology routing.Topology
 	// mechanisms holds the mechanisms that a trial has disabled.
-	mechanisms mechanism.Off
+	mechanisms mechanism.Disabled
 
 	// stopping is set when the process receives the signal to stop.
 	stopping atomic.Bool
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -90,7 +90,7 @@
 
 // workspaceLimit returns the rate limit that is enforced for a workspace.
 func (e *Edge) workspaceLimit(w routing.Workspace) usage.Limit {
-	if !e.mechanisms.On(mechanism.Tolerance) {
+	if !e.mechanisms.Enabled(mechanism.RateTolerance) {
 		return usage.StrictLimit(w.Rate, w.Burst)
 	}
 	b := e.settings.Bounds
--- a/edge/settings/settings.go
+++ b/edge/settings/settings.go
@@ -52,7 +52,7 @@
 }
 
 // Disabled returns the disabled mechanisms. Load has validated their names.
-func (t Trial) Disabled() mechanism.Off {
+func (t Trial) Disabled() mechanism.Disabled {
 	off, _ := mechanism.Parse(t.DisabledMechanisms)
 	return off
 }
--- a/internal/labcommand/command.go
+++ b/internal/labcommand/command.go
@@ -131,7 +131,7 @@
 	}
 	_, _ = fmt.Fprintln(t)
 	for _, m := range mechanism.All {
-		x.B = mechanism.Without(m)
+		x.B = mechanism.Disable(m)
 		_, _ = fmt.Fprint(t, string(m))
 		for _, c := range x.Run().Measures {
 			mark := ""
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -18,7 +18,7 @@
 	Draws int
 	Seed  uint64
 	// A and B are the policies, by what is off.
-	A, B mechanism.Off
+	A, B mechanism.Disabled
 	// Draw draws a deployment; Wide.Draw unless set.
 	Draw func(*rand.Rand) Deployment
 }
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -149,7 +149,7 @@
 }
 
 func (i *instance) mayHedge(c *caller) bool {
-	if !c.kind.Repeatable || !i.world.off.On(mechanism.Hedge) {
+	if !c.kind.Repeatable || !i.world.off.Enabled(mechanism.Hedge) {
 		return false
 	}
 	return retry.DecideHedge(i.world.now, c.state(health.Late, 1), i.repeats[c.service].Budget(bound, i.world.now)).Action == retry.Hedge
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestWithoutTroubleAllIsServedInTime(t *testing.T) {
-	m := lab.Play(simple(), mechanism.Off{}, 1)
+	m := lab.Play(simple(), mechanism.Disabled{}, 1)
 	must.Greater(t, 0.999, m.Credit)
 	must.Zero(t, m.OrdersLost)
 	must.Zero(t, m.Refused)
@@ -58,8 +58,8 @@
 func TestKnownExtremes(t *testing.T) {
 	ill := simple()
 	ill.Services[0].Spells = lab.Spells{Share: 0.3, Fails: 0.8, Length: 9e9, Mode: lab.Reset}
-	clever := lab.Play(ill, mechanism.Off{}, 1)
-	simpler := lab.Play(ill, mechanism.Without(mechanism.Spells, mechanism.Keep, mechanism.Probe), 1)
+	clever := lab.Play(ill, mechanism.Disabled{}, 1)
+	simpler := lab.Play(ill, mechanism.Disable(mechanism.FailurePrediction, mechanism.KeepInUse, mechanism.Probe), 1)
 	must.Positive(t, clever.OrdersLost)
 	must.Greater(t, 4*clever.OrdersLost, simpler.OrdersLost)
 
@@ -67,7 +67,7 @@
 	for i := range full.Services[0].Kinds {
 		full.Services[0].Kinds[i].PerSecond = 800 / float64(len(full.Services[0].Kinds))
 	}
-	m := lab.Play(full, mechanism.Off{}, 1)
+	m := lab.Play(full, mechanism.Disabled{}, 1)
 	must.Between(t, 0.3, m.Unserved, 0.8)
 }
 
@@ -105,7 +105,7 @@
 }
 
 func TestPlotIsWritten(t *testing.T) {
-	x := lab.Experiment{Draws: 4, Seed: 3, B: mechanism.Without(mechanism.Keep)}
+	x := lab.Experiment{Draws: 4, Seed: 3, B: mechanism.Disable(mechanism.KeepInUse)}
 	file := filepath.Join(t.TempDir(), "difference.svg")
 	must.NoError(t, x.Run().Plot(file))
 	b, err := os.ReadFile(file)
--- a/lab/world.go
+++ b/lab/world.go
@@ -48,7 +48,7 @@
 // world is one play.
 type world struct {
 	deployment Deployment
-	off        mechanism.Off
+	off        mechanism.Disabled
 	now        time.Duration
 	events     events
 	order      uint64
@@ -65,7 +65,7 @@
 
 // Play plays a deployment with a policy. The seed fixes arrivals, spells and
 // chance.
-func Play(d Deployment, off mechanism.Off, seed uint64) Measures {
+func Play(d Deployment, off mechanism.Disabled, seed uint64) Measures {
 	w := &world{
 		deployment: d, off: off, seed: seed,
 		nature: rand.New(rand.NewPCG(seed, 1)), decisions: rand.New(rand.NewPCG(seed, 2)),
--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -17,63 +17,63 @@
 const (
 	// Spread brings idle servers into use while many requests go unserved.
 	Spread Name = "spread"
-	// Newcomer gives an early request to a server that never got one.
-	Newcomer Name = "newcomer"
-	// Keep gives a request now and then to servers that are probably well.
-	Keep Name = "keep"
+	// UnusedServers gives an early request to a server that never got one.
+	UnusedServers Name = "newcomer"
+	// KeepInUse gives a request now and then to servers that are probably well.
+	KeepInUse Name = "keep"
 	// Probe lets lookups find out whether servers that failed are well again.
 	Probe Name = "probe"
-	// Chance spreads what is due over time by chance.
-	Chance Name = "chance"
-	// Spells avoids servers that failed, as long as they are likely to fail.
-	Spells Name = "spells"
-	// Paths tells a cut path of one instance from a server in trouble.
-	Paths Name = "paths"
-	// Slowness expects slow servers to be slow.
-	Slowness Name = "slowness"
-	// Crossing prefers servers of the own data centre.
-	Crossing Name = "crossing"
-	// Waiting makes each round of requests before a request cost something
+	// RandomTiming spreads what is due over time by chance.
+	RandomTiming Name = "chance"
+	// FailurePrediction avoids servers that failed, as long as they are likely to fail.
+	FailurePrediction Name = "spells"
+	// PathFailures tells a cut path of one instance from a server in trouble.
+	PathFailures Name = "paths"
+	// SlowServers expects slow servers to be slow.
+	SlowServers Name = "slowness"
+	// LocalPreference prefers servers of the own data centre.
+	LocalPreference Name = "crossing"
+	// QueueCost makes each round of requests before a request cost something
 	// beside its time.
-	Waiting Name = "waiting"
+	QueueCost Name = "waiting"
 	// Hedge asks a second server when a lookup's answer is late.
 	Hedge Name = "hedge"
-	// Rank lets less urgent requests wait for less of their time.
-	Rank Name = "rank"
-	// Tolerance gives workspaces a part of the platform's tolerance on rates.
-	Tolerance Name = "tolerance"
-	// Fresh sends orders on connections that haven't rested.
-	Fresh Name = "fresh"
+	// Priorities lets less urgent requests wait for less of their time.
+	Priorities Name = "rank"
+	// RateTolerance gives workspaces a part of the platform's tolerance on rates.
+	RateTolerance Name = "tolerance"
+	// FreshConnections sends orders on connections that haven't rested.
+	FreshConnections Name = "fresh"
 )
 
 // All are the names of all mechanisms.
 var All = []Name{
-	Spread, Newcomer, Keep, Probe, Chance, Spells, Paths, Slowness, Crossing, Waiting, Hedge, Rank, Tolerance, Fresh,
+	Spread, UnusedServers, KeepInUse, Probe, RandomTiming, FailurePrediction, PathFailures, SlowServers, LocalPreference, QueueCost, Hedge, Priorities, RateTolerance, FreshConnections,
 }
 
-// Off are the mechanisms that are switched off. The zero value is none.
-type Off struct{ names []Name }
+// Disabled are the mechanisms that are switched off. The zero value is none.
+type Disabled struct{ names []Name }
 
-// Without returns Off with the given names.
-func Without(names ...Name) Off { return Off{slices.Clone(names)} }
+// Disable returns Off with the given names.
+func Disable(names ...Name) Disabled { return Disabled{slices.Clone(names)} }
 
 // Parse checks names.
-func Parse(names []string) (Off, error) {
-	var off Off
+func Parse(names []string) (Disabled, error) {
+	var off Disabled
 	for _, n := range names {
 		if !slices.Contains(All, Name(n)) {
-			return Off{}, errors.Newf("mechanism %q isn't known; there are %s", n, list())
+			return Disabled{}, errors.Newf("mechanism %q isn't known; there are %s", n, list())
 		}
 		off.names = append(off.names, Name(n))
 	}
 	return off, nil
 }
 
-// On reports whether a mechanism is in force.
-func (o Off) On(n Name) bool { return len(o.names) == 0 || !slices.Contains(o.names, n) }
+// Enabled reports whether a mechanism is in force.
+func (o Disabled) Enabled(n Name) bool { return len(o.names) == 0 || !slices.Contains(o.names, n) }
 
 // String lists the names, "none" without any.
-func (o Off) String() string {
+func (o Disabled) String() string {
 	if len(o.names) == 0 {
 		return "none"
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -84,7 +84,7 @@
 	services map[string]*service
 	byID     map[string]*server
 	byHash   map[uint32]*server
-	off      mechanism.Off
+	off      mechanism.Disabled
 	// instanceLossUntil is the time until which requests are assumed to go unserved
 	// without being reported.
 	instanceLossUntil time.Duration
@@ -115,10 +115,10 @@
 const never = -time.Hour
 
 // New returns a placer without servers.
-func New() *Placer { return NewWithout(mechanism.Off{}) }
+func New() *Placer { return NewWithout(mechanism.Disabled{}) }
 
 // NewWithout returns a placer without servers and with some mechanisms disabled.
-func NewWithout(off mechanism.Off) *Placer {
+func NewWithout(off mechanism.Disabled) *Placer {
 	return &Placer{
 		off:      off,
 		services: make(map[string]*service),
@@ -208,7 +208,7 @@
 
 // shouldSpread reports whether a request should be used to bring idle servers into use.
 func (p *Placer) shouldSpread(g *service, retryable bool, now time.Duration) bool {
-	if !p.off.On(mechanism.Spread) {
+	if !p.off.Enabled(mechanism.Spread) {
 		return false
 	}
 	if now-g.firstServerAt < startupSpreadPeriod || now < p.instanceLossUntil {
@@ -284,10 +284,10 @@
 	}
 	g := p.service(s.entry.Service)
 	s.updateReachability(r, g.warmUp.Duration, now)
-	s.recordResult(&g.signals, r, own && p.off.On(mechanism.Paths), latency, serviceTime, now)
+	s.recordResult(&g.signals, r, own && p.off.Enabled(mechanism.PathFailures), latency, serviceTime, now)
 	if r == health.OK {
 		// The latency of a cold server says nothing about its usual speed.
-		if p.off.On(mechanism.Slowness) && now >= s.coldUntil {
+		if p.off.Enabled(mechanism.SlowServers) && now >= s.coldUntil {
 			s.updateSlowness(latency, serviceTime)
 		}
 		g.serviceTime += time.Duration(serviceTimeSmoothing * float64(serviceTime-g.serviceTime))
--- a/placement/results.go
+++ b/placement/results.go
@@ -8,8 +8,8 @@
 )
 
 // risk returns the probability that a request sent now fails.
-func (s *server) risk(off mechanism.Off, t time.Duration) float64 {
-	if !off.On(mechanism.Spells) {
+func (s *server) risk(off mechanism.Disabled, t time.Duration) float64 {
+	if !off.Enabled(mechanism.FailurePrediction) {
 		return baseFailureRate
 	}
 	return 1 - (1-s.belief.decayedTo(t).failureProbability())*(1-s.path.downProbability(t))
--- a/placement/server.go
+++ b/placement/server.go
@@ -49,7 +49,7 @@
 }
 
 // evaluate returns the choice of this server of g for a request, with its cost.
-func (s *server) evaluate(off mechanism.Off, g *service, r Request, now time.Duration, spread bool, random func() float64) Choice {
+func (s *server) evaluate(off mechanism.Disabled, g *service, r Request, now time.Duration, spread bool, random func() float64) Choice {
 	out := s.currentOutstanding(now)
 	risk := s.risk(off, now)
 	expected := s.expectedLatency(r.ServiceTime, g.serviceTime, out, now)
@@ -59,7 +59,7 @@
 	} else {
 		cost += risk
 	}
-	if s.entry.DataCentre != r.DataCentre && off.On(mechanism.Crossing) {
+	if s.entry.DataCentre != r.DataCentre && off.Enabled(mechanism.LocalPreference) {
 		cost += math.Min(crossDCCost+crossDCCostPerKB*r.SizeKB, maxCrossDCCost)
 	}
 	if len(r.TriedServers) == 0 {
@@ -69,10 +69,10 @@
 }
 
 // latencyCost returns the cost of the expected latency for a request that doesn't fail.
-func (s *server) latencyCost(off mechanism.Off, r Request, expected time.Duration, out int) float64 {
+func (s *server) latencyCost(off mechanism.Disabled, r Request, expected time.Duration, out int) float64 {
 	ratio := float64(expected) / float64(max(r.LatencyTarget, time.Millisecond))
 	cost := latencyWeight*math.Min(ratio, maxLatencyRatio) + lateAnswerCost*clamp01((ratio-0.8)/0.7)
-	if off.On(mechanism.Waiting) {
+	if off.Enabled(mechanism.QueueCost) {
 		cost += queueRoundCost * s.queueRounds(out)
 	}
 	return cost
@@ -81,18 +81,18 @@
 // explorationBonus returns the reduction of the cost for a server that received no
 // requests for a while, whatever else it costs. Requests that have already failed once
 // aren't used for exploration.
-func (s *server) explorationBonus(off mechanism.Off, g *service, r Request, now time.Duration, out int, risk float64, spread bool, random func() float64) float64 {
-	if !off.On(mechanism.Chance) {
+func (s *server) explorationBonus(off mechanism.Disabled, g *service, r Request, now time.Duration, out int, risk float64, spread bool, random func() float64) float64 {
+	if !off.Enabled(mechanism.RandomTiming) {
 		random = func() float64 { return 0 }
 	}
 	switch {
 	case spread && now-s.lastFailure > spreadFailureHoldoff && isDue(now-s.lastUse-idleAfter, random):
 		return spreadBonus
-	case off.On(mechanism.Newcomer) && !s.used && out == 0 && isDue(now-s.addedAt-unusedServerDelay, random):
+	case off.Enabled(mechanism.UnusedServers) && !s.used && out == 0 && isDue(now-s.addedAt-unusedServerDelay, random):
 		return unusedServerBonus
-	case off.On(mechanism.Keep) && s.used && risk < g.maxKeepInUseRisk(r) && isDue(now-s.lastUse-keepInUsePause(risk), random):
+	case off.Enabled(mechanism.KeepInUse) && s.used && risk < g.maxKeepInUseRisk(r) && isDue(now-s.lastUse-keepInUsePause(risk), random):
 		return keepInUseBonus
-	case off.On(mechanism.Probe) && r.Retryable && r.RetryBudgetAmple && !s.unresponsive && isDue(now-s.lastUse-probeAfter, random):
+	case off.Enabled(mechanism.Probe) && r.Retryable && r.RetryBudgetAmple && !s.unresponsive && isDue(now-s.lastUse-probeAfter, random):
 		return probeBonus
 	default:
 		return 0
