--- a/quota/assign.go
+++ b/quota/assign.go
@@ -7,54 +7,56 @@
 	"foxtailspoke/config"
 )
 
-// CandidateState is what the assigning instance knows of another one.
+// CandidateState is the state of a candidate as known to the instance that
+// assigns the row.
 type CandidateState int
 
 const (
 	// Live instances may hold parts.
 	Live CandidateState = iota
-	// Leaving instances hand their parts over.
+	// Leaving instances are shutting down and give up their parts.
 	Leaving
 	// Ended instances are listed by the platform as gone.
 	Ended
 	// Unreachable instances haven't answered for so long that their parts
-	// should move. They may still be running.
+	// should be reassigned. They may still be running.
 	Unreachable
 )
 
-// Candidate is an entry instance that could hold parts.
+// Candidate is an entry instance that may be assigned parts.
 type Candidate struct {
 	ID         string
 	DataCentre string
 	State      CandidateState
 }
 
-// Assign returns the row that a shard should have, and whether it differs.
-// What it takes away is in force only as package membership says; the state
-// of the candidates needn't be true for safety.
+// Assign returns the row that a shard should have, and whether it differs from
+// the current one. A former holder stops using its parts as described in
+// package membership, so safety doesn't depend on the candidates' states being
+// accurate.
 //
 // Live holders keep their entries as far as possible. The parts of others go
-// to new holders, chosen by rendezvous hash over the live candidates, data
-// centres without a holder first. since is the control table's revision that
-// the write expects; it marks the entries that gain parts.
+// to new holders, chosen by rendezvous hashing over the live candidates, with
+// data centres without a holder first. since is the control table's revision
+// that the write expects; it identifies the entries that gain parts.
 func Assign(name string, row config.Shard, candidates []Candidate, holders int, since uint64) (config.Shard, bool) {
-	live := rank(name, candidates)
+	live := rankLive(name, candidates)
 	holders = min(holders, len(live), config.PartsPerShard)
 	if holders < 1 {
 		return row, false
 	}
 	a := newAssignment(row, live)
-	a.dropExcess(holders)
-	a.addMissing(holders, live)
-	a.share(holders)
+	a.removeExcessHolders(holders)
+	a.addHolders(holders, live)
+	a.distribute(holders)
 	next := a.row(since)
 	return next, !slices.Equal(next.Holders, row.Holders)
 }
 
 // HolderCount returns how many holders a shard should have for the limits of
-// its workspaces: enough for the greatest rate, and no more than leave a
-// holder minShare tokens of most bursts, so that few requests have to put a
-// token together from several shares.
+// its workspaces: enough for the highest rate, but few enough that each holder
+// has at least minBurstPerHolder tokens of the median burst, so that few
+// requests have to combine a token from several shares.
 func HolderCount(limits []config.Limit, maxHolders int) int {
 	if len(limits) == 0 {
 		return 1
@@ -66,22 +68,23 @@
 		bursts = append(bursts, l.Burst)
 	}
 	slices.Sort(bursts)
-	byBurst := int(min(bursts[len(bursts)/2]/minShare, float64(maxHolders)))
+	byBurst := int(min(bursts[len(bursts)/2]/minBurstPerHolder, float64(maxHolders)))
 	byRate := minHolders + int(min(rate/ratePerHolder, float64(maxHolders)))
 	return max(1, min(byRate, byBurst, maxHolders))
 }
 
 const (
-	// minHolders keeps most of a limit when one holder is gone.
+	// minHolders keeps most of a limit available when one holder fails.
 	minHolders = 3
-	// minShare is the burst in tokens that each holder should have at least.
-	minShare = 2
-	// ratePerHolder is the rate in tokens per second for one more holder.
+	// minBurstPerHolder is the minimum burst, in tokens, that each holder
+	// should have.
+	minBurstPerHolder = 2
+	// ratePerHolder is the rate, in tokens per second, that adds one holder.
 	ratePerHolder = 100
 )
 
-// rank orders the live candidates by rendezvous hash for a shard.
-func rank(name string, candidates []Candidate) []Candidate {
+// rankLive returns the live candidates in rendezvous hash order for a shard.
+func rankLive(name string, candidates []Candidate) []Candidate {
 	var live []Candidate
 	for _, c := range candidates {
 		if c.State == Live {
@@ -90,28 +93,28 @@
 	}
 	slices.SortFunc(live, func(x, y Candidate) int {
 		return cmp.Or(
-			cmp.Compare(pairHash(name, x.ID), pairHash(name, y.ID)),
+			cmp.Compare(rendezvousHash(name, x.ID), rendezvousHash(name, y.ID)),
 			cmp.Compare(x.ID, y.ID),
 		)
 	})
 	return live
 }
 
-// assignment is a row while it is being changed.
+// assignment is a row under construction.
 type assignment struct {
 	entries []config.Holder
-	// order has the holders, those of the row first.
-	order []string
-	// free are the parts that nobody holds.
-	free int
-	// gains are the parts to be added per holder.
-	gains map[string]int
+	// holderIDs has the existing holders first, then the new ones.
+	holderIDs []string
+	// unassigned is the number of parts without a holder.
+	unassigned int
+	// added has the number of parts added per holder.
+	added map[string]int
 }
 
-// newAssignment takes the entries of live holders over.
+// newAssignment starts an assignment with the row's entries of live holders.
 func newAssignment(row config.Shard, live []Candidate) *assignment {
-	a := &assignment{free: config.PartsPerShard, gains: map[string]int{}}
-	if !valid(row) {
+	a := &assignment{unassigned: config.PartsPerShard, added: map[string]int{}}
+	if !validRow(row) {
 		return a
 	}
 	for _, e := range row.Holders {
@@ -120,16 +123,16 @@
 			continue
 		}
 		a.entries = append(a.entries, e)
-		a.free -= e.Parts
-		if !slices.Contains(a.order, e.Instance) {
-			a.order = append(a.order, e.Instance)
+		a.unassigned -= e.Parts
+		if !slices.Contains(a.holderIDs, e.Instance) {
+			a.holderIDs = append(a.holderIDs, e.Instance)
 		}
 	}
 	return a
 }
 
 func (a *assignment) parts(id string) int {
-	sum := a.gains[id]
+	sum := a.added[id]
 	for _, e := range a.entries {
 		if e.Instance == id {
 			sum += e.Parts
@@ -138,80 +141,82 @@
 	return sum
 }
 
-// dropExcess takes all parts of the holders that are too many, those with
-// the fewest parts first.
-func (a *assignment) dropExcess(holders int) {
-	for len(a.order) > holders {
-		fewest := a.order[len(a.order)-1]
-		for _, id := range a.order {
+// removeExcessHolders removes holders until at most the given number is left,
+// those with the fewest parts first.
+func (a *assignment) removeExcessHolders(holders int) {
+	for len(a.holderIDs) > holders {
+		fewest := a.holderIDs[len(a.holderIDs)-1]
+		for _, id := range a.holderIDs {
 			if a.parts(id) < a.parts(fewest) {
 				fewest = id
 			}
 		}
-		a.take(fewest, a.parts(fewest))
-		a.order = slices.DeleteFunc(a.order, func(id string) bool { return id == fewest })
+		a.release(fewest, a.parts(fewest))
+		a.holderIDs = slices.DeleteFunc(a.holderIDs, func(id string) bool { return id == fewest })
 	}
 }
 
-// addMissing adds holders in the order of rank, and prefers data centres
-// that have none.
-func (a *assignment) addMissing(holders int, live []Candidate) {
+// addHolders adds holders in rank order, preferring data centres that have
+// none.
+func (a *assignment) addHolders(holders int, live []Candidate) {
 	used := map[string]bool{}
 	for _, c := range live {
-		if slices.Contains(a.order, c.ID) {
+		if slices.Contains(a.holderIDs, c.ID) {
 			used[c.DataCentre] = true
 		}
 	}
 	for _, anyCentre := range []bool{false, true} {
 		for _, c := range live {
-			if len(a.order) >= holders {
+			if len(a.holderIDs) >= holders {
 				return
 			}
-			if slices.Contains(a.order, c.ID) || (used[c.DataCentre] && !anyCentre) {
+			if slices.Contains(a.holderIDs, c.ID) || (used[c.DataCentre] && !anyCentre) {
 				continue
 			}
-			a.order = append(a.order, c.ID)
+			a.holderIDs = append(a.holderIDs, c.ID)
 			used[c.DataCentre] = true
 		}
 	}
 }
 
-// share gives each holder at least its even share, from the free parts and
-// then from those who have more, and spreads what is still free.
-func (a *assignment) share(holders int) {
+// distribute gives each holder at least its even share, first from the
+// unassigned parts and then from the largest holders, and spreads the parts
+// that are still unassigned.
+func (a *assignment) distribute(holders int) {
 	even := config.PartsPerShard / holders
-	for _, id := range a.order {
-		a.raise(id, even)
+	for _, id := range a.holderIDs {
+		a.raiseTo(id, even)
 	}
-	for a.free > 0 {
-		a.raise(a.fewest(), a.parts(a.fewest())+1)
+	for a.unassigned > 0 {
+		a.raiseTo(a.smallestHolder(), a.parts(a.smallestHolder())+1)
 	}
 }
 
-// raise brings a holder's parts up to a number.
-func (a *assignment) raise(id string, parts int) {
+// raiseTo raises a holder's parts to the given number.
+func (a *assignment) raiseTo(id string, parts int) {
 	for a.parts(id) < parts {
-		if a.free == 0 {
-			a.take(a.most(), 1)
+		if a.unassigned == 0 {
+			a.release(a.largestHolder(), 1)
 		}
-		a.free--
-		a.gains[id]++
+		a.unassigned--
+		a.added[id]++
 	}
 }
 
-func (a *assignment) fewest() string {
-	return slices.MinFunc(a.order, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
+func (a *assignment) smallestHolder() string {
+	return slices.MinFunc(a.holderIDs, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
 }
 
-func (a *assignment) most() string {
-	return slices.MaxFunc(a.order, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
+func (a *assignment) largestHolder() string {
+	return slices.MaxFunc(a.holderIDs, func(x, y string) int { return cmp.Compare(a.parts(x), a.parts(y)) })
 }
 
-// take frees parts of a holder, gains first, then its newest entries.
-func (a *assignment) take(id string, parts int) {
-	a.free += parts
-	gained := min(a.gains[id], parts)
-	a.gains[id] -= gained
+// release unassigns parts of a holder: first those added in this assignment,
+// then those of its newest entries.
+func (a *assignment) release(id string, parts int) {
+	a.unassigned += parts
+	gained := min(a.added[id], parts)
+	a.added[id] -= gained
 	parts -= gained
 	for i := len(a.entries) - 1; i >= 0 && parts > 0; i-- {
 		if a.entries[i].Instance != id {
@@ -224,12 +229,12 @@
 	a.entries = slices.DeleteFunc(a.entries, func(e config.Holder) bool { return e.Parts == 0 })
 }
 
-// row returns the entries with the gains as new entries.
+// row returns the resulting row. Added parts become new entries.
 func (a *assignment) row(since uint64) config.Shard {
 	next := config.Shard{Holders: a.entries}
-	for _, id := range a.order {
-		if a.gains[id] > 0 {
-			e := config.Holder{Instance: id, Parts: a.gains[id], Since: since}
+	for _, id := range a.holderIDs {
+		if a.added[id] > 0 {
+			e := config.Holder{Instance: id, Parts: a.added[id], Since: since}
 			next.Holders = append(next.Holders, e)
 		}
 	}
