--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -21,7 +21,7 @@
 
 func keyRow(i int) storage.Row {
 	h := HashKey(fmt.Sprint("fsk_", i))
-	return row(KeyPrefix+h.String(), Key{Workspace: fmt.Sprintf("workspace-%06d", i), Label: fmt.Sprintf("till-%d", i%5)}, i)
+	return row(APIKeyPrefix+h.String(), APIKey{Workspace: fmt.Sprintf("workspace-%06d", i), Label: fmt.Sprintf("till-%d", i%5)}, i)
 }
 
 // serviceRow has 20 routes, near the 11,000 routes of 560 services.
@@ -129,7 +129,7 @@
 	})
 	b.Run("rows", func(b *testing.B) {
 		for b.Loop() {
-			must.Len(b, 55_000, r.Rows(WorkspacePrefix))
+			must.Len(b, 55_000, r.RowKeys(WorkspacePrefix))
 		}
 	})
 	b.Run("workspaces", func(b *testing.B) {
--- a/config/config.go
+++ b/config/config.go
@@ -18,7 +18,7 @@
 	WorkspacePrefix = "workspace/"
 	PlanPrefix      = "plan/"
 	ServicePrefix   = "service/"
-	KeyPrefix       = "key/"
+	APIKeyPrefix       = "key/"
 	ShardPrefix     = "shard/"
 	PermitPrefix    = "permit/"
 	WitnessesKey    = "witnesses"
@@ -81,16 +81,16 @@
 	return s.Routes[0].Prefix
 }
 
-// Lists is the row under ListsKey.
-type Lists struct {
+// ListsVersion is the row under ListsKey.
+type ListsVersion struct {
 	// Version rises by one with every accepted pair of lists.
 	Version uint64 `json:"version"`
 	// Digest is the SHA-256 of the lists as applied, in hex.
 	Digest string `json:"digest"`
 }
 
-// Key is the row of a key that was given. The key itself isn't kept.
-type Key struct {
+// APIKey is the row of a key that was given. The key itself isn't kept.
+type APIKey struct {
 	Workspace string `json:"workspace"`
 	// Label tells operators the keys of a workspace apart.
 	Label string `json:"label,omitempty"`
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -11,7 +11,7 @@
 // and never goes back to an older revision.
 func ExampleReplica() {
 	key := config.HashKey("fsk_example")
-	given := storage.Row{Key: config.KeyPrefix + key.String(), Value: []byte(`{"workspace":"cebu-boatyard"}`), Revision: 1}
+	given := storage.Row{Key: config.APIKeyPrefix + key.String(), Value: []byte(`{"workspace":"cebu-boatyard"}`), Revision: 1}
 	rows := []storage.Row{
 		given,
 		{Key: config.WorkspacePrefix + "cebu-boatyard", Value: []byte(`{"plan":"bench"}`), Revision: 1},
--- a/config/jsonc/document.go
+++ b/config/jsonc/document.go
@@ -23,7 +23,7 @@
 	file string
 	// lineStarts has the offset of each line's first byte.
 	lineStarts []int
-	faults     Faults
+	faults     Diagnostics
 	parsed     bool
 }
 
@@ -51,15 +51,15 @@
 // Parsed tells whether the file's syntax could be read.
 func (d *Document) Parsed() bool { return d.parsed }
 
-// Faults returns what was wrong so far, ordered by place.
-func (d *Document) Faults() Faults {
+// Diagnostics returns what was wrong so far, ordered by place.
+func (d *Document) Diagnostics() Diagnostics {
 	d.faults.Sort()
 	return d.faults
 }
 
 func (d *Document) fault(offset int, field, found, allowed string) {
 	line, column := d.place(offset)
-	d.faults = append(d.faults, Fault{
+	d.faults = append(d.faults, Diagnostic{
 		File: d.file, Line: line, Column: column, Field: field, Found: found, Allowed: allowed,
 	})
 }
@@ -102,7 +102,7 @@
 var syntaxError = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
 func (d *Document) syntax(err error) {
-	f := Fault{File: d.file, Line: 1, Column: 1, Found: err.Error(), Allowed: "JSON, with // and /* */ comments and trailing commas"}
+	f := Diagnostic{File: d.file, Line: 1, Column: 1, Found: err.Error(), Allowed: "JSON, with // and /* */ comments and trailing commas"}
 	if m := syntaxError.FindStringSubmatch(err.Error()); m != nil {
 		f.Line, _ = strconv.Atoi(m[1])
 		f.Column, _ = strconv.Atoi(m[2])
--- a/config/jsonc/fault.go
+++ b/config/jsonc/fault.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a file.
-type Fault struct {
+// Diagnostic is one thing wrong in a file.
+type Diagnostic struct {
 	File string `json:"file"`
 	// Line and Column count from 1; columns count bytes. Both are 0 if the
 	// fault has no place in the file.
@@ -26,7 +26,7 @@
 
 // String returns the fault in one line that editors and compilers' readers
 // understand: file:line:column: field: found …; allowed: ….
-func (f Fault) String() string {
+func (f Diagnostic) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Column)
 	if f.Field != "" {
@@ -36,11 +36,11 @@
 	return b.String()
 }
 
-// Faults are all faults of a check. An empty value means that it passed.
-type Faults []Fault
+// Diagnostics are all faults of a check. An empty value means that it passed.
+type Diagnostics []Diagnostic
 
 // Error implements error with one line for each fault.
-func (f Faults) Error() string {
+func (f Diagnostics) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
 		lines[i] = fault.String()
@@ -49,14 +49,14 @@
 }
 
 // Sort orders the faults by their place.
-func (f Faults) Sort() {
-	slices.SortStableFunc(f, func(a, b Fault) int {
+func (f Diagnostics) Sort() {
+	slices.SortStableFunc(f, func(a, b Diagnostic) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 }
 
 // Err returns the faults as an error, or nil if there are none.
-func (f Faults) Err() error {
+func (f Diagnostics) Err() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/config/jsonc/value.go
+++ b/config/jsonc/value.go
@@ -32,8 +32,8 @@
 // Path returns the value's path from the root, such as "plans.workshop".
 func (v Value) Path() string { return v.field }
 
-// Fault reports the value as faulty.
-func (v Value) Fault(found, allowed string) {
+// Report reports the value as faulty.
+func (v Value) Report(found, allowed string) {
 	if v.doc != nil {
 		v.doc.fault(v.value.StartOffset, v.field, found, allowed)
 	}
@@ -55,7 +55,7 @@
 		key, _ := name.Text()
 		i := slices.IndexFunc(fields, func(f Field) bool { return f.Name == key })
 		if i < 0 {
-			name.Fault("the unknown field "+quote(key), "the fields "+fieldNames(fields))
+			name.Report("the unknown field "+quote(key), "the fields "+fieldNames(fields))
 			return
 		}
 		seen[key] = true
@@ -66,7 +66,7 @@
 	}
 	for _, f := range fields {
 		if f.Required && !seen[f.Name] {
-			v.Fault("no field "+quote(f.Name), "the field "+quote(f.Name)+" is required")
+			v.Report("no field "+quote(f.Name), "the field "+quote(f.Name)+" is required")
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	object, ok := v.value.Value.(*hujson.Object)
 	if !ok {
-		v.Fault(v.kind(), "an object in braces")
+		v.Report(v.kind(), "an object in braces")
 		return false
 	}
 	first := map[string]int{}
@@ -88,7 +88,7 @@
 		name := Value{doc: v.doc, value: m.Name, field: v.field}
 		key, _ := name.Text()
 		if line, again := first[key]; again {
-			name.Fault(fmt.Sprintf("%s a second time, first on line %d", quote(key), line), "each name once")
+			name.Report(fmt.Sprintf("%s a second time, first on line %d", quote(key), line), "each name once")
 			continue
 		}
 		first[key] = name.Line()
@@ -105,7 +105,7 @@
 	}
 	array, ok := v.value.Value.(*hujson.Array)
 	if !ok {
-		v.Fault(v.kind(), "a list in square brackets")
+		v.Report(v.kind(), "a list in square brackets")
 		return false
 	}
 	for i, e := range array.Elements {
@@ -118,12 +118,12 @@
 func (v Value) Text() (string, bool) {
 	literal, ok := v.literal('"')
 	if !ok {
-		v.Fault(v.kind(), "a string in quotes")
+		v.Report(v.kind(), "a string in quotes")
 		return "", false
 	}
 	var s string
 	if err := json.Unmarshal(literal, &s); err != nil {
-		v.Fault(v.kind(), "a string in quotes")
+		v.Report(v.kind(), "a string in quotes")
 		return "", false
 	}
 	return s, true
@@ -133,7 +133,7 @@
 func (v Value) Bool() (bool, bool) {
 	literal, ok := v.value.Value.(hujson.Literal)
 	if !ok || (literal.Kind() != 't' && literal.Kind() != 'f') {
-		v.Fault(v.kind(), "true or false")
+		v.Report(v.kind(), "true or false")
 		return false, false
 	}
 	return literal.Bool(), true
@@ -144,12 +144,12 @@
 	allowed := fmt.Sprintf("a number from %s to %s", number(least), number(most))
 	literal, ok := v.literal('0')
 	if !ok {
-		v.Fault(v.kind(), allowed)
+		v.Report(v.kind(), allowed)
 		return 0, false
 	}
 	f, err := strconv.ParseFloat(string(literal), 64)
 	if err != nil || math.IsInf(f, 0) || f < least || f > most {
-		v.Fault(v.kind(), allowed)
+		v.Report(v.kind(), allowed)
 		return 0, false
 	}
 	return f, true
@@ -160,12 +160,12 @@
 	allowed := fmt.Sprintf("a whole number from %d to %d", least, most)
 	literal, ok := v.literal('0')
 	if !ok {
-		v.Fault(v.kind(), allowed)
+		v.Report(v.kind(), allowed)
 		return 0, false
 	}
 	n, err := strconv.Atoi(string(literal))
 	if err != nil || n < least || n > most {
-		v.Fault(v.kind(), allowed)
+		v.Report(v.kind(), allowed)
 		return 0, false
 	}
 	return n, true
@@ -176,14 +176,14 @@
 	allowed := fmt.Sprintf(`a time from %s to %s in quotes, such as "1.5s"`, least, most)
 	literal, ok := v.literal('"')
 	if !ok {
-		v.Fault(v.kind(), allowed)
+		v.Report(v.kind(), allowed)
 		return 0, false
 	}
 	var s string
 	_ = json.Unmarshal(literal, &s)
 	d, err := time.ParseDuration(s)
 	if err != nil || d < least || d > most {
-		v.Fault(v.kind(), allowed)
+		v.Report(v.kind(), allowed)
 		return 0, false
 	}
 	return d, true
--- a/config/lists/check.go
+++ b/config/lists/check.go
@@ -18,14 +18,14 @@
 	Data []byte
 }
 
-// Capacity is the number of live backend servers of each service, from the
+// ServerCounts is the number of live backend servers of each service, from the
 // platform's list. Nil means that it isn't known; then floors are checked
 // against nothing but their own bounds.
-type Capacity map[string]int
+type ServerCounts map[string]int
 
 // Check reads both lists and returns everything that is wrong with them. If
 // there are faults, the lists returned are incomplete and not to be used.
-func Check(customers, plans Source, capacity Capacity) (Lists, jsonc.Faults) {
+func Check(customers, plans Source, capacity ServerCounts) (Lists, jsonc.Diagnostics) {
 	r := &reader{lists: Empty(), prefixes: map[string]claimedPrefix{}}
 	plansDoc, plansRoot := jsonc.Parse(plans.File, plans.Data)
 	customersDoc, customersRoot := jsonc.Parse(customers.File, customers.Data)
@@ -35,7 +35,7 @@
 		r.checkReferences()
 		r.checkFloors(capacity)
 	}
-	faults := append(slices.Clone(plansDoc.Faults()), customersDoc.Faults()...)
+	faults := append(slices.Clone(plansDoc.Diagnostics()), customersDoc.Diagnostics()...)
 	faults.Sort()
 	return r.lists, faults
 }
@@ -45,26 +45,26 @@
 	services := slices.Sorted(maps.Keys(r.lists.Services))
 	for _, ref := range r.serviceRefs {
 		if _, ok := r.lists.Services[ref.name]; !ok {
-			ref.at.Fault("the unknown service "+quoted(ref.name), oneOf("services", services))
+			ref.at.Report("the unknown service "+quoted(ref.name), oneOf("services", services))
 		}
 	}
 	plans := slices.Sorted(maps.Keys(r.lists.Plans))
 	for _, ref := range r.planRefs {
 		if _, ok := r.lists.Plans[ref.name]; !ok {
-			ref.at.Fault("the unknown plan "+quoted(ref.name), oneOf("plans", plans))
+			ref.at.Report("the unknown plan "+quoted(ref.name), oneOf("plans", plans))
 		}
 	}
 }
 
 // checkFloors compares the floors with the capacity as far as it is known. A
 // service that the platform doesn't list yet has the capacity 0.
-func (r *reader) checkFloors(capacity Capacity) {
+func (r *reader) checkFloors(capacity ServerCounts) {
 	if capacity == nil {
 		return
 	}
 	for _, s := range r.floors {
 		if live := capacity[s.service]; s.floor > live {
-			s.at.Fault(fmt.Sprintf("the floor %d", s.floor),
+			s.at.Report(fmt.Sprintf("the floor %d", s.floor),
 				fmt.Sprintf("at most %d, by the live backend servers that the platform lists for %s", live, quoted(s.service)))
 		}
 	}
@@ -91,13 +91,13 @@
 )
 
 func validName(s string) bool {
-	return len(s) <= MaxName && namePattern.MatchString(s)
+	return len(s) <= MaxNameBytes && namePattern.MatchString(s)
 }
 
 // validPrefix accepts plain path segments only. Escapes are left out because
 // a path must have one spelling: two would make two routes of one.
 func validPrefix(s string) bool {
-	if len(s) > MaxPrefix || !prefixPattern.MatchString(s) {
+	if len(s) > MaxPrefixBytes || !prefixPattern.MatchString(s) {
 		return false
 	}
 	return !strings.Contains(s, "/./") && !strings.Contains(s, "/../")
--- a/config/lists/example_test.go
+++ b/config/lists/example_test.go
@@ -17,7 +17,7 @@
   "services": {"catalogue": {"floor": 6, "timeout": "2s", "routes": [{"prefix": "/catalogue/"}]}},
   "plans": {"workshop": {"services": {"catalogue": {"rate": 20, "burst": 0.5}}}},
 }`)}
-	_, faults := lists.Check(customers, plans, lists.Capacity{"catalogue": 10})
+	_, faults := lists.Check(customers, plans, lists.ServerCounts{"catalogue": 10})
 	for _, f := range faults {
 		fmt.Println(f)
 	}
--- a/config/lists/lists_test.go
+++ b/config/lists/lists_test.go
@@ -20,7 +20,7 @@
 }`
 )
 
-func check(customers, plans string, c Capacity) (Lists, []string) {
+func check(customers, plans string, c ServerCounts) (Lists, []string) {
 	l, faults := Check(Source{"c.json", []byte(customers)}, Source{"p.json", []byte(plans)}, c)
 	var lines []string
 	for _, f := range faults {
@@ -35,10 +35,10 @@
 	plan := func(old, replacement string) string { return strings.Replace(goodPlans, old, replacement, 1) }
 	tests := []struct {
 		name, customers, plans string
-		capacity               Capacity
+		capacity               ServerCounts
 		want                   []string
 	}{
-		{"good", goodCustomers, goodPlans, Capacity{"s": 2}, nil},
+		{"good", goodCustomers, goodPlans, ServerCounts{"s": 2}, nil},
 		{"syntax", `{"workspaces": `, goodPlans, nil, []string{"c.json:1:16: found parsing value: unexpected EOF; allowed: JSON"}},
 		{
 			"unknown field", `{"workspaces": {"a": {"plan": "p", "plam": 1}}}`, goodPlans, nil,
@@ -55,7 +55,7 @@
 			[]string{`c.json:1:31: workspaces.a.plan: found the unknown plan "q"; allowed: one of the plans p`},
 		},
 		{"bad name", `{"workspaces": {"A/b": {"plan": "p"}}}`, goodPlans, nil, []string{`c.json:1:17: workspaces.A/b: found the name "A/b"`}},
-		{"long name", `{"workspaces": {"` + strings.Repeat("a", MaxName+1) + `": {"plan": "p"}}}`, goodPlans, nil, []string{"c.json:1:17: "}},
+		{"long name", `{"workspaces": {"` + strings.Repeat("a", MaxNameBytes+1) + `": {"plan": "p"}}}`, goodPlans, nil, []string{"c.json:1:17: "}},
 		{
 			"unknown service", goodCustomers, plan(`{"s": {"rate"`, `{"t": {"rate"`), nil,
 			[]string{`p.json:3:32: plans.p.services.t: found the unknown service "t"; allowed: one of the services s`},
@@ -68,7 +68,7 @@
 		{"rate infinite", goodCustomers, plan("20", "1e999"), nil, []string{`p.json:3:46: plans.p.services.s.rate: found 1e999`}},
 		{"rate text", goodCustomers, plan("20", `"20"`), nil, []string{`p.json:3:46: plans.p.services.s.rate: found "20"`}},
 		{"burst below one", goodCustomers, plan("40", "0.5"), nil, []string{`p.json:3:59: plans.p.services.s.burst: found 0.5; allowed: a number from 1 to`}},
-		{"floor above capacity", goodCustomers, goodPlans, Capacity{"s": 1}, []string{`p.json:2:31: services.s.floor: found the floor 2; allowed: at most 1`}},
+		{"floor above capacity", goodCustomers, goodPlans, ServerCounts{"s": 1}, []string{`p.json:2:31: services.s.floor: found the floor 2; allowed: at most 1`}},
 		{"floor zero", goodCustomers, plan(`"floor": 2`, `"floor": 0`), nil, []string{`p.json:2:31: services.s.floor: found 0`}},
 		{"probe of the own report", goodCustomers, plan(`"2s"`, `"2s", "probe": "/-/health"`), nil, []string{`p.json:2:60: services.s.probe: found "/-/health"; allowed: a path such as "/catalogue/glue", of at most 256 letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`}},
 		{"time-out without unit", goodCustomers, plan(`"2s"`, `"2"`), nil, []string{`p.json:2:45: services.s.timeout: found "2"; allowed: a time from 1ms to 1h0m0s`}},
@@ -80,7 +80,7 @@
 			"prefix twice", goodCustomers, plan(`"services": {`, "\"services\": {\"t\": {\"floor\": 1, \"timeout\": \"1s\", \"routes\": [{\"prefix\": \"/s/\"}]},\n"), nil,
 			[]string{`p.json:3:58: services.s.routes[0].prefix: found the prefix "/s/", which the service "t" has on line 2; allowed: each prefix once`},
 		},
-		{"everything at once", `{"workspaces": {"a": {"plan": "q"}}, "x": 1}`, plan("20, \"burst\": 40", "-1, \"burst\": 0"), Capacity{}, []string{
+		{"everything at once", `{"workspaces": {"a": {"plan": "q"}}, "x": 1}`, plan("20, \"burst\": 40", "-1, \"burst\": 0"), ServerCounts{}, []string{
 			`c.json:1:31: `, `c.json:1:38: `, `p.json:2:31: `, `p.json:3:46: `, `p.json:3:59: `,
 		}},
 	}
@@ -97,7 +97,7 @@
 
 // The lists that both deployments start with, at their size of today.
 func TestExamples(t *testing.T) {
-	capacities := map[string]Capacity{
+	capacities := map[string]ServerCounts{
 		"dimaculangan": {"catalogue": 10, "diagnosis": 10, "ordering": 15, "billing": 15},
 		"kervan":       {"archive": 10, "subscription": 15, "dispatch": 15, "editorial": 5},
 	}
@@ -159,7 +159,7 @@
 		f.Add(example(f, name, "customers.json").Data, example(f, name, "plans.json").Data)
 	}
 	f.Fuzz(func(t *testing.T, customers, plans []byte) {
-		l, faults := Check(Source{"c", customers}, Source{"p", plans}, Capacity{"s": 1})
+		l, faults := Check(Source{"c", customers}, Source{"p", plans}, ServerCounts{"s": 1})
 		for _, fault := range faults {
 			must.Positive(t, fault.Line)
 			must.Positive(t, fault.Column)
--- a/config/lists/read.go
+++ b/config/lists/read.go
@@ -10,10 +10,10 @@
 
 // Bounds of what the lists may hold.
 const (
-	// MaxName bounds the names of workspaces, plans and services, in bytes.
-	MaxName = 63
-	// MaxPrefix bounds a route's prefix, in bytes.
-	MaxPrefix = 256
+	// MaxNameBytes bounds the names of workspaces, plans and services, in bytes.
+	MaxNameBytes = 63
+	// MaxPrefixBytes bounds a route's prefix, in bytes.
+	MaxPrefixBytes = 256
 	// MaxFloor bounds a service's floor.
 	MaxFloor = 100_000
 	// MinRate is one request in about three hours.
@@ -107,7 +107,7 @@
 		routes = append(routes, r.route(service, e))
 	})
 	if ok && len(routes) == 0 {
-		v.Fault("no route", "at least one route, or nobody can reach the service")
+		v.Report("no route", "at least one route, or nobody can reach the service")
 	}
 	return routes
 }
@@ -133,12 +133,12 @@
 		return ""
 	}
 	if !validPrefix(prefix) {
-		v.Fault(quoted(prefix), fmt.Sprintf(
-			`a path that begins and ends with a slash, such as "/catalogue/", of at most %d letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes`, MaxPrefix))
+		v.Report(quoted(prefix), fmt.Sprintf(
+			`a path that begins and ends with a slash, such as "/catalogue/", of at most %d letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes`, MaxPrefixBytes))
 		return prefix
 	}
 	if first, taken := r.prefixes[prefix]; taken {
-		v.Fault(fmt.Sprintf("the prefix %s, which the service %s has on line %d", quoted(prefix), quoted(first.service), first.line),
+		v.Report(fmt.Sprintf("the prefix %s, which the service %s has on line %d", quoted(prefix), quoted(first.service), first.line),
 			"each prefix once in all services")
 		return prefix
 	}
@@ -149,8 +149,8 @@
 func probe(v jsonc.Value) string {
 	path, ok := v.Text()
 	if ok && !validProbe(path) {
-		v.Fault(quoted(path), fmt.Sprintf(
-			`a path such as "/catalogue/glue", of at most %d letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`, MaxPrefix))
+		v.Report(quoted(path), fmt.Sprintf(
+			`a path such as "/catalogue/glue", of at most %d letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`, MaxPrefixBytes))
 	}
 	return path
 }
@@ -164,7 +164,7 @@
 			p.Services[service] = limit(v)
 		})
 		if ok && len(p.Services) == 0 {
-			v.Fault("a plan without a service", "at least one service, or the plan allows nothing")
+			v.Report("a plan without a service", "at least one service, or the plan allows nothing")
 		}
 	}})
 	r.lists.Plans[p.Name] = p
@@ -182,8 +182,8 @@
 func checkedName(name jsonc.Value) string {
 	s, ok := name.Text()
 	if ok && !validName(s) {
-		name.Fault("the name "+quoted(s), fmt.Sprintf(
-			`1 to %d lower-case letters, digits, "-" and ".", beginning and ending with a letter or digit`, MaxName))
+		name.Report("the name "+quoted(s), fmt.Sprintf(
+			`1 to %d lower-case letters, digits, "-" and ".", beginning and ending with a letter or digit`, MaxNameBytes))
 	}
 	return s
 }
--- a/config/replica.go
+++ b/config/replica.go
@@ -26,7 +26,7 @@
 	shards    map[string]Shard
 	permits   map[string]Permits
 	witnesses Witnesses
-	lists     Lists
+	lists     ListsVersion
 	routes    routeIndex
 	// names has one copy of each plan's name that workspaces refer to.
 	names map[string]string
@@ -47,9 +47,9 @@
 // Revision returns the revision of the control table that the replica has.
 func (r *Replica) Revision() storage.Revision { return r.revision }
 
-// Complete returns the revision from which on the replica knows every change.
+// HistoryStart returns the revision from which on the replica knows every change.
 // Since returns the whole table for an older revision.
-func (r *Replica) Complete() storage.Revision { return r.rows.complete }
+func (r *Replica) HistoryStart() storage.Revision { return r.rows.complete }
 
 // Apply takes changes that were read with Since at or below the replica's
 // revision. It returns false, and changes nothing, if they are not newer.
@@ -127,8 +127,8 @@
 	return rec.row(), true
 }
 
-// Rows returns the keys of the present rows that start with prefix, sorted.
-func (r *Replica) Rows(prefix string) []string { return r.rows.keys(prefix) }
+// RowKeys returns the keys of the present rows that start with prefix, sorted.
+func (r *Replica) RowKeys(prefix string) []string { return r.rows.keys(prefix) }
 
 // WorkspaceByKey returns the workspace that the key was given to.
 func (r *Replica) WorkspaceByKey(h KeyHash) (Workspace, bool) {
@@ -202,8 +202,8 @@
 // Witnesses returns the row that names the witnesses.
 func (r *Replica) Witnesses() Witnesses { return r.witnesses }
 
-// Lists returns the version of the accepted lists.
-func (r *Replica) Lists() Lists { return r.lists }
+// ListsVersion returns the version of the accepted lists.
+func (r *Replica) ListsVersion() ListsVersion { return r.lists }
 
 // index takes one row into the store and the indexes. It tells whether the
 // routes have to be indexed anew.
@@ -214,7 +214,7 @@
 	switch prefix + "/" {
 	case WorkspacePrefix:
 		r.noteWorkspace(rec)
-	case KeyPrefix:
+	case APIKeyPrefix:
 		r.noteKey(rec)
 	case PlanPrefix:
 		setRow(r.plans, name, row, func(p *Plan) { p.Name = name })
@@ -232,7 +232,7 @@
 		r.witnesses = Witnesses{}
 		_ = json.Unmarshal(row.Value, &r.witnesses)
 	case ListsKey:
-		r.lists = Lists{}
+		r.lists = ListsVersion{}
 		_ = json.Unmarshal(row.Value, &r.lists)
 	}
 	r.rows.put(rec)
@@ -262,7 +262,7 @@
 
 // noteKey decodes a key's workspace.
 func (r *Replica) noteKey(rec *record) {
-	var k Key
+	var k APIKey
 	rec.note = ""
 	if rec.deleted || json.Unmarshal([]byte(rec.value()), &k) != nil {
 		return
--- a/config/replica_test.go
+++ b/config/replica_test.go
@@ -17,7 +17,7 @@
 // The replica must not bring the key back.
 func TestReplicaDropsOlderChanges(t *testing.T) {
 	h := HashKey("fsk_test")
-	given := storage.Row{Key: KeyPrefix + h.String(), Value: []byte(`{"workspace":"a"}`), Revision: 4}
+	given := storage.Row{Key: APIKeyPrefix + h.String(), Value: []byte(`{"workspace":"a"}`), Revision: 4}
 	withdrawn := storage.Row{Key: given.Key, Revision: 5, Deleted: true}
 	w := storage.Row{Key: WorkspacePrefix + "a", Value: []byte(`{"plan":"p"}`), Revision: 3}
 
@@ -68,14 +68,14 @@
 	r := NewReplica()
 	must.True(t, r.Apply(storage.Changes{Revision: 1, Rows: []storage.Row{
 		{Key: WorkspacePrefix + "a", Value: []byte(`{"plan":"p"}`), Revision: 1},
-		{Key: KeyPrefix + h.String(), Value: []byte(`{"workspace":"a"`), Revision: 1},
-		{Key: KeyPrefix + strings.ToUpper(h.String()), Value: []byte(`{"workspace":"a"}`), Revision: 1},
+		{Key: APIKeyPrefix + h.String(), Value: []byte(`{"workspace":"a"`), Revision: 1},
+		{Key: APIKeyPrefix + strings.ToUpper(h.String()), Value: []byte(`{"workspace":"a"}`), Revision: 1},
 		{Key: packHash(h), Value: []byte(`{"workspace":"a"}`), Revision: 1},
 	}}))
 	_, ok := r.WorkspaceByKey(h)
 	must.False(t, ok)
-	must.Len(t, 2, r.Rows(KeyPrefix))
-	must.Eq(t, []string{packHash(h)}, r.Rows(packedHash))
+	must.Len(t, 2, r.RowKeys(APIKeyPrefix))
+	must.Eq(t, []string{packHash(h)}, r.RowKeys(packedHash))
 }
 
 // Keys come and go for years. What is remembered of them must stay bounded.
@@ -89,8 +89,8 @@
 	}
 	must.LessEq(t, maxTombstones, len(r.rows.byKey))
 	must.LessEq(t, 2*maxTombstones, len(r.rows.log))
-	must.True(t, r.Since(r.Complete()-1).Full)
-	must.False(t, r.Since(r.Complete()).Full)
+	must.True(t, r.Since(r.HistoryStart()-1).Full)
+	must.False(t, r.Since(r.HistoryStart()).Full)
 }
 
 // One row is rewritten again and again, as a shard's row is. The log of
--- a/config/rowkey.go
+++ b/config/rowkey.go
@@ -28,7 +28,7 @@
 
 func unpackKey(packed string) string {
 	if hash, ok := strings.CutPrefix(packed, packedHash); ok {
-		return KeyPrefix + hex.EncodeToString([]byte(hash))
+		return APIKeyPrefix + hex.EncodeToString([]byte(hash))
 	}
 	return strings.TrimPrefix(packed, packedPlain)
 }
@@ -36,7 +36,7 @@
 // parseHash returns the hash of a key's row in the one spelling that is
 // written. Another spelling is another row, and no key's.
 func parseHash(key string) (KeyHash, bool) {
-	digits, ok := strings.CutPrefix(key, KeyPrefix)
+	digits, ok := strings.CutPrefix(key, APIKeyPrefix)
 	var h KeyHash
 	if !ok || len(digits) != hex.EncodedLen(len(h)) {
 		return h, false
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -102,7 +102,7 @@
 // capacity counts the backend servers against which floors are checked. A
 // floor that is in force already passes even if servers are away just now:
 // otherwise an outage would keep operators from changing anything.
-func (c *applyCommand) capacity(ctx context.Context, conn connection) (lists.Capacity, error) {
+func (c *applyCommand) capacity(ctx context.Context, conn connection) (lists.ServerCounts, error) {
 	capacity, err := capacityOf(ctx, conn.platform)
 	if err != nil {
 		return nil, err
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -63,7 +63,7 @@
 
 // capacity asks the platform unless the check is offline or no platform is
 // named.
-func (c *checkCommand) capacity() (lists.Capacity, error) {
+func (c *checkCommand) capacity() (lists.ServerCounts, error) {
 	if c.Offline {
 		return nil, nil
 	}
@@ -81,12 +81,12 @@
 }
 
 // capacityOf counts the live backend servers of each service.
-func capacityOf(ctx context.Context, p storage.Instances) (lists.Capacity, error) {
+func capacityOf(ctx context.Context, p storage.Instances) (lists.ServerCounts, error) {
 	all, err := p.List(ctx, 0)
 	if err != nil {
 		return nil, errors.Wrap(err, "list backend servers")
 	}
-	capacity := lists.Capacity{}
+	capacity := lists.ServerCounts{}
 	for _, i := range all.Changed {
 		if i.Kind == storage.BackendServer && i.State == storage.Live {
 			capacity[i.Service]++
@@ -96,7 +96,7 @@
 }
 
 // read reads and checks both files. All faults come as one error.
-func (f *listFiles) read(capacity lists.Capacity) (lists.Lists, error) {
+func (f *listFiles) read(capacity lists.ServerCounts) (lists.Lists, error) {
 	customers, err := source(f.Files.Customers)
 	if err != nil {
 		return lists.Lists{}, err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -126,7 +126,7 @@
 	out := struct {
 		Error  string       `json:"error"`
 		Code   int          `json:"code"`
-		Faults jsonc.Faults `json:"faults,omitempty"`
+		Faults jsonc.Diagnostics `json:"faults,omitempty"`
 	}{Error: err.Error(), Code: code}
 	_ = errors.As(err, &out.Faults)
 	_ = a.printJSON(out)
@@ -134,7 +134,7 @@
 
 func exitCode(err error) int {
 	var coded *exitError
-	var faults jsonc.Faults
+	var faults jsonc.Diagnostics
 	switch {
 	case errors.As(err, &coded):
 		return coded.code
--- a/internal/cli/options.go
+++ b/internal/cli/options.go
@@ -78,7 +78,7 @@
 		jsonc.Field{Name: "tokenFile", Read: text(&s.tokenFile)},
 		jsonc.Field{Name: "as", Read: text(&s.as)},
 	)
-	return s, doc.Faults().Err()
+	return s, doc.Diagnostics().Err()
 }
 
 func first(values ...string) string {
--- a/membership/in_force_bench_test.go
+++ b/membership/in_force_bench_test.go
@@ -34,7 +34,7 @@
 // measureRevocation withdraws a key at an instance, and returns when that is in force
 // and when every instance has it.
 func (s *sim) measureRevocation(writer *simNode) (inForce, last time.Duration) {
-	r := s.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: config.KeyPrefix + "x"}}})
+	r := s.commit(storage.Txn{Puts: []storage.Put{{Table: storage.Control, Key: config.APIKeyPrefix + "x"}}})
 	rev := r.Revisions[storage.Control]
 	written := s.now
 	s.deliver(writer, func(now time.Duration) []effect.Effect { return writer.m.Require(now, rev) })
--- a/node/lost_bench_test.go
+++ b/node/lost_bench_test.go
@@ -37,7 +37,7 @@
 	for i := range 600 {
 		f.write(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: "p"})
 	}
-	f.write(config.ListsKey, config.Lists{Version: 1})
+	f.write(config.ListsKey, config.ListsVersion{Version: 1})
 	for i := range size {
 		f.startWide(i)
 	}
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -100,7 +100,7 @@
 func (l *lone) fillTable(s scale) {
 	for i := range s.workspaces {
 		l.put(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: fmt.Sprintf("plan-%02d", i%40)})
-		l.put(config.KeyPrefix+config.HashKey(workspaceName(i)).String(), config.Key{Workspace: workspaceName(i), Label: "till"})
+		l.put(config.APIKeyPrefix+config.HashKey(workspaceName(i)).String(), config.APIKey{Workspace: workspaceName(i), Label: "till"})
 	}
 	for i := range s.services {
 		definition := config.Service{Floor: s.targets / s.services / 2, Timeout: config.Duration(2 * time.Second)}
@@ -120,7 +120,7 @@
 		l.put(config.ShardPrefix+name, config.Shard{Holders: []config.Holder{{Instance: l.node.settings.Self.ID, Parts: 60, Since: 1}}})
 	}
 	l.put(config.WitnessesKey, config.Witnesses{Members: []string{l.node.settings.Self.ID}})
-	l.put(config.ListsKey, config.Lists{Version: 1, Digest: "d"})
+	l.put(config.ListsKey, config.ListsVersion{Version: 1, Digest: "d"})
 }
 
 func (l *lone) fillList(s scale) {
@@ -276,7 +276,7 @@
 	b.Run("lists", func(b *testing.B) {
 		var spent time.Duration
 		for i := range b.N {
-			l.put(config.ListsKey, config.Lists{Version: uint64(i + 2)})
+			l.put(config.ListsKey, config.ListsVersion{Version: uint64(i + 2)})
 			l.pass(500 * time.Millisecond)
 			wake, _ := l.pass(250 * time.Millisecond)
 			spent += wake
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -33,8 +33,8 @@
 	f.write(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(2 * time.Second), Routes: []config.Route{{Prefix: "/orders/"}}})
 	f.write(config.PlanPrefix+"p", config.Plan{Services: map[string]config.Limit{"orders": {Rate: rate, Burst: burst}}})
 	f.write(config.WorkspacePrefix+"a", config.Workspace{Plan: "p"})
-	f.write(config.KeyPrefix+config.HashKey(key).String(), config.Key{Workspace: "a"})
-	f.write(config.ListsKey, config.Lists{Version: 1})
+	f.write(config.APIKeyPrefix+config.HashKey(key).String(), config.APIKey{Workspace: "a"})
+	f.write(config.ListsKey, config.ListsVersion{Version: 1})
 }
 
 func get() RequestArrived {
@@ -84,7 +84,7 @@
 		f.at(time.Duration(seed)*500*time.Millisecond, func() { f.thaw(f.names[(seed+1)%5]) })
 		f.run(time.Second)
 		withdrawn := f.now
-		f.drop(config.KeyPrefix + config.HashKey(key).String())
+		f.drop(config.APIKeyPrefix + config.HashKey(key).String())
 		flood(f, 15*time.Second)
 		for _, s := range f.starts {
 			must.LessEq(t, withdrawn+3*time.Second, s.at, must.Sprint("seed ", seed))
@@ -104,7 +104,7 @@
 	f.run(3 * time.Second)
 	id := f.arrive(f.names[0], key, get())
 	f.run(10 * time.Millisecond)
-	f.drop(config.KeyPrefix + config.HashKey(key).String())
+	f.drop(config.APIKeyPrefix + config.HashKey(key).String())
 	sent := len(f.executed)
 	f.run(4 * time.Second)
 	hedged := len(f.executed)
@@ -178,7 +178,7 @@
 	keys := []string{key, "fsk_b", "fsk_c", "fsk_d"}
 	for _, k := range keys[1:] {
 		f.write(config.WorkspacePrefix+k, config.Workspace{Plan: "p"})
-		f.write(config.KeyPrefix+config.HashKey(k).String(), config.Key{Workspace: k})
+		f.write(config.APIKeyPrefix+config.HashKey(k).String(), config.APIKey{Workspace: k})
 	}
 	bad := f.names[0]
 	for id := range f.servers {
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -77,7 +77,7 @@
 
 func (n *Node) basis(name string) basis {
 	row, _ := n.replica.Row(shardKey(name))
-	return basis{row: row.Revision, list: n.seenList, lists: n.replica.Lists().Version, leaving: n.leaving}
+	return basis{row: row.Revision, list: n.seenList, lists: n.replica.ListsVersion().Version, leaving: n.leaving}
 }
 
 func (n *Node) planShard(name string, place int, candidates []quota.Candidate) bool {
@@ -138,7 +138,7 @@
 // shardLimits returns the limits of a shard's workspaces under the lists in
 // force here.
 func (n *Node) shardLimits(name string) []config.Limit {
-	if version := n.replica.Lists().Version; version != n.shards.limited {
+	if version := n.replica.ListsVersion().Version; version != n.shards.limited {
 		n.shards.limited = version
 		n.indexLimits()
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -19,7 +19,7 @@
 	Confirmation membership.Confirmation
 	// Fresh is the age beyond which the instance refuses requests.
 	Fresh    time.Duration
-	Lists    config.Lists
+	Lists    config.ListsVersion
 	Services []ServiceStatus
 	// Refusals for the rate, the most first.
 	Refusals []Refusals
@@ -85,7 +85,7 @@
 		Instance:     n.settings.Self,
 		Confirmation: n.member.Confirmation(n.now),
 		Fresh:        n.member.Settings().Fresh,
-		Lists:        n.replica.Lists(),
+		Lists:        n.replica.ListsVersion(),
 		Entries:      slices.Clone(n.member.Directory().Entries()),
 		Leaving:      n.leaving,
 		Counters:     n.member.Counters(),
--- a/operator/apply.go
+++ b/operator/apply.go
@@ -155,7 +155,7 @@
 	e.From, e.To, e.Digest = base.Version, base.Version+1, s.digest
 	e.Changes = s.lines[:min(len(s.lines), MaxAuditChanges)]
 	e.MoreChanges = len(s.lines) - len(e.Changes)
-	row, err := json.Marshal(config.Lists{Version: e.To, Digest: e.Digest})
+	row, err := json.Marshal(config.ListsVersion{Version: e.To, Digest: e.Digest})
 	if err != nil {
 		return change{}, errors.Wrap(err, "encode lists row")
 	}
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -48,7 +48,7 @@
 	revision  storage.Revision
 }
 
-func (k KeyInfo) row() string { return config.KeyPrefix + k.hash }
+func (k KeyInfo) row() string { return config.APIKeyPrefix + k.hash }
 
 // KeyID returns the id under which operators know a key.
 func KeyID(key string) string { return config.HashKey(key).String()[:keyIDLength] }
@@ -109,7 +109,7 @@
 	if err != nil {
 		return KeyChange{}, err
 	}
-	value, err := json.Marshal(config.Key{Workspace: info.Workspace, Label: info.Label})
+	value, err := json.Marshal(config.APIKey{Workspace: info.Workspace, Label: info.Label})
 	if err != nil {
 		return KeyChange{}, errors.Wrap(err, "encode key row")
 	}
@@ -176,14 +176,14 @@
 }
 
 func (o *Operator) keys(ctx context.Context, hashPrefix string, match func(KeyInfo) bool) ([]KeyInfo, error) {
-	c, err := o.table.Read(ctx, storage.ReadRequest{Table: storage.Control, Prefix: config.KeyPrefix + hashPrefix})
+	c, err := o.table.Read(ctx, storage.ReadRequest{Table: storage.Control, Prefix: config.APIKeyPrefix + hashPrefix})
 	if err != nil {
 		return nil, errors.Wrap(err, "read keys")
 	}
 	var keys []KeyInfo
 	for _, row := range c.Rows {
-		hash := strings.TrimPrefix(row.Key, config.KeyPrefix)
-		var v config.Key
+		hash := strings.TrimPrefix(row.Key, config.APIKeyPrefix)
+		var v config.APIKey
 		if row.Deleted || len(hash) < keyIDLength || json.Unmarshal(row.Value, &v) != nil {
 			continue
 		}
--- a/operator/snapshot.go
+++ b/operator/snapshot.go
@@ -70,7 +70,7 @@
 		if row.Key != config.ListsKey || row.Deleted {
 			continue
 		}
-		var l config.Lists
+		var l config.ListsVersion
 		if err := json.Unmarshal(row.Value, &l); err != nil {
 			return Snapshot{}, errors.Wrap(err, "decode lists row")
 		}
