--- a/config/config.go
+++ b/config/config.go
@@ -18,7 +18,7 @@
 	WorkspacePrefix = "workspace/"
 	PlanPrefix      = "plan/"
 	ServicePrefix   = "service/"
-	APIKeyPrefix       = "key/"
+	APIKeyPrefix    = "key/"
 	ShardPrefix     = "shard/"
 	PermitPrefix    = "permit/"
 	WitnessesKey    = "witnesses"
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -124,8 +124,8 @@
 
 func (a *app) failJSON(code int, err error) {
 	out := struct {
-		Error  string       `json:"error"`
-		Code   int          `json:"code"`
+		Error  string            `json:"error"`
+		Code   int               `json:"code"`
 		Faults jsonc.Diagnostics `json:"faults,omitempty"`
 	}{Error: err.Error(), Code: code}
 	_ = errors.As(err, &out.Faults)
