--- a/entry/operators/convert.go
+++ b/entry/operators/convert.go
@@ -15,7 +15,7 @@
 		Confirmation: oas.Confirmation{
 			Source:       source(s.Confirmation.State),
 			AgeSeconds:   s.Confirmation.Age.Seconds(),
-			LimitSeconds: s.Fresh.Seconds(),
+			LimitSeconds: s.ConfigAgeLimit.Seconds(),
 		},
 		Revision:            uint64(s.Confirmation.Revision),
 		ListsVersion:        s.Lists.Version,
@@ -26,7 +26,7 @@
 	for _, service := range s.Services {
 		out.Services = append(out.Services, serviceToAPI(service))
 	}
-	for _, r := range s.Refusals {
+	for _, r := range s.RateRefusals {
 		out.WorkspacesNearLimit = append(out.WorkspacesNearLimit, oas.WorkspaceUse{
 			Workspace: r.Workspace,
 			Service:   r.Service,
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -57,7 +57,7 @@
 	deadline := time.Now().Add(time.Duration(e.settings.Stop.Patience))
 	for time.Now().Before(deadline) {
 		done := true
-		e.loop.Do(func(n *node.Node, _ time.Duration) { done = !n.HoldsParts() && !n.Seated() })
+		e.loop.Do(func(n *node.Node, _ time.Duration) { done = !n.HoldsParts() && !n.IsWitness() })
 		if done {
 			return
 		}
--- a/entry/tree.go
+++ b/entry/tree.go
@@ -167,7 +167,7 @@
 	})
 	e.metrics.Gauge("worst_workspace_failed_ratio", "Share of requests that failed by no fault of their own, of the workspace that fares worst at this instance.", func() float64 {
 		var worst node.Fare
-		e.loop.Do(func(n *node.Node, now time.Duration) { worst, _ = n.Worst(now) })
+		e.loop.Do(func(n *node.Node, now time.Duration) { worst, _ = n.WorstWorkspace(now) })
 		return worst.Failed
 	})
 	e.metrics.Gauge("peer_sent_bytes", "Bytes sent to other instances on the connections open now.", func() float64 {
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -65,12 +65,12 @@
 		f.arrive(f.names[0], key, get())
 	}
 	n := f.nodes[f.names[0]]
-	empty := n.node.Status(n.local(f.now)).Refusals
+	empty := n.node.Status(n.local(f.now)).RateRefusals
 	must.Len(t, 1, empty)
 	must.Less(t, 1, empty[0].Tokens)
 	must.Positive(t, empty[0].Count)
 	f.run(time.Minute)
-	must.Eq(t, burst, n.node.Status(n.local(f.now)).Refusals[0].Tokens)
+	must.Eq(t, burst, n.node.Status(n.local(f.now)).RateRefusals[0].Tokens)
 }
 
 // An operator withdraws a key. Its caller keeps flooding every instance on
--- a/node/status.go
+++ b/node/status.go
@@ -17,12 +17,12 @@
 type Status struct {
 	Instance     storage.Instance
 	Confirmation membership.Confirmation
-	// Fresh is the age beyond which the instance refuses requests.
-	Fresh    time.Duration
+	// ConfigAgeLimit is the age beyond which the instance refuses requests.
+	ConfigAgeLimit    time.Duration
 	Lists    config.Lists
 	Services []ServiceStatus
-	// Refusals for the rate, the most first.
-	Refusals []Refusals
+	// RateRefusals for the rate, the most first.
+	RateRefusals []RateRefusals
 	Entries  []storage.Instance
 	Leaving  bool
 	Counters membership.Counters
@@ -30,9 +30,9 @@
 	Requests int
 }
 
-// Worst returns the workspace that fares worst here; false if none was here
+// WorstWorkspace returns the workspace that fares worst here; false if none was here
 // often enough to tell.
-func (n *Node) Worst(now time.Duration) (Fare, bool) {
+func (n *Node) WorstWorkspace(now time.Duration) (Fare, bool) {
 	n.now = max(n.now, now)
 	return n.fares.worst(n.now)
 }
@@ -44,17 +44,17 @@
 	Usable  int
 	Ejected []config.Ejection
 	// Lowered are the backend servers that this instance uses less.
-	Lowered []Lowered
+	Lowered []LoweredServer
 }
 
-// Lowered is a backend server with a weight below 1.
-type Lowered struct {
+// LoweredServer is a backend server with a weight below 1.
+type LoweredServer struct {
 	Server string
 	Weight float64
 }
 
-// Refusals counts the requests of a workspace that were refused for the rate.
-type Refusals struct {
+// RateRefusals counts the requests of a workspace that were refused for the rate.
+type RateRefusals struct {
 	Workspace, Service string
 	Limit              config.Limit
 	Parts              int
@@ -84,7 +84,7 @@
 	s := Status{
 		Instance:     n.settings.Self,
 		Confirmation: n.member.Confirmation(n.now),
-		Fresh:        n.member.Settings().Fresh,
+		ConfigAgeLimit:        n.member.Settings().Fresh,
 		Lists:        n.replica.Lists(),
 		Entries:      slices.Clone(n.member.Directory().Entries()),
 		Leaving:      n.leaving,
@@ -95,7 +95,7 @@
 	for _, name := range n.replica.Services() {
 		s.Services = append(s.Services, n.serviceStatus(name))
 	}
-	s.Refusals = n.refusalStatus()
+	s.RateRefusals = n.refusalStatus()
 	return s
 }
 
@@ -113,18 +113,18 @@
 		}
 		s.Usable++
 		if server.Weight < 1 {
-			s.Lowered = append(s.Lowered, Lowered{Server: server.ID, Weight: server.Weight})
+			s.Lowered = append(s.Lowered, LoweredServer{Server: server.ID, Weight: server.Weight})
 		}
 	}
 	return s
 }
 
-func (n *Node) refusalStatus() []Refusals {
-	list := make([]Refusals, 0, len(n.refused))
+func (n *Node) refusalStatus() []RateRefusals {
+	list := make([]RateRefusals, 0, len(n.refused))
 	for b, count := range n.refused {
 		limit, _ := n.replica.Limit(b.Workspace, b.Service)
 		shard := n.replica.Shard(quota.ShardOf(b.Workspace, n.settings.Shards))
-		list = append(list, Refusals{
+		list = append(list, RateRefusals{
 			Workspace: b.Workspace,
 			Service:   b.Service,
 			Limit:     limit,
@@ -133,7 +133,7 @@
 			Count:     count,
 		})
 	}
-	slices.SortFunc(list, func(a, b Refusals) int {
+	slices.SortFunc(list, func(a, b RateRefusals) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Service, b.Service))
 	})
 	return list
@@ -181,5 +181,5 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Seated says whether the instance is a witness as far as it knows.
-func (n *Node) Seated() bool { return n.member.IsWitness() }
+// IsWitness says whether the instance is a witness as far as it knows.
+func (n *Node) IsWitness() bool { return n.member.IsWitness() }
--- a/node/timers.go
+++ b/node/timers.go
@@ -30,8 +30,8 @@
 	return t.list[0].at, true
 }
 
-// due removes and returns the first thing to do whose time has come.
-func (t *timers) due(now time.Duration) (func(), bool) {
+// popDue removes and returns the first thing to do whose time has come.
+func (t *timers) popDue(now time.Duration) (func(), bool) {
 	if at, ok := t.first(); !ok || at > now {
 		return nil, false
 	}
@@ -56,7 +56,7 @@
 
 func (n *Node) runTimers() {
 	for {
-		do, ok := n.timers.due(n.now)
+		do, ok := n.timers.popDue(n.now)
 		if !ok {
 			return
 		}
