--- a/node/attempts.go
+++ b/node/attempts.go
@@ -47,7 +47,7 @@
 
 // send starts an attempt at a backend server that wasn't tried yet.
 func (n *Node) send(r *request) bool {
-	servers := n.servers(r)
+	servers := n.serverView(r)
 	o := balance.Options{Exclude: r.tried, AvoidSuspects: !r.idempotent}
 	id, ok := n.picker.Pick(n.now, r.service.Name, servers, o)
 	if !ok {
@@ -106,7 +106,7 @@
 	}
 	n.observe(a, e)
 	if e.Leaving {
-		n.noteLeaver(a.server.ID)
+		n.markLeaving(a.server.ID)
 	}
 	if e.Streaming && !a.request.answered {
 		a.streaming = true
@@ -149,7 +149,7 @@
 }
 
 func (n *Node) retryState(r *request, e AttemptEnded) retry.Attempt {
-	others, room := n.others(r)
+	others, room := n.untriedServers(r)
 	if !e.Replayable {
 		others = 0
 	}
@@ -186,7 +186,7 @@
 		rule = decision.RuleShed
 	}
 	r.figures.Servers = len(n.member.Directory().Servers(r.service.Name))
-	r.figures.Usable, _ = n.others(r)
+	r.figures.Usable, _ = n.untriedServers(r)
 	n.refuse(r, rule, max(d.RetryAfter, e.RetryAfter))
 }
 
--- a/node/claims.go
+++ b/node/claims.go
@@ -39,17 +39,17 @@
 
 // claimStep does what comes next for a caller-made key.
 func (n *Node) claimStep(id claim.ID, request string, s claim.Step) {
-	p := pending{owner: ownerClaim, id: uint64(id), subject: request}
+	p := pendingEffect{owner: ownerClaim, id: uint64(id), subject: request}
 	switch {
 	case s.Decision != nil:
 		n.claimDecided(id, request, *s.Decision)
 	case s.Write != nil && s.Delay > 0:
 		write := effect.WriteTable{Txn: *s.Write}
-		n.timers.add(n.now+s.Delay, func() { n.emit(n.own(p, write)) })
+		n.timers.add(n.now+s.Delay, func() { n.emit(n.trackEffect(p, write)) })
 	case s.Write != nil:
-		n.emit(n.own(p, effect.WriteTable{Txn: *s.Write}))
+		n.emit(n.trackEffect(p, effect.WriteTable{Txn: *s.Write}))
 	case s.Read != nil:
-		n.emit(n.own(p, effect.ReadTable{Read: *s.Read}))
+		n.emit(n.trackEffect(p, effect.ReadTable{Read: *s.Read}))
 	}
 }
 
@@ -74,7 +74,7 @@
 	return claim.PeerLive
 }
 
-func (n *Node) claimRead(p pending, e TableRead) {
+func (n *Node) claimRead(p pendingEffect, e TableRead) {
 	if e.OK {
 		n.pruning.horizon.Observe(n.now, e.Changes.Revision)
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (n *Node) claimWritten(p pending, r storage.WriteResult) {
+func (n *Node) claimWritten(p pendingEffect, r storage.WriteResult) {
 	if p.subject != pruneSubject {
 		n.claimStep(claim.ID(p.id), p.subject, n.claimer.HandleWriteResult(claim.ID(p.id), r))
 	}
@@ -109,7 +109,7 @@
 	prefix := fmt.Sprintf("%s%02x", claim.RowPrefix, n.pruning.slice)
 	n.pruning.slice = (n.pruning.slice + 1) % pruneSlices
 	read := storage.ReadRequest{Table: storage.Claims, Prefix: prefix}
-	n.emit(n.own(pending{owner: ownerClaim, subject: pruneSubject}, effect.ReadTable{Read: read}))
+	n.emit(n.trackEffect(pendingEffect{owner: ownerClaim, subject: pruneSubject}, effect.ReadTable{Read: read}))
 }
 
 func (n *Node) prune(e TableRead) {
@@ -131,7 +131,7 @@
 	n.pruning.sweepAt = n.now + sweepEvery
 	for _, key := range n.claimer.AbandonedKeys(sweepLimit) {
 		read := storage.ReadRequest{Table: storage.Claims, Prefix: key}
-		n.emit(n.own(pending{owner: ownerClaim, subject: key}, effect.ReadTable{Read: read}))
+		n.emit(n.trackEffect(pendingEffect{owner: ownerClaim, subject: key}, effect.ReadTable{Read: read}))
 	}
 }
 
@@ -146,5 +146,5 @@
 
 // tidy deletes rows that nobody needs. If it fails, a later look repeats it.
 func (n *Node) tidy(txn storage.Txn) {
-	n.emit(n.own(pending{owner: ownerClaim, subject: pruneSubject}, effect.WriteTable{Txn: txn}))
+	n.emit(n.trackEffect(pendingEffect{owner: ownerClaim, subject: pruneSubject}, effect.WriteTable{Txn: txn}))
 }
--- a/node/effect.go
+++ b/node/effect.go
@@ -21,8 +21,8 @@
 	ownerUnadvertised
 )
 
-// pending is an effect whose answer is awaited.
-type pending struct {
+// pendingEffect is an effect whose answer is awaited.
+type pendingEffect struct {
 	owner owner
 	// id is the effect's id within the owner.
 	id uint64
@@ -30,8 +30,8 @@
 	subject string
 }
 
-// own gives an effect of a part its id in the node.
-func (n *Node) own(p pending, e effect.Effect) Effect {
+// trackEffect gives an effect of a part its id in the node.
+func (n *Node) trackEffect(p pendingEffect, e effect.Effect) Effect {
 	n.lastEffect++
 	id := n.lastEffect
 	n.pending[id] = p
@@ -52,31 +52,31 @@
 	panic("node: effect of unknown type")
 }
 
-// take removes and returns what an answer belongs to.
-func (n *Node) take(id uint64) (pending, bool) {
+// takePending removes and returns what an answer belongs to.
+func (n *Node) takePending(id uint64) (pendingEffect, bool) {
 	p, ok := n.pending[id]
 	delete(n.pending, id)
 	return p, ok
 }
 
-// memberEffects passes the membership's effects on.
-func (n *Node) memberEffects(effects []effect.Effect) {
+// emitMemberEffects passes the membership's effects on.
+func (n *Node) emitMemberEffects(effects []effect.Effect) {
 	for _, e := range effects {
-		p := pending{owner: ownerMember}
+		p := pendingEffect{owner: ownerMember}
 		switch e := e.(type) {
 		case effect.Call:
 			p.id = e.ID
 			e.Request = memberRequest(e.Request)
-			n.emit(n.own(p, e))
+			n.emit(n.trackEffect(p, e))
 		case effect.ReadTable:
 			p.id = e.ID
-			n.emit(n.own(p, e))
+			n.emit(n.trackEffect(p, e))
 		case effect.WriteTable:
 			p.id = e.ID
-			n.emit(n.own(p, e))
+			n.emit(n.trackEffect(p, e))
 		case effect.ReadInstances:
 			p.id = e.ID
-			n.emit(n.own(p, e))
+			n.emit(n.trackEffect(p, e))
 		}
 	}
 }
--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -81,7 +81,7 @@
 		}
 	}
 	f.at(hop, func() {
-		if f.tableAway || !f.open(i.name, "table") {
+		if f.platformDown || !f.open(i.name, "table") {
 			return
 		}
 		e := do()
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -21,7 +21,7 @@
 	queue jobs
 
 	tables    map[storage.TableName]*table
-	tableAway bool
+	platformDown bool
 	list      []storage.Instance
 	version   uint64
 
@@ -31,7 +31,7 @@
 	// cut has the one-way cuts "from>to"; "table" is the platform.
 	cut map[string]bool
 
-	starts    []started
+	starts    []firstAttempt
 	executed  []execution
 	answers   map[string]reply
 	located   map[string]Located
@@ -63,8 +63,8 @@
 	refused int
 }
 
-// started is a request's first attempt: the moment of its admission.
-type started struct {
+// firstAttempt is a request's first attempt: the moment of its admission.
+type firstAttempt struct {
 	at        time.Duration
 	workspace string
 	service   string
@@ -282,7 +282,7 @@
 func (f *fleet) noteStart(i *instance, e StartAttempt) {
 	r := i.node.requests[e.Request]
 	if len(r.tried) == 1 {
-		f.starts = append(f.starts, started{at: f.now, workspace: e.Workspace, service: r.service.Name, key: r.arrived.Key.String()})
+		f.starts = append(f.starts, firstAttempt{at: f.now, workspace: e.Workspace, service: r.service.Name, key: r.arrived.Key.String()})
 	}
 }
 
@@ -347,8 +347,8 @@
 	}
 }
 
-// arrive sends a caller's request to a node.
-func (f *fleet) arrive(to string, key string, r RequestArrived) string {
+// sendRequest sends a caller's request to a node.
+func (f *fleet) sendRequest(to string, key string, r RequestArrived) string {
 	f.requests++
 	r.Request = "r" + strconv.Itoa(f.requests)
 	r.Key, r.HasKey = config.HashKey(key), true
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -21,8 +21,8 @@
 		f.freeze(name)
 		f.at(long, func() { f.thaw(name) })
 	case 1:
-		f.tableAway = true
-		f.at(long, func() { f.tableAway = false })
+		f.platformDown = true
+		f.at(long, func() { f.platformDown = false })
 	case 2, 3:
 		f.split(name, true, false, long)
 	case 4:
@@ -77,7 +77,7 @@
 
 // overspent replays admissions against one bucket of the whole limit, and
 // returns by how many tokens they went beyond it.
-func overspent(starts []started, rate, burst float64) float64 {
+func overspent(starts []firstAttempt, rate, burst float64) float64 {
 	level, at, worst := burst, time.Duration(0), 0.0
 	for _, s := range starts {
 		level = min(burst, level+(s.at-at).Seconds()*rate) - 1
@@ -98,7 +98,7 @@
 	}
 	served := 0
 	for seed := range seeds {
-		f := ready(seed, 5, 3)
+		f := newSettledFleet(seed, 5, 3)
 		flood(f, 40*time.Second)
 		must.LessEq(t, 1e-6, overspent(f.starts, rate, burst), must.Sprint("seed ", seed))
 		checkOrders(t, f, seed)
@@ -126,9 +126,9 @@
 		name := f.names[f.rng.IntN(len(f.names))]
 		switch f.rng.IntN(4) {
 		case 0:
-			f.arrive(name, key, get())
+			f.sendRequest(name, key, get())
 		case 1:
-			f.arrive(name, key, post(""))
+			f.sendRequest(name, key, post(""))
 		case 2:
 			k := f.operationKey(name, key)
 			if k == "" || f.rng.IntN(2) == 0 {
@@ -136,7 +136,7 @@
 			}
 			keys = append(keys, k)
 		default:
-			f.arrive(name, key, post(keys[max(0, len(keys)-1-f.rng.IntN(6))]))
+			f.sendRequest(name, key, post(keys[max(0, len(keys)-1-f.rng.IntN(6))]))
 		}
 		f.run(time.Duration(f.rng.IntN(32)) * time.Millisecond)
 	}
@@ -171,7 +171,7 @@
 // A run that was recorded is replayed on a fresh node: the same events at the
 // same times give the same effects.
 func TestReplay(t *testing.T) {
-	one, two := ready(5, 5, 3), ready(5, 5, 3)
+	one, two := newSettledFleet(5, 5, 3), newSettledFleet(5, 5, 3)
 	flood(one, 20*time.Second)
 	flood(two, 20*time.Second)
 	must.Eq(t, one.answers, two.answers)
--- a/node/message.go
+++ b/node/message.go
@@ -43,7 +43,7 @@
 	return PeerRequest{Member: &request}
 }
 
-func (n *Node) called(e Called) {
+func (n *Node) handleCall(e Called) {
 	reply, ok := n.answerCall(e)
 	n.emit(ReplyCall{Token: e.Token, Reply: reply, OK: ok})
 }
@@ -62,15 +62,15 @@
 		return PeerReply{}, true
 	case e.Request.Report != nil:
 		suspects := n.collector.Accept(n.now, e.From, *e.Request.Report)
-		n.judgeReporter(e.From, e.Request.Report.Service)
+		n.unadvertiseFaultyReporter(e.From, e.Request.Report.Service)
 		n.noteDoubts(*e.Request.Report)
 		return PeerReply{Advice: &Advice{Service: e.Request.Report.Service, Suspects: suspects}}, true
 	}
 	return PeerReply{}, false
 }
 
-func (n *Node) callEnded(e CallEnded) {
-	p, ok := n.take(e.ID)
+func (n *Node) handleCallEnded(e CallEnded) {
+	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
 	}
@@ -81,7 +81,7 @@
 		if answered {
 			reply = *e.Reply.Member
 		}
-		n.memberEffects(n.member.CallDone(n.now, p.id, reply, answered))
+		n.emitMemberEffects(n.member.CallDone(n.now, p.id, reply, answered))
 		n.noticeRevision()
 	case ownerTokens:
 		n.asked(p.subject, p.id, e.Reply.Transfer, e.OK)
--- a/node/node.go
+++ b/node/node.go
@@ -36,7 +36,7 @@
 	effects []Effect
 
 	lastEffect  uint64
-	pending     map[uint64]pending
+	pending     map[uint64]pendingEffect
 	lastAttempt uint64
 	lastTxn     uint64
 
@@ -66,7 +66,7 @@
 	leavers map[string]time.Duration
 	// ejected are the servers by service that operators heard of.
 	ejected      map[string]map[string]bool
-	refused      refusals
+	refused      rateRefusalCounts
 	fares        fares
 	unadvertised unadvertised
 }
@@ -92,7 +92,7 @@
 		collector:  health.NewCollector(s.Health),
 		picker:     balance.NewPicker(s.Balance, rng),
 		budgets:    map[string]*retry.Budget{},
-		pending:    map[uint64]pending{},
+		pending:    map[uint64]pendingEffect{},
 		requests:   map[string]*request{},
 		attempts:   map[string]*attempt{},
 		shards:     newShards(s.Shards),
@@ -100,7 +100,7 @@
 		doubts:     map[string]doubt{},
 		leavers:    map[string]time.Duration{},
 		ejected:    map[string]map[string]bool{},
-		refused:    refusals{},
+		refused:    rateRefusalCounts{},
 		fares:      newFares(),
 	}
 }
@@ -131,9 +131,9 @@
 	case LocateAsked:
 		n.locate(e)
 	case CallEnded:
-		n.callEnded(e)
+		n.handleCallEnded(e)
 	case Called:
-		n.called(e)
+		n.handleCall(e)
 	case TableRead:
 		n.tableRead(e)
 	case TableWritten:
@@ -150,20 +150,20 @@
 // NextWake returns the time at which Step with Wake has something to do. Ask
 // again after every step.
 func (n *Node) NextWake() time.Duration {
-	next := min(n.member.NextWake(), n.housekeep, n.shards.next, n.shards.wakeWriter())
-	if at, ok := n.timers.first(); ok {
+	next := min(n.member.NextWake(), n.housekeep, n.shards.nextGrantCheck, n.shards.nextWrite())
+	if at, ok := n.timers.nextTime(); ok {
 		next = min(next, at)
 	}
 	return next
 }
 
 func (n *Node) wake() {
-	n.memberEffects(n.member.Tick(n.now))
+	n.emitMemberEffects(n.member.Tick(n.now))
 	n.noticeRevision()
 	n.runTimers()
-	n.settleShards()
-	if n.now >= n.shards.wakeWriter() {
-		n.planShards()
+	n.applyPendingGrants()
+	if n.now >= n.shards.nextWrite() {
+		n.writeStaleShard()
 	}
 	if n.now >= n.housekeep {
 		n.housekeep = n.now + n.settings.HousekeepEvery
@@ -172,23 +172,23 @@
 }
 
 func (n *Node) keepHouse() {
-	n.reportHealth()
-	n.collect()
-	n.endUnadvertised()
-	n.planShards()
+	n.sendHealthReports()
+	n.runCollector()
+	n.readvertiseInstances()
+	n.writeStaleShard()
 	n.lookForOldClaims()
 	n.lookForAbandonedClaims()
 	if n.now >= n.forgetAt {
 		n.forgetAt = n.now + time.Minute
 		n.holder.EvictIdle(n.now)
-		n.forgetLeavers()
+		n.expireLeaving()
 		n.forgetDoubts()
 		n.fares.forget(n.now)
 	}
 }
 
 func (n *Node) tableRead(e TableRead) {
-	p, ok := n.take(e.ID)
+	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
 	}
@@ -196,18 +196,18 @@
 		n.claimRead(p, e)
 		return
 	}
-	n.memberEffects(n.member.ReadDone(n.now, p.id, e.Changes, e.OK))
+	n.emitMemberEffects(n.member.ReadDone(n.now, p.id, e.Changes, e.OK))
 	n.noticeRevision()
 }
 
 func (n *Node) tableWritten(e TableWritten) {
-	p, ok := n.take(e.ID)
+	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
 	}
 	switch p.owner {
 	case ownerMember:
-		n.memberEffects(n.member.WriteDone(n.now, p.id, e.Result))
+		n.emitMemberEffects(n.member.WriteDone(n.now, p.id, e.Result))
 	case ownerShard:
 		n.shardWritten(p.subject, e.Result)
 	case ownerClaim:
@@ -220,11 +220,11 @@
 }
 
 func (n *Node) instancesRead(e InstancesRead) {
-	p, ok := n.take(e.ID)
+	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
 	}
-	n.memberEffects(n.member.InstancesDone(n.now, p.id, e.Changes, e.OK))
+	n.emitMemberEffects(n.member.InstancesDone(n.now, p.id, e.Changes, e.OK))
 	n.noticeRevision()
 }
 
@@ -233,18 +233,18 @@
 func (n *Node) noticeRevision() {
 	if list := n.member.Directory().Version(); list != n.seenList {
 		n.seenList = list
-		n.rankShards()
+		n.rankShardWriters()
 		n.collector.SetFleetSize(len(n.member.Directory().Entries()), len(n.member.Directory().DataCentres()))
-		n.noticeServers()
+		n.updateServers()
 	}
 	if n.replica.Revision() == n.seen {
 		return
 	}
 	n.seen = n.replica.Revision()
 	n.refreshShards()
-	n.noticePermits()
-	n.noticeUnadvertised()
-	n.noticeServers()
+	n.reportEjectionChanges()
+	n.refreshUnadvertised()
+	n.updateServers()
 }
 
 func (n *Node) noticeState() {
@@ -267,5 +267,5 @@
 		return
 	}
 	n.leaving = true
-	n.memberEffects(n.member.Leave(n.now))
+	n.emitMemberEffects(n.member.Leave(n.now))
 }
--- a/node/operations.go
+++ b/node/operations.go
@@ -37,7 +37,7 @@
 	d := n.minter.Begin(n.now, r.workspace.Name, key, r.arrived.Digest)
 	if d.Verdict == claim.Run {
 		r.operation = &operation{key: key}
-		n.takeTokens(r)
+		n.acquireTokens(r)
 		return
 	}
 	n.answerRepeat(r, d)
--- a/node/request.go
+++ b/node/request.go
@@ -54,7 +54,7 @@
 	}
 	n.requests[e.Request] = r
 	if r.idempotent || e.Operation == "" {
-		n.takeTokens(r)
+		n.acquireTokens(r)
 		return
 	}
 	n.beginOperation(r)
@@ -112,7 +112,7 @@
 		n.refuse(r, rule, 0)
 		return
 	}
-	n.takeTokens(r)
+	n.acquireTokens(r)
 }
 
 // identify finds the workspace of a key.
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -314,19 +314,19 @@
 			}
 		})
 	}
-	part("servers", func() { n.servers(r) })
-	part("noticePermits", n.noticePermits)
-	part("collect", n.collect)
-	part("reportHealth", n.reportHealth)
-	part("planShards", n.planShards)
+	part("servers", func() { n.serverView(r) })
+	part("noticePermits", n.reportEjectionChanges)
+	part("collect", n.runCollector)
+	part("reportHealth", n.sendHealthReports)
+	part("planShards", n.writeStaleShard)
 	part("refreshShards", n.refreshShards)
 	n.shards.line["0"] = 0
 	part("indexLimits,writer", n.indexLimits)
 	part("planShards,writer", func() {
-		n.planShards()
+		n.writeStaleShard()
 		n.shards.writing = false
 	})
-	part("rankShards", n.rankShards)
+	part("rankShards", n.rankShardWriters)
 	part("holderForget", func() { n.holder.EvictIdle(n.now) })
 }
 
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -20,8 +20,8 @@
 	key   = "fsk_a"
 )
 
-// ready returns a fleet with one service, one workspace and settled parts.
-func ready(seed uint64, entries, servers int) *fleet {
+// newSettledFleet returns a fleet with one service, one workspace and settled parts.
+func newSettledFleet(seed uint64, entries, servers int) *fleet {
 	f := newFleet(seed, entries, servers)
 	f.configure()
 	f.run(12 * time.Second)
@@ -46,10 +46,10 @@
 }
 
 func TestServesWhenSettled(t *testing.T) {
-	f := ready(1, 5, 3)
+	f := newSettledFleet(1, 5, 3)
 	ids := map[string]string{}
 	for _, name := range f.names {
-		ids[name] = f.arrive(name, key, get())
+		ids[name] = f.sendRequest(name, key, get())
 	}
 	f.run(time.Second)
 	for name, id := range ids {
@@ -60,9 +60,9 @@
 // A workspace is over its rate. The status shows what is left here, and that it
 // fills again.
 func TestStatusShowsTokens(t *testing.T) {
-	f := ready(12, 1, 3)
+	f := newSettledFleet(12, 1, 3)
 	for range 3 * int(burst) {
-		f.arrive(f.names[0], key, get())
+		f.sendRequest(f.names[0], key, get())
 	}
 	n := f.nodes[f.names[0]]
 	empty := n.node.Status(n.local(f.now)).RateRefusals
@@ -78,7 +78,7 @@
 // three seconds nobody serves it any more, whoever is cut off or frozen.
 func TestWithdrawnKeyStops(t *testing.T) {
 	for seed := range uint64(20) {
-		f := ready(seed, 5, 3)
+		f := newSettledFleet(seed, 5, 3)
 		f.split(f.names[seed%5], seed%2 == 0, seed%3 == 0, 20*time.Second)
 		f.freeze(f.names[(seed+1)%5])
 		f.at(time.Duration(seed)*500*time.Millisecond, func() { f.thaw(f.names[(seed+1)%5]) })
@@ -96,13 +96,13 @@
 // timeout of a minute. The server then breaks off. The lookup is not sent to
 // another server under the key that was withdrawn long before.
 func TestWithdrawnKeyIsNotRetried(t *testing.T) {
-	f := ready(7, 3, 3)
+	f := newSettledFleet(7, 3, 3)
 	f.write(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(time.Minute), Routes: []config.Route{{Prefix: "/orders/"}}})
 	for _, s := range f.servers {
 		s.mode, s.latency = "half", 20*time.Second
 	}
 	f.run(3 * time.Second)
-	id := f.arrive(f.names[0], key, get())
+	id := f.sendRequest(f.names[0], key, get())
 	f.run(10 * time.Millisecond)
 	f.drop(config.KeyPrefix + config.HashKey(key).String())
 	sent := len(f.executed)
@@ -117,14 +117,14 @@
 // accepted configuration, confirmed by the witnesses, and orders can still be
 // placed by the advised way.
 func TestPlatformAwayForHours(t *testing.T) {
-	f := ready(3, 5, 3)
-	f.tableAway = true
+	f := newSettledFleet(3, 5, 3)
+	f.platformDown = true
 	for range 3 {
 		f.run(time.Hour)
 		for _, name := range f.names {
 			must.Eq(t, membership.ConfirmedByWitnesses, f.nodes[name].node.member.Confirmation(f.nodes[name].local(f.now)).State)
 			operation := f.operationKey(name, key)
-			id := f.arrive(f.names[0], key, post(operation))
+			id := f.sendRequest(f.names[0], key, post(operation))
 			f.run(time.Second)
 			must.Eq(t, "served", f.answers[id].outcome, must.Sprint(f.answers[id]))
 		}
@@ -135,15 +135,15 @@
 // and the list from a seed, is confirmed by witnesses, and serves; one whose
 // seeds are all gone refuses as not run rather than serve on nothing.
 func TestStartWhilePlatformIsAway(t *testing.T) {
-	f := ready(6, 5, 3)
-	f.tableAway = true
+	f := newSettledFleet(6, 5, 3)
+	f.platformDown = true
 	f.run(10 * time.Second)
 	f.seeds = []string{"gone", f.names[2]}
 	f.start("late", 1)
 	f.seeds = []string{"gone"}
 	f.start("lost", 2)
 	f.run(3 * time.Second)
-	served, refused := f.arrive("late", key, get()), f.arrive("lost", key, get())
+	served, refused := f.sendRequest("late", key, get()), f.sendRequest("lost", key, get())
 	f.run(time.Second)
 	must.Eq(t, "served", f.answers[served].outcome, must.Sprint(f.answers[served]))
 	must.Eq(t, "not-run", f.answers[refused].outcome)
@@ -155,16 +155,16 @@
 // a lookup goes out.
 func TestHedgeNeedsAHeldBody(t *testing.T) {
 	for held, executions := range map[bool]int{false: 1, true: 2} {
-		f := ready(10, 3, 3)
+		f := newSettledFleet(10, 3, 3)
 		for range 40 { // teaches the instance how long answers take
-			f.arrive(f.names[0], key, get())
+			f.sendRequest(f.names[0], key, get())
 			f.run(60 * time.Millisecond)
 		}
 		for _, s := range f.servers {
 			s.latency = 1500 * time.Millisecond
 		}
 		before := len(f.executed)
-		f.arrive(f.names[0], key, RequestArrived{Method: http.MethodPut, Path: "/orders/1", Held: held})
+		f.sendRequest(f.names[0], key, RequestArrived{Method: http.MethodPut, Path: "/orders/1", Held: held})
 		f.run(2 * time.Second)
 		must.Eq(t, executions, len(f.executed)-before, must.Sprint("held ", held))
 	}
@@ -174,7 +174,7 @@
 // several workspaces meet failures there and nowhere else. The others stop
 // naming it, eject no server for it, and name it again later.
 func TestInstanceWithBadNetworkIsNotNamed(t *testing.T) {
-	f := ready(11, 5, 4)
+	f := newSettledFleet(11, 5, 4)
 	keys := []string{key, "fsk_b", "fsk_c", "fsk_d"}
 	for _, k := range keys[1:] {
 		f.write(config.WorkspacePrefix+k, config.Workspace{Plan: "p"})
@@ -191,7 +191,7 @@
 	f.run(5 * time.Second)
 	must.True(t, named())
 	for i := 0; named() && i < 2000; i++ {
-		f.arrive(f.names[i%5], keys[i%4], get())
+		f.sendRequest(f.names[i%5], keys[i%4], get())
 		f.run(20 * time.Millisecond)
 	}
 	must.False(t, named())
@@ -203,15 +203,15 @@
 // A backend server sends half answers from one moment on. The instance that has
 // it ejected says how long that took since the first one reported.
 func TestDetectionIsTimed(t *testing.T) {
-	f := ready(13, 5, 4)
+	f := newSettledFleet(13, 5, 4)
 	for i := range 50 {
-		f.arrive(f.names[i%5], key, get())
+		f.sendRequest(f.names[i%5], key, get())
 		f.run(60 * time.Millisecond)
 	}
 	f.servers["s0"].mode = "half"
 	began := f.now
 	for i := 0; len(f.noted) == 0 && i < 1000; i++ {
-		f.arrive(f.names[i%5], key, get())
+		f.sendRequest(f.names[i%5], key, get())
 		f.run(60 * time.Millisecond)
 	}
 	must.Len(t, 1, f.noted)
@@ -222,10 +222,10 @@
 // A backend server drains, and the platform's list doesn't show it. It refuses
 // as not run; the requests go elsewhere, and each instance tries it once only.
 func TestServerThatLeavesIsLeftAlone(t *testing.T) {
-	f := ready(8, 3, 4)
+	f := newSettledFleet(8, 3, 4)
 	f.servers["s0"].mode = "leaving"
 	for i := range 200 {
-		id := f.arrive(f.names[i%3], key, post(""))
+		id := f.sendRequest(f.names[i%3], key, post(""))
 		f.run(60 * time.Millisecond)
 		must.Eq(t, "served", f.answers[id].outcome)
 	}
@@ -238,7 +238,7 @@
 	f := newFleet(9, 3, 3)
 	f.configure()
 	f.run(1500 * time.Millisecond)
-	id := f.arrive(f.names[0], key, get())
+	id := f.sendRequest(f.names[0], key, get())
 	f.run(time.Second)
 	must.Eq(t, "peer-unreachable", f.answers[id].rule)
 	must.Eq(t, "not-run", f.answers[id].outcome)
@@ -247,12 +247,12 @@
 // A holder of parts is killed while its workspace uses half of its rate.
 // Refusals inside the rate end when the parts have moved.
 func TestKilledHolder(t *testing.T) {
-	f := ready(4, 5, 3)
+	f := newSettledFleet(4, 5, 3)
 	f.kill(f.names[0])
 	f.run(15 * time.Second)
 	refused := 0
 	for i := range 100 {
-		id := f.arrive(f.names[1+i%4], key, get())
+		id := f.sendRequest(f.names[1+i%4], key, get())
 		f.run(time.Duration(math.Round(2 * float64(time.Second) / rate)))
 		if f.answers[id].outcome != "served" {
 			refused++
--- a/node/servers.go
+++ b/node/servers.go
@@ -12,9 +12,9 @@
 	"foxtailspoke/storage"
 )
 
-// servers returns this instance's view of a service for one request: its
-// subset of the backend servers, with their weights.
-func (n *Node) servers(r *request) []balance.Server {
+// serverView returns this instance's view of a service for one request: its
+// subset of the backend serverView, with their weights.
+func (n *Node) serverView(r *request) []balance.Server {
 	service := r.service
 	listed := n.member.Directory().Servers(service.Name)
 	ids := make([]string, len(listed))
@@ -49,14 +49,14 @@
 // platform's list says so as well by then, or the server has stayed after all.
 const leaverMemory = time.Minute
 
-// noteLeaver keeps new requests from a server that said that it leaves. The
+// markLeaving keeps new requests from a server that said that it leaves. The
 // platform's list may lag by minutes; every request in between would cost an
 // attempt that is refused.
-func (n *Node) noteLeaver(server string) {
+func (n *Node) markLeaving(server string) {
 	n.leavers[server] = n.now + leaverMemory
 }
 
-func (n *Node) forgetLeavers() {
+func (n *Node) expireLeaving() {
 	for server, until := range n.leavers {
 		if n.now >= until {
 			delete(n.leavers, server)
@@ -75,10 +75,10 @@
 	}
 }
 
-// others counts the servers that the request may still be sent to, and says
+// untriedServers counts the servers that the request may still be sent to, and says
 // whether one of them has a free slot as far as this instance knows.
-func (n *Node) others(r *request) (count int, room bool) {
-	for _, s := range n.servers(r) {
+func (n *Node) untriedServers(r *request) (count int, room bool) {
+	for _, s := range n.serverView(r) {
 		if s.Leaving || s.Ejected || slices.Contains(r.tried, s.ID) {
 			continue
 		}
@@ -92,9 +92,9 @@
 	return slices.ContainsFunc(p.Ejected, func(e config.Ejection) bool { return e.Server == server })
 }
 
-// noticeServers tells health and balance which servers there are, for the
+// updateServers tells health and balance which servers there are, for the
 // services that this instance was asked for.
-func (n *Node) noticeServers() {
+func (n *Node) updateServers() {
 	for _, service := range sortedKeys(n.budgets) {
 		permits := n.replica.Permits(service)
 		var all, inUse []string
@@ -109,28 +109,28 @@
 	}
 }
 
-// reportHealth sends what this instance saw to the services' collectors.
-func (n *Node) reportHealth() {
+// sendHealthReports sends what this instance saw to the services' collectors.
+func (n *Node) sendHealthReports() {
 	for _, report := range n.observer.DueReports(n.now) {
 		collector := n.member.Directory().Collector(report.Service)
 		switch collector {
 		case "":
 		case n.settings.Self.ID:
 			suspects := n.collector.Accept(n.now, collector, report)
-			n.judgeReporter(collector, report.Service)
+			n.unadvertiseFaultyReporter(collector, report.Service)
 			n.noteDoubts(report)
 			n.observer.ApplyAdvice(n.now, report.Service, suspects)
 		default:
-			p := pending{owner: ownerReport, subject: report.Service}
-			n.emit(n.own(p, effect.Call{To: collector, Request: PeerRequest{Report: &report}}))
+			p := pendingEffect{owner: ownerReport, subject: report.Service}
+			n.emit(n.trackEffect(p, effect.Call{To: collector, Request: PeerRequest{Report: &report}}))
 		}
 	}
 }
 
-// collect proposes ejections for the services that this instance collects
+// runCollector proposes ejections for the services that this instance collects
 // for, and probes the ejected backend servers. While the platform is away the
 // permits stay as they are.
-func (n *Node) collect() {
+func (n *Node) runCollector() {
 	for _, service := range n.replica.Services() {
 		if n.member.Directory().Collector(service) != n.settings.Self.ID || n.leaving {
 			continue
@@ -162,8 +162,8 @@
 		panic(err)
 	}
 	n.permitting[service] = proposed(n.replica.Permits(service), proposal.Permits)
-	p := pending{owner: ownerPermits, subject: service}
-	n.emit(n.own(p, effect.WriteTable{Txn: n.txn(config.PermitPrefix+service, value)}))
+	p := pendingEffect{owner: ownerPermits, subject: service}
+	n.emit(n.trackEffect(p, effect.WriteTable{Txn: n.txn(config.PermitPrefix+service, value)}))
 }
 
 func (n *Node) probe(service string) {
@@ -177,9 +177,9 @@
 	}
 }
 
-// noticePermits tells operators which backend servers were ejected or came
+// reportEjectionChanges tells operators which backend servers were ejected or came
 // back.
-func (n *Node) noticePermits() {
+func (n *Node) reportEjectionChanges() {
 	for _, service := range n.replica.Services() {
 		now := map[string]bool{}
 		for _, e := range n.replica.Permits(service).Ejected {
--- a/node/shards.go
+++ b/node/shards.go
@@ -36,8 +36,8 @@
 	// be one to send.
 	writeAt time.Duration
 	more    bool
-	// next is when to look again at the entries that aren't in force.
-	next time.Duration
+	// nextGrantCheck is when to look again at the entries that aren't in force.
+	nextGrantCheck time.Duration
 }
 
 // seenRow is a shard's row as this instance knows it.
@@ -69,7 +69,7 @@
 		limits:   map[string][]config.Limit{},
 		wantedAt: map[string]time.Duration{},
 		right:    map[string]basis{},
-		next:     never,
+		nextGrantCheck:     never,
 	}
 	for i := range count {
 		s.names = append(s.names, itoa(uint64(i)))
@@ -77,9 +77,9 @@
 	return s
 }
 
-// wakeWriter returns when to look for the next row to write, after one that
+// nextWrite returns when to look for the next row to write, after one that
 // was written.
-func (s *shards) wakeWriter() time.Duration {
+func (s *shards) nextWrite() time.Duration {
 	if s.writing || !s.more {
 		return never
 	}
@@ -115,7 +115,7 @@
 		n.shards.held[name] = held
 	}
 	held.revision = row.Revision
-	n.memberEffects(n.member.Require(n.now, row.Revision))
+	n.emitMemberEffects(n.member.Require(n.now, row.Revision))
 	n.settleShard(name, held, n.freshUntil)
 }
 
@@ -150,18 +150,18 @@
 	pending := quota.EntryRevisions(row, n.settings.Self.ID)
 	held.waiting = len(grants) < len(pending)
 	if held.waiting {
-		n.shards.next = min(n.shards.next, n.now+settleEvery)
+		n.shards.nextGrantCheck = min(n.shards.nextGrantCheck, n.now+settleEvery)
 	}
 	if len(pending) == 0 {
 		delete(n.shards.held, name)
 	}
 }
 
-func (n *Node) settleShards() {
-	if n.now < n.shards.next {
+func (n *Node) applyPendingGrants() {
+	if n.now < n.shards.nextGrantCheck {
 		return
 	}
-	n.shards.next = never
+	n.shards.nextGrantCheck = never
 	for _, name := range n.shards.names {
 		if held := n.shards.held[name]; held != nil && held.waiting {
 			n.settleShard(name, held, n.now)
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/storage"
 )
 
-// rankShards finds the shards that this instance is in line for.
-func (n *Node) rankShards() {
+// rankShardWriters finds the shards that this instance is in line for.
+func (n *Node) rankShardWriters() {
 	n.shards.limited = 0
 	clear(n.shards.line)
 	entries := n.member.Directory().Entries()
@@ -44,8 +44,8 @@
 	return before, listed
 }
 
-// planShards writes at most one row that should be different.
-func (n *Node) planShards() {
+// writeStaleShard writes at most one row that should be different.
+func (n *Node) writeStaleShard() {
 	if n.member.Confirmation(n.now).State != membership.ConfirmedByTable || n.shards.writing || n.now < n.shards.writeAt {
 		return
 	}
@@ -102,8 +102,8 @@
 		panic(err)
 	}
 	n.shards.writing = true
-	p := pending{owner: ownerShard, subject: name}
-	n.emit(n.own(p, effect.WriteTable{Txn: n.txn(shardKey(name), value)}))
+	p := pendingEffect{owner: ownerShard, subject: name}
+	n.emit(n.trackEffect(p, effect.WriteTable{Txn: n.txn(shardKey(name), value)}))
 	return true
 }
 
@@ -119,7 +119,7 @@
 	n.shards.more = true
 	delete(n.shards.wantedAt, name)
 	n.emit(Noted{Note: NoteShardWritten, Subject: name})
-	n.memberEffects(n.member.Require(n.now, r.Revisions[storage.Control]))
+	n.emitMemberEffects(n.member.Require(n.now, r.Revisions[storage.Control]))
 }
 
 // candidates lists the instances that may hold parts.
--- a/node/status.go
+++ b/node/status.go
@@ -66,9 +66,9 @@
 // maxRefusals bounds the workspaces whose refusals are counted.
 const maxRefusals = 1000
 
-type refusals map[quota.Bucket]uint64
+type rateRefusalCounts map[quota.Bucket]uint64
 
-func (r refusals) count(record decision.Record) {
+func (r rateRefusalCounts) count(record decision.Record) {
 	if record.Rule != decision.RuleOverRate {
 		return
 	}
@@ -101,7 +101,7 @@
 
 func (n *Node) serviceStatus(name string) ServiceStatus {
 	definition, _ := n.replica.Service(name)
-	view := n.servers(&request{service: definition})
+	view := n.serverView(&request{service: definition})
 	s := ServiceStatus{
 		Service: definition,
 		Servers: len(n.member.Directory().Servers(name)),
@@ -143,7 +143,7 @@
 func (n *Node) Require(now time.Duration, revision storage.Revision) []Effect {
 	n.now = max(n.now, now)
 	n.effects = n.effects[:0]
-	n.memberEffects(n.member.Require(n.now, revision))
+	n.emitMemberEffects(n.member.Require(n.now, revision))
 	return n.effects
 }
 
--- a/node/timers.go
+++ b/node/timers.go
@@ -23,7 +23,7 @@
 	heap.Push(&t.list, timer{at: at, number: t.made, do: do})
 }
 
-func (t *timers) first() (time.Duration, bool) {
+func (t *timers) nextTime() (time.Duration, bool) {
 	if len(t.list) == 0 {
 		return 0, false
 	}
@@ -32,7 +32,7 @@
 
 // popDue removes and returns the first thing to do whose time has come.
 func (t *timers) popDue(now time.Duration) (func(), bool) {
-	if at, ok := t.first(); !ok || at > now {
+	if at, ok := t.nextTime(); !ok || at > now {
 		return nil, false
 	}
 	return heap.Pop(&t.list).(timer).do, true
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -11,9 +11,9 @@
 	"foxtailspoke/storage"
 )
 
-// takeTokens counts the request against its workspace's limit, out of this
+// acquireTokens counts the request against its workspace's limit, out of this
 // instance's own parts or by asking the other holders.
-func (n *Node) takeTokens(r *request) {
+func (n *Node) acquireTokens(r *request) {
 	r.search = quota.NewSearch(r.bucket(), quota.Token)
 	n.searchTokens(r)
 }
@@ -36,8 +36,8 @@
 // ask asks a holder for tokens, for a request or, without one, to even out
 // the holders' levels.
 func (n *Node) ask(to string, a quota.Ask, request string) {
-	p := pending{owner: ownerTokens, id: a.ID, subject: request}
-	n.emit(n.own(p, effect.Call{To: to, Request: PeerRequest{Ask: &a}}))
+	p := pendingEffect{owner: ownerTokens, id: a.ID, subject: request}
+	n.emit(n.trackEffect(p, effect.Call{To: to, Request: PeerRequest{Ask: &a}}))
 }
 
 func (n *Node) balanceTokens(row config.Shard, b quota.Bucket, l config.Limit) {
@@ -50,7 +50,7 @@
 // their answer.
 func (n *Node) settleTokens() {
 	for _, s := range n.holder.DrainSettlements() {
-		n.emit(n.own(pending{owner: ownerSettlement}, effect.Call{To: s.To, Request: PeerRequest{Settlement: &s}}))
+		n.emit(n.trackEffect(pendingEffect{owner: ownerSettlement}, effect.Call{To: s.To, Request: PeerRequest{Settlement: &s}}))
 	}
 }
 
--- a/node/unadvertised.go
+++ b/node/unadvertised.go
@@ -35,7 +35,7 @@
 	writing bool
 }
 
-func (n *Node) noticeUnadvertised() {
+func (n *Node) refreshUnadvertised() {
 	row, _ := n.replica.Row(config.UnadvertisedKey)
 	if uint64(row.Revision) == n.unadvertised.revision {
 		return
@@ -54,9 +54,9 @@
 	n.unadvertised.since = since
 }
 
-// judgeReporter looks whether the instance that sent a report is alone with
+// unadvertiseFaultyReporter looks whether the instance that sent a report is alone with
 // its failures.
-func (n *Node) judgeReporter(from, service string) {
+func (n *Node) unadvertiseFaultyReporter(from, service string) {
 	u := &n.unadvertised
 	bound := max(1, len(n.member.Directory().Entries())/unadvertisedShare)
 	if len(u.instances) >= bound || slices.Contains(u.instances, from) || !n.collector.ReporterAtFault(n.now, from, service) {
@@ -65,9 +65,9 @@
 	n.writeUnadvertised(append(slices.Clone(u.instances), from))
 }
 
-// endUnadvertised lets callers be told again of the instances whose time is
+// readvertiseInstances lets callers be told again of the instances whose time is
 // over, and forgets those that have ended.
-func (n *Node) endUnadvertised() {
+func (n *Node) readvertiseInstances() {
 	u := &n.unadvertised
 	if len(u.instances) == 0 || n.member.Directory().Collector(unadvertisedRole) != n.settings.Self.ID {
 		return
@@ -90,6 +90,6 @@
 		panic(err)
 	}
 	n.unadvertised.writing = true
-	p := pending{owner: ownerUnadvertised}
-	n.emit(n.own(p, effect.WriteTable{Txn: n.txn(config.UnadvertisedKey, value)}))
+	p := pendingEffect{owner: ownerUnadvertised}
+	n.emit(n.trackEffect(p, effect.WriteTable{Txn: n.txn(config.UnadvertisedKey, value)}))
 }
