--- a/membership/member_test.go
+++ b/membership/member_test.go
@@ -206,7 +206,7 @@
 // because the list of witnesses that must know it comes with it.
 func TestRequireReadsTableBeforeAskingWitnesses(t *testing.T) {
 	m, _ := newMember(members("b", "c", "d"))
-	m.prove(&m.byTable, 100*ms)
+	m.recordProof(&m.byTable, 100*ms)
 	effects := m.Require(100*ms, 11)
 	must.MapNotContainsKey(t, callsTo(effects, false), "b")
 	var read effect.ReadTable
--- a/node/status.go
+++ b/node/status.go
@@ -69,7 +69,7 @@
 type rateRefusalCounts map[quota.Bucket]uint64
 
 func (r rateRefusalCounts) count(record decision.Record) {
-	if record.Rule != decision.RuleOverRate {
+	if record.Rule != decision.RuleRateExceeded {
 		return
 	}
 	b := quota.Bucket{Workspace: record.Workspace, Service: record.Service}
