--- a/membership/rank_test.go
+++ b/membership/rank_test.go
@@ -11,17 +11,17 @@
 	"foxtailspoke/storage"
 )
 
-// A role must not move when somebody else comes or goes: an id that is
-// removed may only hand over what it held itself.
-func TestRankMovesOnlyWhatTheRemovedHeld(t *testing.T) {
+// Removing an id must not change the order of the others, so that only the roles
+// of the removed instance move.
+func TestRankKeepsOrderWhenIDRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 20, rapid.ID).Draw(t, "ids")
 		key := rapid.String().Draw(t, "key")
-		gone := rapid.SampledFrom(ids).Draw(t, "gone")
+		removed := rapid.SampledFrom(ids).Draw(t, "removed")
 		ranked := Rank(key, ids)
 		must.Eq(t, ranked[0], TopRanked(key, ids))
-		must.Eq(t, slices.Index(ranked, gone), position(key, gone, ids))
-		must.Eq(t, remove(ranked, gone), Rank(key, remove(ids, gone)))
+		must.Eq(t, slices.Index(ranked, removed), position(key, removed, ids))
+		must.Eq(t, remove(ranked, removed), Rank(key, remove(ids, removed)))
 	})
 }
 
@@ -50,7 +50,7 @@
 	must.MapLen(t, 4, centres)
 	must.Len(t, 400, d.HolderCandidates("shard", 1000))
 
-	// A caller that is older than the last full list gets a full one.
+	// A caller whose version is older than the last full list gets a full list.
 	must.True(t, d.apply(storage.InstanceChanges{Version: 2, Changed: []storage.Instance{
 		{ID: "i0000", Kind: storage.Entry, DataCentre: "dc0", State: storage.Leaving},
 		{ID: "b", Kind: storage.BackendServer, Service: "s", State: storage.Leaving},
@@ -62,7 +62,8 @@
 	must.True(t, d.changesSince(0).Full)
 	must.Len(t, 401, d.changesSince(0).Changed)
 
-	// Too many ended ones: the oldest go, and whoever lacks that gets all.
+	// When too many ended instances are remembered, the oldest are dropped, and
+	// callers older than those get the full list.
 	for version, n := range []int{3: 600, 4: 500} {
 		ended := entryInstances(n, 1)
 		for i := range ended {
--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -81,7 +81,7 @@
 		}
 	}
 	f.after(hop, func() {
-		if f.tableAway || !f.open(i.name, "table") {
+		if f.platformDown || !f.open(i.name, "table") {
 			return
 		}
 		e := do()
--- a/node/lost_bench_test.go
+++ b/node/lost_bench_test.go
@@ -37,7 +37,7 @@
 	for i := range 600 {
 		f.putRow(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: "p"})
 	}
-	f.putRow(config.ListsKey, config.Lists{Version: 1})
+	f.putRow(config.ListsKey, config.ListsVersion{Version: 1})
 	for i := range size {
 		f.startWide(i)
 	}
--- a/node/request.go
+++ b/node/request.go
@@ -54,7 +54,7 @@
 	}
 	n.requests[e.Request] = r
 	if r.idempotent || e.Operation == "" {
-		n.takeTokens(r)
+		n.acquireTokens(r)
 		return
 	}
 	n.beginOperation(r)
@@ -112,7 +112,7 @@
 		n.refuse(r, rule, 0)
 		return
 	}
-	n.takeTokens(r)
+	n.acquireTokens(r)
 }
 
 // authenticate finds the workspace of a key.
@@ -121,7 +121,7 @@
 	f.Revision = uint64(c.Revision)
 	if c.State == membership.CutOff {
 		f.AgeLimit = n.member.Settings().Fresh
-		return decision.RuleCutOff, config.Workspace{}
+		return decision.RuleConfigUnconfirmed, config.Workspace{}
 	}
 	if !has {
 		return decision.RuleNoKey, config.Workspace{}
