--- a/claim/record.go
+++ b/claim/record.go
@@ -38,7 +38,7 @@
 	// Digest of the request, in hex.
 	Digest string `json:"digest"`
 	// Owner is the claimer's incarnation id.
-	Owner    string `json:"by"`
+	Owner string `json:"by"`
 	State State  `json:"state"`
 	// Answer is kept if it is short.
 	Answer *Answer `json:"answer,omitempty"`
--- a/node/operations.go
+++ b/node/operations.go
@@ -69,9 +69,9 @@
 
 // claimDetails tells callers why a key was refused.
 var claimDetails = map[claim.Reason]string{
-	claim.Forged:         "its operation key wasn't made by this system",
+	claim.Forged:            "its operation key wasn't made by this system",
 	claim.WorkspaceMismatch: "its operation key was made for another workspace",
-	claim.Expired:        "its operation key is too old",
+	claim.Expired:           "its operation key is too old",
 	claim.RequestMismatch:   "its operation key was used for a different request before",
 }
 
