--- a/claim/abandoned.go
+++ b/claim/abandoned.go
@@ -13,12 +13,12 @@
 // that arrives later still is taken over or stays unknown.
 func (c *Claimer) ReleaseAbandoned(key string, ch storage.Changes) (storage.Txn, bool) {
 	c.abandoned.remove(key)
-	row, ok := present(ch.Rows, key)
+	row, ok := findRow(ch.Rows, key)
 	if !ok || c.byKey[key] != nil {
 		return storage.Txn{}, false
 	}
-	if _, free := c.notRun.get(row.Attempt); !free {
+	if _, unused := c.notRun.get(row.Attempt); !unused {
 		return storage.Txn{}, false
 	}
-	return c.txn(key, row.Revision, storage.Put{Delete: true}), true
+	return c.newTxn(key, row.Revision, storage.Put{Delete: true}), true
 }
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -32,10 +32,10 @@
 }
 
 const (
-	// maxInserts is how often one insertion is sent.
-	maxInserts = 2
-	// maxFinishes is how often the end of one operation is sent.
-	maxFinishes = 6
+	// maxInsertSends is how often one insertion is sent.
+	maxInsertSends = 2
+	// maxFinishSends is how often the end of one operation is sent.
+	maxFinishSends = 6
 )
 
 // ID names a claim among those of one Claimer.
@@ -53,23 +53,23 @@
 	Read *storage.ReadRequest
 }
 
-func decided(d Decision) Step { return Step{Decision: &d} }
+func decisionStep(d Decision) Step { return Step{Decision: &d} }
 
 // Claimer claims caller-made keys in the claims table.
 type Claimer struct {
-	self     string
-	settings ClaimerSettings
-	last     ID
-	attempts uint64
-	open     map[ID]*claim
-	byKey    map[string]*claim
+	self         string
+	settings     ClaimerSettings
+	lastID       ID
+	attemptCount uint64
+	open         map[ID]*claim
+	byKey        map[string]*claim
 	// notRun has the attempts of this instance that never ran anything. A
 	// row of such an attempt may be taken over.
-	notRun *recent[string, struct{}]
+	notRun *boundedMap[string, struct{}]
 	// abandoned has the row keys that may yet hold such an attempt.
-	abandoned *recent[string, struct{}]
-	// ended has the outcomes whose row still says "started".
-	ended *recent[string, finished]
+	abandoned *boundedMap[string, struct{}]
+	// unrecorded has the outcomes whose row still says "started".
+	unrecorded *boundedMap[string, completion]
 }
 
 // phase is how far a claim has come.
@@ -89,17 +89,17 @@
 	digest Digest
 	phase  phase
 	// cancelled claims aren't run, even if their insertion succeeds.
-	cancelled bool
-	insert    storage.Txn
-	inserts   int
+	cancelled   bool
+	insert      storage.Txn
+	insertSends int
 	// revision of the row that this claim holds.
-	revision storage.Revision
-	finish   storage.Txn
-	finishes int
-	end      finished
+	revision    storage.Revision
+	finish      storage.Txn
+	finishSends int
+	completion  completion
 }
 
-type finished struct {
+type completion struct {
 	digest  Digest
 	outcome Outcome
 	answer  *Answer
@@ -108,13 +108,13 @@
 // NewClaimer returns a claimer without claims. self is the incarnation id.
 func NewClaimer(self string, s ClaimerSettings) *Claimer {
 	return &Claimer{
-		self:      self,
-		settings:  s,
-		open:      map[ID]*claim{},
-		byKey:     map[string]*claim{},
-		notRun:    newRecent[string, struct{}](s.MaxRemembered),
-		abandoned: newRecent[string, struct{}](s.MaxRemembered),
-		ended:     newRecent[string, finished](s.MaxRemembered),
+		self:       self,
+		settings:   s,
+		open:       map[ID]*claim{},
+		byKey:      map[string]*claim{},
+		notRun:     newBoundedMap[string, struct{}](s.MaxRemembered),
+		abandoned:  newBoundedMap[string, struct{}](s.MaxRemembered),
+		unrecorded: newBoundedMap[string, completion](s.MaxRemembered),
 	}
 }
 
@@ -122,33 +122,33 @@
 func (c *Claimer) Begin(workspace, key string, d Digest) (ID, Step) {
 	rowKey := RowKey(workspace, key)
 	if other := c.byKey[rowKey]; other != nil {
-		return 0, decided(c.local(other, d))
+		return 0, decisionStep(c.decideLocal(other, d))
 	}
-	if f, ok := c.ended.get(rowKey); ok {
-		return 0, decided(f.decision(d))
+	if f, ok := c.unrecorded.get(rowKey); ok {
+		return 0, decisionStep(f.decision(d))
 	}
 	if len(c.open) >= c.settings.MaxOpen {
-		return 0, decided(Decision{Verdict: Refused, Reason: CapacityReached})
+		return 0, decisionStep(Decision{Verdict: Refused, Reason: CapacityReached})
 	}
-	c.last++
-	cl := &claim{id: c.last, key: rowKey, digest: d}
+	c.lastID++
+	cl := &claim{id: c.lastID, key: rowKey, digest: d}
 	c.open[cl.id] = cl
 	c.byKey[rowKey] = cl
 	return cl.id, c.sendInsert(cl, 0)
 }
 
-// local decides about a key that this instance is already working on.
-func (c *Claimer) local(cl *claim, d Digest) Decision {
+// decideLocal decides about a key that this instance is already working on.
+func (c *Claimer) decideLocal(cl *claim, d Digest) Decision {
 	if cl.digest != d {
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	}
-	if cl.phase != finishing || cl.end.outcome == NotRun {
+	if cl.phase != finishing || cl.completion.outcome == NotRun {
 		return Decision{Verdict: InProgress, Owner: c.self}
 	}
-	return cl.end.decision(d)
+	return cl.completion.decision(d)
 }
 
-func (f finished) decision(d Digest) Decision {
+func (f completion) decision(d Digest) Decision {
 	switch {
 	case f.digest != d:
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -201,7 +201,7 @@
 		s := DefaultClaimerSettings()
 		s.MaxRemembered = 1
 		w, c := quietTable(), NewClaimer("a", s)
-		c.notRun.bound = 100 // what never ran may be remembered for longer
+		c.notRun.capacity = 100 // what never ran may be remembered for longer
 		for _, key := range []string{"k1", "k2"} {
 			id, step := c.Begin("w", key, Digest{1})
 			c.HandleWriteResult(id, w.commit(*step.Write))
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -14,37 +14,37 @@
 		return Step{}
 	}
 	cl.phase = finishing
-	cl.end = finished{digest: cl.digest, outcome: o, answer: c.short(a)}
+	cl.completion = completion{digest: cl.digest, outcome: o, answer: c.limitAnswer(a)}
 	if o == NotRun {
 		c.notRun.put(cl.insert.Attempt, struct{}{})
 	}
-	cl.finish = c.txn(cl.key, cl.revision, cl.lastPut(c.self))
+	cl.finish = c.newTxn(cl.key, cl.revision, cl.completionPut(c.self))
 	return c.sendFinish(cl, 0)
 }
 
-// short drops an answer that is too long for the row.
-func (c *Claimer) short(a *Answer) *Answer {
+// limitAnswer drops an answer that is too long for the row.
+func (c *Claimer) limitAnswer(a *Answer) *Answer {
 	if a.size() > c.settings.MaxAnswerBytes {
 		return nil
 	}
 	return a
 }
 
-// lastPut is the write that ends a claim.
-func (cl *claim) lastPut(self string) storage.Put {
+// completionPut is the write that ends a claim.
+func (cl *claim) completionPut(self string) storage.Put {
 	r := Record{Digest: cl.digest.String(), Owner: self, State: StateUnknown}
-	switch cl.end.outcome {
+	switch cl.completion.outcome {
 	case NotRun:
 		return storage.Put{Delete: true}
 	case Ran:
 		r.State = StateRan
-		r.Answer = cl.end.answer
+		r.Answer = cl.completion.answer
 	}
 	return storage.Put{Value: r.encode()}
 }
 
 func (c *Claimer) sendFinish(cl *claim, after time.Duration) Step {
-	cl.finishes++
+	cl.finishSends++
 	return Step{Write: &cl.finish, Delay: after}
 }
 
@@ -52,18 +52,18 @@
 // revision, so it can't take effect twice, nor on another claim's row.
 func (c *Claimer) finishWritten(cl *claim, r storage.WriteResult) Step {
 	if r.Outcome != storage.Unknown {
-		c.drop(cl)
+		c.remove(cl)
 		return Step{}
 	}
-	if cl.finishes < maxFinishes {
-		return c.sendFinish(cl, c.settings.FinishRetry<<(cl.finishes-1))
+	if cl.finishSends < maxFinishSends {
+		return c.sendFinish(cl, c.settings.FinishRetry<<(cl.finishSends-1))
 	}
 	// The row keeps saying "started", but this instance knows better.
-	if cl.end.outcome == NotRun {
+	if cl.completion.outcome == NotRun {
 		c.abandoned.put(cl.key, struct{}{})
 	} else {
-		c.ended.put(cl.key, cl.end)
+		c.unrecorded.put(cl.key, cl.completion)
 	}
-	c.drop(cl)
+	c.remove(cl)
 	return Step{}
 }
--- a/claim/insert.go
+++ b/claim/insert.go
@@ -9,7 +9,7 @@
 // sendInsert claims the row, provided that it has the revision: 0 if absent.
 func (c *Claimer) sendInsert(cl *claim, revision storage.Revision) Step {
 	r := Record{Digest: cl.digest.String(), Owner: c.self, State: StateStarted}
-	cl.insert = c.txn(cl.key, revision, storage.Put{Value: r.encode()})
+	cl.insert = c.newTxn(cl.key, revision, storage.Put{Value: r.encode()})
 	return c.repeatInsert(cl)
 }
 
@@ -17,11 +17,11 @@
 // id: whichever of the two took effect is recognised as this claim's own.
 func (c *Claimer) repeatInsert(cl *claim) Step {
 	cl.phase = inserting
-	cl.inserts++
+	cl.insertSends++
 	return Step{Write: &cl.insert}
 }
 
-func (c *Claimer) txn(key string, revision storage.Revision, p storage.Put) storage.Txn {
+func (c *Claimer) newTxn(key string, revision storage.Revision, p storage.Put) storage.Txn {
 	p.Table = storage.Claims
 	p.Key = key
 	return storage.Txn{
@@ -33,8 +33,8 @@
 
 // attemptID returns a new id. Incarnation ids are unique, so is this.
 func (c *Claimer) attemptID() string {
-	c.attempts++
-	return c.self + "/claim/" + strconv.FormatUint(c.attempts, 10)
+	c.attemptCount++
+	return c.self + "/claim/" + strconv.FormatUint(c.attemptCount, 10)
 }
 
 // HandleWriteResult takes the result of a Step's Write.
@@ -50,17 +50,17 @@
 	}
 	switch r.Outcome {
 	case storage.Committed:
-		return c.claimed(cl, r.Revisions[storage.Claims])
+		return c.acquired(cl, r.Revisions[storage.Claims])
 	case storage.Conflict:
-		return c.found(cl, r.Current)
+		return c.resolveRow(cl, r.Current)
 	default:
 		// The row may be ours or not. Running now could be the second run.
 		cl.phase = resolving
-		return c.read(cl)
+		return c.readRow(cl)
 	}
 }
 
-func (c *Claimer) read(cl *claim) Step {
+func (c *Claimer) readRow(cl *claim) Step {
 	return Step{Read: &storage.ReadRequest{Table: storage.Claims, Prefix: cl.key}}
 }
 
@@ -70,7 +70,7 @@
 	if cl == nil || cl.phase != resolving {
 		return Step{}
 	}
-	return c.found(cl, ch.Rows)
+	return c.resolveRow(cl, ch.Rows)
 }
 
 // HandleReadFailure says that a Step's Read failed. The request isn't run. Its
@@ -81,57 +81,57 @@
 	if cl == nil || cl.phase != resolving {
 		return Step{}
 	}
-	return c.giveUp(cl)
+	return c.abandon(cl)
 }
 
-func (c *Claimer) giveUp(cl *claim) Step {
+func (c *Claimer) abandon(cl *claim) Step {
 	c.notRun.put(cl.insert.Attempt, struct{}{})
 	c.abandoned.put(cl.key, struct{}{})
-	return c.over(cl, Decision{Verdict: Refused, Reason: StoreUnavailable})
+	return c.endWithoutRun(cl, Decision{Verdict: Refused, Reason: StoreUnavailable})
 }
 
-// found goes on with what is in the row.
-func (c *Claimer) found(cl *claim, rows []storage.Row) Step {
-	row, ok := present(rows, cl.key)
+// resolveRow goes on with what is in the row.
+func (c *Claimer) resolveRow(cl *claim, rows []storage.Row) Step {
+	row, ok := findRow(rows, cl.key)
 	if !ok {
 		// Absent, but an insertion without answer may still arrive.
-		if cl.inserts >= maxInserts || cl.cancelled {
-			return c.giveUp(cl)
+		if cl.insertSends >= maxInsertSends || cl.cancelled {
+			return c.abandon(cl)
 		}
 		return c.repeatInsert(cl)
 	}
 	if row.Attempt == cl.insert.Attempt {
-		return c.claimed(cl, row.Revision)
+		return c.acquired(cl, row.Revision)
 	}
-	if _, free := c.notRun.get(row.Attempt); free {
+	if _, reusable := c.notRun.get(row.Attempt); reusable {
 		return c.takeOver(cl, row)
 	}
 	// This claim's own insertion lost, or can't take effect any more.
 	c.notRun.put(cl.insert.Attempt, struct{}{})
-	d := judge(row, cl.digest)
+	d := decideFromRow(row, cl.digest)
 	if d.Verdict == InProgress && d.Owner == c.self {
 		// A claim of this instance that it has forgotten.
 		d = Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
-	return c.over(cl, d)
+	return c.endWithoutRun(cl, d)
 }
 
 // takeOver replaces the row of an attempt of this instance that never ran.
 func (c *Claimer) takeOver(cl *claim, row storage.Row) Step {
-	r, err := decode(row)
+	r, err := decodeRecord(row)
 	switch {
 	case err != nil || r.Digest != cl.digest.String():
 		c.notRun.put(cl.insert.Attempt, struct{}{})
-		return c.over(cl, judge(row, cl.digest))
-	case cl.inserts >= maxInserts || cl.cancelled:
-		return c.giveUp(cl)
+		return c.endWithoutRun(cl, decideFromRow(row, cl.digest))
+	case cl.insertSends >= maxInsertSends || cl.cancelled:
+		return c.abandon(cl)
 	default:
 		c.notRun.put(cl.insert.Attempt, struct{}{})
 		return c.sendInsert(cl, row.Revision)
 	}
 }
 
-func present(rows []storage.Row, key string) (storage.Row, bool) {
+func findRow(rows []storage.Row, key string) (storage.Row, bool) {
 	for _, row := range rows {
 		if row.Key == key && !row.Deleted {
 			return row, true
@@ -140,26 +140,26 @@
 	return storage.Row{}, false
 }
 
-// claimed has the row. A cancelled claim gives it back unused.
-func (c *Claimer) claimed(cl *claim, revision storage.Revision) Step {
+// acquired has the row. A cancelled claim gives it back unused.
+func (c *Claimer) acquired(cl *claim, revision storage.Revision) Step {
 	cl.revision = revision
 	cl.phase = running
 	if cl.cancelled {
 		return c.Finish(cl.id, NotRun, nil)
 	}
-	return decided(Decision{Verdict: Run})
+	return decisionStep(Decision{Verdict: Run})
 }
 
-// over ends a claim that wasn't run.
-func (c *Claimer) over(cl *claim, d Decision) Step {
-	c.drop(cl)
+// endWithoutRun ends a claim that wasn't run.
+func (c *Claimer) endWithoutRun(cl *claim, d Decision) Step {
+	c.remove(cl)
 	if cl.cancelled {
 		return Step{}
 	}
-	return decided(d)
+	return decisionStep(d)
 }
 
-func (c *Claimer) drop(cl *claim) {
+func (c *Claimer) remove(cl *claim) {
 	delete(c.open, cl.id)
 	delete(c.byKey, cl.key)
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -46,7 +46,7 @@
 
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-func decode(row storage.Row) (Record, error) {
+func decodeRecord(row storage.Row) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
 		return Record{}, errors.Wrapf(err, "claim row %s", row.Key)
@@ -63,9 +63,9 @@
 	return b
 }
 
-// judge decides about a request whose key another attempt has claimed.
-func judge(row storage.Row, d Digest) Decision {
-	r, err := decode(row)
+// decideFromRow decides about a request whose key another attempt has claimed.
+func decideFromRow(row storage.Row, d Digest) Decision {
+	r, err := decodeRecord(row)
 	switch {
 	case err != nil:
 		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
