--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -174,7 +174,7 @@
 	h := NewRetentionTracker(time.Hour)
 	for at := time.Duration(0); at <= 2*time.Hour; at += time.Minute {
 		h.Observe(at, storage.Revision(at/time.Minute))
-		must.LessEq(t, notesKept+1, len(h.notes))
+		must.LessEq(t, maxSamples+1, len(h.samples))
 		must.LessEq(t, storage.Revision(max(0, at-time.Hour)/time.Minute), h.ExpiredRevision(at))
 	}
 	must.GreaterEq(t, 58, h.ExpiredRevision(2*time.Hour))
--- a/claim/key.go
+++ b/claim/key.go
@@ -69,11 +69,11 @@
 
 // String returns the text form.
 func (k OperationKey) String() string {
-	return k.signed() + "." + k.mac
+	return k.signedPart() + "." + k.mac
 }
 
-// signed is the part of the text that the MAC covers.
-func (k OperationKey) signed() string {
+// signedPart is the part of the text that the MAC covers.
+func (k OperationKey) signedPart() string {
 	return strings.Join([]string{
 		keyVersion,
 		k.Minter,
@@ -85,14 +85,14 @@
 
 // workspaceTag names the workspace in a key without showing its name.
 func workspaceTag(secret []byte, workspace string) string {
-	return sum(secret, "workspace\x00"+workspace, tagLength)
+	return truncatedHMAC(secret, "workspace\x00"+workspace, tagLength)
 }
 
-func keyMAC(secret []byte, signed string) string {
-	return sum(secret, "key\x00"+signed, macLength)
+func keyMAC(secret []byte, signedPart string) string {
+	return truncatedHMAC(secret, "key\x00"+signedPart, macLength)
 }
 
-func sum(secret []byte, text string, length int) string {
+func truncatedHMAC(secret []byte, text string, length int) string {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(text))
 	return hex.EncodeToString(h.Sum(nil)[:length])
--- a/claim/minter.go
+++ b/claim/minter.go
@@ -31,16 +31,16 @@
 
 // Minter makes operation keys and decides about requests that carry them.
 type Minter struct {
-	instance string
-	secret   []byte
-	settings Settings
-	last     uint64
+	instance   string
+	secret     []byte
+	settings   Settings
+	lastNumber uint64
 	// operations are those begun, by number.
 	operations map[uint64]*operation
-	// expiry has the numbers by time of forgetting, oldest first.
-	expiry []expiring
-	// answers has the numbers with a stored answer, oldest first.
-	answers     []uint64
+	// expiryQueue has the numbers by time of forgetting, oldest first.
+	expiryQueue []expiryEntry
+	// answerQueue has the numbers with a stored answer, oldest first.
+	answerQueue []uint64
 	answerBytes int
 }
 
@@ -53,7 +53,7 @@
 	answer  *Answer
 }
 
-type expiring struct {
+type expiryEntry struct {
 	number uint64
 	at     time.Duration
 }
@@ -72,35 +72,35 @@
 // Mint returns a new operation key for a workspace. A key that isn't used
 // costs no memory.
 func (m *Minter) Mint(now time.Duration, workspace string) string {
-	m.last++
+	m.lastNumber++
 	k := OperationKey{
 		Minter:  m.instance,
-		Number:  m.last,
+		Number:  m.lastNumber,
 		Expires: now + m.settings.KeyTime,
 		tag:     workspaceTag(m.secret, workspace),
 	}
-	k.mac = keyMAC(m.secret, k.signed())
+	k.mac = keyMAC(m.secret, k.signedPart())
 	return k.String()
 }
 
 // Begin decides about a request that carries a key of this minter.
 func (m *Minter) Begin(now time.Duration, workspace string, k OperationKey, d Digest) Decision {
-	m.forget(now)
+	m.evictExpired(now)
 	if reason := m.verify(workspace, k); reason != NoReason {
 		// Such a key never ran and never will.
 		return Decision{Verdict: Refused, Reason: reason, NeverRan: reason != MinterMismatch}
 	}
 	if op, ok := m.operations[k.Number]; ok {
-		return m.repeat(now, k, op, d)
+		return m.decideRepeat(now, k, op, d)
 	}
 	if now >= k.Expires {
-		return m.expired(now, k)
+		return m.decideExpired(now, k)
 	}
 	if len(m.operations) >= m.settings.MaxOperations {
 		return Decision{Verdict: Refused, Reason: CapacityReached, NeverRan: true}
 	}
 	m.operations[k.Number] = &operation{digest: d, running: true}
-	m.expiry = append(m.expiry, expiring{number: k.Number, at: k.Expires + m.settings.KeepTime})
+	m.expiryQueue = append(m.expiryQueue, expiryEntry{number: k.Number, at: k.Expires + m.settings.KeepTime})
 	return Decision{Verdict: Run}
 }
 
@@ -109,7 +109,7 @@
 	if k.Minter != m.instance {
 		return MinterMismatch
 	}
-	if !hmac.Equal([]byte(k.mac), []byte(keyMAC(m.secret, k.signed()))) {
+	if !hmac.Equal([]byte(k.mac), []byte(keyMAC(m.secret, k.signedPart()))) {
 		return Forged
 	}
 	if !hmac.Equal([]byte(k.tag), []byte(workspaceTag(m.secret, workspace))) {
@@ -118,8 +118,8 @@
 	return NoReason
 }
 
-// repeat decides about a key whose operation is remembered.
-func (m *Minter) repeat(now time.Duration, k OperationKey, op *operation, d Digest) Decision {
+// decideRepeat decides about a key whose operation is remembered.
+func (m *Minter) decideRepeat(now time.Duration, k OperationKey, op *operation, d Digest) Decision {
 	if op.digest != d {
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
 	}
@@ -143,10 +143,10 @@
 	}
 }
 
-// expired decides about a key that is too old and not remembered. While its
+// decideExpired decides about a key that is too old and not remembered. While its
 // operation would still be remembered, it can't have run. After that nobody
 // knows: "not run" would be false for an operation that was forgotten.
-func (m *Minter) expired(now time.Duration, k OperationKey) Decision {
+func (m *Minter) decideExpired(now time.Duration, k OperationKey) Decision {
 	if now < k.Expires+m.settings.KeepTime {
 		return Decision{Verdict: Refused, Reason: Expired, NeverRan: true}
 	}
@@ -155,7 +155,7 @@
 
 // Finish reports the end of an operation after Run.
 func (m *Minter) Finish(now time.Duration, k OperationKey, o Outcome, a *Answer) {
-	m.forget(now)
+	m.evictExpired(now)
 	op := m.operations[k.Number]
 	if op == nil || !op.running {
 		return
@@ -163,17 +163,17 @@
 	op.running = false
 	op.outcome = o
 	if o == Ran && a != nil {
-		m.store(k.Number, op, a)
+		m.storeAnswer(k.Number, op, a)
 	}
 }
 
-// store keeps an answer and drops the oldest ones beyond the bound.
-func (m *Minter) store(number uint64, op *operation, a *Answer) {
+// storeAnswer keeps an answer and drops the oldest ones beyond the bound.
+func (m *Minter) storeAnswer(number uint64, op *operation, a *Answer) {
 	if a.size() > m.settings.MaxAnswerBytes {
 		return
 	}
 	op.answer = a
-	m.answers = append(m.answers, number)
+	m.answerQueue = append(m.answerQueue, number)
 	m.answerBytes += a.size()
 	for m.answerBytes > m.settings.MaxAnswerBytes {
 		m.dropOldestAnswer()
@@ -181,8 +181,8 @@
 }
 
 func (m *Minter) dropOldestAnswer() {
-	op := m.operations[m.answers[0]]
-	m.answers = m.answers[1:]
+	op := m.operations[m.answerQueue[0]]
+	m.answerQueue = m.answerQueue[1:]
 	if op == nil || op.answer == nil {
 		return
 	}
@@ -190,19 +190,19 @@
 	op.answer = nil
 }
 
-// forget drops the operations whose keys can't run any more, and only these:
+// evictExpired drops the operations whose keys can't run any more, and only these:
 // an operation that is forgotten earlier would run a second time.
-func (m *Minter) forget(now time.Duration) {
-	for len(m.expiry) > 0 && m.expiry[0].at <= now {
-		number := m.expiry[0].number
-		m.expiry = m.expiry[1:]
+func (m *Minter) evictExpired(now time.Duration) {
+	for len(m.expiryQueue) > 0 && m.expiryQueue[0].at <= now {
+		number := m.expiryQueue[0].number
+		m.expiryQueue = m.expiryQueue[1:]
 		if op := m.operations[number]; op != nil {
 			m.answerBytes -= op.answer.size()
 			delete(m.operations, number)
 		}
 	}
-	for len(m.answers) > 0 && m.operations[m.answers[0]] == nil {
-		m.answers = m.answers[1:]
+	for len(m.answerQueue) > 0 && m.operations[m.answerQueue[0]] == nil {
+		m.answerQueue = m.answerQueue[1:]
 	}
 }
 
--- a/claim/minter_test.go
+++ b/claim/minter_test.go
@@ -108,7 +108,7 @@
 	another := parse(t, m.Mint(1, "w"))
 	must.Eq(t, Decision{Verdict: Refused, Reason: CapacityReached, NeverRan: true}, m.Begin(1, "w", another, Digest{}))
 	m.Begin(3*time.Hour, "w", another, Digest{})
-	must.Zero(t, m.OperationCount()+m.answerBytes+len(m.answers)+len(m.expiry))
+	must.Zero(t, m.OperationCount()+m.answerBytes+len(m.answerQueue)+len(m.expiryQueue))
 }
 
 // The minter is gone, or doesn't answer. Nobody else runs its keys.
