--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -12,48 +12,48 @@
 
 var seeds = flag.Int("claim.seeds", 500, "number of seeded histories")
 
-// event is one call on an operation, for the checker of the register.
-type event struct {
+// historyEvent is one call on an operation, for the checker of the register.
+type historyEvent struct {
 	call, end int64
 	input     any
 	verdict   Verdict
 }
 
-// request and finish are the register's operations.
+// requestOperation and finishOperation are the register's operations.
 type (
-	request struct{}
-	finish  struct{ outcome Outcome }
+	requestOperation struct{}
+	finishOperation  struct{ outcome Outcome }
 )
 
-func (w *world) tick() int64 {
-	w.now++
-	return int64(w.now)
+func (sim *simulation) nextTimestamp() int64 {
+	sim.now++
+	return int64(sim.now)
 }
 
-// begin notes the start of a request and returns its place in the history.
-func (w *world) begin(op *operationLog) int {
-	op.history = append(op.history, event{call: w.tick(), input: request{}})
+// recordCall notes the start of a request and returns its place in the history.
+func (sim *simulation) recordCall(op *operationLog) int {
+	op.history = append(op.history, historyEvent{call: sim.nextTimestamp(), input: requestOperation{}})
 	return len(op.history) - 1
 }
 
-func (w *world) end(op *operationLog, call int, d Decision) {
+func (sim *simulation) recordReturn(op *operationLog, call int, d Decision) {
 	if call < 0 || op.history[call].end != 0 {
 		return
 	}
-	op.history[call].end = w.tick()
+	op.history[call].end = sim.nextTimestamp()
 	op.history[call].verdict = d.Verdict
 }
 
-// endOperation notes an end. When the row shows it is open.
-func (w *world) endOperation(op *operationLog, o Outcome) {
-	op.history = append(op.history, event{call: w.tick(), input: finish{o}})
+// recordFinish notes an end. When the row shows it is open.
+func (sim *simulation) recordFinish(op *operationLog, o Outcome) {
+	op.history = append(op.history, historyEvent{call: sim.nextTimestamp(), input: finishOperation{o}})
 }
 
-// register is what a claim may look like from outside: free, held, ran.
-type register int
+// keyState is what a claim may look like from outside: free, held, ran.
+type keyState int
 
 const (
-	free register = iota
+	free keyState = iota
 	held
 	ran
 )
@@ -64,15 +64,15 @@
 var claimModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{free} },
 	Step: func(state, input, output any) []any {
-		s := state.(register)
-		if f, ok := input.(finish); ok {
+		s := state.(keyState)
+		if f, ok := input.(finishOperation); ok {
 			return s.finish(f.outcome)
 		}
 		switch output.(Verdict) {
 		case Run:
-			return when(s == free, held)
+			return transitionIf(s == free, held)
 		case Replay, RanAlready:
-			return when(s == ran, ran)
+			return transitionIf(s == ran, ran)
 		case InProgress, UnknownOutcome:
 			return []any{s}
 		default:
@@ -81,7 +81,7 @@
 	},
 }
 
-func (s register) finish(o Outcome) []any {
+func (s keyState) finish(o Outcome) []any {
 	switch {
 	case s != held:
 		return nil
@@ -94,16 +94,16 @@
 	}
 }
 
-func when(ok bool, next register) []any {
+func transitionIf(ok bool, next keyState) []any {
 	if !ok {
 		return nil
 	}
 	return []any{next}
 }
 
-// events returns an operation's history for the checker. What has no end
+// porcupineOperations returns an operation's history for the checker. What has no end
 // may take effect until the very end.
-func (op *operationLog) events(last int64) []porcupine.Operation {
+func (op *operationLog) porcupineOperations(last int64) []porcupine.Operation {
 	var ops []porcupine.Operation
 	for i, e := range op.history {
 		o := porcupine.Operation{ClientId: i, Input: e.input, Call: e.call, Output: e.verdict, Return: e.end}
@@ -128,60 +128,60 @@
 		{"many kills", 30},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			total := tally{verdicts: map[Verdict]int{}}
+			total := summary{verdicts: map[Verdict]int{}}
 			for seed := range uint64(*seeds) {
-				w := newWorld(seed, 4, 8, c.kills)
-				w.run()
-				if faults := total.add(w); len(faults) > 0 {
-					total.red++
+				sim := newSimulation(seed, 4, 8, c.kills)
+				sim.run()
+				if faults := total.add(sim); len(faults) > 0 {
+					total.failedSeeds++
 					t.Logf("seed %d: %v", seed, faults)
 				}
 			}
 			t.Log(total)
-			must.Zero(t, total.red)
+			must.Zero(t, total.failedSeeds)
 		})
 	}
 }
 
-// tally sums up histories.
-type tally struct {
-	verdicts  map[Verdict]int
-	executed  int
-	claimed   int // runs of caller-made keys
-	writes    int
-	avoidable int
-	red       int
+// summary sums up histories.
+type summary struct {
+	verdicts    map[Verdict]int
+	executed    int
+	claimRuns   int // runs of caller-made keys
+	writes      int
+	avoidable   int
+	failedSeeds int
 }
 
-func (s *tally) add(w *world) []string {
-	last := w.tick()
-	s.writes += w.writes
-	for _, op := range w.ops {
+func (s *summary) add(sim *simulation) []string {
+	last := sim.nextTimestamp()
+	s.writes += sim.writes
+	for _, op := range sim.ops {
 		if op.executions > 1 {
-			w.fail(op, "%d executions", op.executions)
+			sim.reportViolation(op, "%d executions", op.executions)
 		}
-		if !checkRegister(op.events(last)) {
-			w.fail(op, "not a register")
+		if !isLinearizable(op.porcupineOperations(last)) {
+			sim.reportViolation(op, "not a register")
 		}
 		s.executed += op.executions
-		if op.minted == nil {
-			s.claimed += op.verdicts[Run]
+		if op.operationKey == nil {
+			s.claimRuns += op.verdicts[Run]
 		}
-		s.avoidable += op.avoidable
+		s.avoidable += op.avoidableUnknowns
 		for v, n := range op.verdicts {
 			s.verdicts[v] += n
 		}
 	}
-	return w.faults
+	return sim.violations
 }
 
-func (s tally) String() string {
+func (s summary) String() string {
 	return fmt.Sprintf("%d executed; %.2f writes a run with a claim; run %d, in progress %d, replay %d, unknown %d (%d known elsewhere), refused %d; %d red",
-		s.executed, float64(s.writes)/float64(s.claimed), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
-		s.verdicts[UnknownOutcome], s.avoidable, s.verdicts[Refused], s.red)
+		s.executed, float64(s.writes)/float64(s.claimRuns), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
+		s.verdicts[UnknownOutcome], s.avoidable, s.verdicts[Refused], s.failedSeeds)
 }
 
-func checkRegister(ops []porcupine.Operation) bool {
+func isLinearizable(ops []porcupine.Operation) bool {
 	model := claimModel.ToModel()
 	return porcupine.CheckOperationsTimeout(model, ops, 10*time.Second) == porcupine.Ok
 }
--- a/claim/minter_test.go
+++ b/claim/minter_test.go
@@ -40,7 +40,7 @@
 
 // An operation that was proved not to have run may run, but not once its key
 // has expired; one that ended unknown never may.
-func TestMinterAfterAnEnd(t *testing.T) {
+func TestMinterRepeatAfterCompletion(t *testing.T) {
 	s := DefaultSettings()
 	for _, c := range []struct {
 		name    string
@@ -92,7 +92,7 @@
 
 // Memory is bounded: the oldest answers go, the operations stay; and rather
 // than forget an operation the minter refuses another one.
-func TestMinterIsBounded(t *testing.T) {
+func TestMinterMemoryIsBounded(t *testing.T) {
 	s := Settings{KeyTime: time.Hour, KeepTime: time.Hour, MaxOperations: 3, MaxAnswerBytes: 10}
 	m := NewMinter("i1", []byte("secret"), s)
 	var keys []OperationKey
@@ -112,7 +112,7 @@
 }
 
 // The minter is gone, or doesn't answer. Nobody else runs its keys.
-func TestElsewhereNeverRuns(t *testing.T) {
+func TestRouteToMinterNeverRuns(t *testing.T) {
 	k := OperationKey{Minter: "i1"}
 	_, forward := RouteToMinter(k, PeerLive)
 	must.True(t, forward)
--- a/claim/prune.go
+++ b/claim/prune.go
@@ -24,13 +24,13 @@
 	revision storage.Revision
 }
 
-// maxSamples is how many notes cover the retention.
-const maxSamples = 64
+// samplesPerRetention is how many notes cover the retention.
+const samplesPerRetention = 64
 
 // NewRetentionTracker returns a horizon that knows of no old claim. Claims become old
 // once the instance has run for the retention.
 func NewRetentionTracker(retention time.Duration) *RetentionTracker {
-	return &RetentionTracker{retention: retention, sampleInterval: retention / maxSamples}
+	return &RetentionTracker{retention: retention, sampleInterval: retention / samplesPerRetention}
 }
 
 // Observe takes the revision of the claims table that a read returned at a time.
--- /dev/null
+++ b/claim/simulation_test.go
@@ -0,0 +1,292 @@
+package claim
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"foxtailspoke/storage"
+)
+
+// simulation runs callers, entry instances, the claims table and a backend server
+// as actions in a random order. An action that waits long is a slow message,
+// or a frozen instance; actions of a killed instance never happen.
+type simulation struct {
+	rng         *rand.Rand
+	now         time.Duration
+	pending     []action
+	instances   []*simInstance
+	startCount  int
+	table       map[string]storage.Row
+	revision    storage.Revision
+	unavailable bool
+	// writes counts the transactions that were sent to the table.
+	writes int
+	// killsPerMille is how many of a thousand steps end an instance.
+	killsPerMille int
+	ops           []*operationLog
+	violations    []string
+}
+
+type action struct {
+	// instance is the instance that acts; nil for the world around.
+	instance *simInstance
+	do       func()
+}
+
+type simInstance struct {
+	id      string
+	ended   bool
+	minter  *Minter
+	claimer *Claimer
+}
+
+// operationLog is what really happened to one operation.
+type operationLog struct {
+	key          string
+	operationKey *OperationKey
+	minter       *simInstance
+	digest       Digest
+	// executions is how often the backend server ran it; coming is how
+	// often it still will.
+	executions        int
+	pendingExecutions int
+	// endsByInstance are the definite endsByInstance that an instance learnt.
+	endsByInstance map[*simInstance]Outcome
+	history        []historyEvent
+	verdicts       map[Verdict]int
+	// avoidableUnknowns counts unknown outcomes that a live instance could tell.
+	avoidableUnknowns int
+}
+
+func newSimulation(seed uint64, instances, operations, kills int) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 2)), table: map[string]storage.Row{}, killsPerMille: kills}
+	for range instances {
+		sim.instances = append(sim.instances, sim.startInstance())
+	}
+	for i := range operations {
+		op := &operationLog{
+			key:            fmt.Sprintf("order-%d", i),
+			digest:         Digest{byte(i), byte(i >> 8)},
+			endsByInstance: map[*simInstance]Outcome{},
+			verdicts:       map[Verdict]int{},
+		}
+		if i%2 == 0 {
+			op.minter = sim.randomInstance()
+			k, err := Parse(op.minter.minter.Mint(sim.now, "w"))
+			if err != nil {
+				panic(err)
+			}
+			op.operationKey = &k
+		}
+		sim.ops = append(sim.ops, op)
+		for range 1 + sim.rng.IntN(5) {
+			sim.schedule(nil, func() { sim.sendRequest(op) })
+		}
+	}
+	return sim
+}
+
+func (sim *simulation) startInstance() *simInstance {
+	sim.startCount++
+	id := fmt.Sprintf("i%d", sim.startCount)
+	s := DefaultClaimerSettings()
+	return &simInstance{
+		id:      id,
+		minter:  NewMinter(id, []byte(id), DefaultSettings()),
+		claimer: NewClaimer(id, s),
+	}
+}
+
+func (sim *simulation) randomInstance() *simInstance {
+	return sim.instances[sim.rng.IntN(len(sim.instances))]
+}
+
+func (sim *simulation) schedule(owner *simInstance, do func()) {
+	sim.pending = append(sim.pending, action{instance: owner, do: do})
+}
+
+func (sim *simulation) chance(percent int) bool { return sim.rng.IntN(100) < percent }
+
+func (sim *simulation) reportViolation(op *operationLog, format string, args ...any) {
+	sim.violations = append(sim.violations, op.key+": "+fmt.Sprintf(format, args...))
+}
+
+// run does everything that is pending, with kills and outages in between.
+func (sim *simulation) run() {
+	for len(sim.pending) > 0 {
+		sim.now += time.Millisecond
+		if sim.rng.IntN(1000) < sim.killsPerMille {
+			k := sim.rng.IntN(len(sim.instances))
+			sim.instances[k].ended = true
+			sim.instances[k] = sim.startInstance()
+		}
+		if sim.chance(5) {
+			sim.unavailable = !sim.unavailable && sim.chance(30)
+		}
+		sim.releaseAbandoned()
+		i := sim.rng.IntN(len(sim.pending))
+		a := sim.pending[i]
+		sim.pending = slices.Delete(sim.pending, i, i+1)
+		if a.instance == nil || !a.instance.ended {
+			a.do()
+		}
+	}
+}
+
+// releaseAbandoned lets an instance look after its abandoned claims, now and then.
+func (sim *simulation) releaseAbandoned() {
+	n := sim.randomInstance()
+	keys := n.claimer.AbandonedKeys(1)
+	if len(keys) == 0 || sim.unavailable || !sim.chance(10) {
+		return
+	}
+	t, ok := n.claimer.ReleaseAbandoned(keys[0], storage.Changes{Rows: slices.Collect(maps.Values(sim.table))})
+	if ok {
+		sim.schedule(nil, func() { sim.commit(t) })
+	}
+}
+
+// sendRequest is one caller's request, sent to any instance.
+func (sim *simulation) sendRequest(op *operationLog) {
+	n := sim.randomInstance()
+	call := sim.recordCall(op)
+	if op.operationKey == nil {
+		id, step := n.claimer.Begin("w", op.key, op.digest)
+		sim.applyStep(op, n, id, step, call)
+		return
+	}
+	if op.minter == n {
+		sim.handleAtMinter(op, call, true)
+		return
+	}
+	state := PeerLive
+	if op.minter.ended {
+		state = PeerEnded
+	}
+	d, forward := RouteToMinter(*op.operationKey, state)
+	if !forward {
+		sim.handleDecision(op, n, d, call, nil)
+		return
+	}
+	answered := !sim.chance(20)
+	sim.schedule(op.minter, func() { sim.handleAtMinter(op, call, answered) })
+	if !answered {
+		sim.handleDecision(op, n, ForwardFailed(*op.operationKey), -1, nil)
+	}
+}
+
+func (sim *simulation) handleAtMinter(op *operationLog, call int, answered bool) {
+	d := op.minter.minter.Begin(sim.now, "w", *op.operationKey, op.digest)
+	if !answered && d.Verdict != Run {
+		return
+	}
+	sim.handleDecision(op, op.minter, d, call, func(o Outcome, a *Answer) {
+		op.minter.minter.Finish(sim.now, *op.operationKey, o, a)
+		sim.recordOperationEnd(op, op.minter, o)
+	})
+}
+
+// applyStep does what a step of a claim asks for.
+func (sim *simulation) applyStep(op *operationLog, n *simInstance, id ID, s Step, call int) {
+	switch {
+	case s.Decision != nil:
+		sim.handleDecision(op, n, *s.Decision, call, func(o Outcome, a *Answer) {
+			sim.recordOperationEnd(op, n, o)
+			sim.applyStep(op, n, id, n.claimer.Finish(id, o, a), -1)
+		})
+	case s.Write != nil:
+		sim.write(*s.Write, func(r storage.WriteResult) {
+			sim.schedule(n, func() { sim.applyStep(op, n, id, n.claimer.HandleWriteResult(id, r), call) })
+		})
+	case s.Read != nil:
+		sim.schedule(nil, func() { sim.read(op, n, id, *s.Read, call) })
+	}
+	if sim.chance(5) {
+		n.claimer.Cancel(id)
+	}
+}
+
+// handleDecision is the answer to the caller, or the start of the operation.
+func (sim *simulation) handleDecision(op *operationLog, n *simInstance, d Decision, call int, end func(Outcome, *Answer)) {
+	if d.Verdict == InProgress && d.Owner != n.id {
+		d = ResolveInProgress(d, sim.peerState(d.Owner))
+	}
+	op.verdicts[d.Verdict]++
+	sim.checkDecision(op, n, d)
+	sim.recordReturn(op, call, d)
+	if d.Verdict == Run {
+		sim.execute(op, n, end)
+	}
+}
+
+func (sim *simulation) peerState(id string) PeerState {
+	for _, n := range sim.instances {
+		if n.id == id {
+			return PeerLive
+		}
+	}
+	return PeerEnded
+}
+
+// checkDecision compares what a caller is told with what really happened.
+func (sim *simulation) checkDecision(op *operationLog, n *simInstance, d Decision) {
+	ran := op.executions + op.pendingExecutions
+	switch d.Verdict {
+	case Run:
+		if ran > 0 {
+			sim.reportViolation(op, "run again")
+		}
+	case Replay:
+		if op.executions != 1 || d.Answer.Status != 201 || string(d.Answer.Body) != op.key {
+			sim.reportViolation(op, "replays another answer")
+		}
+	case RanAlready:
+		if op.executions != 1 {
+			sim.reportViolation(op, "didn't run")
+		}
+	case UnknownOutcome:
+		for m, o := range op.endsByInstance {
+			if o == Ran && !m.ended {
+				op.avoidableUnknowns++
+			}
+		}
+		if o, ok := op.endsByInstance[n]; ok && o == Ran {
+			sim.reportViolation(op, "unknown where %s knows", n.id)
+		}
+	}
+	if d.NeverRan && ran > 0 {
+		sim.reportViolation(op, "said never ran: %v", d)
+	}
+}
+
+// execute sends the operation to the backend server, which may run it late,
+// not at all, or without an answer.
+func (sim *simulation) execute(op *operationLog, n *simInstance, end func(Outcome, *Answer)) {
+	scheduleExecution := func(then func()) {
+		op.pendingExecutions++
+		sim.schedule(nil, func() {
+			op.pendingExecutions--
+			op.executions++
+			then()
+		})
+	}
+	switch kind := sim.rng.IntN(10); {
+	case kind < 6:
+		scheduleExecution(func() { sim.schedule(n, func() { end(Ran, &Answer{Status: 201, Body: []byte(op.key)}) }) })
+	case kind < 8:
+		sim.schedule(n, func() { end(NotRun, nil) })
+	default:
+		scheduleExecution(func() {})
+		sim.schedule(n, func() { end(Unknown, nil) })
+	}
+}
+
+func (sim *simulation) recordOperationEnd(op *operationLog, n *simInstance, o Outcome) {
+	if o == Ran {
+		op.endsByInstance[n] = o
+	}
+	sim.recordFinish(op, o)
+}
