--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -10,7 +10,8 @@
 	"foxtailspoke/storage"
 )
 
-// newTestTable is a table whose answers a test loses at will.
+// newTestTable returns an empty table without scheduled faults. Tests lose a
+// response by passing noResult to the claimer.
 func newTestTable() *simulation {
 	return &simulation{rng: rand.New(rand.NewPCG(1, 1)), table: map[string]storage.Row{}}
 }
@@ -31,8 +32,8 @@
 
 var noResult = storage.WriteResult{}
 
-// The table's answer is lost after the claim took effect. The claimer reads
-// before it decides, finds its own attempt, and runs the order.
+// The write response is lost after the claim took effect. The claimer must read
+// the row, recognise its own attempt and run the operation.
 func TestLostResponseToOwnClaim(t *testing.T) {
 	sim, c := newTestTable(), NewClaimer("a", DefaultClaimerSettings())
 	id, s := c.Begin("w", "k", Digest{1})
@@ -45,9 +46,9 @@
 	must.Eq(t, storage.Committed, sim.commit(*end.Write).Outcome)
 }
 
-// The claim's row isn't there after an unanswered write, which may still be
-// on its way. The same attempt is sent again: only one can take effect, and
-// whichever did is the claimer's own.
+// After a write without response the row is absent, but the write may still be
+// in flight. The claimer must resend it with the same attempt id, so that only
+// one of the two takes effect and either is recognised as its own.
 func TestUnansweredClaimIsResent(t *testing.T) {
 	for _, firstArrives := range []bool{false, true} {
 		sim, c := newTestTable(), NewClaimer("a", DefaultClaimerSettings())
@@ -64,9 +65,9 @@
 	}
 }
 
-// The table goes away during a claim. The caller hears that this request
-// wasn't run. The claim arrives in the table all the same; the caller's next
-// try at this instance takes it over, one at another instance can't.
+// The table becomes unavailable during a claim and the request is refused, but
+// the insertion takes effect later. A repeat at the same instance must take the
+// row over; one at another instance must not run.
 func TestAbandonedClaimIsTakenOver(t *testing.T) {
 	sim, a, b := newTestTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 	id, s := a.Begin("w", "k", Digest{1})
@@ -85,8 +86,9 @@
 	must.Eq(t, Run, requireDecision(t, a.HandleWriteResult(id, sim.commit(*s.Write))).Verdict)
 }
 
-// The same, but the caller never comes back to this instance. It sweeps the
-// claim away when the table answers again, and another instance may run.
+// The insertion of an abandoned claim takes effect and the caller does not repeat
+// the request at this instance. The instance must delete the row once the table
+// is available, so that another instance can run the operation.
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	sim, a, b := newTestTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 	id, s := a.Begin("w", "k", Digest{1})
@@ -106,7 +108,7 @@
 	must.False(t, ok)
 }
 
-// What a second instance says of an order, after each end at the first.
+// Covers the verdict of a second instance for each outcome at the first.
 func TestRepeatAfterCompletion(t *testing.T) {
 	long := &Answer{Status: 200, Body: make([]byte, 5000)}
 	short := &Answer{Status: 201, Body: []byte("x")}
@@ -117,8 +119,8 @@
 		digest  Digest
 		want    Verdict
 	}{
-		{"short answer", Ran, short, Digest{1}, Replay},
-		{"long answer", Ran, long, Digest{1}, RanAlready},
+		{"short response", Ran, short, Digest{1}, Replay},
+		{"long response", Ran, long, Digest{1}, RanAlready},
 		{"unknown", Unknown, nil, Digest{1}, UnknownOutcome},
 		{"not run", NotRun, nil, Digest{1}, Run},
 		{"other request", Ran, short, Digest{2}, Refused},
@@ -127,7 +129,7 @@
 		id, s := a.Begin("w", "k", Digest{1})
 		a.HandleWriteResult(id, sim.commit(*s.Write))
 		s = a.Finish(id, c.outcome, c.answer)
-		must.Eq(t, Step{}, a.Finish(id, NotRun, nil)) // a second report doesn't count
+		must.Eq(t, Step{}, a.Finish(id, NotRun, nil)) // a second report is ignored
 		a.HandleWriteResult(id, sim.commit(*s.Write))
 		must.Zero(t, a.OpenCount())
 		id, s = b.Begin("w", "k", c.digest)
@@ -135,8 +137,8 @@
 	}
 }
 
-// The end of an order can't be written. The claimer repeats it with growing
-// waits, then remembers the end itself.
+// The outcome of an operation cannot be written. The claimer must retry with
+// exponential backoff and then keep the outcome in memory.
 func TestUnwritableOutcomeIsRemembered(t *testing.T) {
 	sim, c := newTestTable(), NewClaimer("a", DefaultClaimerSettings())
 	id, s := c.Begin("w", "k", Digest{1})
@@ -155,8 +157,8 @@
 	must.Eq(t, Replay, requireDecision(t, again).Verdict)
 }
 
-// A caller's deadline ends during the claim. The claim is given back unused
-// and another instance runs the caller's next try.
+// The request's deadline expires while the key is being claimed. The claim must
+// be released unused, so that another instance can run the next repeat.
 func TestCancelledClaimIsReleased(t *testing.T) {
 	sim, a, b := newTestTable(), NewClaimer("a", DefaultClaimerSettings()), NewClaimer("b", DefaultClaimerSettings())
 	id, s := a.Begin("w", "k", Digest{1})
@@ -168,8 +170,8 @@
 	must.Eq(t, Run, requireDecision(t, b.HandleWriteResult(id, sim.commit(*s.Write))).Verdict)
 }
 
-// Claims are pruned once they are older than the retention by the pruner's
-// clock. A claim that changed meanwhile stays.
+// Rows must be pruned once they are older than the retention period by the
+// pruner's clock, and not if they change between the read and the deletion.
 func TestPruneByRetention(t *testing.T) {
 	h := NewRetentionTracker(time.Hour)
 	for at := time.Duration(0); at <= 2*time.Hour; at += time.Minute {
@@ -194,14 +196,14 @@
 	must.False(t, ok)
 }
 
-// An end can't be written, and the claimer has to forget it, too: its memory
-// is full. The row says "started" of an order that ran; it stays unknown.
+// The outcome can neither be written nor kept in memory, because MaxRemembered is
+// reached. The row still says "started", so a repeat must get UnknownOutcome.
 func TestEvictedOutcomeIsUnknown(t *testing.T) {
 	for _, o := range []Outcome{Ran, Unknown} {
 		s := DefaultClaimerSettings()
 		s.MaxRemembered = 1
 		sim, c := newTestTable(), NewClaimer("a", s)
-		c.notRun.capacity = 100 // what never ran may be remembered for longer
+		c.notRun.capacity = 100 // attempts that never ran must stay known
 		for _, key := range []string{"k1", "k2"} {
 			id, step := c.Begin("w", key, Digest{1})
 			c.HandleWriteResult(id, sim.commit(*step.Write))
@@ -215,8 +217,8 @@
 	}
 }
 
-// An order was given up, then sent again, and ran. What the first try left
-// to sweep must not delete the row of the second.
+// A claim is abandoned and the repeated request runs. Releasing the abandoned
+// claim must not delete the row of the repeat.
 func TestReleaseKeepsLaterClaim(t *testing.T) {
 	for _, finished := range []bool{false, true} {
 		sim, c := newTestTable(), NewClaimer("a", DefaultClaimerSettings())
@@ -233,7 +235,8 @@
 	}
 }
 
-// A claim that never ran was for another request with the same key.
+// A row whose attempt never ran must not be taken over by a different request
+// with the same key.
 func TestTakeOverRequiresSameRequest(t *testing.T) {
 	sim, c := newTestTable(), NewClaimer("a", DefaultClaimerSettings())
 	id, first := c.Begin("w", "k", Digest{1})
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -10,16 +10,17 @@
 	"github.com/shoenig/test/must"
 )
 
-var seeds = flag.Int("claim.seeds", 500, "number of seeded histories")
+var seeds = flag.Int("claim.seeds", 500, "number of simulated histories per kill rate, seeded from 0")
 
-// historyEvent is one call on an operation, for the checker of the register.
+// historyEvent is one call on an operation in the history that is checked for
+// linearizability. An end of 0 marks a call that is still open.
 type historyEvent struct {
 	call, end int64
 	input     any
 	verdict   Verdict
 }
 
-// requestOperation and finishOperation are the register's operations.
+// requestOperation and finishOperation are the inputs of claimModel.
 type (
 	requestOperation struct{}
 	finishOperation  struct{ outcome Outcome }
@@ -30,7 +31,7 @@
 	return int64(sim.now)
 }
 
-// recordCall notes the start of a request and returns its place in the history.
+// recordCall records the start of a request and returns its index in the history.
 func (sim *simulation) recordCall(op *operationLog) int {
 	op.history = append(op.history, historyEvent{call: sim.nextTimestamp(), input: requestOperation{}})
 	return len(op.history) - 1
@@ -44,12 +45,13 @@
 	op.history[call].verdict = d.Verdict
 }
 
-// recordFinish notes an end. When the row shows it is open.
+// recordFinish records the end of an operation as an open call, because the row
+// may show it at any later time.
 func (sim *simulation) recordFinish(op *operationLog, o Outcome) {
 	op.history = append(op.history, historyEvent{call: sim.nextTimestamp(), input: finishOperation{o}})
 }
 
-// keyState is what a claim may look like from outside: free, held, ran.
+// keyState is the state of a key in claimModel.
 type keyState int
 
 const (
@@ -58,9 +60,10 @@
 	ran
 )
 
-// claimModel lets a request without a known answer claim the key or not, and
-// an end take effect at any later time. What it never allows is a run of a
-// key that is held or ran, and an answer of an operation that didn't run.
+// claimModel is the sequential specification of a key. A request without a
+// recorded verdict may or may not claim the key, and a finish may take effect at
+// any later time. The model rejects a Run of a key that is held or ran, and a
+// Replay or RanAlready of an operation that did not run.
 var claimModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{free} },
 	Step: func(state, input, output any) []any {
@@ -101,8 +104,8 @@
 	return []any{next}
 }
 
-// porcupineOperations returns an operation's history for the checker. What has no end
-// may take effect until the very end.
+// porcupineOperations converts the history for the checker. Open calls may take
+// effect until the end of the simulation.
 func (op *operationLog) porcupineOperations(last int64) []porcupine.Operation {
 	var ops []porcupine.Operation
 	for i, e := range op.history {
@@ -115,10 +118,10 @@
 	return ops
 }
 
-// Callers send the same orders again and again, to the same and to other
-// instances, at the same time and after timeouts. Instances are killed and
-// stall; the table is away, or its answer is lost after the write. No order
-// runs twice, and nobody is told "never ran" of an order that did.
+// Callers repeat requests at the same and at other instances, concurrently and
+// after timeouts, while instances are killed or stall, the table is unavailable,
+// or its response is lost after the write took effect. No operation may run
+// twice, and NeverRan may not be set for one that ran.
 func TestHistoriesRunAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -132,9 +135,9 @@
 			for seed := range uint64(*seeds) {
 				sim := newSimulation(seed, 4, 8, c.kills)
 				sim.run()
-				if faults := total.add(sim); len(faults) > 0 {
+				if violations := total.add(sim); len(violations) > 0 {
 					total.failedSeeds++
-					t.Logf("seed %d: %v", seed, faults)
+					t.Logf("seed %d: %v", seed, violations)
 				}
 			}
 			t.Log(total)
@@ -143,16 +146,17 @@
 	}
 }
 
-// summary sums up histories.
+// summary aggregates the results of all simulations.
 type summary struct {
 	verdicts    map[Verdict]int
 	executed    int
-	claimRuns   int // runs of caller-made keys
+	claimRuns   int // runs of caller-supplied keys
 	writes      int
 	avoidable   int
 	failedSeeds int
 }
 
+// add returns the violations of a finished simulation.
 func (s *summary) add(sim *simulation) []string {
 	last := sim.nextTimestamp()
 	s.writes += sim.writes
@@ -161,7 +165,7 @@
 			sim.reportViolation(op, "%d executions", op.executions)
 		}
 		if !isLinearizable(op.porcupineOperations(last)) {
-			sim.reportViolation(op, "not a register")
+			sim.reportViolation(op, "history is not linearizable")
 		}
 		s.executed += op.executions
 		if op.operationKey == nil {
@@ -176,7 +180,7 @@
 }
 
 func (s summary) String() string {
-	return fmt.Sprintf("%d executed; %.2f writes a run with a claim; run %d, in progress %d, replay %d, unknown %d (%d known elsewhere), refused %d; %d red",
+	return fmt.Sprintf("%d executions; %.2f writes per claimed run; run %d, in progress %d, replay %d, unknown %d (%d known to a live instance), refused %d; %d failed seeds",
 		s.executed, float64(s.writes)/float64(s.claimRuns), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
 		s.verdicts[UnknownOutcome], s.avoidable, s.verdicts[Refused], s.failedSeeds)
 }
--- a/claim/minter_test.go
+++ b/claim/minter_test.go
@@ -16,9 +16,8 @@
 	return k
 }
 
-// A caller sends an order with an operation key, loses the answer and sends
-// it again, at last long after the key has expired. The order runs once, and
-// nobody says that it never ran.
+// A caller repeats a request after losing the response, at last after the
+// operation has been evicted. It must run once, and NeverRan must stay false.
 func TestMinterRunsOnce(t *testing.T) {
 	s := DefaultSettings()
 	m := NewMinter("i1", []byte("secret"), s)
@@ -27,19 +26,19 @@
 	must.Eq(t, InProgress, m.Begin(2, "w", k, d).Verdict)
 	must.Eq(t, Decision{Verdict: Refused, Reason: RequestMismatch}, m.Begin(2, "w", k, Digest{2}))
 	m.Finish(3, k, Ran, &Answer{Status: 201})
-	m.Finish(4, k, NotRun, nil) // a second report doesn't count
+	m.Finish(4, k, NotRun, nil) // a second report is ignored
 	for _, now := range []time.Duration{5, s.KeyTime, s.KeyTime + s.KeepTime - 1} {
 		again := m.Begin(now, "w", k, d)
 		must.Eq(t, Replay, again.Verdict)
 		must.Eq(t, 201, again.Answer.Status)
 	}
-	forgotten := m.Begin(s.KeyTime+s.KeepTime, "w", k, d)
-	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: Expired}, forgotten)
+	evicted := m.Begin(s.KeyTime+s.KeepTime, "w", k, d)
+	must.Eq(t, Decision{Verdict: UnknownOutcome, Reason: Expired}, evicted)
 	must.Zero(t, m.OperationCount())
 }
 
-// An operation that was proved not to have run may run, but not once its key
-// has expired; one that ended unknown never may.
+// An operation that provably did not run may run until its key expires; one with
+// an unknown outcome must never run again.
 func TestMinterRepeatAfterCompletion(t *testing.T) {
 	s := DefaultSettings()
 	for _, c := range []struct {
@@ -51,7 +50,7 @@
 		{"not run", NotRun, s.KeyTime - 1, Decision{Verdict: Run}},
 		{"not run, expired", NotRun, s.KeyTime, Decision{Verdict: Refused, Reason: Expired, NeverRan: true}},
 		{"unknown", Unknown, 2, Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}},
-		{"ran without an answer to keep", Ran, 2, Decision{Verdict: RanAlready}},
+		{"ran, response not stored", Ran, 2, Decision{Verdict: RanAlready}},
 	} {
 		m := NewMinter("i1", []byte("secret"), s)
 		k := parse(t, m.Mint(0, "w"))
@@ -61,13 +60,13 @@
 	}
 }
 
-// Keys of other minters, other workspaces and none at all are never run, and
-// neither is one that has expired unused.
+// Keys of other minters or workspaces, forged keys, malformed keys and keys that
+// expired unused must not run.
 func TestMinterRefusesKeys(t *testing.T) {
 	s := DefaultSettings()
 	m := NewMinter("i1", []byte("secret"), s)
 	text := m.Mint(0, "w")
-	later := strings.Replace(text, ".1.", ".2.", 1)
+	altered := strings.Replace(text, ".1.", ".2.", 1)
 	for _, c := range []struct {
 		name      string
 		text      string
@@ -75,23 +74,23 @@
 		at        time.Duration
 		want      Decision
 	}{
-		{"number changed", later, "w", 1, Decision{Verdict: Refused, Reason: Forged, NeverRan: true}},
+		{"number changed", altered, "w", 1, Decision{Verdict: Refused, Reason: Forged, NeverRan: true}},
 		{"other workspace", text, "v", 1, Decision{Verdict: Refused, Reason: WorkspaceMismatch, NeverRan: true}},
 		{"other minter", NewMinter("i2", []byte("secret"), s).Mint(0, "w"), "w", 1, Decision{Verdict: Refused, Reason: MinterMismatch}},
-		{"former secret", NewMinter("i1", []byte("former"), s).Mint(0, "w"), "w", 1, Decision{Verdict: Refused, Reason: Forged, NeverRan: true}},
+		{"previous secret", NewMinter("i1", []byte("former"), s).Mint(0, "w"), "w", 1, Decision{Verdict: Refused, Reason: Forged, NeverRan: true}},
 		{"expired", text, "w", s.KeyTime, Decision{Verdict: Refused, Reason: Expired, NeverRan: true}},
-		{"last moment", text, "w", s.KeyTime - 1, Decision{Verdict: Run}},
+		{"just before expiry", text, "w", s.KeyTime - 1, Decision{Verdict: Run}},
 	} {
 		must.Eq(t, c.want, m.Begin(c.at, c.workspace, parse(t, c.text), Digest{}), must.Sprint(c.name))
 	}
-	for _, bad := range []string{"", "order-7", "op1.a.b", "op1..1.1.x.y", "op1.i.01.1.x.y", text + ".x", "op2" + text[3:], "op1." + strings.Repeat("i", 300) + ".1.1.x.y"} {
-		_, err := Parse(bad)
+	for _, malformed := range []string{"", "order-7", "op1.a.b", "op1..1.1.x.y", "op1.i.01.1.x.y", text + ".x", "op2" + text[3:], "op1." + strings.Repeat("i", 300) + ".1.1.x.y"} {
+		_, err := Parse(malformed)
 		must.ErrorIs(t, err, ErrMalformed)
 	}
 }
 
-// Memory is bounded: the oldest answers go, the operations stay; and rather
-// than forget an operation the minter refuses another one.
+// Beyond its memory bounds the minter must drop the oldest stored responses, and
+// refuse new operations rather than evict remembered ones.
 func TestMinterMemoryIsBounded(t *testing.T) {
 	s := Settings{KeyTime: time.Hour, KeepTime: time.Hour, MaxOperations: 3, MaxAnswerBytes: 10}
 	m := NewMinter("i1", []byte("secret"), s)
@@ -111,7 +110,7 @@
 	must.Zero(t, m.OperationCount()+m.answerBytes+len(m.answerQueue)+len(m.expiryQueue))
 }
 
-// The minter is gone, or doesn't answer. Nobody else runs its keys.
+// No other instance may run a key whose minter has ended or is unreachable.
 func TestRouteToMinterNeverRuns(t *testing.T) {
 	k := OperationKey{Minter: "i1"}
 	_, forward := RouteToMinter(k, PeerLive)
--- a/claim/simulated_table_test.go
+++ b/claim/simulated_table_test.go
@@ -6,25 +6,25 @@
 	"foxtailspoke/storage"
 )
 
-// write sends a transaction to the table. Its answer may be lost before or
-// after it takes effect, and it may take effect long after that, or twice.
-func (sim *simulation) write(t storage.Txn, answer func(storage.WriteResult)) {
+// write sends a transaction to the table. The request or the response may be
+// lost, and the transaction may take effect late or be delivered twice.
+func (sim *simulation) write(t storage.Txn, respond func(storage.WriteResult)) {
 	sim.writes++
 	switch kind := sim.rng.IntN(20); {
 	case sim.unavailable || kind == 0:
-		answer(storage.WriteResult{})
+		respond(storage.WriteResult{})
 	case kind < 3:
 		sim.schedule(nil, func() { sim.commit(t) })
-		answer(storage.WriteResult{})
+		respond(storage.WriteResult{})
 	case kind == 3:
-		sim.schedule(nil, func() { answer(sim.commit(t)) })
+		sim.schedule(nil, func() { respond(sim.commit(t)) })
 		sim.schedule(nil, func() { sim.commit(t) })
 	default:
-		sim.schedule(nil, func() { answer(sim.commit(t)) })
+		sim.schedule(nil, func() { respond(sim.commit(t)) })
 	}
 }
 
-// commit is the table's transaction.
+// commit applies a transaction if all of its conditions hold.
 func (sim *simulation) commit(t storage.Txn) storage.WriteResult {
 	r := storage.WriteResult{Outcome: storage.Committed}
 	for _, c := range t.Conditions {
--- a/claim/simulation_test.go
+++ b/claim/simulation_test.go
@@ -10,9 +10,9 @@
 	"foxtailspoke/storage"
 )
 
-// simulation runs callers, entry instances, the claims table and a backend server
-// as actions in a random order. An action that waits long is a slow message,
-// or a frozen instance; actions of a killed instance never happen.
+// simulation executes the actions of callers, entry instances, the claims table
+// and a backend server in random order. A long-pending action stands for a slow
+// message or a stalled instance; actions of a killed instance are skipped.
 type simulation struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -24,14 +24,15 @@
 	unavailable bool
 	// writes counts the transactions that were sent to the table.
 	writes int
-	// killsPerMille is how many of a thousand steps end an instance.
+	// killsPerMille is the number of steps in a thousand that kill an instance.
 	killsPerMille int
 	ops           []*operationLog
 	violations    []string
 }
 
 type action struct {
-	// instance is the instance that acts; nil for the world around.
+	// instance performs the action; nil for callers, the table and the backend
+	// server.
 	instance *simInstance
 	do       func()
 }
@@ -43,21 +44,22 @@
 	claimer *Claimer
 }
 
-// operationLog is what really happened to one operation.
+// operationLog records the actual course of one operation.
 type operationLog struct {
 	key          string
 	operationKey *OperationKey
 	minter       *simInstance
 	digest       Digest
-	// executions is how often the backend server ran it; coming is how
-	// often it still will.
-	executions        int
+	// executions counts the completed runs at the backend server.
+	executions int
+	// pendingExecutions counts the scheduled runs.
 	pendingExecutions int
-	// endsByInstance are the definite endsByInstance that an instance learnt.
+	// endsByInstance holds Ran for each instance that received the response.
 	endsByInstance map[*simInstance]Outcome
 	history        []historyEvent
 	verdicts       map[Verdict]int
-	// avoidableUnknowns counts unknown outcomes that a live instance could tell.
+	// avoidableUnknowns counts UnknownOutcome verdicts for operations whose
+	// outcome a live instance knew, once for each such instance.
 	avoidableUnknowns int
 }
 
@@ -104,8 +106,8 @@
 	return sim.instances[sim.rng.IntN(len(sim.instances))]
 }
 
-func (sim *simulation) schedule(owner *simInstance, do func()) {
-	sim.pending = append(sim.pending, action{instance: owner, do: do})
+func (sim *simulation) schedule(n *simInstance, do func()) {
+	sim.pending = append(sim.pending, action{instance: n, do: do})
 }
 
 func (sim *simulation) chance(percent int) bool { return sim.rng.IntN(100) < percent }
@@ -114,7 +116,7 @@
 	sim.violations = append(sim.violations, op.key+": "+fmt.Sprintf(format, args...))
 }
 
-// run does everything that is pending, with kills and outages in between.
+// run executes all pending actions, interleaved with kills and table outages.
 func (sim *simulation) run() {
 	for len(sim.pending) > 0 {
 		sim.now += time.Millisecond
@@ -136,7 +138,8 @@
 	}
 }
 
-// releaseAbandoned lets an instance look after its abandoned claims, now and then.
+// releaseAbandoned makes a random instance release one of its abandoned claims,
+// with a probability of 10 % a step.
 func (sim *simulation) releaseAbandoned() {
 	n := sim.randomInstance()
 	keys := n.claimer.AbandonedKeys(1)
@@ -149,7 +152,7 @@
 	}
 }
 
-// sendRequest is one caller's request, sent to any instance.
+// sendRequest sends one request of a caller to a random instance.
 func (sim *simulation) sendRequest(op *operationLog) {
 	n := sim.randomInstance()
 	call := sim.recordCall(op)
@@ -189,7 +192,7 @@
 	})
 }
 
-// applyStep does what a step of a claim asks for.
+// applyStep schedules the action that a claim's step requires.
 func (sim *simulation) applyStep(op *operationLog, n *simInstance, id ID, s Step, call int) {
 	switch {
 	case s.Decision != nil:
@@ -209,7 +212,7 @@
 	}
 }
 
-// handleDecision is the answer to the caller, or the start of the operation.
+// handleDecision checks and records a decision, and starts the operation on Run.
 func (sim *simulation) handleDecision(op *operationLog, n *simInstance, d Decision, call int, end func(Outcome, *Answer)) {
 	if d.Verdict == InProgress && d.Owner != n.id {
 		d = ResolveInProgress(d, sim.peerState(d.Owner))
@@ -231,21 +234,21 @@
 	return PeerEnded
 }
 
-// checkDecision compares what a caller is told with what really happened.
+// checkDecision compares a decision with the operation's actual course.
 func (sim *simulation) checkDecision(op *operationLog, n *simInstance, d Decision) {
 	ran := op.executions + op.pendingExecutions
 	switch d.Verdict {
 	case Run:
 		if ran > 0 {
-			sim.reportViolation(op, "run again")
+			sim.reportViolation(op, "verdict Run for an operation that was run before")
 		}
 	case Replay:
 		if op.executions != 1 || d.Answer.Status != 201 || string(d.Answer.Body) != op.key {
-			sim.reportViolation(op, "replays another answer")
+			sim.reportViolation(op, "replayed response differs from the original")
 		}
 	case RanAlready:
 		if op.executions != 1 {
-			sim.reportViolation(op, "didn't run")
+			sim.reportViolation(op, "verdict RanAlready for an operation that did not run")
 		}
 	case UnknownOutcome:
 		for m, o := range op.endsByInstance {
@@ -254,23 +257,23 @@
 			}
 		}
 		if o, ok := op.endsByInstance[n]; ok && o == Ran {
-			sim.reportViolation(op, "unknown where %s knows", n.id)
+			sim.reportViolation(op, "verdict UnknownOutcome at %s, which knows the outcome", n.id)
 		}
 	}
 	if d.NeverRan && ran > 0 {
-		sim.reportViolation(op, "said never ran: %v", d)
+		sim.reportViolation(op, "NeverRan set for an operation that ran: %v", d)
 	}
 }
 
-// execute sends the operation to the backend server, which may run it late,
-// not at all, or without an answer.
+// execute sends the operation to the backend server, which runs it and responds,
+// does not run it, or runs it late with the response lost.
 func (sim *simulation) execute(op *operationLog, n *simInstance, end func(Outcome, *Answer)) {
-	scheduleExecution := func(then func()) {
+	scheduleExecution := func(done func()) {
 		op.pendingExecutions++
 		sim.schedule(nil, func() {
 			op.pendingExecutions--
 			op.executions++
-			then()
+			done()
 		})
 	}
 	switch kind := sim.rng.IntN(10); {
