--- a/claim/abandoned.go
+++ b/claim/abandoned.go
@@ -2,15 +2,17 @@
 
 import "foxtailspoke/storage"
 
-// AbandonedKeys returns up to limit keys of rows that may hold a claim which this
-// instance gave up, to be read once the table answers again, and then given
-// to Sweep. Without it a claim that arrived late would make other instances
-// say "in progress" of an operation that nobody runs.
+// AbandonedKeys returns up to limit keys of rows that may hold an abandoned claim
+// of this instance. The caller reads each row once the table is available and
+// passes it to ReleaseAbandoned. Otherwise an insertion that took effect late
+// would make other instances report an operation as in progress that no instance
+// runs.
 func (c *Claimer) AbandonedKeys(limit int) []string { return c.abandoned.oldest(limit) }
 
-// ReleaseAbandoned takes what a read of an abandoned key returned. If the row holds a
-// claim of this instance that never ran, the transaction deletes it. A claim
-// that arrives later still is taken over or stays unknown.
+// ReleaseAbandoned processes the read of an abandoned key. If the row holds a
+// claim of this instance that never ran, it returns a transaction that deletes
+// the row. An insertion that takes effect after that is taken over by a repeat at
+// this instance, or its outcome stays unknown.
 func (c *Claimer) ReleaseAbandoned(key string, ch storage.Changes) (storage.Txn, bool) {
 	c.abandoned.remove(key)
 	row, ok := findRow(ch.Rows, key)
--- a/claim/bounded_map.go
+++ b/claim/bounded_map.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// boundedMap is a map that forgets its oldest entries beyond a bound.
+// boundedMap is a map that evicts its oldest entries beyond its capacity.
 type boundedMap[K comparable, V any] struct {
 	capacity int
 	values   map[K]V
@@ -18,18 +18,18 @@
 	return v, ok
 }
 
-// oldest returns up to n keys, the oldest first.
+// oldest returns up to n keys, oldest first.
 func (r *boundedMap[K, V]) oldest(n int) []K {
 	return slices.Clone(r.order[:min(n, len(r.order))])
 }
 
 func (r *boundedMap[K, V]) remove(k K) {
 	delete(r.values, k)
-	r.order = slices.DeleteFunc(r.order, func(o K) bool { return o == k })
+	r.order = slices.DeleteFunc(r.order, func(other K) bool { return other == k })
 }
 
 func (r *boundedMap[K, V]) put(k K, v V) {
-	if _, known := r.values[k]; !known {
+	if _, exists := r.values[k]; !exists {
 		r.order = append(r.order, k)
 	}
 	r.values[k] = v
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -6,22 +6,22 @@
 	"foxtailspoke/storage"
 )
 
-// ClaimerSettings bound what an instance does and remembers for caller-made
+// ClaimerSettings bounds the work and memory of an instance for caller-supplied
 // keys.
 type ClaimerSettings struct {
-	// MaxOpen bounds the claims that are being written or run.
+	// MaxOpen bounds the claims that are being written or whose operation runs.
 	MaxOpen int
-	// MaxAnswerBytes bounds an answer that is kept in the row.
+	// MaxAnswerBytes bounds the response that is stored in the row.
 	MaxAnswerBytes int
-	// MaxRemembered bounds the attempts known not to have run, and the ended
-	// operations whose row couldn't be brought up to date.
+	// MaxRemembered bounds separately the attempts known not to have run, the
+	// abandoned claims, and the outcomes that could not be written to their row.
 	MaxRemembered int
-	// FinishRetry is the first wait before an end is written again; it
-	// doubles with each try.
+	// FinishRetry is the delay before the first retry of writing an outcome;
+	// it doubles with each retry.
 	FinishRetry time.Duration
 }
 
-// DefaultClaimerSettings suit rows of a few kilobytes.
+// DefaultClaimerSettings returns settings for rows of a few kilobytes.
 func DefaultClaimerSettings() ClaimerSettings {
 	return ClaimerSettings{
 		MaxOpen:        1000,
@@ -32,30 +32,31 @@
 }
 
 const (
-	// maxInsertSends is how often one insertion is sent.
+	// maxInsertSends is the number of times that a claim sends an insertion.
 	maxInsertSends = 2
-	// maxFinishSends is how often the end of one operation is sent.
+	// maxFinishSends is the number of times that an outcome is sent.
 	maxFinishSends = 6
 )
 
-// ID names a claim among those of one Claimer.
+// ID identifies a claim within one Claimer.
 type ID uint64
 
-// Step is what comes next for a claim: exactly one of Decision, Write and
-// Read, or nothing when the claim is over.
+// Step is the next step of a claim: exactly one of Decision, Write and Read, or
+// none of them when the claim has ended.
 type Step struct {
 	Decision *Decision
-	// Write is to be sent once; its result goes to Written.
+	// Write is to be sent once; its result is passed to HandleWriteResult.
 	Write *storage.Txn
-	// Delay is how long to wait before Write is sent.
+	// Delay is the time to wait before sending Write.
 	Delay time.Duration
-	// Read's result goes to Answered or Unanswered.
+	// Read's result is passed to HandleReadResult or HandleReadFailure.
 	Read *storage.ReadRequest
 }
 
 func decisionStep(d Decision) Step { return Step{Decision: &d} }
 
-// Claimer claims caller-made keys in the claims table.
+// Claimer claims caller-supplied keys in the claims table. It is a state machine
+// without I/O: its methods return the reads and writes to perform.
 type Claimer struct {
 	self         string
 	settings     ClaimerSettings
@@ -63,16 +64,16 @@
 	attemptCount uint64
 	open         map[ID]*claim
 	byKey        map[string]*claim
-	// notRun has the attempts of this instance that never ran anything. A
-	// row of such an attempt may be taken over.
+	// notRun holds the attempts of this instance that never ran an operation.
+	// A row of such an attempt may be taken over.
 	notRun *boundedMap[string, struct{}]
-	// abandoned has the row keys that may yet hold such an attempt.
+	// abandoned holds the keys of rows that may hold such an attempt.
 	abandoned *boundedMap[string, struct{}]
-	// unrecorded has the outcomes whose row still says "started".
+	// unrecorded holds the outcomes whose row still says "started".
 	unrecorded *boundedMap[string, completion]
 }
 
-// phase is how far a claim has come.
+// phase is the state of a claim.
 type phase int
 
 const (
@@ -82,19 +83,19 @@
 	finishing
 )
 
-// claim is one caller-made key while this instance works on it.
+// claim is a caller-supplied key that this instance is processing.
 type claim struct {
 	id     ID
 	key    string
 	digest Digest
 	phase  phase
-	// cancelled claims aren't run, even if their insertion succeeds.
+	// cancelled claims are not run, even if their insertion succeeds.
 	cancelled   bool
-	insert      storage.Txn
+	insertTxn   storage.Txn
 	insertSends int
-	// revision of the row that this claim holds.
+	// revision is that of the row that this claim holds.
 	revision    storage.Revision
-	finish      storage.Txn
+	finishTxn   storage.Txn
 	finishSends int
 	completion  completion
 }
@@ -105,7 +106,8 @@
 	answer  *Answer
 }
 
-// NewClaimer returns a claimer without claims. self is the incarnation id.
+// NewClaimer returns a claimer without claims. self is the incarnation id of this
+// instance.
 func NewClaimer(self string, s ClaimerSettings) *Claimer {
 	return &Claimer{
 		self:       self,
@@ -118,7 +120,8 @@
 	}
 }
 
-// Begin starts to claim a key for a request.
+// Begin starts to claim a key for a request. The ID is 0 if the returned step is
+// a decision.
 func (c *Claimer) Begin(workspace, key string, d Digest) (ID, Step) {
 	rowKey := RowKey(workspace, key)
 	if other := c.byKey[rowKey]; other != nil {
@@ -137,7 +140,7 @@
 	return cl.id, c.sendInsert(cl, 0)
 }
 
-// decideLocal decides about a key that this instance is already working on.
+// decideLocal decides on a repeat of a request that this instance is processing.
 func (c *Claimer) decideLocal(cl *claim, d Digest) Decision {
 	if cl.digest != d {
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
@@ -161,13 +164,13 @@
 	}
 }
 
-// Cancel says that the request isn't wanted any more, because its deadline
-// is over. It has no effect after Run, whose end goes to Finish.
+// Cancel cancels a claim whose request's deadline has expired. It has no effect
+// after Run; the outcome is then reported with Finish.
 func (c *Claimer) Cancel(id ID) {
 	if cl := c.open[id]; cl != nil && cl.phase < running {
 		cl.cancelled = true
 	}
 }
 
-// OpenCount returns how many claims are being worked on, for metrics.
+// OpenCount returns the number of open claims, for metrics.
 func (c *Claimer) OpenCount() int { return len(c.open) }
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -203,7 +203,7 @@
 		s := DefaultClaimerSettings()
 		s.MaxRemembered = 1
 		sim, c := newTestTable(), NewClaimer("a", s)
-		c.notRun.capacity = 100 // attempts that never ran must stay known
+		c.notRun.capacity = 100 // attempts that never ran are remembered for longer than outcomes
 		for _, key := range []string{"k1", "k2"} {
 			id, step := c.Begin("w", key, Digest{1})
 			c.HandleWriteResult(id, sim.commit(*step.Write))
--- a/claim/decision.go
+++ b/claim/decision.go
@@ -2,79 +2,83 @@
 
 import "crypto/sha256"
 
-// Verdict is what to do with a request that carries a key.
+// Verdict tells how to handle a request that carries a key.
 type Verdict int
 
 const (
-	// Run means that this request is to be sent to a backend server, and
-	// its end to be reported.
+	// Run means that the request is to be sent to a backend server and its
+	// outcome to be reported with Finish.
 	Run Verdict = iota + 1
-	// InProgress means that an earlier request with the key is running.
+	// InProgress means that an earlier request with the key is still running.
 	InProgress
-	// Replay means that the operation ran; its answer comes along.
+	// Replay means that the operation ran and its response is in Answer.
 	Replay
-	// RanAlready means that the operation ran; its answer isn't kept.
+	// RanAlready means that the operation ran and its response was not kept.
 	RanAlready
 	// UnknownOutcome means that an earlier request with the key may have
-	// run, and nobody can know.
+	// run and that this cannot be determined.
 	UnknownOutcome
-	// Refused means that this request isn't run, for the Reason.
+	// Refused means that the request is not run, for the given Reason.
 	Refused
 )
 
-// Reason tells why a request was refused, or why an outcome is unknown.
+// Reason explains a Refused or UnknownOutcome verdict.
 type Reason int
 
 const (
-	// NoReason goes with the verdicts that speak for themselves.
+	// NoReason accompanies all other verdicts.
 	NoReason Reason = iota
-	// Malformed keys aren't operation keys at all.
+	// Malformed means that the text is not an operation key.
 	Malformed
-	// Forged keys have a wrong MAC.
+	// Forged means that the MAC does not match.
 	Forged
 	// WorkspaceMismatch means that the key was minted for another workspace.
 	WorkspaceMismatch
 	// MinterMismatch means that another instance minted the key.
 	MinterMismatch
-	// Expired keys are never run.
+	// Expired means that the key's time for a first run is over.
 	Expired
 	// RequestMismatch means that the key was used for a different request.
 	RequestMismatch
-	// CapacityReached means that this instance remembers too many operations.
+	// CapacityReached means that this instance tracks as many operations as
+	// its settings allow.
 	CapacityReached
-	// StoreUnavailable means that the claims table can't be reached.
+	// StoreUnavailable means that the claims table cannot be reached.
 	StoreUnavailable
-	// MinterUnavailable means that the instance that minted the key has ended.
+	// MinterUnavailable means that the instance that minted the key has ended
+	// or cannot be reached.
 	MinterUnavailable
-	// ClaimerUnavailable means that the instance that claimed the key has ended
-	// or can't be reached.
+	// ClaimerUnavailable means that the instance that claimed the key has
+	// ended or cannot be reached.
 	ClaimerUnavailable
-	// OutcomeLost means that the operation was sent and its end isn't known.
+	// OutcomeLost means that the operation may have been sent and its outcome
+	// is not known.
 	OutcomeLost
 )
 
-// Decision is a verdict with what a caller may be told.
+// Decision is a verdict with the details that may be returned to the caller.
 type Decision struct {
 	Verdict Verdict
 	Reason  Reason
-	// NeverRan means that no request with this key was ever sent to a
-	// backend server. Where it is false in a refusal, only this one wasn't,
-	// and an earlier one may have been.
+	// NeverRan means that no request with this key has run at a backend
+	// server. A refusal without it states only that this request was not
+	// sent; an earlier one may have been.
 	NeverRan bool
-	// Answer is set with Replay.
+	// Answer is the stored response; set with Replay.
 	Answer *Answer
-	// Owner is the instance that has the operation, with InProgress.
+	// Owner is the incarnation id of the instance that minted or claimed the
+	// key, with InProgress, MinterUnavailable and ClaimerUnavailable.
 	Owner string
 }
 
-// Answer is a backend server's answer as far as it is kept for repeats.
+// Answer is the part of a backend server's response that is stored for repeats.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// size is what an answer counts for in a bound on memory.
+// size returns the bytes that count towards MaxAnswerBytes.
 func (a *Answer) size() int {
 	if a == nil {
 		return 0
@@ -82,18 +86,20 @@
 	return len(a.Body) + len(a.ContentType)
 }
 
-// Outcome is how an operation that was run ended.
+// Outcome is the result of an operation after the verdict Run.
 type Outcome int
 
 const (
-	// Ran means that the backend server answered.
+	// Ran means that the backend server responded.
 	Ran Outcome = iota + 1
-	// NotRun means that it was proved that no backend server ran it.
+	// NotRun means that provably no backend server ran the operation.
 	NotRun
-	// Unknown means that it may have run: an answer was lost, cut or late.
+	// Unknown means that the operation may have run: the response was lost,
+	// truncated or late.
 	Unknown
 )
 
-// Digest is the SHA-256 of what makes a request the same when it is repeated:
-// method, path and body. The caller of this package computes it.
+// Digest is the SHA-256 hash of a request's method, path and body, by which a
+// repeat is told from a different request. The caller of this package computes
+// it.
 type Digest [sha256.Size]byte
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,20 +1,19 @@
-// Package claim keeps a non-idempotent request from running twice when its
-// caller repeats it, at the same or at another entry instance.
+// Package claim provides at-most-once execution of non-idempotent requests that
+// callers repeat at the same or at another entry instance.
 //
 // There are two kinds of keys.
 //
-// An operation key is minted by an entry instance (Minter) and carries that
-// instance's id. Only its minter ever runs it; the others forward a request
-// with it there. It needs no write to the platform and works while the
-// platform is away. When the minter is gone, nobody can know whether the
-// operation ran, and the answer says so; it is never run a second time.
+// An operation key is minted by an entry instance (Minter) and contains that
+// instance's id. Only the minter runs it; other instances forward the request
+// to the minter. It needs no write to the platform and works while the platform
+// is unavailable. Once the minter has ended, no instance can know whether the
+// operation ran: the request gets UnknownOutcome and is never run again.
 //
-// A key that the caller made has a row in the claims table (Claimer),
-// inserted before the request is sent to a backend server. It outlives
-// instances, but costs two writes a request and is refused while the platform
-// is away.
+// A key supplied by the caller has a row in the claims table (Claimer), inserted
+// before the request is sent to a backend server. It outlives instances, but
+// costs two writes per request and is refused while the platform is unavailable.
 //
-// A Decision says Run at most once per operation. The one exception is an
-// operation that ended as NotRun, which means proved: no connection was made,
-// no byte was written, or the backend server itself said so.
+// The verdict Run is given at most once per operation. The one exception is an
+// operation that ended with NotRun, which requires proof: no connection was
+// made, no byte was written, or the backend server itself reported it.
 package claim
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -6,8 +6,8 @@
 	"foxtailspoke/storage"
 )
 
-// Finish reports how the operation ended after Run. The row is released only
-// if the operation was proved not to have run.
+// Finish reports the outcome of an operation after Run. The row is deleted only if
+// the operation provably did not run.
 func (c *Claimer) Finish(id ID, o Outcome, a *Answer) Step {
 	cl := c.open[id]
 	if cl == nil || cl.phase != running {
@@ -16,13 +16,13 @@
 	cl.phase = finishing
 	cl.completion = completion{digest: cl.digest, outcome: o, answer: c.limitAnswer(a)}
 	if o == NotRun {
-		c.notRun.put(cl.insert.Attempt, struct{}{})
+		c.notRun.put(cl.insertTxn.Attempt, struct{}{})
 	}
-	cl.finish = c.newTxn(cl.key, cl.revision, cl.completionPut(c.self))
+	cl.finishTxn = c.newTxn(cl.key, cl.revision, cl.completionPut(c.self))
 	return c.sendFinish(cl, 0)
 }
 
-// limitAnswer drops an answer that is too long for the row.
+// limitAnswer returns nil for a response that is too long for the row.
 func (c *Claimer) limitAnswer(a *Answer) *Answer {
 	if a.size() > c.settings.MaxAnswerBytes {
 		return nil
@@ -30,7 +30,8 @@
 	return a
 }
 
-// completionPut is the write that ends a claim.
+// completionPut returns the write that records the outcome, or deletes the row
+// after NotRun.
 func (cl *claim) completionPut(self string) storage.Put {
 	r := Record{Digest: cl.digest.String(), Owner: self, State: StateUnknown}
 	switch cl.completion.outcome {
@@ -45,11 +46,11 @@
 
 func (c *Claimer) sendFinish(cl *claim, after time.Duration) Step {
 	cl.finishSends++
-	return Step{Write: &cl.finish, Delay: after}
+	return Step{Write: &cl.finishTxn, Delay: after}
 }
 
-// finishWritten repeats a write without answer. Its condition is the row's
-// revision, so it can't take effect twice, nor on another claim's row.
+// finishWritten retries a write without response. The write is conditional on the
+// row's revision, so it cannot take effect twice or on another claim's row.
 func (c *Claimer) finishWritten(cl *claim, r storage.WriteResult) Step {
 	if r.Outcome != storage.Unknown {
 		c.remove(cl)
@@ -58,7 +59,7 @@
 	if cl.finishSends < maxFinishSends {
 		return c.sendFinish(cl, c.settings.FinishRetry<<(cl.finishSends-1))
 	}
-	// The row keeps saying "started", but this instance knows better.
+	// The row may still say "started"; this instance keeps the outcome in memory.
 	if cl.completion.outcome == NotRun {
 		c.abandoned.put(cl.key, struct{}{})
 	} else {
--- a/claim/insert.go
+++ b/claim/insert.go
@@ -6,19 +6,20 @@
 	"foxtailspoke/storage"
 )
 
-// sendInsert claims the row, provided that it has the revision: 0 if absent.
+// sendInsert returns a write that claims the row on condition that it has the
+// given revision, 0 for an absent row.
 func (c *Claimer) sendInsert(cl *claim, revision storage.Revision) Step {
 	r := Record{Digest: cl.digest.String(), Owner: c.self, State: StateStarted}
-	cl.insert = c.newTxn(cl.key, revision, storage.Put{Value: r.encode()})
+	cl.insertTxn = c.newTxn(cl.key, revision, storage.Put{Value: r.encode()})
 	return c.repeatInsert(cl)
 }
 
-// repeatInsert sends the insertion, the second time with the same attempt
-// id: whichever of the two took effect is recognised as this claim's own.
+// repeatInsert sends the current insertion. A resend keeps the attempt id, so
+// that whichever of the two takes effect is recognised as this claim's own.
 func (c *Claimer) repeatInsert(cl *claim) Step {
 	cl.phase = inserting
 	cl.insertSends++
-	return Step{Write: &cl.insert}
+	return Step{Write: &cl.insertTxn}
 }
 
 func (c *Claimer) newTxn(key string, revision storage.Revision, p storage.Put) storage.Txn {
@@ -31,13 +32,14 @@
 	}
 }
 
-// attemptID returns a new id. Incarnation ids are unique, so is this.
+// attemptID returns a new attempt id. It is globally unique, because incarnation
+// ids are.
 func (c *Claimer) attemptID() string {
 	c.attemptCount++
 	return c.self + "/claim/" + strconv.FormatUint(c.attemptCount, 10)
 }
 
-// HandleWriteResult takes the result of a Step's Write.
+// HandleWriteResult processes the result of a Step's Write.
 func (c *Claimer) HandleWriteResult(id ID, r storage.WriteResult) Step {
 	cl := c.open[id]
 	switch {
@@ -54,7 +56,8 @@
 	case storage.Conflict:
 		return c.resolveRow(cl, r.Current)
 	default:
-		// The row may be ours or not. Running now could be the second run.
+		// The insertion may or may not have taken effect, and another claim may
+		// hold the row. Running now could be a second run.
 		cl.phase = resolving
 		return c.readRow(cl)
 	}
@@ -64,7 +67,7 @@
 	return Step{Read: &storage.ReadRequest{Table: storage.Claims, Prefix: cl.key}}
 }
 
-// HandleReadResult takes the result of a Step's Read.
+// HandleReadResult processes the result of a Step's Read.
 func (c *Claimer) HandleReadResult(id ID, ch storage.Changes) Step {
 	cl := c.open[id]
 	if cl == nil || cl.phase != resolving {
@@ -73,8 +76,8 @@
 	return c.resolveRow(cl, ch.Rows)
 }
 
-// HandleReadFailure says that a Step's Read failed. The request isn't run. Its
-// insertion may still take effect; the attempt is remembered so that a
+// HandleReadFailure processes the failure of a Step's Read. The request is not
+// run. Its insertion may still take effect, so the attempt is remembered and a
 // repeat at this instance can take the row over.
 func (c *Claimer) HandleReadFailure(id ID) Step {
 	cl := c.open[id]
@@ -84,49 +87,55 @@
 	return c.abandon(cl)
 }
 
+// abandon refuses the request. The row may hold or later receive its insertion,
+// which ReleaseAbandoned deletes.
 func (c *Claimer) abandon(cl *claim) Step {
-	c.notRun.put(cl.insert.Attempt, struct{}{})
+	c.notRun.put(cl.insertTxn.Attempt, struct{}{})
 	c.abandoned.put(cl.key, struct{}{})
 	return c.endWithoutRun(cl, Decision{Verdict: Refused, Reason: StoreUnavailable})
 }
 
-// resolveRow goes on with what is in the row.
+// resolveRow continues a claim according to the row's current content.
 func (c *Claimer) resolveRow(cl *claim, rows []storage.Row) Step {
 	row, ok := findRow(rows, cl.key)
 	if !ok {
-		// Absent, but an insertion without answer may still arrive.
+		// The row is absent, but an insertion without response may still take
+		// effect.
 		if cl.insertSends >= maxInsertSends || cl.cancelled {
 			return c.abandon(cl)
 		}
 		return c.repeatInsert(cl)
 	}
-	if row.Attempt == cl.insert.Attempt {
+	if row.Attempt == cl.insertTxn.Attempt {
 		return c.acquired(cl, row.Revision)
 	}
 	if _, reusable := c.notRun.get(row.Attempt); reusable {
 		return c.takeOver(cl, row)
 	}
-	// This claim's own insertion lost, or can't take effect any more.
-	c.notRun.put(cl.insert.Attempt, struct{}{})
+	// The row was claimed by another attempt. This claim's own insertion was
+	// rejected or cannot take effect any more.
+	c.notRun.put(cl.insertTxn.Attempt, struct{}{})
 	d := decideFromRow(row, cl.digest)
 	if d.Verdict == InProgress && d.Owner == c.self {
-		// A claim of this instance that it has forgotten.
+		// The row belongs to an earlier claim of this instance whose outcome
+		// has been evicted.
 		d = Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
 	}
 	return c.endWithoutRun(cl, d)
 }
 
-// takeOver replaces the row of an attempt of this instance that never ran.
+// takeOver claims a row that an attempt of this instance holds without having run
+// the operation.
 func (c *Claimer) takeOver(cl *claim, row storage.Row) Step {
 	r, err := decodeRecord(row)
 	switch {
 	case err != nil || r.Digest != cl.digest.String():
-		c.notRun.put(cl.insert.Attempt, struct{}{})
+		c.notRun.put(cl.insertTxn.Attempt, struct{}{})
 		return c.endWithoutRun(cl, decideFromRow(row, cl.digest))
 	case cl.insertSends >= maxInsertSends || cl.cancelled:
 		return c.abandon(cl)
 	default:
-		c.notRun.put(cl.insert.Attempt, struct{}{})
+		c.notRun.put(cl.insertTxn.Attempt, struct{}{})
 		return c.sendInsert(cl, row.Revision)
 	}
 }
@@ -140,7 +149,8 @@
 	return storage.Row{}, false
 }
 
-// acquired has the row. A cancelled claim gives it back unused.
+// acquired handles a claim that holds its row. A cancelled claim releases it
+// unused.
 func (c *Claimer) acquired(cl *claim, revision storage.Revision) Step {
 	cl.revision = revision
 	cl.phase = running
@@ -150,7 +160,7 @@
 	return decisionStep(Decision{Verdict: Run})
 }
 
-// endWithoutRun ends a claim that wasn't run.
+// endWithoutRun ends a claim whose request is not run.
 func (c *Claimer) endWithoutRun(cl *claim, d Decision) Step {
 	c.remove(cl)
 	if cl.cancelled {
--- a/claim/key.go
+++ b/claim/key.go
@@ -11,34 +11,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrMalformed reports a text that isn't an operation key.
-var ErrMalformed = errors.New("claim: not an operation key")
+// ErrMalformed is returned for text that is not a well-formed operation key.
+var ErrMalformed = errors.New("claim: malformed operation key")
 
-// keyVersion starts every operation key.
+// keyVersion is the first field of every operation key.
 const keyVersion = "op1"
 
 const (
 	keyFields   = 6
-	tagLength   = 8
-	macLength   = 16
+	tagBytes    = 8
+	macBytes    = 16
 	maxKeyBytes = 256
 )
 
-// OperationKey is a parsed operation key. Parsing verifies nothing.
+// OperationKey is a parsed operation key. Its MAC has not been verified.
 type OperationKey struct {
-	// Minter is the incarnation id of the instance that made the key.
+	// Minter is the incarnation id of the instance that minted the key.
 	Minter string
 	// Number is unique among the minter's keys.
 	Number uint64
-	// Expires is the time on the minter's clock after which it never runs.
+	// Expires is the time on the minter's clock from which the key is not run any more.
 	Expires time.Duration
 	// tag binds the key to a workspace.
 	tag string
 	mac string
 }
 
-// Parse reads the text form of an operation key, so that any instance can
-// find the minter. Only the minter can tell whether the key is genuine.
+// Parse parses the text form of an operation key, so that any instance can find
+// the minter. Only the minter can verify the MAC.
 func Parse(text string) (OperationKey, error) {
 	fields := strings.Split(text, ".")
 	if len(text) > maxKeyBytes || len(fields) != keyFields || fields[0] != keyVersion {
@@ -62,17 +62,18 @@
 	return k, nil
 }
 
-// IsOperationKey tells operation keys from keys that callers made.
+// IsOperationKey reports whether text has the prefix of operation keys, as
+// opposed to a caller-supplied key.
 func IsOperationKey(text string) bool {
 	return strings.HasPrefix(text, keyVersion+".")
 }
 
-// String returns the text form.
+// String returns the text form, which Parse accepts.
 func (k OperationKey) String() string {
 	return k.signedPart() + "." + k.mac
 }
 
-// signedPart is the part of the text that the MAC covers.
+// signedPart returns the part of the text that the MAC covers.
 func (k OperationKey) signedPart() string {
 	return strings.Join([]string{
 		keyVersion,
@@ -83,13 +84,13 @@
 	}, ".")
 }
 
-// workspaceTag names the workspace in a key without showing its name.
+// workspaceTag identifies the workspace in a key without disclosing its name.
 func workspaceTag(secret []byte, workspace string) string {
-	return truncatedHMAC(secret, "workspace\x00"+workspace, tagLength)
+	return truncatedHMAC(secret, "workspace\x00"+workspace, tagBytes)
 }
 
 func keyMAC(secret []byte, signedPart string) string {
-	return truncatedHMAC(secret, "key\x00"+signedPart, macLength)
+	return truncatedHMAC(secret, "key\x00"+signedPart, macBytes)
 }
 
 func truncatedHMAC(secret []byte, text string, length int) string {
--- a/claim/minter.go
+++ b/claim/minter.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Settings bound what an instance remembers of operations.
+// Settings bounds the operations that an instance remembers.
 type Settings struct {
-	// KeyTime is how long an operation key may be used for a first run.
+	// KeyTime is the time for which an operation key may start a run.
 	KeyTime time.Duration
-	// KeepTime is how long after a key's expiry its operation is remembered.
+	// KeepTime is the time for which an operation is remembered after its key
+	// has expired.
 	KeepTime time.Duration
-	// MaxOperations bounds the operations remembered. Beyond it, operations
-	// are refused rather than forgotten.
+	// MaxOperations bounds the remembered operations. Beyond it new operations
+	// are refused; remembered ones are not evicted.
 	MaxOperations int
-	// MaxAnswerBytes bounds the stored answers; the oldest go first.
+	// MaxAnswerBytes bounds the stored responses; the oldest are dropped first.
 	MaxAnswerBytes int
 }
 
-// DefaultSettings keep a key usable for as long as callers keep an answer of
-// locate, and a little over.
+// DefaultSettings returns settings under which a key stays usable slightly longer
+// than callers cache a locate response.
 func DefaultSettings() Settings {
 	return Settings{
 		KeyTime:        10 * time.Minute,
@@ -29,26 +30,27 @@
 	}
 }
 
-// Minter makes operation keys and decides about requests that carry them.
+// Minter mints operation keys and decides on requests that carry them.
 type Minter struct {
 	instance   string
 	secret     []byte
 	settings   Settings
 	lastNumber uint64
-	// operations are those begun, by number.
+	// operations holds the operations begun, by key number.
 	operations map[uint64]*operation
-	// expiryQueue has the numbers by time of forgetting, oldest first.
+	// expiryQueue holds the key numbers in order of eviction time.
 	expiryQueue []expiryEntry
-	// answerQueue has the numbers with a stored answer, oldest first.
+	// answerQueue holds the numbers of keys with a stored response, oldest
+	// first.
 	answerQueue []uint64
 	answerBytes int
 }
 
-// operation is one that was begun.
+// operation is the state of an operation that was begun.
 type operation struct {
 	digest  Digest
 	running bool
-	// outcome is set once it isn't running any more.
+	// outcome is valid once running is false.
 	outcome Outcome
 	answer  *Answer
 }
@@ -58,8 +60,8 @@
 	at     time.Duration
 }
 
-// NewMinter returns a minter without operations. The secret is random, kept
-// in memory only, and never used by another incarnation.
+// NewMinter returns a minter without operations. The secret must be random, kept
+// in memory only, and not shared with another incarnation.
 func NewMinter(instance string, secret []byte, s Settings) *Minter {
 	return &Minter{
 		instance:   instance,
@@ -69,8 +71,7 @@
 	}
 }
 
-// Mint returns a new operation key for a workspace. A key that isn't used
-// costs no memory.
+// Mint returns a new operation key for a workspace. An unused key takes no memory.
 func (m *Minter) Mint(now time.Duration, workspace string) string {
 	m.lastNumber++
 	k := OperationKey{
@@ -83,11 +84,11 @@
 	return k.String()
 }
 
-// Begin decides about a request that carries a key of this minter.
+// Begin decides on a request that carries an operation key.
 func (m *Minter) Begin(now time.Duration, workspace string, k OperationKey, d Digest) Decision {
 	m.evictExpired(now)
 	if reason := m.verify(workspace, k); reason != NoReason {
-		// Such a key never ran and never will.
+		// This minter has never run such a key and never will.
 		return Decision{Verdict: Refused, Reason: reason, NeverRan: reason != MinterMismatch}
 	}
 	if op, ok := m.operations[k.Number]; ok {
@@ -104,7 +105,7 @@
 	return Decision{Verdict: Run}
 }
 
-// verify tells why a key isn't genuine for the workspace.
+// verify returns why the key is not valid for the workspace, or NoReason.
 func (m *Minter) verify(workspace string, k OperationKey) Reason {
 	if k.Minter != m.instance {
 		return MinterMismatch
@@ -118,7 +119,7 @@
 	return NoReason
 }
 
-// decideRepeat decides about a key whose operation is remembered.
+// decideRepeat decides on a key whose operation is remembered.
 func (m *Minter) decideRepeat(now time.Duration, k OperationKey, op *operation, d Digest) Decision {
 	if op.digest != d {
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
@@ -143,9 +144,10 @@
 	}
 }
 
-// decideExpired decides about a key that is too old and not remembered. While its
-// operation would still be remembered, it can't have run. After that nobody
-// knows: "not run" would be false for an operation that was forgotten.
+// decideExpired decides on an expired key whose operation is not remembered. Within
+// KeepTime after expiry the operation would still be remembered if it had begun,
+// so it did not run. After that the outcome is unknown, because the operation may
+// have been evicted.
 func (m *Minter) decideExpired(now time.Duration, k OperationKey) Decision {
 	if now < k.Expires+m.settings.KeepTime {
 		return Decision{Verdict: Refused, Reason: Expired, NeverRan: true}
@@ -153,7 +155,7 @@
 	return Decision{Verdict: UnknownOutcome, Reason: Expired}
 }
 
-// Finish reports the end of an operation after Run.
+// Finish reports the outcome of an operation after Run.
 func (m *Minter) Finish(now time.Duration, k OperationKey, o Outcome, a *Answer) {
 	m.evictExpired(now)
 	op := m.operations[k.Number]
@@ -167,7 +169,7 @@
 	}
 }
 
-// storeAnswer keeps an answer and drops the oldest ones beyond the bound.
+// storeAnswer stores a response and drops the oldest ones beyond MaxAnswerBytes.
 func (m *Minter) storeAnswer(number uint64, op *operation, a *Answer) {
 	if a.size() > m.settings.MaxAnswerBytes {
 		return
@@ -190,8 +192,9 @@
 	op.answer = nil
 }
 
-// evictExpired drops the operations whose keys can't run any more, and only these:
-// an operation that is forgotten earlier would run a second time.
+// evictExpired evicts operations once KeepTime after their key's expiry is over,
+// and only these: an operation evicted earlier could run a second time or be
+// reported as never run.
 func (m *Minter) evictExpired(now time.Duration) {
 	for len(m.expiryQueue) > 0 && m.expiryQueue[0].at <= now {
 		number := m.expiryQueue[0].number
@@ -206,5 +209,5 @@
 	}
 }
 
-// OperationCount returns how many operations are remembered, for metrics.
+// OperationCount returns the number of remembered operations, for metrics.
 func (m *Minter) OperationCount() int { return len(m.operations) }
--- a/claim/peer.go
+++ b/claim/peer.go
@@ -1,21 +1,22 @@
 package claim
 
-// PeerState is what an instance knows of another one that it would need.
+// PeerState is another instance's state as known to this instance.
 type PeerState int
 
 const (
-	// PeerLive means that the other instance can be asked.
+	// PeerLive means that requests can be forwarded to the instance.
 	PeerLive PeerState = iota
-	// PeerUnreachable means that it doesn't answer, but may still run.
+	// PeerUnreachable means that the instance does not respond but may still
+	// be running.
 	PeerUnreachable
-	// PeerEnded means that it is gone for good.
+	// PeerEnded means that the instance has ended; its id is never reused.
 	PeerEnded
 )
 
-// RouteToMinter decides about an operation key that another instance minted.
+// RouteToMinter decides on a request whose operation key another instance minted.
 // forward is true if the request is to be sent to the minter; otherwise the
-// decision is final. No instance but the minter ever runs the operation, also
-// when the minter has ended: it may have run it just before.
+// decision is final. Only the minter runs the operation, even after it has ended:
+// it may have run the operation just before.
 func RouteToMinter(k OperationKey, minter PeerState) (d Decision, forward bool) {
 	switch minter {
 	case PeerLive:
@@ -25,10 +26,10 @@
 	}
 }
 
-// ForwardFailed decides about a request that was forwarded to the minter and
-// brought no answer. Whether the minter got it isn't known. Forwarding may be
-// repeated before that as long as the deadline allows: the minter runs a key
-// once, and tells a repeat how the first one ended.
+// ForwardFailed decides on a request that was forwarded to the minter without
+// response; whether the minter received it is not known. Forwarding may be retried
+// before that within the deadline, because the minter runs a key once and answers
+// a repeat with the outcome of the first request.
 func ForwardFailed(k OperationKey) Decision {
 	return Decision{Verdict: UnknownOutcome, Reason: MinterUnavailable, Owner: k.Minter}
 }
--- a/claim/prune.go
+++ b/claim/prune.go
@@ -6,16 +6,17 @@
 	"foxtailspoke/storage"
 )
 
-// RetentionTracker tells which claims are older than a retention, without comparing
-// clocks: it notes at which time of the own clock the claims table had which
-// revision. The retention must be longer than callers repeat a request: once
-// its claim is pruned, a key is free again.
+// RetentionTracker determines which claims are older than a retention period
+// without comparing the clocks of instances: it samples the revision of the claims
+// table against the local clock. The retention period must exceed the time for
+// which callers repeat a request, because the key of a pruned claim can be claimed
+// again.
 type RetentionTracker struct {
 	retention time.Duration
-	// sampleInterval is the time between two notes.
+	// sampleInterval is the minimum time between two samples.
 	sampleInterval time.Duration
 	samples        []revisionSample
-	// expired is the newest revision older than the retention.
+	// expired is the highest sampled revision older than the retention period.
 	expired storage.Revision
 }
 
@@ -24,16 +25,16 @@
 	revision storage.Revision
 }
 
-// samplesPerRetention is how many notes cover the retention.
+// samplesPerRetention is the number of samples that cover the retention period.
 const samplesPerRetention = 64
 
-// NewRetentionTracker returns a horizon that knows of no old claim. Claims become old
-// once the instance has run for the retention.
+// NewRetentionTracker returns a tracker without samples. No claim counts as
+// expired before the instance has run for the retention period.
 func NewRetentionTracker(retention time.Duration) *RetentionTracker {
 	return &RetentionTracker{retention: retention, sampleInterval: retention / samplesPerRetention}
 }
 
-// Observe takes the revision of the claims table that a read returned at a time.
+// Observe records the revision of the claims table that a read returned.
 func (t *RetentionTracker) Observe(now time.Duration, r storage.Revision) {
 	n := len(t.samples)
 	if n == 0 || now-t.samples[n-1].at >= t.sampleInterval {
@@ -41,8 +42,8 @@
 	}
 }
 
-// ExpiredRevision returns the highest revision whose claims are older than the
-// retention, 0 if none is known.
+// ExpiredRevision returns the highest revision known to be older than the
+// retention period, or 0 if there is none.
 func (t *RetentionTracker) ExpiredRevision(now time.Duration) storage.Revision {
 	for len(t.samples) > 0 && now-t.samples[0].at >= t.retention {
 		t.expired = max(t.expired, t.samples[0].revision)
@@ -51,13 +52,13 @@
 	return t.expired
 }
 
-// Prune returns a transaction that deletes at most limit of the rows last
-// changed at or below a revision, or false if there are none. A row that
-// changes in between makes the transaction fail as a whole.
-func (c *Claimer) Prune(rows []storage.Row, old storage.Revision, limit int) (storage.Txn, bool) {
+// Prune returns a transaction that deletes at most limit of the rows last changed
+// at or below the expired revision, or false if there are none. The whole
+// transaction fails if one of these rows changes before it is applied.
+func (c *Claimer) Prune(rows []storage.Row, expired storage.Revision, limit int) (storage.Txn, bool) {
 	txn := storage.Txn{Attempt: c.attemptID()}
 	for _, row := range rows {
-		if row.Deleted || row.Revision > old || len(txn.Puts) >= limit {
+		if row.Deleted || row.Revision > expired || len(txn.Puts) >= limit {
 			continue
 		}
 		txn.Conditions = append(txn.Conditions, storage.Condition{
--- a/claim/record.go
+++ b/claim/record.go
@@ -10,37 +10,38 @@
 	"foxtailspoke/storage"
 )
 
-// RowPrefix starts the keys of the claims table.
+// RowPrefix is the prefix of all row keys in the claims table.
 const RowPrefix = "claim/"
 
-// RowKey returns the key of the row for a caller-made idempotency key. It
-// shows neither the workspace nor the key.
+// RowKey returns the row key for a caller-supplied idempotency key. It discloses
+// neither the workspace nor the key.
 func RowKey(workspace, key string) string {
 	h := sha256.Sum256([]byte(workspace + "\x00" + key))
 	return RowPrefix + hex.EncodeToString(h[:])
 }
 
-// State is what a claim's row says about its operation.
+// State is the state of an operation as recorded in its row.
 type State string
 
 const (
-	// StateStarted means that the claimer may run it or have run it.
+	// StateStarted means that the claimer may run the operation or have run it.
 	StateStarted State = "started"
-	// StateRan means that a backend server answered.
+	// StateRan means that a backend server responded.
 	StateRan State = "ran"
-	// StateUnknown means that it was sent and the end isn't known.
+	// StateUnknown means that the operation was sent and its outcome is not
+	// known.
 	StateUnknown State = "unknown"
 )
 
-// Record is the value of a claim's row. The attempt id of the insertion is
-// the row's own Attempt.
+// Record is the value of a claim's row. The attempt id of the insertion is in the
+// row's Attempt field.
 type Record struct {
-	// Digest of the request, in hex.
+	// Digest is the hex-encoded request digest.
 	Digest string `json:"digest"`
-	// Owner is the claimer's incarnation id.
+	// Owner is the incarnation id of the claiming instance.
 	Owner string `json:"by"`
 	State State  `json:"state"`
-	// Answer is kept if it is short.
+	// Answer is the response, unless it exceeds MaxAnswerBytes.
 	Answer *Answer `json:"answer,omitempty"`
 }
 
@@ -49,21 +50,22 @@
 func decodeRecord(row storage.Row) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
-		return Record{}, errors.Wrapf(err, "claim row %s", row.Key)
+		return Record{}, errors.Wrapf(err, "decode claim row %s", row.Key)
 	}
 	return r, nil
 }
 
-// encode can't fail: a Record has only strings, numbers and bytes.
+// encode panics on an error, which cannot occur: a Record has only strings,
+// numbers and bytes.
 func (r Record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(errors.AssertionFailedf("claim record: %v", err))
+		panic(errors.AssertionFailedf("encode claim record: %v", err))
 	}
 	return b
 }
 
-// decideFromRow decides about a request whose key another attempt has claimed.
+// decideFromRow decides on a request whose key another attempt has claimed.
 func decideFromRow(row storage.Row, d Digest) Decision {
 	r, err := decodeRecord(row)
 	switch {
@@ -82,9 +84,9 @@
 	}
 }
 
-// ResolveInProgress turns a decision InProgress at another instance into what can be
-// said when that instance's state is known. A claim whose claimer is gone
-// stays unknown for good: the claimer may have sent the request just before.
+// ResolveInProgress replaces an InProgress decision by UnknownOutcome if the
+// claiming instance is not live. This is final, because the claimer may have sent
+// the request just before it ended.
 func ResolveInProgress(d Decision, claimer PeerState) Decision {
 	if d.Verdict != InProgress || claimer == PeerLive {
 		return d
--- a/claim/simulated_table_test.go
+++ b/claim/simulated_table_test.go
@@ -51,9 +51,9 @@
 	return r
 }
 
-func (sim *simulation) read(op *operationLog, n *simInstance, id ID, q storage.ReadRequest, call int) {
+func (sim *simulation) read(op *operationLog, inst *simInstance, id ID, q storage.ReadRequest, call int) {
 	if sim.unavailable || sim.chance(5) {
-		sim.schedule(n, func() { sim.applyStep(op, n, id, n.claimer.HandleReadFailure(id), call) })
+		sim.schedule(inst, func() { sim.applyStep(op, inst, id, inst.claimer.HandleReadFailure(id), call) })
 		return
 	}
 	ch := storage.Changes{Revision: sim.revision, Full: true}
@@ -62,5 +62,5 @@
 			ch.Rows = append(ch.Rows, row)
 		}
 	}
-	sim.schedule(n, func() { sim.applyStep(op, n, id, n.claimer.HandleReadResult(id, ch), call) })
+	sim.schedule(inst, func() { sim.applyStep(op, inst, id, inst.claimer.HandleReadResult(id, ch), call) })
 }
--- a/claim/simulation_test.go
+++ b/claim/simulation_test.go
@@ -106,8 +106,8 @@
 	return sim.instances[sim.rng.IntN(len(sim.instances))]
 }
 
-func (sim *simulation) schedule(n *simInstance, do func()) {
-	sim.pending = append(sim.pending, action{instance: n, do: do})
+func (sim *simulation) schedule(inst *simInstance, do func()) {
+	sim.pending = append(sim.pending, action{instance: inst, do: do})
 }
 
 func (sim *simulation) chance(percent int) bool { return sim.rng.IntN(100) < percent }
@@ -141,12 +141,12 @@
 // releaseAbandoned makes a random instance release one of its abandoned claims,
 // with a probability of 10 % a step.
 func (sim *simulation) releaseAbandoned() {
-	n := sim.randomInstance()
-	keys := n.claimer.AbandonedKeys(1)
+	inst := sim.randomInstance()
+	keys := inst.claimer.AbandonedKeys(1)
 	if len(keys) == 0 || sim.unavailable || !sim.chance(10) {
 		return
 	}
-	t, ok := n.claimer.ReleaseAbandoned(keys[0], storage.Changes{Rows: slices.Collect(maps.Values(sim.table))})
+	t, ok := inst.claimer.ReleaseAbandoned(keys[0], storage.Changes{Rows: slices.Collect(maps.Values(sim.table))})
 	if ok {
 		sim.schedule(nil, func() { sim.commit(t) })
 	}
@@ -154,14 +154,14 @@
 
 // sendRequest sends one request of a caller to a random instance.
 func (sim *simulation) sendRequest(op *operationLog) {
-	n := sim.randomInstance()
+	inst := sim.randomInstance()
 	call := sim.recordCall(op)
 	if op.operationKey == nil {
-		id, step := n.claimer.Begin("w", op.key, op.digest)
-		sim.applyStep(op, n, id, step, call)
+		id, step := inst.claimer.Begin("w", op.key, op.digest)
+		sim.applyStep(op, inst, id, step, call)
 		return
 	}
-	if op.minter == n {
+	if op.minter == inst {
 		sim.handleAtMinter(op, call, true)
 		return
 	}
@@ -171,13 +171,13 @@
 	}
 	d, forward := RouteToMinter(*op.operationKey, state)
 	if !forward {
-		sim.handleDecision(op, n, d, call, nil)
+		sim.handleDecision(op, inst, d, call, nil)
 		return
 	}
 	answered := !sim.chance(20)
 	sim.schedule(op.minter, func() { sim.handleAtMinter(op, call, answered) })
 	if !answered {
-		sim.handleDecision(op, n, ForwardFailed(*op.operationKey), -1, nil)
+		sim.handleDecision(op, inst, ForwardFailed(*op.operationKey), -1, nil)
 	}
 }
 
@@ -193,41 +193,41 @@
 }
 
 // applyStep schedules the action that a claim's step requires.
-func (sim *simulation) applyStep(op *operationLog, n *simInstance, id ID, s Step, call int) {
+func (sim *simulation) applyStep(op *operationLog, inst *simInstance, id ID, s Step, call int) {
 	switch {
 	case s.Decision != nil:
-		sim.handleDecision(op, n, *s.Decision, call, func(o Outcome, a *Answer) {
-			sim.recordOperationEnd(op, n, o)
-			sim.applyStep(op, n, id, n.claimer.Finish(id, o, a), -1)
+		sim.handleDecision(op, inst, *s.Decision, call, func(o Outcome, a *Answer) {
+			sim.recordOperationEnd(op, inst, o)
+			sim.applyStep(op, inst, id, inst.claimer.Finish(id, o, a), -1)
 		})
 	case s.Write != nil:
 		sim.write(*s.Write, func(r storage.WriteResult) {
-			sim.schedule(n, func() { sim.applyStep(op, n, id, n.claimer.HandleWriteResult(id, r), call) })
+			sim.schedule(inst, func() { sim.applyStep(op, inst, id, inst.claimer.HandleWriteResult(id, r), call) })
 		})
 	case s.Read != nil:
-		sim.schedule(nil, func() { sim.read(op, n, id, *s.Read, call) })
+		sim.schedule(nil, func() { sim.read(op, inst, id, *s.Read, call) })
 	}
 	if sim.chance(5) {
-		n.claimer.Cancel(id)
+		inst.claimer.Cancel(id)
 	}
 }
 
 // handleDecision checks and records a decision, and starts the operation on Run.
-func (sim *simulation) handleDecision(op *operationLog, n *simInstance, d Decision, call int, end func(Outcome, *Answer)) {
-	if d.Verdict == InProgress && d.Owner != n.id {
+func (sim *simulation) handleDecision(op *operationLog, inst *simInstance, d Decision, call int, end func(Outcome, *Answer)) {
+	if d.Verdict == InProgress && d.Owner != inst.id {
 		d = ResolveInProgress(d, sim.peerState(d.Owner))
 	}
 	op.verdicts[d.Verdict]++
-	sim.checkDecision(op, n, d)
+	sim.checkDecision(op, inst, d)
 	sim.recordReturn(op, call, d)
 	if d.Verdict == Run {
-		sim.execute(op, n, end)
+		sim.execute(op, inst, end)
 	}
 }
 
 func (sim *simulation) peerState(id string) PeerState {
-	for _, n := range sim.instances {
-		if n.id == id {
+	for _, inst := range sim.instances {
+		if inst.id == id {
 			return PeerLive
 		}
 	}
@@ -235,7 +235,7 @@
 }
 
 // checkDecision compares a decision with the operation's actual course.
-func (sim *simulation) checkDecision(op *operationLog, n *simInstance, d Decision) {
+func (sim *simulation) checkDecision(op *operationLog, inst *simInstance, d Decision) {
 	ran := op.executions + op.pendingExecutions
 	switch d.Verdict {
 	case Run:
@@ -256,8 +256,8 @@
 				op.avoidableUnknowns++
 			}
 		}
-		if o, ok := op.endsByInstance[n]; ok && o == Ran {
-			sim.reportViolation(op, "verdict UnknownOutcome at %s, which knows the outcome", n.id)
+		if o, ok := op.endsByInstance[inst]; ok && o == Ran {
+			sim.reportViolation(op, "verdict UnknownOutcome at %s, which knows the outcome", inst.id)
 		}
 	}
 	if d.NeverRan && ran > 0 {
@@ -267,7 +267,7 @@
 
 // execute sends the operation to the backend server, which runs it and responds,
 // does not run it, or runs it late with the response lost.
-func (sim *simulation) execute(op *operationLog, n *simInstance, end func(Outcome, *Answer)) {
+func (sim *simulation) execute(op *operationLog, inst *simInstance, end func(Outcome, *Answer)) {
 	scheduleExecution := func(done func()) {
 		op.pendingExecutions++
 		sim.schedule(nil, func() {
@@ -278,18 +278,18 @@
 	}
 	switch kind := sim.rng.IntN(10); {
 	case kind < 6:
-		scheduleExecution(func() { sim.schedule(n, func() { end(Ran, &Answer{Status: 201, Body: []byte(op.key)}) }) })
+		scheduleExecution(func() { sim.schedule(inst, func() { end(Ran, &Answer{Status: 201, Body: []byte(op.key)}) }) })
 	case kind < 8:
-		sim.schedule(n, func() { end(NotRun, nil) })
+		sim.schedule(inst, func() { end(NotRun, nil) })
 	default:
 		scheduleExecution(func() {})
-		sim.schedule(n, func() { end(Unknown, nil) })
+		sim.schedule(inst, func() { end(Unknown, nil) })
 	}
 }
 
-func (sim *simulation) recordOperationEnd(op *operationLog, n *simInstance, o Outcome) {
+func (sim *simulation) recordOperationEnd(op *operationLog, inst *simInstance, o Outcome) {
 	if o == Ran {
-		op.endsByInstance[n] = o
+		op.endsByInstance[inst] = o
 	}
 	sim.recordFinish(op, o)
 }
