--- a/node/attempts.go
+++ b/node/attempts.go
@@ -32,12 +32,12 @@
 	n.budget(r.service.Name).RecordRequest()
 	switch {
 	case r.gone:
-		record := n.record(r, decision.RuleCallerGone)
+		record := n.record(r, decision.RuleCallerDisconnected)
 		record.Outcome = decision.NotRun
 		n.refuseAs(r, record)
 		return
 	case n.now >= r.deadline:
-		n.refuse(r, decision.RuleDeadline, 0)
+		n.refuse(r, decision.RuleDeadlineExceeded, 0)
 		return
 	}
 	if !n.send(r) {
@@ -47,7 +47,7 @@
 
 // send starts an attempt at a backend server that wasn't tried yet.
 func (n *Node) send(r *request) bool {
-	servers := n.servers(r)
+	servers := n.serverView(r)
 	o := balance.Options{Exclude: r.tried, AvoidSuspects: !r.idempotent}
 	id, ok := n.picker.Pick(n.now, r.service.Name, servers, o)
 	if !ok {
@@ -106,7 +106,7 @@
 	}
 	n.observe(a, e)
 	if e.Leaving {
-		n.noteLeaver(a.server.ID)
+		n.markLeaving(a.server.ID)
 	}
 	if e.Streaming && !a.request.answered {
 		a.streaming = true
@@ -149,7 +149,7 @@
 }
 
 func (n *Node) retryState(r *request, e AttemptEnded) retry.Attempt {
-	others, room := n.others(r)
+	others, room := n.untriedServers(r)
 	if !e.Replayable {
 		others = 0
 	}
@@ -177,16 +177,16 @@
 	rule := decision.RuleNoServer
 	switch {
 	case r.gone:
-		rule = decision.RuleCallerGone
+		rule = decision.RuleCallerDisconnected
 	case d.Outcome == retry.Unknown && r.idempotent:
 		rule = decision.RuleAttemptsFailed
 	case d.Outcome == retry.Unknown:
 		rule = decision.RuleUnknownOutcome
 	case e.Result == health.Shed:
-		rule = decision.RuleShed
+		rule = decision.RuleBackendBusy
 	}
 	r.figures.Servers = len(n.member.Directory().Servers(r.service.Name))
-	r.figures.Usable, _ = n.others(r)
+	r.figures.Usable, _ = n.untriedServers(r)
 	n.refuse(r, rule, max(d.RetryAfter, e.RetryAfter))
 }
 
@@ -233,11 +233,11 @@
 	}
 	delete(n.requests, r.arrived.Request)
 	n.endOperation(r, claim.Unknown, nil)
-	rule := decision.RuleAnswerCut
+	rule := decision.RuleAnswerTruncated
 	if r.gone {
-		rule = decision.RuleCallerGone
+		rule = decision.RuleCallerDisconnected
 	}
-	if rule == decision.RuleAnswerCut {
+	if rule == decision.RuleAnswerTruncated {
 		n.observer.Observe(n.now, n.observation(a, health.Incomplete, n.now-a.started))
 	}
 	n.recorded(n.record(r, rule))
--- a/node/timers.go
+++ b/node/timers.go
@@ -23,16 +23,16 @@
 	heap.Push(&t.list, timer{at: at, number: t.made, do: do})
 }
 
-func (t *timers) first() (time.Duration, bool) {
+func (t *timers) nextTime() (time.Duration, bool) {
 	if len(t.list) == 0 {
 		return 0, false
 	}
 	return t.list[0].at, true
 }
 
-// due removes and returns the first thing to do whose time has come.
-func (t *timers) due(now time.Duration) (func(), bool) {
-	if at, ok := t.first(); !ok || at > now {
+// popDue removes and returns the first thing to do whose time has come.
+func (t *timers) popDue(now time.Duration) (func(), bool) {
+	if at, ok := t.nextTime(); !ok || at > now {
 		return nil, false
 	}
 	return heap.Pop(&t.list).(timer).do, true
@@ -56,7 +56,7 @@
 
 func (n *Node) runTimers() {
 	for {
-		do, ok := n.timers.due(n.now)
+		do, ok := n.timers.popDue(n.now)
 		if !ok {
 			return
 		}
