--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -148,12 +148,12 @@
 
 // summary aggregates the results of all simulations.
 type summary struct {
-	verdicts    map[Verdict]int
-	executed    int
-	claimRuns   int // runs of caller-supplied keys
-	writes      int
-	avoidable   int
-	failedSeeds int
+	verdicts          map[Verdict]int
+	executions        int
+	claimRuns         int // runs of caller-supplied keys
+	writes            int
+	avoidableUnknowns int
+	failedSeeds       int
 }
 
 // add returns the violations of a finished simulation.
@@ -167,11 +167,11 @@
 		if !isLinearizable(op.porcupineOperations(last)) {
 			sim.reportViolation(op, "history is not linearizable")
 		}
-		s.executed += op.executions
+		s.executions += op.executions
 		if op.operationKey == nil {
 			s.claimRuns += op.verdicts[Run]
 		}
-		s.avoidable += op.avoidableUnknowns
+		s.avoidableUnknowns += op.avoidableUnknowns
 		for v, n := range op.verdicts {
 			s.verdicts[v] += n
 		}
@@ -181,8 +181,8 @@
 
 func (s summary) String() string {
 	return fmt.Sprintf("%d executions; %.2f writes per claimed run; run %d, in progress %d, replay %d, unknown %d (%d known to a live instance), refused %d; %d failed seeds",
-		s.executed, float64(s.writes)/float64(s.claimRuns), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
-		s.verdicts[UnknownOutcome], s.avoidable, s.verdicts[Refused], s.failedSeeds)
+		s.executions, float64(s.writes)/float64(s.claimRuns), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
+		s.verdicts[UnknownOutcome], s.avoidableUnknowns, s.verdicts[Refused], s.failedSeeds)
 }
 
 func isLinearizable(ops []porcupine.Operation) bool {
