--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -69,7 +69,7 @@
 	notRun *boundedMap[string, struct{}]
 	// abandoned holds the keys of rows that may hold such an attempt.
 	abandoned *boundedMap[string, struct{}]
-	// unrecorded holds the outcomes whose row still says "started".
+	// unrecorded holds the outcomes whose row may still say "started".
 	unrecorded *boundedMap[string, completion]
 }
 
@@ -151,13 +151,13 @@
 	return cl.completion.decision(d)
 }
 
-func (f completion) decision(d Digest) Decision {
+func (done completion) decision(d Digest) Decision {
 	switch {
-	case f.digest != d:
+	case done.digest != d:
 		return Decision{Verdict: Refused, Reason: RequestMismatch}
-	case f.outcome == Ran && f.answer != nil:
-		return Decision{Verdict: Replay, Answer: f.answer}
-	case f.outcome == Ran:
+	case done.outcome == Ran && done.answer != nil:
+		return Decision{Verdict: Replay, Answer: done.answer}
+	case done.outcome == Ran:
 		return Decision{Verdict: RanAlready}
 	default:
 		return Decision{Verdict: UnknownOutcome, Reason: OutcomeLost}
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -173,13 +173,13 @@
 // Rows must be pruned once they are older than the retention period by the
 // pruner's clock, and not if they change between the read and the deletion.
 func TestPruneByRetention(t *testing.T) {
-	h := NewRetentionTracker(time.Hour)
+	tracker := NewRetentionTracker(time.Hour)
 	for at := time.Duration(0); at <= 2*time.Hour; at += time.Minute {
-		h.Observe(at, storage.Revision(at/time.Minute))
-		must.LessEq(t, samplesPerRetention+1, len(h.samples))
-		must.LessEq(t, storage.Revision(max(0, at-time.Hour)/time.Minute), h.ExpiredRevision(at))
+		tracker.Observe(at, storage.Revision(at/time.Minute))
+		must.LessEq(t, samplesPerRetention+1, len(tracker.samples))
+		must.LessEq(t, storage.Revision(max(0, at-time.Hour)/time.Minute), tracker.ExpiredRevision(at))
 	}
-	must.GreaterEq(t, 58, h.ExpiredRevision(2*time.Hour))
+	must.GreaterEq(t, 58, tracker.ExpiredRevision(2*time.Hour))
 
 	sim, c := newTestTable(), NewClaimer("a", DefaultClaimerSettings())
 	for _, key := range []string{"k1", "k2", "k3"} {
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -44,9 +44,9 @@
 	return storage.Put{Value: r.encode()}
 }
 
-func (c *Claimer) sendFinish(cl *claim, after time.Duration) Step {
+func (c *Claimer) sendFinish(cl *claim, delay time.Duration) Step {
 	cl.finishSends++
-	return Step{Write: &cl.finishTxn, Delay: after}
+	return Step{Write: &cl.finishTxn, Delay: delay}
 }
 
 // finishWritten retries a write without response. The write is conditional on the
--- a/claim/insert.go
+++ b/claim/insert.go
@@ -87,8 +87,8 @@
 	return c.abandon(cl)
 }
 
-// abandon refuses the request. The row may hold or later receive its insertion,
-// which ReleaseAbandoned deletes.
+// abandon refuses the request. Its insertion may have taken effect or do so later;
+// ReleaseAbandoned then deletes the row.
 func (c *Claimer) abandon(cl *claim) Step {
 	c.notRun.put(cl.insertTxn.Attempt, struct{}{})
 	c.abandoned.put(cl.key, struct{}{})
