--- a/internal/labcommand/command.go
+++ b/internal/labcommand/command.go
@@ -116,7 +116,7 @@
 	_, _ = fmt.Fprintf(t, "%d draws, seed %d; A without %s, B without %s\n", x.Draws, x.Seed, x.A, x.B)
 	_, _ = fmt.Fprintln(t, "measure\tA\tB\tB less A\twithin\tbetter")
 	for _, c := range result.Measures {
-		_, _ = fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.Name, c.A, c.B, c.Difference, c.Within, c.Verdict())
+		_, _ = fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.Name, c.A, c.B, c.Difference, c.HalfWidth, c.Verdict())
 	}
 	return errors.Wrap(t.Flush(), "result")
 }
@@ -126,7 +126,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(t, "%d draws, seed %d; what is lost without each mechanism (* outside the interval)\n", x.Draws, x.Seed)
 	_, _ = fmt.Fprint(t, "mechanism")
-	for _, name := range lab.Names {
+	for _, name := range lab.MeasureNames {
 		_, _ = fmt.Fprintf(t, "\t%s", name)
 	}
 	_, _ = fmt.Fprintln(t)
--- a/internal/labcommand/command_test.go
+++ b/internal/labcommand/command_test.go
@@ -19,9 +19,9 @@
 func TestPoliciesAreCompared(t *testing.T) {
 	status, out, _ := run("--draws", "4", "--b-without", "keep", "--json")
 	must.Zero(t, status)
-	var measures []lab.Compared
+	var measures []lab.Comparison
 	must.NoError(t, json.Unmarshal([]byte(out), &measures))
-	must.Len(t, len(lab.Names), measures)
+	must.Len(t, len(lab.MeasureNames), measures)
 	status, out, _ = run("--settings", "../../examples/lab/hanging.jsonc", "--draws", "3")
 	must.Zero(t, status)
 	must.StrContains(t, out, "B without probe")
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -46,7 +46,7 @@
 	must.Eq(t, Count{Served: 18, Refused: 2}, step.ThroughCount)
 	must.GreaterEq(t, 30_000, step.Through.P50)
 	must.Eq(t, step.Through.P99-step.Direct.P99, step.Added.P99)
-	must.Positive(t, step.Memory)
+	must.Positive(t, step.ResidentBytes)
 
 	var table, data bytes.Buffer
 	must.NoError(t, WriteTable(&table, []Step{step}))
--- a/internal/measure/pair.go
+++ b/internal/measure/pair.go
@@ -45,14 +45,14 @@
 	Added        Quantiles `json:"added"`
 	DirectCount  Count     `json:"directCount"`
 	ThroughCount Count     `json:"throughCount"`
-	// SentLate is how long after its time a request was sent. It shows
+	// SendDelay is how long after its time a request was sent. It shows
 	// whether the machine kept up with the rate; no latency contains it.
-	SentLate Quantiles `json:"sentLate"`
-	// CPU is the process's time per request through it, in microseconds; 0
+	SendDelay Quantiles `json:"sentLate"`
+	// CPUPerRequest is the process's time per request through it, in microseconds; 0
 	// if it wasn't read.
-	CPU float64 `json:"cpuUsPerRequest"`
-	// Memory is the process's resident memory afterwards, in bytes.
-	Memory int64 `json:"residentBytes"`
+	CPUPerRequest float64 `json:"cpuUsPerRequest"`
+	// ResidentBytes is the process's resident memory afterwards, in bytes.
+	ResidentBytes int64 `json:"residentBytes"`
 }
 
 const (
@@ -144,18 +144,18 @@
 		return Step{}, err
 	}
 	step := Step{
-		Rate:         rate,
-		Seconds:      took.Seconds(),
-		Direct:       quantiles(direct.latencies),
-		Through:      quantiles(through.latencies),
-		DirectCount:  direct.count,
-		ThroughCount: through.count,
-		SentLate:     quantiles(lateness),
-		Memory:       after.resident,
+		Rate:          rate,
+		Seconds:       took.Seconds(),
+		Direct:        quantiles(direct.latencies),
+		Through:       quantiles(through.latencies),
+		DirectCount:   direct.count,
+		ThroughCount:  through.count,
+		SendDelay:     quantiles(lateness),
+		ResidentBytes: after.resident,
 	}
 	step.Added = step.Through.minus(step.Direct)
 	if n := through.count.Served + through.count.Refused; n > 0 {
-		step.CPU = (after.processor - before.processor).Seconds() * 1e6 / float64(n)
+		step.CPUPerRequest = (after.processor - before.processor).Seconds() * 1e6 / float64(n)
 	}
 	return step, ctx.Err()
 }
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -23,9 +23,9 @@
 	}
 	_, _ = fmt.Fprintln(w, "\n\"added\" is the difference of the quantiles, not the quantile of the differences.")
 	for _, s := range steps {
-		_, _ = fmt.Fprintf(w, "%d requests/s each way: sent late p99 %d µs", s.Rate, s.SentLate.P99)
-		if s.CPU > 0 {
-			_, _ = fmt.Fprintf(w, "; entry %.0f µs of processor time a request, %.1f MB resident", s.CPU, float64(s.Memory)/(1<<20))
+		_, _ = fmt.Fprintf(w, "%d requests/s each way: sent late p99 %d µs", s.Rate, s.SendDelay.P99)
+		if s.CPUPerRequest > 0 {
+			_, _ = fmt.Fprintf(w, "; entry %.0f µs of processor time a request, %.1f MB resident", s.CPUPerRequest, float64(s.ResidentBytes)/(1<<20))
 		}
 		_, _ = fmt.Fprintln(w)
 	}
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -20,7 +20,7 @@
 type caller struct {
 	world     *world
 	service   int
-	kind      Kind
+	kind      RequestKind
 	workspace int
 	// work and honest are drawn beforehand, the same for every policy.
 	work   time.Duration
@@ -48,10 +48,10 @@
 	job    *job
 }
 
-func newCaller(w *world, service int, k Kind, rng *rand.Rand, number uint64) *caller {
+func newCaller(w *world, service int, k RequestKind, rng *rand.Rand, number uint64) *caller {
 	c := &caller{world: w, service: service, kind: k, rng: rand.New(rand.NewPCG(w.seed, 1_000_000+number)), first: -1}
-	c.work = logNormal(rng, k.Work, k.Spread)
-	c.honest = rng.Float64() < w.deployment.Honest
+	c.work = logNormal(rng, k.ServiceTime, k.Spread)
+	c.honest = rng.Float64() < w.deployment.RetryAfterCompliance
 	x := rng.Float64()
 	for i, ws := range w.deployment.Workspaces {
 		c.workspace = i
@@ -123,7 +123,7 @@
 	c.tried = append(c.tried, choice.Server.ID)
 	c.running = append(c.running, a)
 	c.instance.started(c, v, len(c.tried))
-	if c.instance.cut[v.hash] && w.deployment.Cut.holds(w.now) {
+	if c.instance.cut[v.hash] && w.deployment.Partition.holds(w.now) {
 		v.finish(a.job, connectFor, health.ConnectFailed)
 		return
 	}
@@ -132,7 +132,7 @@
 
 func (c *caller) state(r health.Result, running int) retry.Attempt {
 	return retry.Attempt{
-		Result: r, Idempotent: c.kind.Repeatable, AttemptCount: len(c.tried), MayHaveRun: c.mayHaveRun, InFlight: running,
+		Result: r, Idempotent: c.kind.Idempotent, AttemptCount: len(c.tried), MayHaveRun: c.mayHaveRun, InFlight: running,
 		Deadline: c.deadline, Untried: maxAttempts - len(c.tried), UntriedHasSlot: true,
 	}
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -25,28 +25,28 @@
 
 // Outcome is what an experiment found.
 type Outcome struct {
-	Measures []Compared
+	Measures []Comparison
 	// Differences of each draw, B less A, by measure.
 	Differences [][]float64
 }
 
-// Compared is one measure of both policies over all draws.
-type Compared struct {
+// Comparison is one measure of both policies over all draws.
+type Comparison struct {
 	Name string
 	// A and B are the means.
 	A, B float64
-	// Difference is the mean of B less A, Within the half-width of its
+	// Difference is the mean of B less A, HalfWidth the half-width of its
 	// interval of confidence at 95%.
-	Difference, Within float64
-	MoreIsBetter       bool
+	Difference, HalfWidth float64
+	HigherIsBetter        bool
 }
 
 // Verdict tells which policy is better, as far as the interval tells.
-func (c Compared) Verdict() string {
+func (c Comparison) Verdict() string {
 	switch {
-	case math.Abs(c.Difference) <= c.Within:
+	case math.Abs(c.Difference) <= c.HalfWidth:
 		return "same"
-	case (c.Difference > 0) == c.MoreIsBetter:
+	case (c.Difference > 0) == c.HigherIsBetter:
 		return "B"
 	default:
 		return "A"
@@ -68,8 +68,8 @@
 			for n := range next {
 				d := draw(rand.New(rand.NewPCG(x.Seed, uint64(n))))
 				seed := x.Seed<<20 + uint64(n)
-				a[n] = Play(d, x.A, seed).Values()
-				b[n] = Play(d, x.B, seed).Values()
+				a[n] = Simulate(d, x.A, seed).Values()
+				b[n] = Simulate(d, x.B, seed).Values()
 			}
 		})
 	}
@@ -83,8 +83,8 @@
 
 func compare(a, b [][]float64) Outcome {
 	var o Outcome
-	for m, name := range Names {
-		c := Compared{Name: name, MoreIsBetter: Better[m]}
+	for m, name := range MeasureNames {
+		c := Comparison{Name: name, HigherIsBetter: HigherIsBetter[m]}
 		var differences []float64
 		for n := range a {
 			c.A += a[n][m] / float64(len(a))
@@ -92,7 +92,7 @@
 			differences = append(differences, b[n][m]-a[n][m])
 		}
 		c.Difference = stat.Mean(differences, nil)
-		c.Within = halfWidth(differences)
+		c.HalfWidth = halfWidth(differences)
 		o.Measures = append(o.Measures, c)
 		o.Differences = append(o.Differences, differences)
 	}
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -33,7 +33,7 @@
 	placer     *placement.Placer
 	usage      *usage.Counters
 	repeats    []*retry.FleetBudget
-	work       map[Kind]time.Duration
+	work       map[RequestKind]time.Duration
 	own        map[uint32]int
 	cut        map[uint32]bool
 	rng        *rand.Rand
@@ -43,7 +43,7 @@
 	i := &instance{
 		world: w, number: uint32(number + 1), dataCentre: dataCentre(number % w.deployment.DataCentres),
 		placer: placement.NewWithout(w.off), usage: usage.NewCounters(),
-		work: make(map[Kind]time.Duration), own: make(map[uint32]int), cut: make(map[uint32]bool),
+		work: make(map[RequestKind]time.Duration), own: make(map[uint32]int), cut: make(map[uint32]bool),
 		rng: rand.New(rand.NewPCG(w.decisions.Uint64(), uint64(number))),
 	}
 	paths := rand.New(rand.NewPCG(w.seed, uint64(50_000+number)))
@@ -51,7 +51,7 @@
 		i.repeats = append(i.repeats, retry.NewFleetBudget(comeBackSoon, i.rng))
 		for _, v := range s.servers {
 			i.placer.Apply(discovery.Change{Server: v.entry, New: true}, w.now)
-			i.cut[v.hash] = paths.Float64() < w.deployment.CutShare
+			i.cut[v.hash] = paths.Float64() < w.deployment.PartitionShare
 		}
 	}
 	for n, ws := range w.deployment.Workspaces {
@@ -123,11 +123,11 @@
 	i.tell(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.world.now) })
 }
 
-func (i *instance) workOf(k Kind) time.Duration {
+func (i *instance) workOf(k RequestKind) time.Duration {
 	if w, ok := i.work[k]; ok {
 		return w
 	}
-	return time.Duration(firstWork * float64(k.Aim))
+	return time.Duration(firstWork * float64(k.LatencyTarget))
 }
 
 var bound = retry.Limit{Ratio: repeatRatio, Slack: repeatSlack, Coverage: 1}
@@ -136,9 +136,9 @@
 func (i *instance) choose(c *caller) (placement.Choice, bool) {
 	now := i.world.now
 	r := placement.Request{
-		Service: i.world.services[c.service].name, Retryable: c.kind.Repeatable,
-		RetryBudgetAmple: c.kind.Repeatable && i.repeats[c.service].MayProbe(bound, now),
-		LatencyTarget:    c.kind.Aim - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.workOf(c.kind),
+		Service: i.world.services[c.service].name, Retryable: c.kind.Idempotent,
+		RetryBudgetAmple: c.kind.Idempotent && i.repeats[c.service].MayProbe(bound, now),
+		LatencyTarget:    c.kind.LatencyTarget - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.workOf(c.kind),
 		SizeKB: 5, DataCentre: i.dataCentre, TriedServers: c.tried,
 	}
 	choice, ok := i.placer.Choose(r, now, i.rng.Float64)
@@ -149,7 +149,7 @@
 }
 
 func (i *instance) mayHedge(c *caller) bool {
-	if !c.kind.Repeatable || !i.world.off.Enabled(mechanism.Hedge) {
+	if !c.kind.Idempotent || !i.world.off.Enabled(mechanism.Hedge) {
 		return false
 	}
 	return retry.DecideHedge(i.world.now, c.state(health.Late, 1), i.repeats[c.service].Budget(bound, i.world.now)).Action == retry.Hedge
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -27,16 +27,16 @@
 // simple is a deployment of one service without any trouble.
 func simple() lab.Deployment {
 	d := lab.Wide.Draw(rand.New(rand.NewPCG(1, 1)))
-	d.Instances, d.MessageLoss, d.CutShare, d.Burst, d.KillAt, d.Honest = 6, 0, 0, 1, 0, 1
+	d.Instances, d.MessageLoss, d.PartitionShare, d.BurstFactor, d.RestartAt, d.RetryAfterCompliance = 6, 0, 0, 1, 0, 1
 	s := d.Services[0]
-	s.Servers, s.Slots, s.Errors, s.ShedShare = 10, 4, 0, 0
-	s.Speeds = []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}
-	s.Spells = lab.Spells{Share: 1e-9, Fails: 1, Length: 1}
+	s.Servers, s.Slots, s.ErrorShare, s.ShedShare = 10, 4, 0, 0
+	s.Slowdowns = []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}
+	s.Faults = lab.Faults{Share: 1e-9, FailureShare: 1, MeanDuration: 1}
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
-		k.PerSecond, k.Spread = 20, 0.2
-		k.Work = 100e6
-		k.Aim, k.Timeout = 5*k.Work, 20*k.Work
+		k.RequestsPerSecond, k.Spread = 20, 0.2
+		k.ServiceTime = 100e6
+		k.LatencyTarget, k.Timeout = 5*k.ServiceTime, 20*k.ServiceTime
 	}
 	d.Services = []lab.Service{s}
 	for i := range d.Workspaces {
@@ -46,7 +46,7 @@
 }
 
 func TestWithoutTroubleAllIsServedInTime(t *testing.T) {
-	m := lab.Play(simple(), mechanism.Disabled{}, 1)
+	m := lab.Simulate(simple(), mechanism.Disabled{}, 1)
 	must.Greater(t, 0.999, m.Credit)
 	must.Zero(t, m.OrdersLost)
 	must.Zero(t, m.Refused)
@@ -57,27 +57,27 @@
 // service asked for twice what its slots take refuses.
 func TestKnownExtremes(t *testing.T) {
 	ill := simple()
-	ill.Services[0].Spells = lab.Spells{Share: 0.3, Fails: 0.8, Length: 9e9, Mode: lab.Reset}
-	clever := lab.Play(ill, mechanism.Disabled{}, 1)
-	simpler := lab.Play(ill, mechanism.Disable(mechanism.FailurePrediction, mechanism.KeepInUse, mechanism.Probe), 1)
+	ill.Services[0].Faults = lab.Faults{Share: 0.3, FailureShare: 0.8, MeanDuration: 9e9, Mode: lab.Reset}
+	clever := lab.Simulate(ill, mechanism.Disabled{}, 1)
+	simpler := lab.Simulate(ill, mechanism.Disable(mechanism.FailurePrediction, mechanism.KeepInUse, mechanism.Probe), 1)
 	must.Positive(t, clever.OrdersLost)
 	must.Greater(t, 4*clever.OrdersLost, simpler.OrdersLost)
 
 	full := simple()
 	for i := range full.Services[0].Kinds {
-		full.Services[0].Kinds[i].PerSecond = 800 / float64(len(full.Services[0].Kinds))
+		full.Services[0].Kinds[i].RequestsPerSecond = 800 / float64(len(full.Services[0].Kinds))
 	}
-	m := lab.Play(full, mechanism.Disabled{}, 1)
+	m := lab.Simulate(full, mechanism.Disabled{}, 1)
 	must.Between(t, 0.3, m.Unserved, 0.8)
 }
 
 // Half of the draws are compared with themselves plus a known difference.
 func TestVerdictNeedsMoreThanChance(t *testing.T) {
-	c := lab.Compared{Difference: 0.01, Within: 0.02, MoreIsBetter: true}
+	c := lab.Comparison{Difference: 0.01, HalfWidth: 0.02, HigherIsBetter: true}
 	must.Eq(t, "same", c.Verdict())
-	c.Within = 0.005
+	c.HalfWidth = 0.005
 	must.Eq(t, "B", c.Verdict())
-	c.MoreIsBetter = false
+	c.HigherIsBetter = false
 	must.Eq(t, "A", c.Verdict())
 }
 
--- a/lab/measures.go
+++ b/lab/measures.go
@@ -16,32 +16,32 @@
 	Late float64
 	// Refused is the share of owed requests that were refused for good.
 	Refused float64
-	// WorstWorkspace and WorstSeconds are the smallest shares served of a
+	// WorstWorkspace and WorstWindow are the smallest shares served of a
 	// workspace and of two seconds.
-	WorstWorkspace, WorstSeconds float64
+	WorstWorkspace, WorstWindow float64
 	// Idle is the share of time that healthy servers got no request, the
 	// false ejections.
 	Idle float64
-	// Failures is the number of requests that a server's spell cost, for each
+	// FailuresPerFault is the number of requests that a server's spell cost, for each
 	// spell that any request met: a measure of detection.
-	Failures float64
+	FailuresPerFault float64
 }
 
 // lateWorth is what a late answer is worth to its caller.
 const lateWorth = 0.3
 
-// Names of the measures, in the order of Values.
-var Names = []string{
+// MeasureNames of the measures, in the order of Values.
+var MeasureNames = []string{
 	"credit", "unserved", "orders lost", "late", "refused", "worst workspace", "worst seconds", "idle healthy", "failures a spell",
 }
 
-// Better says for each measure whether more of it is better.
-var Better = []bool{true, false, false, false, false, true, true, false, false}
+// HigherIsBetter says for each measure whether more of it is better.
+var HigherIsBetter = []bool{true, false, false, false, false, true, true, false, false}
 
 // Values are the measures in the order of Names.
 func (m Measures) Values() []float64 {
 	return []float64{
-		m.Credit, m.Unserved, m.OrdersLost, m.Late, m.Refused, m.WorstWorkspace, m.WorstSeconds, m.Idle, m.Failures,
+		m.Credit, m.Unserved, m.OrdersLost, m.Late, m.Refused, m.WorstWorkspace, m.WorstWindow, m.Idle, m.FailuresPerFault,
 	}
 }
 
@@ -84,11 +84,11 @@
 
 // count takes in a request that has ended.
 func (t *tally) count(c *caller, served bool) {
-	if c.first < Settle {
+	if c.first < WarmUp {
 		return
 	}
 	t.owed++
-	if !c.kind.Repeatable {
+	if !c.kind.Idempotent {
 		t.orders++
 	}
 	n := 0
@@ -106,11 +106,11 @@
 
 func (t *tally) served(c *caller) {
 	t.count(c, true)
-	if c.first < Settle {
+	if c.first < WarmUp {
 		return
 	}
 	t.answered++
-	if c.world.now-c.first > c.kind.Aim {
+	if c.world.now-c.first > c.kind.LatencyTarget {
 		t.late++
 		t.credit += lateWorth
 		return
@@ -122,7 +122,7 @@
 // error is nobody's fault, but isn't an answer either.
 func (t *tally) failed(c *caller) {
 	t.count(c, false)
-	if c.first >= Settle && !c.kind.Repeatable && !c.ownError {
+	if c.first >= WarmUp && !c.kind.Idempotent && !c.ownError {
 		t.ordersLost++
 	}
 }
@@ -135,7 +135,7 @@
 		return
 	}
 	t.count(c, false)
-	if c.first >= Settle {
+	if c.first >= WarmUp {
 		t.refusals++
 	}
 }
@@ -144,7 +144,7 @@
 func (t *tally) overRate(c *caller) { t.over[c.workspace]++ }
 
 func (t *tally) measures() Measures {
-	m := Measures{WorstWorkspace: 1, WorstSeconds: 1}
+	m := Measures{WorstWorkspace: 1, WorstWindow: 1}
 	if t.owed == 0 {
 		return m
 	}
@@ -163,14 +163,14 @@
 	}
 	for _, s := range t.windows {
 		if s.owed >= least {
-			m.WorstSeconds = min(m.WorstSeconds, s.of())
+			m.WorstWindow = min(m.WorstWindow, s.of())
 		}
 	}
 	if t.healthy > 0 {
 		m.Idle = float64(t.idle) / float64(t.healthy)
 	}
 	if t.spells > 0 {
-		m.Failures = float64(t.failures) / float64(t.spells)
+		m.FailuresPerFault = float64(t.failures) / float64(t.spells)
 	}
 	return m
 }
--- a/lab/plot.go
+++ b/lab/plot.go
@@ -28,6 +28,6 @@
 		p.Add(box)
 	}
 	p.Add(plotter.NewGrid())
-	p.NominalX(Names...)
+	p.NominalX(MeasureNames...)
 	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "plot")
 }
--- a/lab/ranges.go
+++ b/lab/ranges.go
@@ -26,49 +26,49 @@
 	Instances, DataCentres, Services, Workspaces Range
 	// Servers of a service, with Slots and a Queue each.
 	Servers, Slots, Queue Range
-	// Speed is how much slower than the fastest a service's slowest server is.
-	Speed Range
-	// Use is the share of a service's slots that requests keep busy.
-	Use Range
-	// WorkMS is the mean of a kind's work, Spread its deviation, as a share of
+	// Slowdown is how much slower than the fastest a service's slowest server is.
+	Slowdown Range
+	// Utilization is the share of a service's slots that requests keep busy.
+	Utilization Range
+	// ServiceTimeMS is the mean of a kind's work, Spread its deviation, as a share of
 	// the mean.
-	WorkMS, Spread Range
-	// Aim is a kind's aim in means of its work, Patience the route's timeout in
+	ServiceTimeMS, Spread Range
+	// LatencyTargetFactor is a kind's aim in means of its work, TimeoutFactor the route's timeout in
 	// aims.
-	Aim, Patience Range
-	// Lookups is the share of a service's requests that can be repeated.
-	Lookups Range
-	// Errors is the share of requests that healthy servers answer with a
+	LatencyTargetFactor, TimeoutFactor Range
+	// IdempotentShare is the share of a service's requests that can be repeated.
+	IdempotentShare Range
+	// ErrorShare is the share of requests that healthy servers answer with a
 	// failure.
-	Errors Range
-	// SpellShare of the servers is in a spell at any time, each SpellS long,
-	// in which SpellFails of the requests fail.
-	SpellShare, SpellS, SpellFails Range
+	ErrorShare Range
+	// FaultShare of the servers is in a spell at any time, each FaultSeconds long,
+	// in which FaultFailureShare of the requests fail.
+	FaultShare, FaultSeconds, FaultFailureShare Range
 	// ShedShare of the requests is refused whatever the load, in a window of
 	// some seconds, at some services.
 	ShedShare Range
-	// MessageMS is the delay of a message between instances, MessageLoss the
+	// MessageDelayMS is the delay of a message between instances, MessageLoss the
 	// share that is lost.
-	MessageMS, MessageLoss Range
-	// CutShare of the paths between instances and servers is cut for a while.
-	CutShare Range
-	// Burst is how many times the usual load comes in a window of seconds.
-	Burst Range
-	// Hot is how many times its rate the hottest workspace asks for.
-	Hot Range
-	// Honest is the share of callers that keep to Retry-After.
-	Honest Range
+	MessageDelayMS, MessageLoss Range
+	// PartitionShare of the paths between instances and servers is cut for a while.
+	PartitionShare Range
+	// BurstFactor is how many times the usual load comes in a window of seconds.
+	BurstFactor Range
+	// HotWorkspaceFactor is how many times its rate the hottest workspace asks for.
+	HotWorkspaceFactor Range
+	// RetryAfterCompliance is the share of callers that keep to Retry-After.
+	RetryAfterCompliance Range
 }
 
 // Wide are the ranges of all experiments.
 var Wide = Ranges{
 	Instances: Range{6, 48}, DataCentres: Range{1, 4}, Services: Range{1, 3}, Workspaces: Range{4, 12},
-	Servers: Range{4, 20}, Slots: Range{2, 8}, Queue: Range{4, 16}, Speed: Range{1, 2.5},
-	Use: Range{0.1, 0.6}, WorkMS: Range{20, 800}, Spread: Range{0.1, 0.9},
-	Aim: Range{2, 5}, Patience: Range{1.5, 6}, Lookups: Range{0, 0.9}, Errors: Range{0, 0.02},
-	SpellShare: Range{0.01, 0.5}, SpellS: Range{2, 30}, SpellFails: Range{0.4, 1},
-	ShedShare: Range{0.2, 0.7}, MessageMS: Range{0.3, 30}, MessageLoss: Range{0, 0.05},
-	CutShare: Range{0, 0.3}, Burst: Range{1, 2}, Hot: Range{1, 6}, Honest: Range{0.5, 1},
+	Servers: Range{4, 20}, Slots: Range{2, 8}, Queue: Range{4, 16}, Slowdown: Range{1, 2.5},
+	Utilization: Range{0.1, 0.6}, ServiceTimeMS: Range{20, 800}, Spread: Range{0.1, 0.9},
+	LatencyTargetFactor: Range{2, 5}, TimeoutFactor: Range{1.5, 6}, IdempotentShare: Range{0, 0.9}, ErrorShare: Range{0, 0.02},
+	FaultShare: Range{0.01, 0.5}, FaultSeconds: Range{2, 30}, FaultFailureShare: Range{0.4, 1},
+	ShedShare: Range{0.2, 0.7}, MessageDelayMS: Range{0.3, 30}, MessageLoss: Range{0, 0.05},
+	PartitionShare: Range{0, 0.3}, BurstFactor: Range{1, 2}, HotWorkspaceFactor: Range{1, 6}, RetryAfterCompliance: Range{0.5, 1},
 }
 
 // Mode is how servers fail in spells.
@@ -84,12 +84,12 @@
 	Error
 	// Slow takes five times as long.
 	Slow
-	// Half breaks the answer off after the work.
-	Half
-	// Mute takes no slot and never answers.
-	Mute
-	// Lost runs the request and loses its answer.
-	Lost
+	// Truncate breaks the answer off after the work.
+	Truncate
+	// Blackhole takes no slot and never answers.
+	Blackhole
+	// LoseAnswer runs the request and loses its answer.
+	LoseAnswer
 	modes
 )
 
@@ -105,15 +105,15 @@
 	Workspaces             []Workspace
 	MessageDelay           time.Duration
 	MessageLoss            float64
-	// CutShare of the paths is cut in the window Cut.
-	CutShare float64
-	Cut      Window
-	// Burst times the usual load comes in the window Bursts.
-	Burst  float64
-	Bursts Window
-	// KillAt is when all instances lose what they know; 0 if never.
-	KillAt time.Duration
-	Honest float64
+	// PartitionShare of the paths is cut in the window Cut.
+	PartitionShare float64
+	Partition      Window
+	// BurstFactor times the usual load comes in the window Bursts.
+	BurstFactor float64
+	BurstWindow Window
+	// RestartAt is when all instances lose what they know; 0 if never.
+	RestartAt            time.Duration
+	RetryAfterCompliance float64
 }
 
 // Window is a span of time.
@@ -129,56 +129,56 @@
 // Service is a group of servers and the kinds of requests that it gets.
 type Service struct {
 	Servers, Slots, Queue int
-	// Speeds are the servers' times against the fastest.
-	Speeds []float64
-	Errors float64
-	Spells Spells
+	// Slowdowns are the servers' times against the fastest.
+	Slowdowns  []float64
+	ErrorShare float64
+	Faults     Faults
 	// ShedShare of the requests is refused in the window Shed.
-	ShedShare float64
-	Shed      Window
-	Kinds     []Kind
+	ShedShare  float64
+	ShedWindow Window
+	Kinds      []RequestKind
 }
 
-// Spells are times in which a server fails.
-type Spells struct {
-	Share, Fails float64
-	Length       time.Duration
-	Mode         Mode
+// Faults are times in which a server fails.
+type Faults struct {
+	Share, FailureShare float64
+	MeanDuration        time.Duration
+	Mode                Mode
 }
 
-// Kind is a kind of request.
-type Kind struct {
-	Repeatable   bool
-	PerSecond    float64
-	Work         time.Duration
-	Spread       float64
-	Aim, Timeout time.Duration
+// RequestKind is a kind of request.
+type RequestKind struct {
+	Idempotent             bool
+	RequestsPerSecond      float64
+	ServiceTime            time.Duration
+	Spread                 float64
+	LatencyTarget, Timeout time.Duration
 }
 
-// Length of a play, of which the first Settle seconds don't count.
+// SimulationLength of a play, of which the first WarmUp seconds don't count.
 const (
-	Length = 30 * time.Second
-	Settle = 3 * time.Second
+	SimulationLength = 30 * time.Second
+	WarmUp           = 3 * time.Second
 )
 
 // Draw draws a deployment.
 func (r Ranges) Draw(rng *rand.Rand) Deployment {
 	d := Deployment{
 		Instances: r.Instances.whole(rng), DataCentres: r.DataCentres.whole(rng),
-		MessageDelay: time.Duration(r.MessageMS.scaled(rng) * float64(time.Millisecond)),
-		MessageLoss:  r.MessageLoss.uniform(rng),
-		CutShare:     r.CutShare.uniform(rng), Cut: window(rng),
-		Burst: r.Burst.uniform(rng), Bursts: window(rng),
-		Honest: r.Honest.uniform(rng),
+		MessageDelay:   time.Duration(r.MessageDelayMS.scaled(rng) * float64(time.Millisecond)),
+		MessageLoss:    r.MessageLoss.uniform(rng),
+		PartitionShare: r.PartitionShare.uniform(rng), Partition: window(rng),
+		BurstFactor: r.BurstFactor.uniform(rng), BurstWindow: window(rng),
+		RetryAfterCompliance: r.RetryAfterCompliance.uniform(rng),
 	}
 	if rng.Float64() < 0.25 {
-		d.KillAt = time.Duration((8 + 14*rng.Float64()) * float64(time.Second))
+		d.RestartAt = time.Duration((8 + 14*rng.Float64()) * float64(time.Second))
 	}
 	total := 0.0
 	for range r.Services.whole(rng) {
 		s := r.service(rng)
 		for _, k := range s.Kinds {
-			total += k.PerSecond
+			total += k.RequestsPerSecond
 		}
 		d.Services = append(d.Services, s)
 	}
@@ -195,24 +195,24 @@
 func (r Ranges) service(rng *rand.Rand) Service {
 	s := Service{
 		Servers: r.Servers.whole(rng), Slots: r.Slots.whole(rng), Queue: r.Queue.whole(rng),
-		Errors: r.Errors.uniform(rng),
-		Spells: Spells{
-			Share: r.SpellShare.scaled(rng), Fails: r.SpellFails.uniform(rng), Mode: Mode(rng.IntN(int(modes))),
-			Length: time.Duration(r.SpellS.scaled(rng) * float64(time.Second)),
+		ErrorShare: r.ErrorShare.uniform(rng),
+		Faults: Faults{
+			Share: r.FaultShare.scaled(rng), FailureShare: r.FaultFailureShare.uniform(rng), Mode: Mode(rng.IntN(int(modes))),
+			MeanDuration: time.Duration(r.FaultSeconds.scaled(rng) * float64(time.Second)),
 		},
 	}
 	if rng.Float64() < 0.25 {
-		s.ShedShare, s.Shed = r.ShedShare.uniform(rng), window(rng)
+		s.ShedShare, s.ShedWindow = r.ShedShare.uniform(rng), window(rng)
 	}
-	slowest := r.Speed.uniform(rng)
+	slowest := r.Slowdown.uniform(rng)
 	speed := 0.0
 	for range s.Servers {
 		x := 1 + rng.Float64()*(slowest-1)
-		s.Speeds = append(s.Speeds, x)
+		s.Slowdowns = append(s.Slowdowns, x)
 		speed += 1 / x
 	}
-	lookups := r.Lookups.uniform(rng)
-	busy := r.Use.uniform(rng) * speed * float64(s.Slots)
+	lookups := r.IdempotentShare.uniform(rng)
+	busy := r.Utilization.uniform(rng) * speed * float64(s.Slots)
 	for _, k := range []struct {
 		repeatable bool
 		share      float64
@@ -221,7 +221,7 @@
 			continue
 		}
 		kind := r.kind(rng, k.repeatable)
-		kind.PerSecond = busy * k.share / kind.Work.Seconds()
+		kind.RequestsPerSecond = busy * k.share / kind.ServiceTime.Seconds()
 		kind.slowTo(mostPerSecond)
 		s.Kinds = append(s.Kinds, kind)
 	}
@@ -232,21 +232,21 @@
 // second. Above that its work takes longer instead, at the same use of slots.
 const mostPerSecond = 60
 
-func (k *Kind) slowTo(most float64) {
-	if k.PerSecond <= most {
+func (k *RequestKind) slowTo(most float64) {
+	if k.RequestsPerSecond <= most {
 		return
 	}
-	by := k.PerSecond / most
+	by := k.RequestsPerSecond / most
 	longer := func(d time.Duration) time.Duration { return time.Duration(float64(d) * by) }
-	k.Work, k.Aim, k.Timeout, k.PerSecond = longer(k.Work), longer(k.Aim), longer(k.Timeout), most
+	k.ServiceTime, k.LatencyTarget, k.Timeout, k.RequestsPerSecond = longer(k.ServiceTime), longer(k.LatencyTarget), longer(k.Timeout), most
 }
 
-func (r Ranges) kind(rng *rand.Rand, repeatable bool) Kind {
-	work := r.WorkMS.scaled(rng) * float64(time.Millisecond)
-	aim := work * r.Aim.uniform(rng)
-	return Kind{
-		Repeatable: repeatable, Work: time.Duration(work), Spread: r.Spread.uniform(rng),
-		Aim: time.Duration(aim), Timeout: time.Duration(aim * r.Patience.uniform(rng)),
+func (r Ranges) kind(rng *rand.Rand, repeatable bool) RequestKind {
+	work := r.ServiceTimeMS.scaled(rng) * float64(time.Millisecond)
+	aim := work * r.LatencyTargetFactor.uniform(rng)
+	return RequestKind{
+		Idempotent: repeatable, ServiceTime: time.Duration(work), Spread: r.Spread.uniform(rng),
+		LatencyTarget: time.Duration(aim), Timeout: time.Duration(aim * r.TimeoutFactor.uniform(rng)),
 	}
 }
 
@@ -262,7 +262,7 @@
 		all[i].Share /= sum
 		all[i].Rate = perSecond * all[i].Share * 2.5
 		if i == 0 {
-			all[i].Rate = perSecond * all[i].Share / r.Hot.uniform(rng)
+			all[i].Rate = perSecond * all[i].Share / r.HotWorkspaceFactor.uniform(rng)
 		}
 		all[i].Burst = all[i].Rate
 	}
@@ -274,7 +274,7 @@
 	s := fmt.Sprintf("%d instances in %d data centres, %s between them", d.Instances, d.DataCentres, d.MessageDelay.Round(time.Millisecond/10))
 	for _, v := range d.Services {
 		s += fmt.Sprintf("; %d servers with %d slots, %.0f%% in spells of %s, %.0f%% fail by %s",
-			v.Servers, v.Slots, 100*v.Spells.Share, v.Spells.Length.Round(time.Second/10), 100*v.Spells.Fails, v.Spells.Mode)
+			v.Servers, v.Slots, 100*v.Faults.Share, v.Faults.MeanDuration.Round(time.Second/10), 100*v.Faults.FailureShare, v.Faults.Mode)
 	}
 	return s
 }
--- a/lab/server.go
+++ b/lab/server.go
@@ -48,7 +48,7 @@
 
 // job is an attempt at a server.
 type job struct {
-	kind Kind
+	kind RequestKind
 	// work is what a server of usual speed takes for it.
 	work time.Duration
 	// deadline is when the instance's time for it is up.
@@ -64,14 +64,14 @@
 	for i := range plan.Servers {
 		id := s.name + "-" + string(rune('A'+i))
 		v := &server{
-			service: s, number: i, speed: plan.Speeds[i], hash: placement.Hash(id), lastArrival: -time.Hour,
+			service: s, number: i, speed: plan.Slowdowns[i], hash: placement.Hash(id), lastArrival: -time.Hour,
 			rng: rand.New(rand.NewPCG(w.seed, uint64(1000*(number+1)+i))),
 			entry: discovery.Server{
 				ID: id, Service: s.name, Address: id, Slots: plan.Slots,
 				DataCentre: dataCentre(i % w.deployment.DataCentres),
 			},
 		}
-		v.drawSpells(plan.Spells)
+		v.drawSpells(plan.Faults)
 		s.servers = append(s.servers, v)
 	}
 	return s
@@ -81,13 +81,13 @@
 
 // drawSpells draws good and bad times so that the share of the bad ones is as
 // planned.
-func (v *server) drawSpells(s Spells) {
-	well := float64(s.Length) * (1 - s.Share) / s.Share
+func (v *server) drawSpells(s Faults) {
+	well := float64(s.MeanDuration) * (1 - s.Share) / s.Share
 	ill := v.rng.Float64() < s.Share
-	for t := time.Duration(0); t < Length; ill = !ill {
+	for t := time.Duration(0); t < SimulationLength; ill = !ill {
 		mean := well
 		if ill {
-			mean = float64(s.Length)
+			mean = float64(s.MeanDuration)
 		}
 		t += time.Duration(v.rng.ExpFloat64() * mean)
 		v.spells = append(v.spells, spell{t, ill})
@@ -108,7 +108,7 @@
 // charge counts a failure against the spell that caused it.
 func (v *server) charge() {
 	w := v.service.world
-	if w.now < Settle {
+	if w.now < WarmUp {
 		return
 	}
 	if s := v.spell(w.now); s.until != v.charged {
@@ -123,12 +123,12 @@
 	w, p := v.service.world, v.service.plan
 	v.lastArrival = w.now
 	switch {
-	case p.Shed.holds(w.now) && v.rng.Float64() < p.ShedShare, v.busy >= p.Slots && len(v.queue) >= p.Queue:
+	case p.ShedWindow.holds(w.now) && v.rng.Float64() < p.ShedShare, v.busy >= p.Slots && len(v.queue) >= p.Queue:
 		v.finish(j, quick, health.Shed)
 		return
-	case v.ill(w.now) && v.rng.Float64() < p.Spells.Fails:
+	case v.ill(w.now) && v.rng.Float64() < p.Faults.FailureShare:
 		v.charge()
-		v.fail(j, p.Spells.Mode)
+		v.fail(j, p.Faults.Mode)
 		return
 	}
 	v.enqueue(j)
@@ -144,16 +144,16 @@
 	case Slow:
 		j.work *= 5
 		v.enqueue(j)
-	case Half:
+	case Truncate:
 		v.service.world.after(j.work, func() { v.end(j, health.Incomplete) })
-	case Hang, Lost:
+	case Hang, LoseAnswer:
 		// The slot is taken until the instance gives up, or the work is done.
 		v.busy++
 		j.runs = true
-		if mode == Lost {
+		if mode == LoseAnswer {
 			v.service.world.after(j.work, func() { v.release(j) })
 		}
-	case Mute, modes:
+	case Blackhole, modes:
 	}
 }
 
@@ -170,7 +170,7 @@
 	j.runs = true
 	took := time.Duration(float64(j.work) * v.speed)
 	result := health.OK
-	if v.rng.Float64() < v.service.plan.Errors {
+	if v.rng.Float64() < v.service.plan.ErrorShare {
 		result = health.ServerError
 	}
 	v.service.world.after(took, func() {
--- a/lab/settings.go
+++ b/lab/settings.go
@@ -22,8 +22,8 @@
 	// A and B are the policies.
 	A Policy `json:"a"`
 	B Policy `json:"b"`
-	// Spells, if given, replace those of the draws.
-	Spells *SpellSettings `json:"spells"`
+	// Faults, if given, replace those of the draws.
+	Faults *FaultSettings `json:"spells"`
 	// Plot is the file for the plot of the paired differences; none if empty.
 	Plot string `json:"plot"`
 }
@@ -33,11 +33,11 @@
 	Without []string `json:"without"`
 }
 
-// SpellSettings fix the spells of all services.
-type SpellSettings struct {
+// FaultSettings fix the spells of all services.
+type FaultSettings struct {
 	// Share of the servers that is in a spell, and Fails of the requests.
-	Share float64 `json:"share"`
-	Fails float64 `json:"fails"`
+	Share        float64 `json:"share"`
+	FailureShare float64 `json:"fails"`
 	// Seconds that a spell lasts, on average.
 	Seconds float64 `json:"seconds"`
 	// Mode of failure; drawn if empty.
@@ -73,16 +73,16 @@
 	if x.B, err = mechanism.Parse(s.B.Without); err != nil {
 		return x, errors.Wrap(err, "settings: b.without")
 	}
-	if s.Spells == nil {
+	if s.Faults == nil {
 		return x, nil
 	}
-	x.Draw, err = s.Spells.draw()
+	x.Draw, err = s.Faults.draw()
 	return x, err
 }
 
-func (s SpellSettings) draw() (func(*rand.Rand) Deployment, error) {
-	if s.Share <= 0 || s.Share >= 1 || s.Fails <= 0 || s.Fails > 1 || s.Seconds <= 0 {
-		return nil, errors.Newf("settings: spells with share %g, fails %g and %g seconds", s.Share, s.Fails, s.Seconds)
+func (s FaultSettings) draw() (func(*rand.Rand) Deployment, error) {
+	if s.Share <= 0 || s.Share >= 1 || s.FailureShare <= 0 || s.FailureShare > 1 || s.Seconds <= 0 {
+		return nil, errors.Newf("settings: spells with share %g, fails %g and %g seconds", s.Share, s.FailureShare, s.Seconds)
 	}
 	mode, err := parseMode(s.Mode)
 	if err != nil {
@@ -91,9 +91,9 @@
 	return func(rng *rand.Rand) Deployment {
 		d := Wide.Draw(rng)
 		for i := range d.Services {
-			spells := &d.Services[i].Spells
-			spells.Share, spells.Fails = s.Share, s.Fails
-			spells.Length = time.Duration(s.Seconds * float64(time.Second))
+			spells := &d.Services[i].Faults
+			spells.Share, spells.FailureShare = s.Share, s.FailureShare
+			spells.MeanDuration = time.Duration(s.Seconds * float64(time.Second))
 			if s.Mode != "" {
 				spells.Mode = mode
 			}
--- a/lab/world.go
+++ b/lab/world.go
@@ -63,9 +63,9 @@
 	asked uint64
 }
 
-// Play plays a deployment with a policy. The seed fixes arrivals, spells and
+// Simulate plays a deployment with a policy. The seed fixes arrivals, spells and
 // chance.
-func Play(d Deployment, off mechanism.Disabled, seed uint64) Measures {
+func Simulate(d Deployment, off mechanism.Disabled, seed uint64) Measures {
 	w := &world{
 		deployment: d, off: off, seed: seed,
 		nature: rand.New(rand.NewPCG(seed, 1)), decisions: rand.New(rand.NewPCG(seed, 2)),
@@ -76,11 +76,11 @@
 	w.tally = newTally(d)
 	w.startInstances()
 	w.arrivals()
-	if d.KillAt > 0 {
-		w.after(d.KillAt, w.startInstances)
+	if d.RestartAt > 0 {
+		w.after(d.RestartAt, w.startInstances)
 	}
-	w.after(Settle, w.look)
-	for len(w.events) > 0 && w.events[0].at <= Length {
+	w.after(WarmUp, w.look)
+	for len(w.events) > 0 && w.events[0].at <= SimulationLength {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.do()
@@ -106,10 +106,10 @@
 	for si, s := range w.deployment.Services {
 		for ki, k := range s.Kinds {
 			rng := rand.New(rand.NewPCG(w.seed, uint64(100+10*si+ki)))
-			for t := time.Duration(0); t < Length; {
-				perSecond := k.PerSecond
-				if w.deployment.Bursts.holds(t) {
-					perSecond *= w.deployment.Burst
+			for t := time.Duration(0); t < SimulationLength; {
+				perSecond := k.RequestsPerSecond
+				if w.deployment.BurstWindow.holds(t) {
+					perSecond *= w.deployment.BurstFactor
 				}
 				t += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 				w.asked++
