--- a/decision/batch.go
+++ b/decision/batch.go
@@ -78,7 +78,7 @@
 }
 
 func batchName(instance string, number uint64, at time.Time) string {
-	return fmt.Sprintf("%s%s-%06d", HourPrefix(at), nameSafe(instance), number)
+	return fmt.Sprintf("%s%s-%06d", HourPrefix(at), sanitizeInstance(instance), number)
 }
 
 // DecodeBatch reads a batch from the object store. It rejects what is damaged,
--- a/decision/buffer.go
+++ b/decision/buffer.go
@@ -28,8 +28,8 @@
 	// SimilarSampleEvery thins out what comes beyond MaxAlike: one in so many is
 	// kept, and after so many kept ones one in twice as many.
 	SimilarSampleEvery = 16
-	// maxThinning bounds the doubling.
-	maxThinning = 20
+	// maxSampleDoublings bounds the doubling.
+	maxSampleDoublings = 20
 )
 
 // Buffer keeps one instance's records until they are stored, and after that
@@ -43,25 +43,25 @@
 	ring     []Record
 	// first and next number the records in the ring: [first, next).
 	first, next uint64
-	// stored is the number of the first record that no batch holds yet.
-	stored  uint64
+	// firstUnbatched is the number of the first record that no batch holds yet.
+	firstUnbatched  uint64
 	pending *UnencodedBatch
-	batches uint64
+	batchCount uint64
 	dropped uint64
-	// droppedBefore is what the batches so far have reported as dropped.
-	droppedBefore uint64
-	plain         int
-	alike         map[likeness]*flood
+	// droppedReported is what the batches so far have reported as dropped.
+	droppedReported uint64
+	sinceSample         int
+	refusals         map[refusalKey]*refusalCounts
 }
 
-// likeness groups refusals that say the same.
-type likeness struct {
+// refusalKey groups refusals that say the same.
+type refusalKey struct {
 	workspace, service string
 	rule               Rule
 }
 
-// flood counts the refusals of one likeness since the last batch.
-type flood struct{ kept, skipped int }
+// refusalCounts counts the refusals of one likeness since the last batch.
+type refusalCounts struct{ kept, skipped int }
 
 // NewBuffer returns an empty buffer of an instance.
 func NewBuffer(instance string, s BufferSettings) *Buffer {
@@ -74,14 +74,14 @@
 	if s.MaxSimilar <= 0 {
 		s.MaxSimilar = DefaultMaxSimilar
 	}
-	return &Buffer{instance: instance, settings: s, alike: map[likeness]*flood{}}
+	return &Buffer{instance: instance, settings: s, refusals: map[refusalKey]*refusalCounts{}}
 }
 
 // Add takes a record if somebody may ask about it: every refusal, repeat and
 // slow request, and a sample of the others. It tells whether it was kept.
 func (b *Buffer) Add(r Record) bool {
-	r = r.bounded()
-	if !b.wanted(r) || b.thinnedOut(&r) {
+	r = r.truncated()
+	if !b.selects(r) || b.sampledOut(&r) {
 		return false
 	}
 	if r.Instance == "" {
@@ -92,9 +92,9 @@
 		b.next++
 		return true
 	}
-	if b.first >= b.stored {
+	if b.first >= b.firstUnbatched {
 		b.dropped++
-		b.stored = b.first + 1
+		b.firstUnbatched = b.first + 1
 	}
 	b.ring[b.next%uint64(len(b.ring))] = r
 	b.first++
@@ -102,7 +102,7 @@
 	return true
 }
 
-func (b *Buffer) wanted(r Record) bool {
+func (b *Buffer) selects(r Record) bool {
 	plain := r.Rule == RuleServed && r.Outcome == Served && r.Attempts <= 1 && r.Took < b.settings.SlowThreshold
 	if !plain {
 		return true
@@ -110,59 +110,59 @@
 	if b.settings.SampleEvery <= 0 {
 		return false
 	}
-	b.plain++
-	if b.plain < b.settings.SampleEvery {
+	b.sinceSample++
+	if b.sinceSample < b.settings.SampleEvery {
 		return false
 	}
-	b.plain = 0
+	b.sinceSample = 0
 	return true
 }
 
-// thinnedOut tells whether a refusal is left out because there are many alike.
+// sampledOut tells whether a refusal is left out because there are many alike.
 // A workspace that floods is refused several times its rate: all its refusals
 // would push the records of every other workspace out of memory, and nobody
 // could explain those. What may have run is always kept, because somebody has
 // to look into each case.
-func (b *Buffer) thinnedOut(r *Record) bool {
+func (b *Buffer) sampledOut(r *Record) bool {
 	if r.Outcome != NotRun {
 		return false
 	}
-	like := likeness{workspace: r.Workspace, service: r.Service, rule: r.Rule}
-	f := b.flood(like)
-	if beyond := f.kept - b.settings.MaxSimilar; beyond >= 0 {
-		every := SimilarSampleEvery << min(beyond/SimilarSampleEvery, maxThinning)
-		if f.skipped < every-1 {
-			f.skipped++
+	key := refusalKey{workspace: r.Workspace, service: r.Service, rule: r.Rule}
+	counts := b.refusalCountsFor(key)
+	if excess := counts.kept - b.settings.MaxSimilar; excess >= 0 {
+		sampleEvery := SimilarSampleEvery << min(excess/SimilarSampleEvery, maxSampleDoublings)
+		if counts.skipped < sampleEvery-1 {
+			counts.skipped++
 			return true
 		}
 	}
-	r.SimilarSkipped, f.skipped = f.skipped, 0
-	f.kept++
+	r.SimilarSkipped, counts.skipped = counts.skipped, 0
+	counts.kept++
 	return false
 }
 
-// flood returns the count of a likeness. While nothing can be stored, counts
+// refusalCountsFor returns the count of a likeness. While nothing can be stored, counts
 // pile up; there are never more of them than records, and then all start anew.
-func (b *Buffer) flood(like likeness) *flood {
-	f := b.alike[like]
-	if f != nil {
-		return f
+func (b *Buffer) refusalCountsFor(key refusalKey) *refusalCounts {
+	counts := b.refusals[key]
+	if counts != nil {
+		return counts
 	}
-	if len(b.alike) >= b.settings.MaxRecords {
-		clear(b.alike)
+	if len(b.refusals) >= b.settings.MaxRecords {
+		clear(b.refusals)
 	}
-	f = &flood{}
-	b.alike[like] = f
-	return f
+	counts = &refusalCounts{}
+	b.refusals[key] = counts
+	return counts
 }
 
-// forgetFloods starts counting anew after a batch. What was skipped last stays
+// resetRefusalCounts starts counting anew after a batch. What was skipped last stays
 // counted, and shows in the next record alike.
-func (b *Buffer) forgetFloods() {
-	for like, f := range b.alike {
-		f.kept = 0
-		if f.skipped == 0 {
-			delete(b.alike, like)
+func (b *Buffer) resetRefusalCounts() {
+	for key, counts := range b.refusals {
+		counts.kept = 0
+		if counts.skipped == 0 {
+			delete(b.refusals, key)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 func (b *Buffer) Len() int { return len(b.ring) }
 
 // Unbatched returns how many records no batch holds yet.
-func (b *Buffer) Unbatched() int { return int(b.next - b.stored) }
+func (b *Buffer) Unbatched() int { return int(b.next - b.firstUnbatched) }
 
 // Dropped returns how many records fell out before they were stored.
 func (b *Buffer) Dropped() uint64 { return b.dropped }
@@ -189,16 +189,16 @@
 	if len(records) == 0 {
 		return UnencodedBatch{}, false
 	}
-	b.batches++
+	b.batchCount++
 	b.pending = &UnencodedBatch{
-		Name: batchName(b.instance, b.batches, records[0].At),
+		Name: batchName(b.instance, b.batchCount, records[0].At),
 		contents: BatchContents{
-			Format: batchFormat, Instance: b.instance, Dropped: b.dropped - b.droppedBefore, Records: records,
+			Format: batchFormat, Instance: b.instance, Dropped: b.dropped - b.droppedReported, Records: records,
 		},
 	}
-	b.stored += uint64(len(records))
-	b.droppedBefore = b.dropped
-	b.forgetFloods()
+	b.firstUnbatched += uint64(len(records))
+	b.droppedReported = b.dropped
+	b.resetRefusalCounts()
 	return *b.pending, true
 }
 
@@ -235,8 +235,8 @@
 // name tells the hour of all its records.
 func (b *Buffer) oldestHour() []Record {
 	records := make([]Record, 0, min(b.Unbatched(), MaxBatchRecords))
-	for n := b.stored; n < b.next && len(records) < MaxBatchRecords; n++ {
-		r := b.at(n)
+	for n := b.firstUnbatched; n < b.next && len(records) < MaxBatchRecords; n++ {
+		r := b.record(n)
 		if len(records) > 0 && hourOf(r.At) != hourOf(records[0].At) {
 			break
 		}
@@ -245,13 +245,13 @@
 	return records
 }
 
-func (b *Buffer) at(n uint64) Record { return b.ring[n%uint64(len(b.ring))] }
+func (b *Buffer) record(n uint64) Record { return b.ring[n%uint64(len(b.ring))] }
 
 // Search returns the records in memory that match, newest first.
 func (b *Buffer) Search(q Query) []Record {
 	var found []Record
 	for n := b.next; n > b.first; n-- {
-		if r := b.at(n - 1); q.Matches(r) {
+		if r := b.record(n - 1); q.Matches(r) {
 			found = append(found, r)
 			if q.Limit > 0 && len(found) == q.Limit {
 				break
--- a/decision/catalogue.go
+++ b/decision/catalogue.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// statusCallerGone is the customary status for a caller that hung up. It is
+// statusCallerDisconnected is the customary status for a caller that hung up. It is
 // only recorded: nobody is there to receive it.
-const statusCallerGone = 499
+const statusCallerDisconnected = 499
 
 // RuleInfo is what the catalogue says about a rule.
 type RuleInfo struct {
@@ -30,27 +30,27 @@
 	{RuleNoRoute, http.StatusNotFound, "No such address", NotRun, false, causeNoRoute},
 	{RuleBadRequest, http.StatusBadRequest, "Malformed request", NotRun, false, causeBadRequest},
 	{RuleTooLarge, http.StatusRequestEntityTooLarge, "Request too large", NotRun, false, causeTooLarge},
-	{RuleRateExceeded, http.StatusTooManyRequests, "Over the rate", NotRun, true, causeOverRate},
+	{RuleRateExceeded, http.StatusTooManyRequests, "Over the rate", NotRun, true, causeRateExceeded},
 	{RulePeerUnreachable, http.StatusServiceUnavailable, "Rate can't be checked", NotRun, true, causePeerUnreachable},
-	{RuleConfigUnconfirmed, http.StatusServiceUnavailable, "Configuration not confirmed", NotRun, true, causeCutOff},
+	{RuleConfigUnconfirmed, http.StatusServiceUnavailable, "Configuration not confirmed", NotRun, true, causeConfigUnconfirmed},
 	{RuleInstanceLeaving, http.StatusServiceUnavailable, "Instance is stopping", NotRun, true, causeInstanceLeaving},
 	{RuleOverloaded, http.StatusServiceUnavailable, "Instance is full", NotRun, true, causeOverloaded},
 	{RuleNoServer, http.StatusServiceUnavailable, "No backend server", NotRun, true, causeNoServer},
-	{RuleBackendBusy, http.StatusServiceUnavailable, "Backend server is busy", NotRun, true, causeShed},
-	{RuleDeadlineExceeded, http.StatusGatewayTimeout, "Out of time", NotRun, true, causeDeadline},
+	{RuleBackendBusy, http.StatusServiceUnavailable, "Backend server is busy", NotRun, true, causeBackendBusy},
+	{RuleDeadlineExceeded, http.StatusGatewayTimeout, "Out of time", NotRun, true, causeDeadlineExceeded},
 	{RuleAttemptsFailed, http.StatusBadGateway, "All attempts failed", Unknown, true, causeAttemptsFailed},
 	{RuleUnknownOutcome, http.StatusBadGateway, "Outcome unknown", Unknown, false, causeUnknownOutcome},
-	{RuleAnswerTruncated, http.StatusBadGateway, "Answer broke off", Unknown, false, causeAnswerCut},
-	{RuleCallerDisconnected, statusCallerGone, "Caller hung up", Unknown, false, causeCallerGone},
+	{RuleAnswerTruncated, http.StatusBadGateway, "Answer broke off", Unknown, false, causeAnswerTruncated},
+	{RuleCallerDisconnected, statusCallerDisconnected, "Caller hung up", Unknown, false, causeCallerDisconnected},
 	{RuleOperationElsewhere, http.StatusMisdirectedRequest, "Operation belongs to another instance", NotRun, true, causeOperationElsewhere},
 	{RuleOperationLost, http.StatusConflict, "Operation's record is lost", Unknown, false, causeOperationLost},
 	{RuleStillRunning, http.StatusConflict, "Operation is running", Unknown, true, causeStillRunning},
-	{RuleAlreadyRan, http.StatusConflict, "Operation ran already", RanBefore, false, causeRanAlready},
+	{RuleAlreadyRan, http.StatusConflict, "Operation ran already", RanBefore, false, causeAlreadyRan},
 	{RuleClaimUnavailable, http.StatusServiceUnavailable, "Operation can't be claimed", NotRun, true, causeClaimUnavailable},
 	{RuleInternal, http.StatusInternalServerError, "Internal fault", Unknown, false, causeInternal},
 }
 
-var byRule = func() map[Rule]RuleInfo {
+var catalogueByRule = func() map[Rule]RuleInfo {
 	m := make(map[Rule]RuleInfo, len(catalogue))
 	for _, i := range catalogue {
 		m[i.Rule] = i
@@ -65,10 +65,10 @@
 // Lookup returns the catalogue's entry. A rule that isn't in the catalogue
 // gets the entry of RuleInternal.
 func Lookup(r Rule) RuleInfo {
-	if i, ok := byRule[r]; ok {
+	if i, ok := catalogueByRule[r]; ok {
 		return i
 	}
-	return byRule[RuleInternal]
+	return catalogueByRule[RuleInternal]
 }
 
 // Info returns the catalogue's entry of the rule.
--- a/decision/cause.go
+++ b/decision/cause.go
@@ -8,12 +8,12 @@
 		return "it repeats an earlier one with the same operation key, which was carried out and isn't carried out twice"
 	case r.Attempts > 1:
 		return fmt.Sprintf("an earlier backend server failed to answer%s, so it was sent again, and the whole answer came from %s after %s",
-			detail(r), server(r), span(r.Took))
+			detailSuffix(r), serverPhrase(r), formatDuration(r.Took))
 	case r.Figures.Waited > 0:
 		return fmt.Sprintf("the whole answer came from %s after %s, of which it waited %s for its turn",
-			server(r), span(r.Took), span(r.Figures.Waited))
+			serverPhrase(r), formatDuration(r.Took), formatDuration(r.Figures.Waited))
 	default:
-		return fmt.Sprintf("the whole answer came from %s after %s", server(r), span(r.Took))
+		return fmt.Sprintf("the whole answer came from %s after %s", serverPhrase(r), formatDuration(r.Took))
 	}
 }
 
@@ -33,17 +33,17 @@
 func causeNoRoute(Record) string { return "no service is set up for the address that it asked for" }
 
 func causeBadRequest(r Record) string {
-	return "it wasn't put together correctly" + detail(r)
+	return "it wasn't put together correctly" + detailSuffix(r)
 }
 
 func causeTooLarge(r Record) string {
 	if r.Figures.Size > 0 {
-		return fmt.Sprintf("it is %s in size and at most %s are accepted", size(r.Figures.Size), size(r.Figures.MaxSize))
+		return fmt.Sprintf("it is %s in size and at most %s are accepted", formatSize(r.Figures.Size), formatSize(r.Figures.MaxSize))
 	}
-	return fmt.Sprintf("it is larger than the %s that are accepted", size(r.Figures.MaxSize))
+	return fmt.Sprintf("it is larger than the %s that are accepted", formatSize(r.Figures.MaxSize))
 }
 
-func causeOverRate(r Record) string {
+func causeRateExceeded(r Record) string {
 	f := r.Figures
 	if f.Rate == 0 {
 		return "the workspace has used up what its plan allows"
@@ -53,20 +53,20 @@
 		plan = fmt.Sprintf("the plan %q", f.Plan)
 	}
 	return fmt.Sprintf("%s allows %s requests a second, with up to %s at once after a quiet time, and the workspace has used that up",
-		plan, number(f.Rate), number(f.Burst))
+		plan, formatNumber(f.Rate), formatNumber(f.Burst))
 }
 
 func causePeerUnreachable(r Record) string {
-	return "the instances that count this workspace's requests couldn't be reached in time" + detail(r)
+	return "the instances that count this workspace's requests couldn't be reached in time" + detailSuffix(r)
 }
 
-func causeCutOff(r Record) string {
+func causeConfigUnconfirmed(r Record) string {
 	f := r.Figures
 	if f.Age == 0 {
 		return "the instance couldn't make sure that its configuration is the newest"
 	}
 	return fmt.Sprintf("the instance last made sure %s ago that its configuration is the newest, and must not serve anybody when that is longer ago than %s",
-		span(f.Age), span(f.AgeLimit))
+		formatDuration(f.Age), formatDuration(f.AgeLimit))
 }
 
 func causeInstanceLeaving(Record) string {
@@ -74,7 +74,7 @@
 }
 
 func causeOverloaded(r Record) string {
-	return "the instance was already working on as many requests as it can hold" + detail(r)
+	return "the instance was already working on as many requests as it can hold" + detailSuffix(r)
 }
 
 func causeNoServer(r Record) string {
@@ -83,37 +83,37 @@
 		return "the service has no backend server at present"
 	}
 	return fmt.Sprintf("%d of the service's %s could be used at that moment%s",
-		f.Usable, count(f.Servers, "backend server"), detail(r))
+		f.Usable, formatCount(f.Servers, "backend server"), detailSuffix(r))
 }
 
-func causeShed(r Record) string {
-	return fmt.Sprintf("%s said that it was too busy and did nothing", server(r))
+func causeBackendBusy(r Record) string {
+	return fmt.Sprintf("%s said that it was too busy and did nothing", serverPhrase(r))
 }
 
-func causeDeadline(r Record) string {
+func causeDeadlineExceeded(r Record) string {
 	return fmt.Sprintf("the service allows %s for a request, and that time was over before a backend server could take it",
-		span(r.Figures.Timeout))
+		formatDuration(r.Figures.Timeout))
 }
 
 func causeAttemptsFailed(r Record) string {
-	return fmt.Sprintf("it was sent %s and no whole answer came back%s", times(r.Attempts), detail(r))
+	return fmt.Sprintf("it was sent %s and no whole answer came back%s", formatTimes(r.Attempts), detailSuffix(r))
 }
 
 func causeUnknownOutcome(r Record) string {
 	return fmt.Sprintf("it was sent to %s once, and no whole answer came back within %s%s; it was not sent again, because it must not be carried out twice",
-		server(r), span(r.Took), detail(r))
+		serverPhrase(r), formatDuration(r.Took), detailSuffix(r))
 }
 
-func causeAnswerCut(r Record) string {
-	return fmt.Sprintf("the answer of %s broke off after a part of it had been passed on%s", server(r), detail(r))
+func causeAnswerTruncated(r Record) string {
+	return fmt.Sprintf("the answer of %s broke off after a part of it had been passed on%s", serverPhrase(r), detailSuffix(r))
 }
 
-func causeCallerGone(r Record) string {
-	return fmt.Sprintf("the caller hung up after %s, before the answer was there", span(r.Took))
+func causeCallerDisconnected(r Record) string {
+	return fmt.Sprintf("the caller hung up after %s, before the answer was there", formatDuration(r.Took))
 }
 
 func causeOperationElsewhere(r Record) string {
-	return "its operation key belongs to another instance, which couldn't be reached" + detail(r)
+	return "its operation key belongs to another instance, which couldn't be reached" + detailSuffix(r)
 }
 
 func causeOperationLost(Record) string {
@@ -124,7 +124,7 @@
 	return "the first request with this operation key is still being worked on"
 }
 
-func causeRanAlready(Record) string {
+func causeAlreadyRan(Record) string {
 	return "the first request with this operation key was carried out, and its answer is no longer at hand"
 }
 
@@ -133,25 +133,25 @@
 }
 
 func causeInternal(r Record) string {
-	return "the instance itself failed" + detail(r)
+	return "the instance itself failed" + detailSuffix(r)
 }
 
-// detail adds the record's clause in brackets.
-func detail(r Record) string {
+// detailSuffix adds the record's clause in brackets.
+func detailSuffix(r Record) string {
 	if r.Figures.Detail == "" {
 		return ""
 	}
 	return " (" + r.Figures.Detail + ")"
 }
 
-func server(r Record) string {
+func serverPhrase(r Record) string {
 	if r.Server == "" {
 		return "a backend server"
 	}
 	return "backend server " + r.Server
 }
 
-func times(n int) string {
+func formatTimes(n int) string {
 	switch n {
 	case 1:
 		return "once"
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -27,8 +27,8 @@
 
 const testInstance = "0f8fad5b-d9cb-469f-a165-70867728950e"
 
-// sample returns a record of a rule with figures as an instance would give.
-func sample(rule Rule) Record {
+// sampleRecord returns a record of a rule with figures as an instance would give.
+func sampleRecord(rule Rule) Record {
 	r := Record{
 		Request: NewRequestID(testInstance, noon, 7), At: noon, Instance: testInstance,
 		Workspace: "bench-and-joint", Service: "catalogue", Method: "GET",
@@ -50,12 +50,12 @@
 func TestSentencesGolden(t *testing.T) {
 	var out strings.Builder
 	for _, info := range Catalogue() {
-		fmt.Fprintf(&out, "[%s] %d %s\n%s\n\n", info.Rule, info.Status, info.Title, sample(info.Rule).Sentence())
+		fmt.Fprintf(&out, "[%s] %d %s\n%s\n\n", info.Rule, info.Status, info.Title, sampleRecord(info.Rule).Sentence())
 	}
-	repeated := sample(RuleServed)
+	repeated := sampleRecord(RuleServed)
 	repeated.Attempts, repeated.Figures.Detail = 2, "it answered half"
 	fmt.Fprintf(&out, "[served, second attempt]\n%s\n\n", repeated.Sentence())
-	again := sample(RuleServed)
+	again := sampleRecord(RuleServed)
 	again.Outcome = RanBefore
 	fmt.Fprintf(&out, "[served, repeat by the caller]\n%s\n\n", again.Sentence())
 	bare := Record{Rule: RuleRateExceeded, Outcome: NotRun}
@@ -74,7 +74,7 @@
 func TestSentenceFollowsOutcome(t *testing.T) {
 	for _, info := range Catalogue() {
 		for _, outcome := range []Outcome{NotRun, Unknown} {
-			r := sample(info.Rule)
+			r := sampleRecord(info.Rule)
 			r.Outcome = outcome
 			notRun := strings.Contains(r.Sentence(), "not carried out:")
 			must.Eq(t, outcome == NotRun && info.Rule != RuleServed && info.Rule != RuleCallerDisconnected, notRun, must.Sprint(info.Rule))
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestBufferKeepsWhatIsAskedAbout(t *testing.T) {
+func TestBufferKeepsNotableRecords(t *testing.T) {
 	b := NewBuffer(testInstance, BufferSettings{SampleEvery: 10})
 	plain := Record{Rule: RuleServed, Outcome: Served, Attempts: 1, Took: time.Millisecond}
 	slow, repeated, refused := plain, plain, plain
@@ -116,7 +116,7 @@
 // come in. Whatever happens, each record ends up in exactly one batch, or is
 // counted as dropped; a repeated put carries the same bytes; and a batch's
 // name tells the hour of all its records.
-func TestBufferLosesNothingUncounted(t *testing.T) {
+func TestBufferStoresOrCountsEachRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBuffer(testInstance, BufferSettings{MaxRecords: rapid.IntRange(1, 20).Draw(t, "max")})
 		at, added, reported := noon, uint64(0), uint64(0)
@@ -168,7 +168,7 @@
 // One workspace floods and is refused 200,000 times within a minute. The one
 // refusal of another workspace before that must still be there to explain, the
 // flood must be told in full, and nothing that may have run is left out.
-func TestFloodLeavesRoomForOthers(t *testing.T) {
+func TestRefusalFloodLeavesRoomForOthers(t *testing.T) {
 	b := NewBuffer(testInstance, BufferSettings{})
 	refused := Record{Workspace: "quiet", Rule: RuleNoServer, Outcome: NotRun, At: noon}
 	must.True(t, b.Add(refused))
@@ -182,20 +182,20 @@
 	}
 	must.Eq(t, 0, b.Dropped())
 	must.Len(t, 1, b.Search(Query{Workspace: "quiet"}))
-	told := 0
+	accounted := 0
 	for _, r := range b.Search(Query{Workspace: "flood"}) {
 		if r.Rule == RuleRateExceeded {
-			told += 1 + r.SimilarSkipped
+			accounted += 1 + r.SimilarSkipped
 		}
 	}
-	must.Eq(t, 200_000, told+b.alike[likeness{workspace: "flood", rule: RuleRateExceeded}].skipped)
+	must.Eq(t, 200_000, accounted+b.refusals[refusalKey{workspace: "flood", rule: RuleRateExceeded}].skipped)
 	must.Less(t, 400, b.Len())
 	must.StrContains(t, Record{Rule: RuleRateExceeded, SimilarSkipped: 15}.Sentence(), ". 15 more requests shortly before ended the same way.")
 	for i := range 3 * DefaultMaxRecords {
 		refused.Workspace = fmt.Sprint(i)
 		b.Add(refused)
 	}
-	must.LessEq(t, DefaultMaxRecords, len(b.alike))
+	must.LessEq(t, DefaultMaxRecords, len(b.refusals))
 }
 
 func TestSearchNewestFirst(t *testing.T) {
@@ -210,7 +210,7 @@
 	must.Len(t, 0, b.Search(Query{Request: "0"}))
 }
 
-func TestOversizedFieldsAreCut(t *testing.T) {
+func TestOversizedFieldsAreTruncated(t *testing.T) {
 	b := NewBuffer(testInstance, BufferSettings{})
 	r := Record{Rule: RuleBadRequest, Method: strings.Repeat("M", 1<<20), Figures: Figures{Detail: strings.Repeat("d", 1<<20), Tokens: math.NaN(), Rate: math.Inf(1)}}
 	b.Add(r)
@@ -223,7 +223,7 @@
 
 func FuzzDecodeBatch(f *testing.F) {
 	b := NewBuffer(testInstance, BufferSettings{})
-	b.Add(sample(RuleRateExceeded))
+	b.Add(sampleRecord(RuleRateExceeded))
 	batch, ok := b.NextEncodedBatch()
 	must.True(f, ok)
 	f.Add(batch.Data)
@@ -245,7 +245,7 @@
 func BenchmarkBuffer(b *testing.B) {
 	b.Run("add", func(b *testing.B) {
 		buffer := NewBuffer(testInstance, BufferSettings{})
-		r := sample(RuleBackendBusy)
+		r := sampleRecord(RuleBackendBusy)
 		r.Outcome = Unknown
 		for b.Loop() {
 			buffer.Add(r)
@@ -256,7 +256,7 @@
 		for b.Loop() {
 			b.StopTimer()
 			for range MaxBatchRecords {
-				buffer.Add(sample(RuleUnknownOutcome))
+				buffer.Add(sampleRecord(RuleUnknownOutcome))
 			}
 			b.StartTimer()
 			cut, ok := buffer.NextBatch()
@@ -270,7 +270,7 @@
 		for b.Loop() {
 			buffer := NewBuffer(testInstance, BufferSettings{MaxSimilar: MaxBatchRecords})
 			for i := range MaxBatchRecords {
-				r := sample(catalogue[i%len(catalogue)].Rule)
+				r := sampleRecord(catalogue[i%len(catalogue)].Rule)
 				r.At = noon.Add(-time.Duration(rng.IntN(60_000)) * time.Millisecond)
 				r.Request, r.Workspace = NewRequestID(testInstance, r.At, uint64(i)), fmt.Sprint("workspace-", rng.IntN(55_000))
 				r.Server, r.Service = fmt.Sprint("server-", rng.IntN(24_000)), fmt.Sprint("service-", rng.IntN(560))
--- a/decision/id.go
+++ b/decision/id.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// instancePrefix is how many characters of an instance's id a request
+	// instancePrefixLength is how many characters of an instance's id a request
 	// id repeats. Instance ids are UUIDs: eight characters are 32 bits.
-	instancePrefix = 8
+	instancePrefixLength = 8
 	idBase         = 36
 	maxIDLength    = 64
 )
@@ -19,7 +19,7 @@
 // for its record reads one instance's batches of one hour and no others.
 func NewRequestID(instance string, at time.Time, n uint64) string {
 	return strings.Join([]string{
-		shortInstance(instance),
+		instancePrefix(instance),
 		strconv.FormatInt(at.UnixMilli(), idBase),
 		strconv.FormatUint(n, idBase),
 	}, ".")
@@ -53,16 +53,16 @@
 	return RequestID{InstancePrefix: fields[0], At: time.UnixMilli(ms).UTC(), N: n}, true
 }
 
-// nameSafe makes an instance's id usable between dots and slashes. Usual ids,
+// sanitizeInstance makes an instance's id usable between dots and slashes. Usual ids,
 // UUIDs, stay as they are.
-func nameSafe(instance string) string {
+func sanitizeInstance(instance string) string {
 	return strings.NewReplacer(".", "-", "/", "-").Replace(instance)
 }
 
-func shortInstance(instance string) string {
-	instance = nameSafe(instance)
-	if len(instance) > instancePrefix {
-		return instance[:instancePrefix]
+func instancePrefix(instance string) string {
+	instance = sanitizeInstance(instance)
+	if len(instance) > instancePrefixLength {
+		return instance[:instancePrefixLength]
 	}
 	return instance
 }
--- a/decision/record.go
+++ b/decision/record.go
@@ -76,29 +76,29 @@
 // MaxField bounds every other string of a record, in bytes.
 const MaxField = 128
 
-// bounded returns the record with every string cut to its bound, so that a
+// truncated returns the record with every string cut to its bound, so that a
 // caller's oversized input can't take up the buffer's memory.
-func (r Record) bounded() Record {
+func (r Record) truncated() Record {
 	for _, s := range []*string{&r.Request, &r.Instance, &r.Workspace, &r.Service, &r.Method, &r.Server, &r.Figures.Plan} {
-		*s = cut(*s, MaxField)
+		*s = truncate(*s, MaxField)
 	}
-	r.Figures.Detail = cut(r.Figures.Detail, MaxDetail)
+	r.Figures.Detail = truncate(r.Figures.Detail, MaxDetail)
 	for _, f := range []*float64{&r.Figures.Rate, &r.Figures.Burst, &r.Figures.Tokens} {
-		*f = finite(*f)
+		*f = finiteOrZero(*f)
 	}
 	return r
 }
 
-// finite leaves out what JSON can't write: one such figure would cost the
+// finiteOrZero leaves out what JSON can't write: one such figure would cost the
 // whole batch.
-func finite(f float64) float64 {
+func finiteOrZero(f float64) float64 {
 	if math.IsNaN(f) || math.IsInf(f, 0) {
 		return 0
 	}
 	return f
 }
 
-func cut(s string, limit int) string {
+func truncate(s string, limit int) string {
 	if len(s) <= limit {
 		return s
 	}
--- a/decision/sentence.go
+++ b/decision/sentence.go
@@ -12,12 +12,12 @@
 // the figures, for a reader without a technical background.
 func (r Record) Sentence() string {
 	info := Lookup(r.Rule)
-	parts := []string{r.subject(), " ", r.verdict(), ": ", info.cause(r)}
+	parts := []string{r.subject(), " ", r.outcomePhrase(), ": ", info.cause(r)}
 	if advice := r.advice(); advice != "" {
 		parts = append(parts, "; ", advice)
 	}
 	if r.SimilarSkipped > 0 {
-		parts = append(parts, ". ", count(r.SimilarSkipped, "more request"), " shortly before ended the same way")
+		parts = append(parts, ". ", formatCount(r.SimilarSkipped, "more request"), " shortly before ended the same way")
 	}
 	return strings.Join(parts, "") + "."
 }
@@ -37,7 +37,7 @@
 	return s
 }
 
-func (r Record) verdict() string {
+func (r Record) outcomePhrase() string {
 	switch {
 	case r.Rule == RuleServed && r.Outcome == RanBefore:
 		return "was given the first answer again"
@@ -66,11 +66,11 @@
 	case r.Rule == RuleServed:
 		return ""
 	case r.Outcome == NotRun && r.RetryAfter > 0:
-		return "it is safe to send it again, after " + span(r.RetryAfter)
+		return "it is safe to send it again, after " + formatDuration(r.RetryAfter)
 	case r.Outcome == NotRun && Lookup(r.Rule).RetryAfter:
 		return "it is safe to send it again"
 	case r.Rule == RuleStillRunning && r.RetryAfter > 0:
-		return "the caller may ask again after " + span(r.RetryAfter)
+		return "the caller may ask again after " + formatDuration(r.RetryAfter)
 	case r.Rule == RuleAttemptsFailed:
 		return "sending it again is safe, because this kind of request changes nothing by being repeated"
 	case r.Outcome == Unknown && r.Rule != RuleCallerDisconnected:
@@ -80,39 +80,39 @@
 	}
 }
 
-// span writes a time for people: milliseconds below a second, tenths of a
+// formatDuration writes a time for people: milliseconds below a second, tenths of a
 // second below a minute, else minutes and seconds.
-func span(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	switch {
 	case d < time.Millisecond:
 		return "less than a millisecond"
 	case d < time.Second:
-		return count(int(d.Round(time.Millisecond)/time.Millisecond), "millisecond")
+		return formatCount(int(d.Round(time.Millisecond)/time.Millisecond), "millisecond")
 	case d < time.Minute:
-		return number(math.Round(d.Seconds()*10)/10) + " seconds"
+		return formatNumber(math.Round(d.Seconds()*10)/10) + " seconds"
 	default:
 		d = d.Round(time.Second)
-		return fmt.Sprintf("%s and %s", count(int(d/time.Minute), "minute"), count(int(d%time.Minute/time.Second), "second"))
+		return fmt.Sprintf("%s and %s", formatCount(int(d/time.Minute), "minute"), formatCount(int(d%time.Minute/time.Second), "second"))
 	}
 }
 
-func count(n int, noun string) string {
+func formatCount(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
 	}
 	return strconv.Itoa(n) + " " + noun + "s"
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// size writes a number of bytes for people.
-func size(n int64) string {
+// formatSize writes a number of bytes for people.
+func formatSize(n int64) string {
 	switch {
 	case n >= 1<<20:
-		return number(math.Round(float64(n)/(1<<20)*10)/10) + " MB"
+		return formatNumber(math.Round(float64(n)/(1<<20)*10)/10) + " MB"
 	case n >= 1<<10:
-		return number(math.Round(float64(n)/(1<<10)*10)/10) + " KB"
+		return formatNumber(math.Round(float64(n)/(1<<10)*10)/10) + " KB"
 	default:
-		return count(int(n), "byte")
+		return formatCount(int(n), "byte")
 	}
 }
--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -62,7 +62,7 @@
 	var off Disabled
 	for _, n := range names {
 		if !slices.Contains(All, Name(n)) {
-			return Disabled{}, errors.Newf("mechanism %q isn't known; there are %s", n, list())
+			return Disabled{}, errors.Newf("mechanism %q isn't known; there are %s", n, joinAll())
 		}
 		off.names = append(off.names, Name(n))
 	}
@@ -84,7 +84,7 @@
 	return strings.Join(names, ", ")
 }
 
-func list() string {
+func joinAll() string {
 	names := make([]string, 0, len(All))
 	for _, n := range All {
 		names = append(names, string(n))
