--- a/decision/batch.go
+++ b/decision/batch.go
@@ -86,7 +86,7 @@
 func DecodeBatch(data []byte) (BatchContents, error) {
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return BatchContents{}, errors.Wrap(err, "decode batch: no gzip header")
+		return BatchContents{}, errors.Wrap(err, "read gzip header of batch")
 	}
 	plain, err := io.ReadAll(io.LimitReader(zip, maxBatchBytes+1))
 	if err != nil {
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -52,12 +52,12 @@
 	for _, info := range Catalogue() {
 		fmt.Fprintf(&out, "[%s] %d %s\n%s\n\n", info.Rule, info.Status, info.Title, sampleRecord(info.Rule).Sentence())
 	}
+	retried := sampleRecord(RuleServed)
+	retried.Attempts, retried.Figures.Detail = 2, "it answered half"
+	fmt.Fprintf(&out, "[served, second attempt]\n%s\n\n", retried.Sentence())
 	repeated := sampleRecord(RuleServed)
-	repeated.Attempts, repeated.Figures.Detail = 2, "it answered half"
-	fmt.Fprintf(&out, "[served, second attempt]\n%s\n\n", repeated.Sentence())
-	again := sampleRecord(RuleServed)
-	again.Outcome = RanBefore
-	fmt.Fprintf(&out, "[served, repeat by the caller]\n%s\n\n", again.Sentence())
+	repeated.Outcome = RanBefore
+	fmt.Fprintf(&out, "[served, repeat by the caller]\n%s\n\n", repeated.Sentence())
 	bare := Record{Rule: RuleRateExceeded, Outcome: NotRun}
 	fmt.Fprintf(&out, "[over-rate, nothing known]\n%s\n", bare.Sentence())
 	path := filepath.Join("testdata", "sentences.golden")
@@ -87,9 +87,9 @@
 	must.True(t, ok)
 	must.Eq(t, RequestID{InstancePrefix: "0f8fad5b", At: noon, N: 1 << 40}, id)
 	must.Eq(t, []string{"decisions/2026-03-02/11/0f8fad5b"}, id.Prefixes())
-	for _, bad := range []string{"", "a", "a.b", "..", ".1.1", "a.-1.1", "a.1.-1", "a.1.1.1", strings.Repeat("a", 65) + ".1.1"} {
-		_, ok := ParseRequestID(bad)
-		must.False(t, ok, must.Sprint(bad))
+	for _, invalid := range []string{"", "a", "a.b", "..", ".1.1", "a.-1.1", "a.1.-1", "a.1.1.1", strings.Repeat("a", 65) + ".1.1"} {
+		_, ok := ParseRequestID(invalid)
+		must.False(t, ok, must.Sprint(invalid))
 	}
 }
 
@@ -167,8 +167,9 @@
 }
 
 // One workspace is refused 200,000 times within a minute. An earlier refusal of
-// another workspace must still be in the buffer, the kept records and their SimilarSkipped must
-// account for all refusals, and requests that may have run must all be kept.
+// another workspace must still be in the buffer, the kept records and their
+// SimilarSkipped must account for all refusals, and all requests that may have
+// run must be kept.
 func TestRefusalFloodLeavesRoomForOthers(t *testing.T) {
 	b := NewBuffer(testInstance, BufferSettings{})
 	refused := Record{Workspace: "quiet", Rule: RuleNoServer, Outcome: NotRun, At: noon}
--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -70,26 +70,26 @@
 
 // Parse returns the set with the given names, or an error if one is unknown.
 func Parse(names []string) (Disabled, error) {
-	var off Disabled
+	var disabled Disabled
 	for _, n := range names {
 		if !slices.Contains(All, Name(n)) {
 			return Disabled{}, errors.Newf("unknown mechanism %q; known are %s", n, joinAll())
 		}
-		off.names = append(off.names, Name(n))
+		disabled.names = append(disabled.names, Name(n))
 	}
-	return off, nil
+	return disabled, nil
 }
 
 // Enabled reports whether a mechanism is enabled.
-func (o Disabled) Enabled(n Name) bool { return len(o.names) == 0 || !slices.Contains(o.names, n) }
+func (d Disabled) Enabled(n Name) bool { return len(d.names) == 0 || !slices.Contains(d.names, n) }
 
 // String returns the names separated by commas, or "none".
-func (o Disabled) String() string {
-	if len(o.names) == 0 {
+func (d Disabled) String() string {
+	if len(d.names) == 0 {
 		return "none"
 	}
-	names := make([]string, 0, len(o.names))
-	for _, n := range o.names {
+	names := make([]string, 0, len(d.names))
+	for _, n := range d.names {
 		names = append(names, string(n))
 	}
 	return strings.Join(names, ", ")
