--- a/node/status.go
+++ b/node/status.go
@@ -18,16 +18,16 @@
 	Instance     storage.Instance
 	Confirmation membership.Confirmation
 	// ConfigAgeLimit is the age beyond which the instance refuses requests.
-	ConfigAgeLimit    time.Duration
-	Lists    config.Lists
-	Services []ServiceStatus
+	ConfigAgeLimit time.Duration
+	Lists          config.ListsVersion
+	Services       []ServiceStatus
 	// RateRefusals for the rate, the most first.
 	RateRefusals []RateRefusals
-	Entries  []storage.Instance
-	Leaving  bool
-	Counters membership.Counters
-	Buckets  int
-	Requests int
+	Entries      []storage.Instance
+	Leaving      bool
+	Counters     membership.Counters
+	Buckets      int
+	Requests     int
 }
 
 // WorstWorkspace returns the workspace that fares worst here; false if none was here
@@ -82,15 +82,15 @@
 func (n *Node) Status(now time.Duration) Status {
 	n.now = max(n.now, now)
 	s := Status{
-		Instance:     n.settings.Self,
-		Confirmation: n.member.Confirmation(n.now),
-		ConfigAgeLimit:        n.member.Settings().Fresh,
-		Lists:        n.replica.Lists(),
-		Entries:      slices.Clone(n.member.Directory().Entries()),
-		Leaving:      n.leaving,
-		Counters:     n.member.Counters(),
-		Buckets:      n.holder.BucketCount(),
-		Requests:     len(n.requests),
+		Instance:       n.settings.Self,
+		Confirmation:   n.member.Confirmation(n.now),
+		ConfigAgeLimit: n.member.Settings().Fresh,
+		Lists:          n.replica.ListsVersion(),
+		Entries:        slices.Clone(n.member.Directory().Entries()),
+		Leaving:        n.leaving,
+		Counters:       n.member.Counters(),
+		Buckets:        n.holder.BucketCount(),
+		Requests:       len(n.requests),
 	}
 	for _, name := range n.replica.Services() {
 		s.Services = append(s.Services, n.serviceStatus(name))
