--- a/decision/buffer.go
+++ b/decision/buffer.go
@@ -2,68 +2,73 @@
 
 import "time"
 
-// BufferSettings bound a Buffer.
+// BufferSettings configures the capacity and sampling of a Buffer.
 type BufferSettings struct {
 	// MaxRecords is how many records are kept in memory; 0 means
 	// DefaultMaxRecords. A full record takes about one kilobyte.
 	MaxRecords int
-	// SlowThreshold is the time from which a served request counts as slow and is
-	// kept; 0 means DefaultSlow.
+	// SlowThreshold is the latency from which a served request counts as
+	// slow and is kept; 0 means DefaultSlowThreshold.
 	SlowThreshold time.Duration
-	// SampleEvery keeps one of this many plain successes; 0 keeps none.
+	// SampleEvery keeps one in this many requests that were served fast at
+	// the first attempt; 0 keeps none.
 	SampleEvery int
 	// MaxSimilar is how many refusals of one workspace, service and rule are
-	// kept for a batch before only one in AlikeEvery is; 0 means
-	// DefaultMaxAlike.
+	// kept per batch before they are sampled, at first one in
+	// SimilarSampleEvery; 0 means DefaultMaxSimilar.
 	MaxSimilar int
 }
 
 const (
-	// DefaultMaxRecords keeps the buffer near 2 MB at its usual record size.
-	DefaultMaxRecords = 4096
-	// DefaultSlowThreshold is one second.
+	// DefaultMaxRecords keeps the buffer near 2 MB at the usual record size.
+	DefaultMaxRecords    = 4096
 	DefaultSlowThreshold = time.Second
-	// DefaultMaxSimilar leaves room for 64 floods of one rule at a time.
+	// DefaultMaxSimilar lets DefaultMaxRecords hold the unsampled refusals
+	// of 64 floods, each of one workspace, service and rule.
 	DefaultMaxSimilar = 64
-	// SimilarSampleEvery thins out what comes beyond MaxAlike: one in so many is
-	// kept, and after so many kept ones one in twice as many.
+	// SimilarSampleEvery is the initial sampling of similar refusals beyond
+	// MaxSimilar: one in this many is kept. The interval doubles each time
+	// this many have been kept.
 	SimilarSampleEvery = 16
-	// maxThinning bounds the doubling.
-	maxThinning = 20
+	// maxSampleDoublings bounds how often the sampling interval doubles.
+	maxSampleDoublings = 20
 )
 
-// Buffer keeps one instance's records until they are stored, and after that
-// until newer ones need the room. It is not safe for concurrent use.
+// Buffer holds the decision records of one instance in a ring until they are
+// stored, and after that until newer records overwrite them. It is not safe for
+// concurrent use.
 //
-// The object store may be away for hours. Records then fall out oldest first
-// and are counted, so the memory stays bounded and the gap is known.
+// The object store may be unavailable for hours. The oldest records are then
+// dropped and counted, so that memory stays bounded and the gap is reported.
 type Buffer struct {
 	instance string
 	settings BufferSettings
 	ring     []Record
-	// first and next number the records in the ring: [first, next).
+	// The ring holds the records numbered [first, next).
 	first, next uint64
-	// stored is the number of the first record that no batch holds yet.
-	stored  uint64
-	pending *UnencodedBatch
-	batches uint64
-	dropped uint64
-	// droppedBefore is what the batches so far have reported as dropped.
-	droppedBefore uint64
-	plain         int
-	alike         map[likeness]*flood
+	// firstUnbatched is the number of the first record that is in no batch.
+	firstUnbatched uint64
+	pending        *UnencodedBatch
+	batchCount     uint64
+	dropped        uint64
+	// droppedReported is the part of dropped that batches have reported.
+	droppedReported uint64
+	// sinceSample counts the sampled successes since the last kept one.
+	sinceSample int
+	refusals    map[refusalKey]*refusalCounts
 }
 
-// likeness groups refusals that say the same.
-type likeness struct {
+// refusalKey identifies a group of similar refusals.
+type refusalKey struct {
 	workspace, service string
 	rule               Rule
 }
 
-// flood counts the refusals of one likeness since the last batch.
-type flood struct{ kept, skipped int }
+// refusalCounts counts the similar refusals kept since the last batch, and
+// those skipped since the last kept one.
+type refusalCounts struct{ kept, skipped int }
 
-// NewBuffer returns an empty buffer of an instance.
+// NewBuffer returns an empty buffer for the records of an instance.
 func NewBuffer(instance string, s BufferSettings) *Buffer {
 	if s.MaxRecords <= 0 {
 		s.MaxRecords = DefaultMaxRecords
@@ -74,14 +79,15 @@
 	if s.MaxSimilar <= 0 {
 		s.MaxSimilar = DefaultMaxSimilar
 	}
-	return &Buffer{instance: instance, settings: s, alike: map[likeness]*flood{}}
+	return &Buffer{instance: instance, settings: s, refusals: map[refusalKey]*refusalCounts{}}
 }
 
-// Add takes a record if somebody may ask about it: every refusal, repeat and
-// slow request, and a sample of the others. It tells whether it was kept.
+// Add adds a record of a request that was refused, repeated or slow, and a
+// sample of the others. Large numbers of similar refusals are sampled. It
+// reports whether the record was kept.
 func (b *Buffer) Add(r Record) bool {
-	r = r.bounded()
-	if !b.wanted(r) || b.thinnedOut(&r) {
+	r = r.truncated()
+	if !b.selects(r) || b.sampledOut(&r) {
 		return false
 	}
 	if r.Instance == "" {
@@ -92,9 +98,9 @@
 		b.next++
 		return true
 	}
-	if b.first >= b.stored {
+	if b.first >= b.firstUnbatched {
 		b.dropped++
-		b.stored = b.first + 1
+		b.firstUnbatched = b.first + 1
 	}
 	b.ring[b.next%uint64(len(b.ring))] = r
 	b.first++
@@ -102,7 +108,9 @@
 	return true
 }
 
-func (b *Buffer) wanted(r Record) bool {
+// selects reports whether a record is kept, before the sampling of similar
+// refusals.
+func (b *Buffer) selects(r Record) bool {
 	plain := r.Rule == RuleServed && r.Outcome == Served && r.Attempts <= 1 && r.Took < b.settings.SlowThreshold
 	if !plain {
 		return true
@@ -110,77 +118,79 @@
 	if b.settings.SampleEvery <= 0 {
 		return false
 	}
-	b.plain++
-	if b.plain < b.settings.SampleEvery {
+	b.sinceSample++
+	if b.sinceSample < b.settings.SampleEvery {
 		return false
 	}
-	b.plain = 0
+	b.sinceSample = 0
 	return true
 }
 
-// thinnedOut tells whether a refusal is left out because there are many alike.
-// A workspace that floods is refused several times its rate: all its refusals
-// would push the records of every other workspace out of memory, and nobody
-// could explain those. What may have run is always kept, because somebody has
-// to look into each case.
-func (b *Buffer) thinnedOut(r *Record) bool {
+// sampledOut reports whether a refusal is skipped because many similar ones
+// were kept. A workspace can be refused at several times its rate limit; the
+// records of all its refusals would push those of every other workspace out of
+// memory. Requests that may have run are always kept, because each of them
+// must be investigated.
+func (b *Buffer) sampledOut(r *Record) bool {
 	if r.Outcome != NotRun {
 		return false
 	}
-	like := likeness{workspace: r.Workspace, service: r.Service, rule: r.Rule}
-	f := b.flood(like)
-	if beyond := f.kept - b.settings.MaxSimilar; beyond >= 0 {
-		every := SimilarSampleEvery << min(beyond/SimilarSampleEvery, maxThinning)
-		if f.skipped < every-1 {
-			f.skipped++
+	key := refusalKey{workspace: r.Workspace, service: r.Service, rule: r.Rule}
+	counts := b.refusalCountsFor(key)
+	if excess := counts.kept - b.settings.MaxSimilar; excess >= 0 {
+		sampleEvery := SimilarSampleEvery << min(excess/SimilarSampleEvery, maxSampleDoublings)
+		if counts.skipped < sampleEvery-1 {
+			counts.skipped++
 			return true
 		}
 	}
-	r.SimilarSkipped, f.skipped = f.skipped, 0
-	f.kept++
+	r.SimilarSkipped, counts.skipped = counts.skipped, 0
+	counts.kept++
 	return false
 }
 
-// flood returns the count of a likeness. While nothing can be stored, counts
-// pile up; there are never more of them than records, and then all start anew.
-func (b *Buffer) flood(like likeness) *flood {
-	f := b.alike[like]
-	if f != nil {
-		return f
+// refusalCountsFor returns the counts of a group of refusals. While no batch can
+// be stored, groups accumulate; when there are as many as MaxRecords, all counts
+// are reset to bound memory.
+func (b *Buffer) refusalCountsFor(key refusalKey) *refusalCounts {
+	counts := b.refusals[key]
+	if counts != nil {
+		return counts
 	}
-	if len(b.alike) >= b.settings.MaxRecords {
-		clear(b.alike)
+	if len(b.refusals) >= b.settings.MaxRecords {
+		clear(b.refusals)
 	}
-	f = &flood{}
-	b.alike[like] = f
-	return f
+	counts = &refusalCounts{}
+	b.refusals[key] = counts
+	return counts
 }
 
-// forgetFloods starts counting anew after a batch. What was skipped last stays
-// counted, and shows in the next record alike.
-func (b *Buffer) forgetFloods() {
-	for like, f := range b.alike {
-		f.kept = 0
-		if f.skipped == 0 {
-			delete(b.alike, like)
+// resetRefusalCounts resets the kept counts after a batch. The skipped counts
+// remain, for the next record of the group to report.
+func (b *Buffer) resetRefusalCounts() {
+	for key, counts := range b.refusals {
+		counts.kept = 0
+		if counts.skipped == 0 {
+			delete(b.refusals, key)
 		}
 	}
 }
 
-// Len returns how many records are in memory.
+// Len returns the number of records in memory.
 func (b *Buffer) Len() int { return len(b.ring) }
 
-// Unbatched returns how many records no batch holds yet.
-func (b *Buffer) Unbatched() int { return int(b.next - b.stored) }
+// Unbatched returns the number of records that are in no batch yet.
+func (b *Buffer) Unbatched() int { return int(b.next - b.firstUnbatched) }
 
-// Dropped returns how many records fell out before they were stored.
+// Dropped returns the number of records that were dropped before they were
+// stored.
 func (b *Buffer) Dropped() uint64 { return b.dropped }
 
-// NextBatch cuts the next batch off; false if there is nothing to store. It is
-// quick; encoding the cut takes milliseconds and can be done outside a lock.
-// The same cut is returned until Stored or Discard has been called for it, and
-// always encodes to the same bytes: a put whose answer was lost is repeated
-// without harm.
+// NextBatch returns the next batch to store, or false if there is none. It is
+// fast; encoding takes milliseconds and can be done without holding a lock. The
+// same batch is returned until MarkStored or Discard has been called for it, and
+// always encodes to the same bytes, so that repeating a put whose response was
+// lost is safe.
 func (b *Buffer) NextBatch() (UnencodedBatch, bool) {
 	if b.pending != nil {
 		return *b.pending, true
@@ -189,41 +199,42 @@
 	if len(records) == 0 {
 		return UnencodedBatch{}, false
 	}
-	b.batches++
+	b.batchCount++
 	b.pending = &UnencodedBatch{
-		Name: batchName(b.instance, b.batches, records[0].At),
+		Name: batchName(b.instance, b.batchCount, records[0].At),
 		contents: BatchContents{
-			Format: batchFormat, Instance: b.instance, Dropped: b.dropped - b.droppedBefore, Records: records,
+			Format: batchFormat, Instance: b.instance, Dropped: b.dropped - b.droppedReported, Records: records,
 		},
 	}
-	b.stored += uint64(len(records))
-	b.droppedBefore = b.dropped
-	b.forgetFloods()
+	b.firstUnbatched += uint64(len(records))
+	b.droppedReported = b.dropped
+	b.resetRefusalCounts()
 	return *b.pending, true
 }
 
-// NextEncodedBatch takes and encodes the next batch in one step.
+// NextEncodedBatch returns the next batch encoded. A batch that can't be encoded
+// is discarded.
 func (b *Buffer) NextEncodedBatch() (Batch, bool) {
-	cut, ok := b.NextBatch()
+	unencoded, ok := b.NextBatch()
 	if !ok {
 		return Batch{}, false
 	}
-	batch, err := cut.Encode()
+	batch, err := unencoded.Encode()
 	if err != nil {
-		b.Discard(cut.Name)
+		b.Discard(unencoded.Name)
 		return Batch{}, false
 	}
 	return batch, true
 }
 
-// MarkStored tells that the batch of this name is in the object store.
+// MarkStored records that the batch with this name is in the object store.
 func (b *Buffer) MarkStored(name string) {
 	if b.pending != nil && b.pending.Name == name {
 		b.pending = nil
 	}
 }
 
-// Discard gives a batch up and counts its records as dropped.
+// Discard abandons a batch and counts its records as dropped.
 func (b *Buffer) Discard(name string) {
 	if b.pending != nil && b.pending.Name == name {
 		b.dropped += uint64(len(b.pending.contents.Records))
@@ -231,12 +242,12 @@
 	}
 }
 
-// oldestHour returns the unstored records of one hour, so that a batch's
-// name tells the hour of all its records.
+// oldestHour returns the oldest unbatched records up to the first that is of
+// another hour, because the name of a batch holds the hour of all its records.
 func (b *Buffer) oldestHour() []Record {
 	records := make([]Record, 0, min(b.Unbatched(), MaxBatchRecords))
-	for n := b.stored; n < b.next && len(records) < MaxBatchRecords; n++ {
-		r := b.at(n)
+	for n := b.firstUnbatched; n < b.next && len(records) < MaxBatchRecords; n++ {
+		r := b.record(n)
 		if len(records) > 0 && hourOf(r.At) != hourOf(records[0].At) {
 			break
 		}
@@ -245,13 +256,13 @@
 	return records
 }
 
-func (b *Buffer) at(n uint64) Record { return b.ring[n%uint64(len(b.ring))] }
+func (b *Buffer) record(n uint64) Record { return b.ring[n%uint64(len(b.ring))] }
 
-// Search returns the records in memory that match, newest first.
+// Search returns the matching records in memory, newest first.
 func (b *Buffer) Search(q Query) []Record {
 	var found []Record
 	for n := b.next; n > b.first; n-- {
-		if r := b.at(n - 1); q.Matches(r) {
+		if r := b.record(n - 1); q.Matches(r) {
 			found = append(found, r)
 			if q.Limit > 0 && len(found) == q.Limit {
 				break
@@ -261,17 +272,17 @@
 	return found
 }
 
-// Query selects records. Empty fields match everything.
+// Query selects records. Empty fields match all records.
 type Query struct {
 	Request   string
 	Workspace string
 	// Since excludes older records.
 	Since time.Time
-	// Limit bounds the number of records; 0 means no bound.
+	// Limit is the maximum number of records; 0 means no limit.
 	Limit int
 }
 
-// Matches tells whether the record is selected.
+// Matches reports whether the query selects the record.
 func (q Query) Matches(r Record) bool {
 	return (q.Request == "" || q.Request == r.Request) &&
 		(q.Workspace == "" || q.Workspace == r.Workspace) &&
