--- a/entry/attempt/attempt.go
+++ b/entry/attempt/attempt.go
@@ -23,21 +23,21 @@
 	"foxtailspoke/wire"
 )
 
-// Ending is how an attempt ended.
-type Ending int
+// Result is how an attempt ended.
+type Result int
 
 const (
 	// Answered means a whole answer of this attempt, or the beginning of one
 	// that is too large to hold.
-	Answered Ending = iota
+	Answered Result = iota
 	// ConnectFailed means that no connection came about.
 	ConnectFailed
 	// Unwritten means that the connection failed before a byte was written.
 	Unwritten
 	// TimedOut means that the answer didn't come in time.
 	TimedOut
-	// Broken means that the connection failed after a byte was written.
-	Broken
+	// ConnectionLost means that the connection failed after a byte was written.
+	ConnectionLost
 	// Incomplete means that the answer ended early.
 	Incomplete
 	// Mismatched means that the answer carried another attempt's id or none.
@@ -84,7 +84,7 @@
 
 // Outcome is how an attempt ended, with its answer if there is one.
 type Outcome struct {
-	Ending Ending
+	Result Result
 	Status int
 	Header http.Header
 	// Body is the whole answer, or its beginning if Rest isn't nil.
@@ -103,9 +103,9 @@
 	Err     error
 }
 
-// NotRun tells whether the request is proved not to have run.
-func (o Outcome) NotRun() bool {
-	return o.Ending == ConnectFailed || o.Ending == Unwritten || o.Ending == Refused || o.Ending == Expired
+// ProvedNotRun tells whether the request is proved not to have run.
+func (o Outcome) ProvedNotRun() bool {
+	return o.Result == ConnectFailed || o.Result == Unwritten || o.Result == Refused || o.Result == Expired
 }
 
 // Sender sends attempts over kept connections.
@@ -126,8 +126,8 @@
 	answer, err := s.roundTrip(httptrace.WithClientTrace(ctx, watch.trace()), r)
 	if err != nil {
 		o := failed(ctx, err, watch)
-		if r.Body.Failed() && o.Ending != Unwritten && o.Ending != ConnectFailed {
-			o.Ending = BodyFailed
+		if r.Body.Failed() && o.Result != Unwritten && o.Result != ConnectFailed {
+			o.Result = BodyFailed
 		}
 		end(timer, cancel)
 		o.Latency = time.Since(start)
@@ -186,18 +186,18 @@
 
 // failed classifies a round trip that brought no answer.
 func failed(ctx context.Context, err error, w *watch) Outcome {
-	o := Outcome{Err: err, Ending: Broken}
+	o := Outcome{Err: err, Result: ConnectionLost}
 	switch {
 	case w.expired.Load() && !w.wrote():
-		o.Ending = Expired
+		o.Result = Expired
 	case !w.connected():
-		o.Ending = ConnectFailed
+		o.Result = ConnectFailed
 	case !w.wrote():
-		o.Ending = Unwritten
+		o.Result = Unwritten
 	case errors.Is(context.Cause(ctx), errTimeout):
-		o.Ending = TimedOut
+		o.Result = TimedOut
 	case ctx.Err() != nil:
-		o.Ending = Cancelled
+		o.Result = Cancelled
 	}
 	return o
 }
@@ -211,12 +211,12 @@
 	}
 	if echo := answer.Header.Values(wire.HeaderAttempt); len(echo) != 1 || echo[0] != r.Attempt {
 		_ = answer.Body.Close()
-		o.Ending = Mismatched
+		o.Result = Mismatched
 		return o
 	}
 	if unbounded(answer) {
 		_ = answer.Body.Close()
-		o.Ending = Incomplete
+		o.Result = Incomplete
 		return o
 	}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, s.hold+1))
@@ -224,9 +224,9 @@
 	if err != nil {
 		_ = answer.Body.Close()
 		o.Err = err
-		o.Ending = Incomplete
+		o.Result = Incomplete
 		if errors.Is(context.Cause(ctx), errTimeout) {
-			o.Ending = TimedOut
+			o.Result = TimedOut
 		}
 		return o
 	}
@@ -236,7 +236,7 @@
 	}
 	_ = answer.Body.Close()
 	if o.Header.Get(wire.HeaderOutcome) == wire.OutcomeNotRun {
-		o.Ending = Refused
+		o.Result = Refused
 		o.Leaving = o.Header.Get(wire.HeaderLeaving) != ""
 	}
 	return o
--- a/entry/attempt/attempt_test.go
+++ b/entry/attempt/attempt_test.go
@@ -19,7 +19,7 @@
 )
 
 func sender(t *testing.T) *Sender {
-	s := NewSender(Settings{HoldBytes: 1 << 10, ConnectTimeout: time.Second, IdleTimeout: time.Second, ConnectionsPerServer: 4})
+	s := NewSender(Settings{MaxBufferedBytes: 1 << 10, ConnectTimeout: time.Second, IdleTimeout: time.Second, ConnectionsPerServer: 4})
 	t.Cleanup(s.Close)
 	return s
 }
@@ -84,7 +84,7 @@
 func TestEndings(t *testing.T) {
 	cases := []struct {
 		name, answer string
-		want         Ending
+		want         Result
 	}{
 		{"whole", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", Answered},
 		{"another's answer", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a0\r\nContent-Length: 2\r\n\r\nok", Mismatched},
@@ -94,7 +94,7 @@
 		{"half chunk", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok", Incomplete},
 		{"end not told", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nConnection: close\r\n\r\nok", Incomplete},
 		{"refused", "HTTP/1.1 503 Busy\r\nFoxtailspoke-Attempt: a1\r\nFoxtailspoke-Outcome: not-run\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", Refused},
-		{"closed at once", "", Broken},
+		{"closed at once", "", ConnectionLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,8 +103,8 @@
 				_ = conn.Close()
 			})
 			o := sender(t).Send(context.Background(), request(address, http.MethodPost, "x"))
-			must.Eq(t, c.want, o.Ending, must.Sprint(o.Err))
-			must.Eq(t, c.want == Refused, o.NotRun())
+			must.Eq(t, c.want, o.Result, must.Sprint(o.Err))
+			must.Eq(t, c.want == Refused, o.ProvedNotRun())
 		})
 	}
 }
@@ -121,10 +121,10 @@
 		_ = conn.Close()
 	})
 	s := sender(t)
-	must.Eq(t, Answered, s.Send(context.Background(), request(address, http.MethodPost, "")).Ending)
+	must.Eq(t, Answered, s.Send(context.Background(), request(address, http.MethodPost, "")).Result)
 	o := s.Send(context.Background(), request(address, http.MethodPost, ""))
-	must.Eq(t, Broken, o.Ending)
-	must.False(t, o.NotRun())
+	must.Eq(t, ConnectionLost, o.Result)
+	must.False(t, o.ProvedNotRun())
 	must.Eq(t, 2, requests.Load())
 }
 
@@ -161,15 +161,15 @@
 		r := request(address, http.MethodPost, body)
 		r.Valid = func() bool { return false }
 		o := s.Send(context.Background(), r)
-		must.Eq(t, Expired, o.Ending, must.Sprint(o.Err))
-		must.True(t, o.NotRun())
+		must.Eq(t, Expired, o.Result, must.Sprint(o.Err))
+		must.True(t, o.ProvedNotRun())
 		must.Eq(t, 0, requests.Load())
 	}
 	r := request(address, http.MethodPost, "")
 	r.Valid = func() bool { return true }
-	must.Eq(t, Answered, s.Send(context.Background(), r).Ending)
+	must.Eq(t, Answered, s.Send(context.Background(), r).Result)
 	r.Valid = func() bool { return false }
-	must.Eq(t, Expired, s.Send(context.Background(), r).Ending)
+	must.Eq(t, Expired, s.Send(context.Background(), r).Result)
 	must.Eq(t, 1, requests.Load())
 }
 
@@ -178,8 +178,8 @@
 	must.NoError(t, err)
 	must.NoError(t, l.Close())
 	o := sender(t).Send(context.Background(), request(l.Addr().String(), http.MethodPost, "x"))
-	must.Eq(t, ConnectFailed, o.Ending)
-	must.True(t, o.NotRun())
+	must.Eq(t, ConnectFailed, o.Result)
+	must.True(t, o.ProvedNotRun())
 }
 
 // The backend server takes the order and never answers. The caller learns at
@@ -195,14 +195,14 @@
 	})
 	r := request(address, http.MethodPost, "x")
 	r.Timeout = 30 * time.Millisecond
-	must.Eq(t, TimedOut, sender(t).Send(context.Background(), r).Ending)
+	must.Eq(t, TimedOut, sender(t).Send(context.Background(), r).Result)
 	<-arrived
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-arrived
 		cancel()
 	}()
-	must.Eq(t, Cancelled, sender(t).Send(ctx, request(address, http.MethodPost, "x")).Ending)
+	must.Eq(t, Cancelled, sender(t).Send(ctx, request(address, http.MethodPost, "x")).Result)
 }
 
 func TestLargeAnswerStreamsAndBreaksVisibly(t *testing.T) {
@@ -213,7 +213,7 @@
 	}))
 	defer server.Close()
 	o := sender(t).Send(context.Background(), request(server.Listener.Addr().String(), http.MethodGet, ""))
-	must.Eq(t, Answered, o.Ending)
+	must.Eq(t, Answered, o.Result)
 	must.NotNil(t, o.Rest)
 	_, err := io.ReadAll(o.Rest)
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
@@ -257,7 +257,7 @@
 	large := strings.Repeat("p", 5000)
 	b, err := ReadBody(strings.NewReader(large), int64(len(large)), 1000)
 	must.NoError(t, err)
-	must.False(t, b.Whole())
+	must.False(t, b.Buffered())
 	must.True(t, b.Available())
 	first, err := b.Open()
 	must.NoError(t, err)
@@ -266,6 +266,6 @@
 	must.Eq(t, large, string(got))
 	must.False(t, b.Available())
 	_, err = b.Open()
-	must.ErrorIs(t, err, ErrBodyGone)
+	must.ErrorIs(t, err, ErrBodyConsumed)
 	must.Eq(t, fmt.Sprint(len(large)), fmt.Sprint(b.Length()))
 }
--- a/entry/attempt/body.go
+++ b/entry/attempt/body.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBodyGone reports that a request's body was partly sent before and isn't
+// ErrBodyConsumed reports that a request's body was partly sent before and isn't
 // held, so it can't be sent again.
-var ErrBodyGone = errors.New("attempt: body already sent")
+var ErrBodyConsumed = errors.New("attempt: body already sent")
 
 // Body is a caller's request body. It holds the first bytes, up to a bound,
 // so that an attempt that was proved not run can be followed by another.
@@ -48,8 +48,8 @@
 // NoBody returns the body of a request that has none.
 func NoBody() *Body { return &Body{whole: true} }
 
-// Whole tells whether the entire body is held.
-func (b *Body) Whole() bool { return b.whole }
+// Buffered tells whether the entire body is held.
+func (b *Body) Buffered() bool { return b.whole }
 
 // Digest returns the SHA-256 of a held body; of a streamed one, that of the
 // part that is held.
@@ -79,7 +79,7 @@
 		return io.NopCloser(bytes.NewReader(b.prefix)), nil
 	}
 	if !b.Available() {
-		return nil, ErrBodyGone
+		return nil, ErrBodyConsumed
 	}
 	return io.NopCloser(io.MultiReader(bytes.NewReader(b.prefix), streamed{b})), nil
 }
--- a/entry/attempt/header.go
+++ b/entry/attempt/header.go
@@ -48,9 +48,9 @@
 	return out
 }
 
-// AnswerHeader copies a backend server's headers into the caller's answer,
+// CopyResponseHeader copies a backend server's headers into the caller's answer,
 // without those of the connection and of the protocol between the two.
-func AnswerHeader(to, from http.Header) {
+func CopyResponseHeader(to, from http.Header) {
 	kept := from.Clone()
 	deleteHopByHop(kept)
 	for name, values := range kept {
--- a/entry/attempt/transport.go
+++ b/entry/attempt/transport.go
@@ -14,9 +14,9 @@
 
 // Settings of a Sender.
 type Settings struct {
-	// HoldBytes is how many bytes of an answer are held before the first
+	// MaxBufferedBytes is how many bytes of an answer are held before the first
 	// goes to the caller. Default 1 MiB.
-	HoldBytes int64
+	MaxBufferedBytes int64
 	// ConnectTimeout bounds the making of a connection. Default 250 ms.
 	ConnectTimeout time.Duration
 	// IdleTimeout closes connections that carry nothing. Default 30 s.
@@ -29,7 +29,7 @@
 func NewSender(s Settings) *Sender {
 	dialer := net.Dialer{Timeout: s.ConnectTimeout}
 	return &Sender{
-		hold: s.HoldBytes,
+		hold: s.MaxBufferedBytes,
 		transport: &http.Transport{
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dialer.DialContext(ctx, network, address)
--- a/entry/callers/body.go
+++ b/entry/callers/body.go
@@ -18,7 +18,7 @@
 	if r.ContentLength > c.settings.MaxBodyBytes {
 		return nil, errTooLarge
 	}
-	return attempt.ReadBody(http.MaxBytesReader(w, r.Body, c.settings.MaxBodyBytes), r.ContentLength, c.settings.HoldBytes)
+	return attempt.ReadBody(http.MaxBytesReader(w, r.Body, c.settings.MaxBodyBytes), r.ContentLength, c.settings.MaxBufferedBytes)
 }
 
 // refuseBody answers a request whose body can't be read.
--- a/entry/callers/callers.go
+++ b/entry/callers/callers.go
@@ -31,15 +31,15 @@
 
 // Settings of the service for callers.
 type Settings struct {
-	// HoldBytes of a request's body are held, so that it can be sent again
+	// MaxBufferedBytes of a request's body are held, so that it can be sent again
 	// when an attempt was proved not run.
-	HoldBytes int64
+	MaxBufferedBytes int64
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
 	// WriteTimeout is how long a caller may take nothing of its answer.
 	WriteTimeout time.Duration
-	// KeepAnswerBytes bounds the answer kept for repeats of an operation.
-	KeepAnswerBytes int
+	// MaxStoredAnswerBytes bounds the answer kept for repeats of an operation.
+	MaxStoredAnswerBytes int
 }
 
 // Service serves callers' requests.
@@ -113,17 +113,17 @@
 	c.serve(w, r)
 }
 
-// Open returns how many requests have no answer yet.
-func (c *Service) Open() int {
+// InFlight returns how many requests have no answer yet.
+func (c *Service) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// Finish waits for the attempts under way. When ctx ends it gives up those
+// Drain waits for the attempts under way. When ctx ends it gives up those
 // that are left and returns their number: an operation with a key runs to its
 // end though its caller has gone, and that end may be an hour away.
-func (c *Service) Finish(ctx context.Context) (cut int) {
+func (c *Service) Drain(ctx context.Context) (cut int) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -171,7 +171,7 @@
 		HasKey:    has,
 		Method:    r.Method,
 		Path:      r.URL.Path,
-		Held:      body.Whole(),
+		Held:      body.Buffered(),
 		Operation: operationOf(r),
 		Digest:    digest(r, body),
 		Forwarded: r.Header.Get(wire.HeaderForwarded) != "",
@@ -213,8 +213,8 @@
 	return c.open[id]
 }
 
-// Start carries out StartAttempt. It doesn't block.
-func (c *Service) Start(e node.StartAttempt) {
+// StartAttempt carries out StartAttempt. It doesn't block.
+func (c *Service) StartAttempt(e node.StartAttempt) {
 	x := c.exchange(e.Request)
 	if x == nil {
 		go c.loop.Submit(node.AttemptEnded{Attempt: e.Attempt, Result: health.Cancelled})
@@ -236,8 +236,8 @@
 	})
 }
 
-// Cancel carries out CancelAttempt.
-func (c *Service) Cancel(e node.CancelAttempt) {
+// CancelAttempt carries out CancelAttempt.
+func (c *Service) CancelAttempt(e node.CancelAttempt) {
 	c.mu.Lock()
 	cancel := c.cancels[e.Attempt]
 	c.mu.Unlock()
@@ -267,15 +267,15 @@
 func (c *Service) ended(x *exchange, e node.StartAttempt, o attempt.Outcome) {
 	event := node.AttemptEnded{
 		Attempt:    e.Attempt,
-		Result:     Result(o),
+		Result:     HealthResult(o),
 		Latency:    o.Latency,
 		RetryAfter: o.RetryAfter,
 		Leaving:    o.Leaving,
 		Replayable: x.body.Available(),
-		Streaming:  o.Rest != nil && o.Ending == attempt.Answered,
+		Streaming:  o.Rest != nil && o.Result == attempt.Answered,
 		Detail:     detail(o),
 	}
-	if o.Rest == nil && e.Operation != "" && len(o.Body) <= c.settings.KeepAnswerBytes {
+	if o.Rest == nil && e.Operation != "" && len(o.Body) <= c.settings.MaxStoredAnswerBytes {
 		event.Answer = &claim.Answer{Status: o.Status, ContentType: o.Header.Get("Content-Type"), Body: o.Body}
 	}
 	c.metrics.Attempt(e.Server.Service, event.Result.String())
@@ -324,9 +324,9 @@
 	return r.Header.Get("Idempotency-Key")
 }
 
-// Result translates an attempt's ending for package health.
-func Result(o attempt.Outcome) health.Result {
-	switch o.Ending {
+// HealthResult translates an attempt's ending for package health.
+func HealthResult(o attempt.Outcome) health.Result {
+	switch o.Result {
 	case attempt.Answered:
 		if o.Status >= http.StatusInternalServerError {
 			return health.ServerError
@@ -353,19 +353,19 @@
 }
 
 // details says in plain words how an attempt failed.
-var details = map[attempt.Ending]string{
-	attempt.ConnectFailed: "no connection could be made",
-	attempt.Expired:       "the instance stood still before it could be sent",
-	attempt.Unwritten:     "the connection failed before anything was sent",
-	attempt.TimedOut:      "no whole answer came in time",
-	attempt.Broken:        "the connection broke before the answer",
-	attempt.Incomplete:    "the answer ended too early",
-	attempt.Mismatched:    "the answer belonged to another request",
-	attempt.BodyFailed:    "the caller's body didn't arrive whole",
-	attempt.Refused:       "the backend server had no room",
+var details = map[attempt.Result]string{
+	attempt.ConnectFailed:  "no connection could be made",
+	attempt.Expired:        "the instance stood still before it could be sent",
+	attempt.Unwritten:      "the connection failed before anything was sent",
+	attempt.TimedOut:       "no whole answer came in time",
+	attempt.ConnectionLost: "the connection broke before the answer",
+	attempt.Incomplete:     "the answer ended too early",
+	attempt.Mismatched:     "the answer belonged to another request",
+	attempt.BodyFailed:     "the caller's body didn't arrive whole",
+	attempt.Refused:        "the backend server had no room",
 }
 
-func detail(o attempt.Outcome) string { return details[o.Ending] }
+func detail(o attempt.Outcome) string { return details[o.Result] }
 
 // errTooLarge reports a body beyond MaxBodyBytes.
 var errTooLarge = errors.New("callers: body too large")
--- a/entry/callers/write.go
+++ b/entry/callers/write.go
@@ -55,7 +55,7 @@
 // relay passes a backend server's answer on, or another entry instance's.
 func (c *Service) relay(w http.ResponseWriter, r *http.Request, x *exchange, a answer) {
 	o := *a.outcome
-	attempt.AnswerHeader(w.Header(), o.Header)
+	attempt.CopyResponseHeader(w.Header(), o.Header)
 	c.head(w, r, x.id, decision.Served)
 	if a.forwarded {
 		w.Header().Set(wire.HeaderOutcome, o.Header.Get(wire.HeaderOutcome))
--- a/entry/driver.go
+++ b/entry/driver.go
@@ -28,9 +28,9 @@
 func (d *driver) Dispatch(n *node.Node, e node.Effect) {
 	switch e := e.(type) {
 	case node.StartAttempt:
-		d.callers.Start(e)
+		d.callers.StartAttempt(e)
 	case node.CancelAttempt:
-		d.callers.Cancel(e)
+		d.callers.CancelAttempt(e)
 	case node.Relay, node.Refuse, node.Repeat, node.Located:
 		d.callers.Answer(e)
 	case node.Recorded:
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -155,16 +155,16 @@
 		decision.NewBuffer(e.self.ID, decision.BufferSettings{}),
 		e.client.Objects(), time.Duration(e.settings.Platform.RecordsEvery), e.log)
 	e.sender = attempt.NewSender(attempt.Settings{
-		HoldBytes:            e.settings.Callers.HoldBytes,
+		MaxBufferedBytes:     e.settings.Callers.HoldBytes,
 		ConnectTimeout:       connectTimeout,
 		IdleTimeout:          serverIdle,
 		ConnectionsPerServer: connectionsPerServer,
 	})
 	e.callers, err = callers.New(e.self.ID, callers.Settings{
-		HoldBytes:       e.settings.Callers.HoldBytes,
-		MaxBodyBytes:    e.settings.Callers.MaxBodyBytes,
-		WriteTimeout:    time.Duration(e.settings.Callers.WriteTimeout),
-		KeepAnswerBytes: keptAnswer,
+		MaxBufferedBytes:     e.settings.Callers.HoldBytes,
+		MaxBodyBytes:         e.settings.Callers.MaxBodyBytes,
+		WriteTimeout:         time.Duration(e.settings.Callers.WriteTimeout),
+		MaxStoredAnswerBytes: keptAnswer,
 	}, e.loop, e.sender, e.metrics, e.ready, e.records.Add, monotonic.Now)
 	if err != nil {
 		return err
--- a/entry/loop/loop.go
+++ b/entry/loop/loop.go
@@ -31,8 +31,8 @@
 type Recorder interface {
 	// Record takes an event with its effects, which are valid during the call.
 	Record(now time.Duration, e node.Event, effects []node.Effect)
-	// Outside says that the node was changed by something else than an event.
-	Outside(now time.Duration)
+	// RecordExternalChange says that the node was changed by something else than an event.
+	RecordExternalChange(now time.Duration)
 }
 
 // Loop owns a node. No one else may touch it.
@@ -84,12 +84,12 @@
 	return true
 }
 
-// Effects runs f like Do and carries out the effects that it returns.
-func (l *Loop) Effects(f func(n *node.Node, now time.Duration) []node.Effect) bool {
+// DoAndDispatch runs f like Do and carries out the effects that it returns.
+func (l *Loop) DoAndDispatch(f func(n *node.Node, now time.Duration) []node.Effect) bool {
 	return l.Do(func(n *node.Node, now time.Duration) {
 		effects := f(n, now)
 		if l.recorder != nil {
-			l.recorder.Outside(now)
+			l.recorder.RecordExternalChange(now)
 		}
 		l.carryOut(effects)
 	})
--- a/entry/operators/operators.go
+++ b/entry/operators/operators.go
@@ -25,7 +25,7 @@
 // Loop gives access to the node.
 type Loop interface {
 	Do(func(n *node.Node, now time.Duration)) bool
-	Effects(func(n *node.Node, now time.Duration) []node.Effect) bool
+	DoAndDispatch(func(n *node.Node, now time.Duration) []node.Effect) bool
 }
 
 // Service implements the generated interfaces.
@@ -79,7 +79,7 @@
 func (s *Service) GetInForce(_ context.Context, p oas.GetInForceParams) (*oas.InForce, error) {
 	revision := storage.Revision(p.Revision)
 	out := &oas.InForce{Revision: p.Revision, KnownBy: []string{}, Missing: []string{}}
-	ok := s.loop.Effects(func(n *node.Node, now time.Duration) []node.Effect {
+	ok := s.loop.DoAndDispatch(func(n *node.Node, now time.Duration) []node.Effect {
 		effects := n.Require(now, revision)
 		inForce, known, missing := n.InForce(now, revision)
 		out.InForce = inForce
--- a/entry/probe.go
+++ b/entry/probe.go
@@ -41,6 +41,6 @@
 		if o.Rest != nil {
 			_ = o.Rest.Close()
 		}
-		p.loop.Submit(node.ProbeEnded{Probe: e.Probe, Result: callers.Result(o), Latency: o.Latency})
+		p.loop.Submit(node.ProbeEnded{Probe: e.Probe, Result: callers.HealthResult(o), Latency: o.Latency})
 	}()
 }
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -71,12 +71,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.Stop.Patience))
 	defer cancel()
 	_ = e.callerServer.Shutdown(ctx)
-	cut := e.callers.Finish(ctx)
+	cut := e.callers.Drain(ctx)
 	if cut > 0 {
 		// Callers that still wait are told how their requests ended.
 		ctx, cancel := context.WithTimeout(context.Background(), lastWords)
 		defer cancel()
 		_ = e.callerServer.Shutdown(ctx)
 	}
-	return max(cut, e.callers.Open())
+	return max(cut, e.callers.InFlight())
 }
--- a/entry/trace/replay.go
+++ b/entry/trace/replay.go
@@ -10,23 +10,23 @@
 	"foxtailspoke/node"
 )
 
-// Replayed is how far a replay went.
-type Replayed struct {
+// ReplayResult is how far a replay went.
+type ReplayResult struct {
 	// Steps had the same effects as in the trace.
 	Steps int
-	// Outside says that the replay ended where something else than an event
+	// ExternalChange says that the replay ended where something else than an event
 	// changed the node.
-	Outside bool
+	ExternalChange bool
 }
 
-// ErrDiffers reports a step whose effects aren't those of the trace.
-var ErrDiffers = errors.New("trace: the replay differs")
+// ErrMismatch reports a step whose effects aren't those of the trace.
+var ErrMismatch = errors.New("trace: the replay differs")
 
 // Replay gives a fresh node the trace's events at the trace's times and
 // compares the effects. Seen is called for every step and may be nil; it is
 // where a test states what should have been decided.
-func Replay(r io.Reader, seen func(now time.Duration, e node.Event, effects []node.Effect)) (Replayed, error) {
-	var done Replayed
+func Replay(r io.Reader, seen func(now time.Duration, e node.Event, effects []node.Effect)) (ReplayResult, error) {
+	var done ReplayResult
 	decoder := gob.NewDecoder(r)
 	var h Header
 	if err := decoder.Decode(&h); err != nil {
@@ -44,7 +44,7 @@
 		case err != nil:
 			return done, errors.Wrapf(err, "trace: step %d", done.Steps)
 		case s.Outside:
-			done.Outside = true
+			done.ExternalChange = true
 			return done, nil
 		}
 		e := s.Event
@@ -56,7 +56,7 @@
 			seen(s.Now, e, effects)
 		}
 		if digest(effects) != s.Effects {
-			return done, errors.Wrapf(ErrDiffers, "step %d at %v (%s)", done.Steps, s.Now, s.Kind)
+			return done, errors.Wrapf(ErrMismatch, "step %d at %v (%s)", done.Steps, s.Now, s.Kind)
 		}
 		done.Steps++
 	}
--- a/entry/trace/trace.go
+++ b/entry/trace/trace.go
@@ -99,8 +99,8 @@
 	r.write(s)
 }
 
-// Outside implements loop.Recorder.
-func (r *Recorder) Outside(now time.Duration) { r.write(Step{Now: now, Outside: true}) }
+// RecordExternalChange implements loop.Recorder.
+func (r *Recorder) RecordExternalChange(now time.Duration) { r.write(Step{Now: now, Outside: true}) }
 
 // Err returns why the trace ended early, or nil.
 func (r *Recorder) Err() error { return r.err }
--- a/entry/trace_test.go
+++ b/entry/trace_test.go
@@ -52,8 +52,8 @@
 	})
 	t.Log(done.Steps, "steps,", len(data), "bytes")
 	// What was read last may be half a step.
-	must.False(t, errors.Is(err, trace.ErrDiffers), must.Sprint(err))
-	must.False(t, done.Outside)
+	must.False(t, errors.Is(err, trace.ErrMismatch), must.Sprint(err))
+	must.False(t, done.ExternalChange)
 	must.GreaterEq(t, 200, done.Steps)
 	must.Eq(t, 30, refused)
 
@@ -75,7 +75,7 @@
 	r.Record(time.Second, wrong, n.Step(time.Second, node.RequestArrived{Request: "q", Method: http.MethodGet, Path: "/"}))
 	must.NoError(t, r.Err())
 	done, err := trace.Replay(&b, nil)
-	must.ErrorIs(t, err, trace.ErrDiffers)
+	must.ErrorIs(t, err, trace.ErrMismatch)
 	must.Eq(t, 1, done.Steps)
 
 	small, err := trace.NewRecorder(&b, 4<<10, s)
