--- a/decision/sentence.go
+++ b/decision/sentence.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Sentence tells in plain words what happened to the request and why, with
-// the figures, for a reader without a technical background.
+// Sentence explains the outcome of the request and its reason, with the figures,
+// to a reader without a technical background.
 func (r Record) Sentence() string {
 	info := Lookup(r.Rule)
-	parts := []string{r.subject(), " ", r.verdict(), ": ", info.cause(r)}
+	parts := []string{r.subject(), " ", r.outcomePhrase(), ": ", info.cause(r)}
 	if advice := r.advice(); advice != "" {
 		parts = append(parts, "; ", advice)
 	}
 	if r.SimilarSkipped > 0 {
-		parts = append(parts, ". ", count(r.SimilarSkipped, "more request"), " shortly before ended the same way")
+		parts = append(parts, ". ", formatCount(r.SimilarSkipped, "more request"), " shortly before ended the same way")
 	}
 	return strings.Join(parts, "") + "."
 }
 
-// subject names the request by what the reader knows of it.
+// subject identifies the request by workspace, service and time of arrival.
 func (r Record) subject() string {
 	s := "A request"
 	if r.Workspace != "" {
@@ -37,7 +37,8 @@
 	return s
 }
 
-func (r Record) verdict() string {
+// outcomePhrase states what happened to the request.
+func (r Record) outcomePhrase() string {
 	switch {
 	case r.Rule == RuleServed && r.Outcome == RanBefore:
 		return "was given the first answer again"
@@ -60,17 +61,18 @@
 	}
 }
 
-// advice tells what the caller can do now.
+// advice states whether and when the caller can send the request again. It is
+// empty if there is nothing to say.
 func (r Record) advice() string {
 	switch {
 	case r.Rule == RuleServed:
 		return ""
 	case r.Outcome == NotRun && r.RetryAfter > 0:
-		return "it is safe to send it again, after " + span(r.RetryAfter)
+		return "it is safe to send it again, after " + formatDuration(r.RetryAfter)
 	case r.Outcome == NotRun && Lookup(r.Rule).RetryAfter:
 		return "it is safe to send it again"
 	case r.Rule == RuleStillRunning && r.RetryAfter > 0:
-		return "the caller may ask again after " + span(r.RetryAfter)
+		return "the caller may ask again after " + formatDuration(r.RetryAfter)
 	case r.Rule == RuleAttemptsFailed:
 		return "sending it again is safe, because this kind of request changes nothing by being repeated"
 	case r.Outcome == Unknown && r.Rule != RuleCallerDisconnected:
@@ -80,39 +82,40 @@
 	}
 }
 
-// span writes a time for people: milliseconds below a second, tenths of a
-// second below a minute, else minutes and seconds.
-func span(d time.Duration) string {
+// formatDuration formats a duration for people: in milliseconds below a second,
+// in tenths of a second below a minute, else in minutes and seconds.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d < time.Millisecond:
 		return "less than a millisecond"
 	case d < time.Second:
-		return count(int(d.Round(time.Millisecond)/time.Millisecond), "millisecond")
+		return formatCount(int(d.Round(time.Millisecond)/time.Millisecond), "millisecond")
 	case d < time.Minute:
-		return number(math.Round(d.Seconds()*10)/10) + " seconds"
+		return formatNumber(math.Round(d.Seconds()*10)/10) + " seconds"
 	default:
 		d = d.Round(time.Second)
-		return fmt.Sprintf("%s and %s", count(int(d/time.Minute), "minute"), count(int(d%time.Minute/time.Second), "second"))
+		return fmt.Sprintf("%s and %s", formatCount(int(d/time.Minute), "minute"), formatCount(int(d%time.Minute/time.Second), "second"))
 	}
 }
 
-func count(n int, noun string) string {
+// formatCount returns the number followed by the noun in singular or plural.
+func formatCount(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
 	}
 	return strconv.Itoa(n) + " " + noun + "s"
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// size writes a number of bytes for people.
-func size(n int64) string {
+// formatSize formats a number of bytes for people.
+func formatSize(n int64) string {
 	switch {
 	case n >= 1<<20:
-		return number(math.Round(float64(n)/(1<<20)*10)/10) + " MB"
+		return formatNumber(math.Round(float64(n)/(1<<20)*10)/10) + " MB"
 	case n >= 1<<10:
-		return number(math.Round(float64(n)/(1<<10)*10)/10) + " KB"
+		return formatNumber(math.Round(float64(n)/(1<<10)*10)/10) + " KB"
 	default:
-		return count(int(n), "byte")
+		return formatCount(int(n), "byte")
 	}
 }
