--- a/node/attempts.go
+++ b/node/attempts.go
@@ -13,21 +13,24 @@
 	"foxtailspoke/storage"
 )
 
-// attempt is one sending of a request.
+// attempt is one transmission of a request to a backend server or, if forwarded,
+// to another entry instance.
 type attempt struct {
 	id      string
 	request *request
 	server  storage.Instance
 	started time.Duration
-	// forwarded attempts go to the entry instance that minted the key.
+	// forwarded is set for an attempt at the entry instance that minted the
+	// idempotency key.
 	forwarded bool
-	// late says that the attempt was reported as late.
+	// late is set once the attempt was reported as late.
 	late bool
-	// streaming says that its answer is on its way to the caller.
+	// streaming is set while its answer is being streamed to the caller.
 	streaming bool
 }
 
-// startFirstAttempt sends the request for the first time.
+// startFirstAttempt starts the first attempt, unless the caller has disconnected
+// or the deadline has passed.
 func (n *Node) startFirstAttempt(r *request) {
 	n.budget(r.service.Name).RecordRequest()
 	switch {
@@ -45,7 +48,8 @@
 	}
 }
 
-// startAttempt starts an attempt at a backend server that wasn't tried yet.
+// startAttempt starts an attempt at a backend server that has not been tried yet.
+// It returns false if there is none.
 func (n *Node) startAttempt(r *request) bool {
 	servers := n.serverView(r)
 	o := balance.Options{Exclude: r.tried, AvoidSuspects: !r.idempotent}
@@ -71,8 +75,8 @@
 	return true
 }
 
-// confirmationEnd returns the time up to which what this instance knows now is
-// confirmed; a time that is past if it isn't confirmed at all.
+// confirmationEnd returns when the confirmation of the current configuration
+// expires: a time in the past if the configuration is not confirmed.
 func (n *Node) confirmationEnd() time.Duration {
 	c := n.member.Confirmation(n.now)
 	if c.State == membership.CutOff {
@@ -94,7 +98,8 @@
 	return a
 }
 
-// attemptEnded decides what follows an attempt.
+// attemptEnded records the result of an attempt and relays its answer, retries or
+// refuses the request.
 func (n *Node) attemptEnded(e AttemptEnded) {
 	a, ok := n.attempts[e.Attempt]
 	if !ok {
@@ -124,8 +129,8 @@
 	n.decideRetry(a, e)
 }
 
-// decideRetry carries out what package retry says. A retry looks again whether the
-// request may be sent at all: one with a long timeout could otherwise reach
+// decideRetry carries out the decision of package retry. The request is
+// revalidated before a retry: one with a long timeout could otherwise reach
 // backend servers long after its key was withdrawn.
 func (n *Node) decideRetry(a *attempt, e AttemptEnded) {
 	r := a.request
@@ -172,7 +177,8 @@
 	return retry.NotRun
 }
 
-// refuseAfterAttempts answers the caller at once, with when to come back.
+// refuseAfterAttempts refuses a request whose attempts failed, with the time after
+// which the caller may retry.
 func (n *Node) refuseAfterAttempts(r *request, e AttemptEnded, d retry.Decision) {
 	rule := decision.RuleNoServer
 	switch {
@@ -190,7 +196,8 @@
 	n.refuse(r, rule, max(d.RetryAfter, e.RetryAfter))
 }
 
-// relayAnswer passes an attempt's answer on and gives up the others.
+// relayAnswer relays the answer of an attempt to the caller and cancels the other
+// attempts.
 func (n *Node) relayAnswer(a *attempt, e AttemptEnded) {
 	r := a.request
 	r.answered = true
@@ -204,7 +211,7 @@
 	}
 }
 
-// cancelOthers gives up all attempts of a request but one.
+// cancelOthers cancels all attempts of a request except one.
 func (n *Node) cancelOthers(r *request, but *attempt) {
 	for _, a := range r.running {
 		if a != but {
@@ -219,7 +226,7 @@
 	n.emitRecord(n.record(r, decision.RuleServed))
 }
 
-// streamEnded takes the end of an answer that was passed on as it came.
+// streamEnded completes a request whose answer was streamed to the caller.
 func (n *Node) streamEnded(e StreamEnded) {
 	a, ok := n.attempts[e.Attempt]
 	if !ok || !a.streaming {
@@ -243,8 +250,8 @@
 	n.emitRecord(n.record(r, rule))
 }
 
-// handleLate takes note that an attempt has no answer for longer than nearly all
-// others, and hedges it if the service as a whole isn't slow.
+// handleLate reports an attempt that exceeded the late threshold of its service
+// without an answer, and hedges it unless the service as a whole is slow.
 func (n *Node) handleLate(a *attempt) {
 	if n.attempts[a.id] != a || a.streaming {
 		return
@@ -262,8 +269,8 @@
 	n.hedge(a)
 }
 
-// hedge sends a second copy of a lookup beside a late attempt, if its body is
-// held as a whole.
+// hedge starts a second attempt concurrently with a late one. The request must be
+// idempotent and its body fully buffered.
 func (n *Node) hedge(a *attempt) {
 	r := a.request
 	if n.attempts[a.id] != a || r.answered || r.callerGone || !r.idempotent || !r.arrived.Held || n.revalidate(r) != "" {
@@ -275,7 +282,7 @@
 	}
 }
 
-// removeAttempt drops an attempt that has ended.
+// removeAttempt removes a completed attempt.
 func (n *Node) removeAttempt(a *attempt) {
 	delete(n.attempts, a.id)
 	r := a.request
--- a/node/claims.go
+++ b/node/claims.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// claimRetention is how long the row of a caller-made key is kept.
+	// claimRetention is how long the row of a key chosen by a caller is kept.
 	claimRetention = 24 * time.Hour
-	// pruneInterval is the time between two reads of the claims table for old
-	// rows; each covers one of pruneSlices slices of it.
+	// pruneInterval is the time between two reads of the claims table for
+	// expired rows; each read covers one of pruneSlices key ranges.
 	pruneInterval = 10 * time.Second
 	pruneSlices   = 256
-	// pruneLimit bounds the rows deleted at once.
+	// pruneLimit is the maximum number of rows deleted in one transaction.
 	pruneLimit = 200
-	// pruneSubject marks the reads and writes of pruning.
+	// pruneSubject identifies the reads and writes that delete expired claims.
 	pruneSubject = "prune"
-	// abandonedInterval is the time between two looks at claims that this instance
-	// gave up without knowing whether they took effect.
+	// abandonedInterval is the time between two checks of the claims that this
+	// instance abandoned without knowing whether the write was committed.
 	abandonedInterval = 5 * time.Second
-	// abandonedLimit bounds the claims looked at each time.
+	// abandonedLimit is the maximum number of claims read in one check.
 	abandonedLimit = 8
 )
 
-// pruning is the state of deleting old claims.
+// pruning schedules the deletion of expired and abandoned claims.
 type pruning struct {
 	nextPrune          time.Duration
 	nextAbandonedCheck time.Duration
@@ -37,7 +37,7 @@
 	retention          *claim.RetentionTracker
 }
 
-// runClaimStep does what comes next for a caller-made key.
+// runClaimStep carries out the next step of the claim for a key chosen by a caller.
 func (n *Node) runClaimStep(id claim.ID, request string, s claim.Step) {
 	p := pendingEffect{owner: ownerClaim, id: uint64(id), subject: request}
 	switch {
@@ -96,8 +96,8 @@
 	}
 }
 
-// readExpiredClaims reads one slice of the claims table now and then, if this
-// instance is the one that does so.
+// readExpiredClaims periodically reads one key range of the claims table, on the
+// instance that ranks first as the claim pruner.
 func (n *Node) readExpiredClaims() {
 	if n.now < n.pruning.nextPrune || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
@@ -121,9 +121,10 @@
 	}
 }
 
-// readAbandonedClaims reads the rows of claims that were given up while
-// the table didn't answer. One that took effect late is deleted: it would make
-// every instance say "in progress" of an operation that nobody runs.
+// readAbandonedClaims reads the rows of claims that were abandoned because the
+// table did not answer. A claim that was committed after all is deleted:
+// otherwise every instance would answer "in progress" for an operation that no
+// instance runs.
 func (n *Node) readAbandonedClaims() {
 	if n.now < n.pruning.nextAbandonedCheck || n.member.Confirmation(n.now).State != membership.ConfirmedByTable {
 		return
@@ -144,7 +145,8 @@
 	}
 }
 
-// deleteClaims deletes rows that nobody needs. If it fails, a later look repeats it.
+// deleteClaims deletes rows that are no longer needed. If the write fails, a later
+// check repeats it.
 func (n *Node) deleteClaims(txn storage.Txn) {
 	n.emit(n.trackEffect(pendingEffect{owner: ownerClaim, subject: pruneSubject}, effect.WriteTable{Txn: txn}))
 }
--- a/node/detection.go
+++ b/node/detection.go
@@ -9,16 +9,18 @@
 	"foxtailspoke/storage"
 )
 
-// failureSpanGap is how long after its last bad attempt a server is in doubt. A
-// later one begins a new doubt, so that a rare failure hours ago doesn't count
-// as the beginning of today's fault.
+// failureSpanGap is the longest gap between two reported failures of a server
+// that belong to the same span. A later failure starts a new span, so that an
+// isolated failure hours earlier does not count as the onset of the fault.
 const failureSpanGap = 30 * time.Second
 
-// failureSpan is when the attempts reported against a server began and last came.
+// failureSpan holds when failed or late attempts at a server were first and last
+// reported.
 type failureSpan struct{ first, last time.Duration }
 
-// recordFailures follows the servers that reports speak against, for the time
-// from the first bad attempt reported to the ejection.
+// recordFailures updates the failure spans of the servers with failed or late
+// attempts in a report. They give the time from the first report to the
+// ejection.
 func (n *Node) recordFailures(r health.Report) {
 	for _, s := range r.Servers {
 		bad := slices.ContainsFunc(s.Workspaces, func(w health.WorkspaceCount) bool { return w.Failed+w.Late > 0 })
@@ -42,7 +44,7 @@
 	}
 }
 
-// newlyEjected returns the servers that a proposal ejects anew.
+// newlyEjected returns the servers that are ejected in after but not in before.
 func newlyEjected(before, after config.Permits) []string {
 	var added []string
 	for _, e := range after.Ejected {
--- a/node/failures.go
+++ b/node/failures.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// outcomeHalfLife is how fast a workspace's past counts for less.
+	// outcomeHalfLife is the half-life of the request counts.
 	outcomeHalfLife = 5 * time.Minute
-	// minOutcomes is how many recent requests a workspace needs to be judged.
+	// minOutcomes is the number of recent requests below which the failure
+	// ratio of a workspace is not reported.
 	minOutcomes = 20
-	// maxTrackedWorkspaces bounds the workspaces that are followed.
+	// maxTrackedWorkspaces bounds the memory for request counts.
 	maxTrackedWorkspaces = 4096
 )
 
-// WorkspaceFailures is how a workspace fares at this instance.
+// WorkspaceFailures is the failure ratio of a workspace at this instance.
 type WorkspaceFailures struct {
 	Workspace string
-	// FailedRatio is the share of its recent requests that failed by no fault of
-	// its own: not served in full, or refused inside its rate.
+	// FailedRatio is the share of recent requests that failed for reasons other
+	// than the caller: not served in full, or refused within the rate limit.
 	FailedRatio float64
 }
 
-// workspaceFailures follows the workspaces that used this instance lately.
+// workspaceFailures counts request outcomes for recently active workspaces.
 type workspaceFailures struct{ counts map[string]*outcomeCounts }
 
-// outcomeCounts has fading counts as of a time.
+// outcomeCounts holds exponentially decaying counts as of a time.
 type outcomeCounts struct {
 	total, failed float64
 	at            time.Duration
@@ -37,64 +38,64 @@
 	return workspaceFailures{counts: map[string]*outcomeCounts{}}
 }
 
-// record counts a request that has ended.
+// record counts a completed request.
 func (f *workspaceFailures) record(now time.Duration, r decision.Record) {
 	if r.Workspace == "" {
 		return
 	}
-	one, known := f.counts[r.Workspace]
+	counts, known := f.counts[r.Workspace]
 	if !known {
 		if len(f.counts) >= maxTrackedWorkspaces {
 			return
 		}
-		one = &outcomeCounts{at: now}
-		f.counts[r.Workspace] = one
+		counts = &outcomeCounts{at: now}
+		f.counts[r.Workspace] = counts
 	}
-	one.decay(now)
-	one.total++
+	counts.decay(now)
+	counts.total++
 	if isSystemFault(r.Rule) {
-		one.failed++
+		counts.failed++
 	}
 }
 
-func (o *outcomeCounts) decay(now time.Duration) {
-	left := math.Exp2(-(now - o.at).Seconds() / outcomeHalfLife.Seconds())
-	o.total *= left
-	o.failed *= left
-	o.at = now
+func (c *outcomeCounts) decay(now time.Duration) {
+	factor := math.Exp2(-(now - c.at).Seconds() / outcomeHalfLife.Seconds())
+	c.total *= factor
+	c.failed *= factor
+	c.at = now
 }
 
-// evictIdle drops the workspaces that haven't come for long.
+// evictIdle removes workspaces whose count has decayed below one request.
 func (f *workspaceFailures) evictIdle(now time.Duration) {
-	for name, one := range f.counts {
-		one.decay(now)
-		if one.total < 1 {
+	for name, counts := range f.counts {
+		counts.decay(now)
+		if counts.total < 1 {
 			delete(f.counts, name)
 		}
 	}
 }
 
-// worst returns the workspace with the greatest share of failures, the first
-// by name among equals; false if none was here often enough.
+// worst returns the workspace with the highest failure ratio, the first by name
+// among equals; false if no workspace has at least minOutcomes requests.
 func (f *workspaceFailures) worst(now time.Duration) (WorkspaceFailures, bool) {
 	var worst WorkspaceFailures
 	found := false
 	for _, name := range sortedKeys(f.counts) {
-		one := f.counts[name]
-		one.decay(now)
-		if one.total < minOutcomes {
+		counts := f.counts[name]
+		counts.decay(now)
+		if counts.total < minOutcomes {
 			continue
 		}
-		if failed := one.failed / one.total; !found || failed > worst.FailedRatio {
-			worst = WorkspaceFailures{Workspace: name, FailedRatio: failed}
+		if ratio := counts.failed / counts.total; !found || ratio > worst.FailedRatio {
+			worst = WorkspaceFailures{Workspace: name, FailedRatio: ratio}
 			found = true
 		}
 	}
 	return worst, found
 }
 
-// isSystemFault says whether a request that ended by a rule failed by the system's
-// or a backend server's fault and not by the caller's.
+// isSystemFault reports whether requests that end under the rule failed because
+// of the system or a backend server rather than the caller.
 func isSystemFault(r decision.Rule) bool {
 	switch r {
 	case decision.RulePeerUnreachable, decision.RuleConfigUnconfirmed, decision.RuleInstanceLeaving,
--- a/node/failures_test.go
+++ b/node/failures_test.go
@@ -18,10 +18,10 @@
 	}
 	note("well", decision.RuleServed, 30)
 	note("over", decision.RuleServed, 30)
-	note("over", decision.RuleRateExceeded, 100) // its own doing
+	note("over", decision.RuleRateExceeded, 100) // caused by the caller
 	note("ill", decision.RuleServed, 30)
 	note("ill", decision.RuleNoServer, 10)
-	note("rare", decision.RuleNoServer, 5) // too few to judge
+	note("rare", decision.RuleNoServer, 5) // below minOutcomes
 	worst, ok := f.worst(time.Second)
 	must.True(t, ok)
 	must.Eq(t, WorkspaceFailures{Workspace: "ill", FailedRatio: 0.25}, worst)
--- a/node/locate.go
+++ b/node/locate.go
@@ -9,7 +9,7 @@
 	"foxtailspoke/quota"
 )
 
-// locate answers which addresses a caller should use.
+// locate answers a caller's query for the entry addresses to use.
 func (n *Node) locate(e LocateAsked) {
 	r := &request{arrived: RequestArrived{Request: e.Request, At: e.At}, arrivedAt: n.now}
 	rule, workspace := n.authenticate(e.Key, e.HasKey, &r.figures)
@@ -29,9 +29,10 @@
 	n.emit(located)
 }
 
-// addresses names the instances for a workspace, best first: those that hold
-// parts of its limits, then others by rendezvous hash. A workspace that
-// floods therefore meets few instances, and always the same.
+// addresses returns the addresses of the entry instances for a workspace, in
+// order of preference: those that hold parts of its limits, then others by
+// rendezvous hash. This confines the load of an overactive workspace to a small
+// and stable set of instances. With self false, the own address is left out.
 func (n *Node) addresses(workspace string, self bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
 	ids := n.liveHolders(shard)
@@ -75,8 +76,8 @@
 	return ids
 }
 
-// Serving says whether the instance accepts requests; if not, by which rule
-// it refuses them.
+// Serving reports whether the instance accepts requests and, if not, the rule
+// under which it refuses them.
 func (n *Node) Serving(now time.Duration) (decision.Rule, bool) {
 	n.now = max(n.now, now)
 	switch {
--- a/node/node.go
+++ b/node/node.go
@@ -14,8 +14,8 @@
 	"foxtailspoke/storage"
 )
 
-// Node is one entry instance's decisions. It isn't safe for use by several
-// goroutines at once.
+// Node is the decision logic of one entry instance. It is not safe for
+// concurrent use.
 type Node struct {
 	settings Settings
 	rng      *rand.Rand
@@ -31,7 +31,7 @@
 	picker    *balance.Picker
 	budgets   map[string]*retry.Budget
 
-	// now is the time of the step in progress.
+	// now is the time passed to the current Step.
 	now     time.Duration
 	effects []Effect
 
@@ -45,34 +45,37 @@
 	timers   timers
 
 	shards shards
-	// followedRevision and seenList are the table's revision and the list's version that
-	// the node has followed.
+	// followedRevision and followedListVersion are the control table revision
+	// and the instance list version that applyUpdates processed last.
 	followedRevision    storage.Revision
 	followedListVersion uint64
-	// reportedState is the confirmation as operators heard of it last.
+	// reportedState is the confirmation state that was last emitted as a
+	// NoteConfirmation.
 	reportedState membership.State
-	// confirmedUntil is until when this instance could act on what it knew at
-	// the end of the last step.
+	// confirmedUntil is when the confirmation of the configuration expires, as
+	// of the end of the last step.
 	confirmedUntil time.Duration
-	// nextHousekeeping and forgetAt are when the regular work is due.
+	// nextHousekeeping and nextEviction are when the periodic work is due.
 	nextHousekeeping time.Duration
 	nextEviction     time.Duration
 	leaving          bool
-	// permitWrites has the services whose permits row is being written, with
-	// the servers that this ejects.
+	// permitWrites holds, for each service whose permits row is being written,
+	// the servers that the write newly ejects.
 	permitWrites map[string][]string
 	failureSpans map[string]failureSpan
-	// leavingServers are backend servers that said that they leave, until when.
+	// leavingServers maps backend servers that reported that they are stopping
+	// to the time until which they get no new requests.
 	leavingServers map[string]time.Duration
-	// ejected are the servers by service that operators heard of.
+	// ejected holds, by service, the ejected servers already reported to
+	// operators.
 	ejected           map[string]map[string]bool
 	rateRefusals      rateRefusalCounts
 	workspaceFailures workspaceFailures
 	unadvertised      unadvertised
 }
 
-// New returns the node of an instance that has just started and knows
-// nothing. Its first step makes it read the platform.
+// New returns a node without configuration or instance list. Its first Step
+// with Wake emits the reads from the platform.
 func New(s Settings) *Node {
 	s.Membership.Self = s.Self.ID
 	s.Membership.DataCentre = s.Self.DataCentre
@@ -105,8 +108,9 @@
 	}
 }
 
-// Step takes one event at a time on the instance's monotonic clock, which
-// never goes back, and returns what to do. The slice is valid until the next
+// Step processes one event and returns the effects for the driver to carry
+// out. The time is on the instance's monotonic clock; an earlier time than in
+// the previous call is treated as that time. The slice is valid until the next
 // call.
 func (n *Node) Step(now time.Duration, e Event) []Effect {
 	n.now = max(n.now, now)
@@ -147,8 +151,8 @@
 	}
 }
 
-// NextWake returns the time at which Step with Wake has something to do. Ask
-// again after every step.
+// NextWake returns the time at which Step with Wake is next due. It may change
+// with every step.
 func (n *Node) NextWake() time.Duration {
 	next := min(n.member.NextWake(), n.nextHousekeeping, n.shards.nextGrantCheck, n.shards.nextWrite())
 	if at, ok := n.timers.nextTime(); ok {
@@ -228,8 +232,8 @@
 	n.applyUpdates()
 }
 
-// applyUpdates follows the replica and the instance list after anything
-// that may have changed them.
+// applyUpdates brings the state derived from the replica and the instance list
+// up to date. It is called after anything that may have changed either.
 func (n *Node) applyUpdates() {
 	if list := n.member.Directory().Version(); list != n.followedListVersion {
 		n.followedListVersion = list
@@ -259,9 +263,9 @@
 	n.emit(Noted{Note: NoteConfirmation, Subject: c.State.String()})
 }
 
-// leave begins a planned stop. The instance goes on serving the callers that
-// know its address; it is no longer named to others, and its parts of the
-// shards move to instances that stay.
+// leave begins a planned stop. The instance keeps serving callers that already
+// know its address, but is no longer returned by locate, and its parts of the
+// shards move to the remaining instances.
 func (n *Node) leave() {
 	if n.leaving {
 		return
--- a/node/operations.go
+++ b/node/operations.go
@@ -11,13 +11,14 @@
 // operation is a non-idempotent request that this instance runs under an
 // idempotency key.
 type operation struct {
-	// key is set for a key that this instance minted.
+	// key is the operation key, if this instance minted it.
 	key claim.OperationKey
-	// claim is set for a key that the caller made.
+	// claim is the claim for an idempotency key chosen by the caller.
 	claim claim.ID
 }
 
-// beginOperation decides whether a request with an idempotency key runs here.
+// beginOperation runs a request with an idempotency key, forwards it to the minter
+// of the key or answers it as a duplicate.
 func (n *Node) beginOperation(r *request) {
 	if !claim.IsOperationKey(r.arrived.Operation) {
 		id, step := n.claimer.Begin(r.workspace.Name, r.arrived.Operation, r.arrived.Digest)
@@ -43,7 +44,7 @@
 	n.answerDuplicate(r, d)
 }
 
-// answerDuplicate ends a request that the claim doesn't let run.
+// answerDuplicate completes a request whose claim does not allow it to run.
 func (n *Node) answerDuplicate(r *request, d claim.Decision) {
 	switch d.Verdict {
 	case claim.Replay:
@@ -67,7 +68,7 @@
 	n.emitRecord(record)
 }
 
-// claimDetails tells callers why a key was refused.
+// claimDetails are the explanations for callers whose key was refused.
 var claimDetails = map[claim.Reason]string{
 	claim.Forged:            "its operation key wasn't made by this system",
 	claim.WorkspaceMismatch: "its operation key was made for another workspace",
@@ -88,7 +89,7 @@
 	n.refuseWithRecord(r, record)
 }
 
-// endOperation reports how a request under a key ended.
+// endOperation records the outcome of a request with an idempotency key.
 func (n *Node) endOperation(r *request, o claim.Outcome, a *claim.Answer) {
 	switch {
 	case r.operation == nil:
@@ -99,8 +100,8 @@
 	}
 }
 
-// forward passes a request on to the instance that minted its key. Nobody
-// else ever runs it: the minter may have run it a moment ago.
+// forward sends a request to the instance that minted its key. No other instance
+// may run it, since the minter may have run it already.
 func (n *Node) forward(r *request, key claim.OperationKey) {
 	if _, reachable := claim.RouteToMinter(key, n.peerState(key.Minter)); !reachable || r.arrived.Forwarded {
 		n.refuse(r, decision.RuleOperationLost, 0)
@@ -122,8 +123,8 @@
 	})
 }
 
-// forwardEnded passes the minter's answer on. Without one, this request may
-// or may not have run, and an earlier one with the key as well.
+// forwardEnded relays the minter's answer. Without an answer, the outcome is
+// unknown both for this request and for earlier ones with the same key.
 func (n *Node) forwardEnded(a *attempt, e AttemptEnded) {
 	r := a.request
 	if answeredByMinter(e.Result) {
@@ -145,14 +146,15 @@
 }
 
 const (
-	// maxForwards bounds how often a request is passed on to its minter.
+	// maxForwards is the maximum number of times a request is forwarded to the
+	// minter of its key.
 	maxForwards = 3
-	// forwardRetryDelay is the pause before it is passed on again.
+	// forwardRetryDelay is the delay before a request is forwarded again.
 	forwardRetryDelay = 50 * time.Millisecond
 )
 
-// retryForward passes a request on once more after a connection failed. The
-// minter runs a key once, so this can't run it twice.
+// retryForward forwards a request again after a connection failure. The minter
+// runs each key at most once, so the request cannot run twice.
 func (n *Node) retryForward(r *request, e AttemptEnded) bool {
 	failed := e.Result == health.ConnectFailed || e.Result == health.Incomplete
 	if !failed || !e.Replayable || r.callerGone || r.forwards >= maxForwards || n.now+2*forwardRetryDelay >= r.deadline {
@@ -168,8 +170,8 @@
 	return true
 }
 
-// answeredByMinter says whether the minter's own answer came back whole. What
-// it says of the outcome goes to the caller as it is.
+// answeredByMinter reports whether the minter's own answer was received in full.
+// Its outcome is relayed to the caller unchanged.
 func answeredByMinter(r health.Result) bool {
 	return r == health.OK || r == health.ServerError || r == health.Shed || r == health.NotRun
 }
--- a/node/request.go
+++ b/node/request.go
@@ -19,33 +19,37 @@
 	workspace config.Workspace
 	service   config.Service
 	limit     config.Limit
-	// idempotent requests may be sent again after an unknown outcome.
+	// idempotent is set if the request may be sent again after an unknown
+	// outcome.
 	idempotent bool
-	// operation is set if this instance runs the request under a key.
+	// operation is set if this instance runs the request under an idempotency
+	// key.
 	operation *operation
 
 	search *quota.Search
-	// unansweredAsks counts the asks that got no answer.
+	// unansweredAsks counts the asks for tokens that got no answer.
 	unansweredAsks int
-	// forwards counts how often it was passed on to its key's minter.
+	// forwards counts how often the request was forwarded to the minter of its
+	// key.
 	forwards int
 
-	// tried are the backend servers that had an attempt.
+	// tried are the backend servers at which an attempt was started.
 	tried []string
-	// running are the attempts that haven't ended, oldest first.
+	// running are the attempts in progress, oldest first.
 	running []*attempt
-	// mayHaveRun says that an attempt wasn't proved not run.
+	// mayHaveRun is set once an attempt ended without proof that the backend
+	// server did not run it.
 	mayHaveRun bool
-	// answered says that the caller has its answer, or the beginning of it.
+	// answered is set once the answer is being relayed to the caller.
 	answered   bool
 	callerGone bool
 	server     string
 	figures    decision.Figures
 }
 
-// handleRequest decides what can be decided at once, in the order of the least
-// information given away: a request whose configuration isn't confirmed, or
-// without a valid key, learns nothing else.
+// handleRequest admits or refuses a new request. Checks are ordered to disclose as
+// little as possible: while the configuration is not confirmed, or without a
+// valid key, a caller learns nothing else.
 func (n *Node) handleRequest(e RequestArrived) {
 	r := &request{arrived: e, arrivedAt: n.now, deadline: n.now + n.settings.DefaultTimeout}
 	if rule := n.admit(r); rule != "" {
@@ -60,8 +64,8 @@
 	n.beginOperation(r)
 }
 
-// admit fills in what the configuration says of the request, or returns the
-// rule by which it is refused.
+// admit sets the request's workspace, service, limit and deadline from the
+// configuration, or returns the rule under which it is refused.
 func (n *Node) admit(r *request) decision.Rule {
 	rule, workspace := n.authenticate(r.arrived.Key, r.arrived.HasKey, &r.figures)
 	if rule != "" {
@@ -91,9 +95,9 @@
 	return ""
 }
 
-// revalidate looks again at a request that waited for another instance or for
-// the platform: meanwhile its key may have been withdrawn, its plan changed,
-// or this instance been cut off.
+// revalidate checks a request again after it waited for an attempt, another
+// instance or the platform. Meanwhile its key may have been withdrawn, its plan
+// changed, or the confirmation of the configuration expired.
 func (n *Node) revalidate(r *request) decision.Rule {
 	if rule, _ := n.authenticate(r.arrived.Key, r.arrived.HasKey, &r.figures); rule != "" {
 		return rule
@@ -106,7 +110,7 @@
 	return ""
 }
 
-// resume takes tokens for a request that waited.
+// resume revalidates a request that waited for its claim and takes its tokens.
 func (n *Node) resume(r *request) {
 	if rule := n.revalidate(r); rule != "" {
 		n.refuse(r, rule, 0)
@@ -115,7 +119,8 @@
 	n.acquireTokens(r)
 }
 
-// authenticate finds the workspace of a key.
+// authenticate returns the workspace of a key, or the rule under which the request
+// is refused.
 func (n *Node) authenticate(key config.KeyHash, has bool, f *decision.Figures) (decision.Rule, config.Workspace) {
 	c := n.member.Confirmation(n.now)
 	f.Revision = uint64(c.Revision)
@@ -133,8 +138,8 @@
 	return "", workspace
 }
 
-// idempotent says whether a request may run twice without harm (RFC 9110,
-// section 9.2.2), unless its route says otherwise.
+// idempotent reports whether a request is idempotent by its method (RFC 9110,
+// section 9.2.2); the route may override this.
 func idempotent(method string, route config.Route) bool {
 	if route.Idempotent != nil {
 		return *route.Idempotent
@@ -151,8 +156,9 @@
 	return quota.Bucket{Workspace: r.workspace.Name, Service: r.service.Name}
 }
 
-// handleCallerGone takes note that the caller hung up. An operation with a key runs to
-// its end, so that a repeat can get its answer.
+// handleCallerGone cancels the attempts of a request whose caller disconnected. An
+// operation with an idempotency key runs to completion, so that a repeat can get
+// its answer.
 func (n *Node) handleCallerGone(id string) {
 	r, ok := n.requests[id]
 	if !ok {
@@ -165,7 +171,7 @@
 	n.cancelOthers(r, nil)
 }
 
-// refuse answers a request that isn't served, at once.
+// refuse answers a request that is not served.
 func (n *Node) refuse(r *request, rule decision.Rule, retryAfter time.Duration) {
 	record := n.record(r, rule)
 	if rule.Info().RetryAfter {
@@ -187,7 +193,7 @@
 	n.emitRecord(record)
 }
 
-// outcomeOf returns what a refusal means for the operation that it ends.
+// outcomeOf returns the outcome of an operation whose request was refused.
 func outcomeOf(record decision.Record) claim.Outcome {
 	if record.Outcome == decision.NotRun {
 		return claim.NotRun
@@ -195,7 +201,7 @@
 	return claim.Unknown
 }
 
-// record returns the decision on a request, as it stands now.
+// record returns the decision record of a request as of now.
 func (n *Node) record(r *request, rule decision.Rule) decision.Record {
 	return decision.Record{
 		Request:   r.arrived.Request,
@@ -213,14 +219,14 @@
 	}
 }
 
-// emitRecord hands out the decision on a request that has ended.
+// emitRecord emits the decision record of a completed request.
 func (n *Node) emitRecord(record decision.Record) {
 	n.workspaceFailures.record(n.now, record)
 	n.emit(Recorded{Record: record})
 }
 
-// otherAddresses names the instances to try instead, for refusals that are
-// this instance's own trouble.
+// otherAddresses returns the addresses of other instances to try, if this instance
+// is leaving or its configuration is not confirmed.
 func (n *Node) otherAddresses(r *request) []string {
 	if n.reportedState != membership.CutOff && !n.leaving {
 		return nil
