--- a/node/event.go
+++ b/node/event.go
@@ -10,112 +10,113 @@
 	"foxtailspoke/storage"
 )
 
-// Event is something that happened outside of the node.
+// Event is an input to Node.Step.
 type Event interface{ event() }
 
-// Wake says that NextWake has come.
+// Wake is delivered at NextWake or earlier.
 type Wake struct{}
 
-// RequestArrived is a caller's request, or one that another entry instance
-// passed on. Its body is with the driver.
+// RequestArrived is a request from a caller or one forwarded by another entry
+// instance. The driver keeps its body.
 type RequestArrived struct {
-	// Request is the id that the driver gave it.
+	// Request is the request ID assigned by the driver.
 	Request string
-	// At is the wall-clock time, for the decision record only.
+	// At is the wall-clock time, used only in the decision record.
 	At time.Time
-	// Key is the hash of the caller's key; HasKey is false without one.
+	// Key is the hash of the caller's API key; HasKey is false if the request
+	// has none.
 	Key    config.KeyHash
 	HasKey bool
 	Method string
 	Path   string
-	// Held says that the whole body is held, so that two attempts can be
-	// under way at the same time.
+	// Held is set if the whole body is buffered, so that two attempts can run
+	// concurrently.
 	Held bool
-	// Operation is the caller's idempotency key, or empty.
+	// Operation is the idempotency key, or empty.
 	Operation string
 	// Digest identifies method, path and body. A repeat under the same
-	// idempotency key must have the same.
+	// idempotency key must have the same digest.
 	Digest claim.Digest
-	// Forwarded says that another entry instance passed the request on.
+	// Forwarded is set if another entry instance forwarded the request.
 	Forwarded bool
 }
 
-// RequestGone says that the caller hung up before it had its answer.
+// RequestGone reports that the caller disconnected before it had its answer.
 type RequestGone struct{ Request string }
 
-// AttemptEnded is the end of an attempt, or the beginning of an answer that
-// is too large to hold; then StreamEnded follows.
+// AttemptEnded reports the end of an attempt or, with Streaming, the start of an
+// answer that is too large to buffer; StreamEnded follows in that case.
 type AttemptEnded struct {
 	Attempt string
 	Result  health.Result
 	Latency time.Duration
-	// RetryAfter is what the backend server asked for; 0 if nothing.
+	// RetryAfter is the delay that the backend server asked for, or 0.
 	RetryAfter time.Duration
-	// Replayable says that the request's body can be sent once more.
+	// Replayable is set if the request's body can be sent again.
 	Replayable bool
-	// Leaving says that the backend server refused because it is about to
-	// stop.
+	// Leaving is set if the backend server refused because it is about to stop.
 	Leaving bool
-	// Streaming says that the answer continues behind what is held.
+	// Streaming is set if the answer continues beyond the buffered part.
 	Streaming bool
-	// Answer is the whole answer of a request with an operation key, for
-	// repeats; nil if it is too large to keep.
+	// Answer is the complete answer to a request with an idempotency key, kept
+	// for repeats; nil if it is too large to keep.
 	Answer *claim.Answer
-	// Detail says in a few words what failed.
+	// Detail is a short description of the failure.
 	Detail string
 }
 
-// StreamEnded is the end of an answer that was passed on as it came.
+// StreamEnded reports the end of an answer that was streamed to the caller. Whole
+// is set if it was complete.
 type StreamEnded struct {
 	Attempt string
 	Whole   bool
 }
 
-// LocateAsked is a caller's question which addresses to use.
+// LocateAsked is a caller's query for the entry addresses to use.
 type LocateAsked struct {
 	Request string
 	At      time.Time
 	Key     config.KeyHash
 	HasKey  bool
-	// Operations is how many operation keys the caller wants.
+	// Operations is the number of operation keys requested.
 	Operations int
 }
 
-// CallEnded is the end of an effect.Call.
+// CallEnded reports the result of an effect.Call.
 type CallEnded struct {
 	ID    uint64
 	Reply PeerReply
 	OK    bool
 }
 
-// Called is a call from another entry instance. One ReplyCall follows.
+// Called is a call from another entry instance. It is answered by one ReplyCall.
 type Called struct {
 	Token   uint64
 	From    string
 	Request PeerRequest
 }
 
-// TableRead is the end of an effect.ReadTable.
+// TableRead reports the result of an effect.ReadTable.
 type TableRead struct {
 	ID      uint64
 	Changes storage.Changes
 	OK      bool
 }
 
-// TableWritten is the end of an effect.WriteTable.
+// TableWritten reports the result of an effect.WriteTable.
 type TableWritten struct {
 	ID     uint64
 	Result storage.WriteResult
 }
 
-// InstancesRead is the end of an effect.ReadInstances.
+// InstancesRead reports the result of an effect.ReadInstances.
 type InstancesRead struct {
 	ID      uint64
 	Changes storage.InstanceChanges
 	OK      bool
 }
 
-// ProbeEnded is the end of a StartProbe.
+// ProbeEnded reports the result of a StartProbe.
 type ProbeEnded struct {
 	Probe   health.Probe
 	Result  health.Result
@@ -139,26 +140,26 @@
 func (ProbeEnded) event()     {}
 func (LeaveRequested) event() {}
 
-// Answer of a request is one of the following effects.
+// A request is answered by one of the effects Relay, Refuse and Repeat.
 
-// Relay passes an attempt's answer on to the caller.
+// Relay sends the answer of an attempt to the caller.
 type Relay struct {
 	Request string
 	Attempt string
-	// Forwarded says that the answer is another entry instance's, and goes
-	// on with its outcome headers.
+	// Forwarded is set if the answer comes from another entry instance; its
+	// outcome headers are relayed unchanged.
 	Forwarded bool
 }
 
-// Refuse answers a request that isn't served.
+// Refuse answers a request that is not served.
 type Refuse struct {
 	Request string
 	Record  decision.Record
-	// Addresses of other entry instances that the caller may try.
+	// Addresses are other entry instances that the caller may try.
 	Addresses []string
 }
 
-// Repeat gives the first answer of an operation again.
+// Repeat answers a repeated request with the stored answer of its operation.
 type Repeat struct {
 	Request string
 	Answer  claim.Answer
@@ -172,27 +173,27 @@
 	Server    storage.Instance
 	Workspace string
 	Operation string
-	// Timeout bounds the attempt.
+	// Timeout is the maximum duration of the attempt.
 	Timeout time.Duration
 	// Until is the time on the node's clock after which the attempt must not
-	// begin any more, because the configuration isn't confirmed for longer.
+	// be started, because the confirmation of the configuration expires then.
 	Until   time.Duration
 	Forward bool
 }
 
-// CancelAttempt gives an attempt up. It ends with AttemptEnded all the same.
+// CancelAttempt cancels an attempt, which still ends with AttemptEnded.
 type CancelAttempt struct{ Attempt string }
 
-// StartProbe sends a request that no caller waits for.
+// StartProbe sends a health check to a backend server.
 type StartProbe struct {
 	Probe  health.Probe
 	Server storage.Instance
-	// Path is what the probe asks for by GET.
+	// Path is requested with GET.
 	Path    string
 	Timeout time.Duration
 }
 
-// ReplyCall answers Called. With OK false the caller gets no answer.
+// ReplyCall answers Called. If OK is false, no reply is sent.
 type ReplyCall struct {
 	Token uint64
 	Reply PeerReply
@@ -203,40 +204,42 @@
 type Located struct {
 	Request   string
 	Addresses []string
-	// TTL is how long the caller may keep the answer.
+	// TTL is how long the caller may cache the answer.
 	TTL time.Duration
-	// Operations are operation keys; Self is the address that runs them.
+	// Operations are new operation keys; Self is the address of the instance
+	// that runs requests with these keys.
 	Operations []string
 	Self       string
 }
 
-// Recorded is the decision on a request that has ended.
+// Recorded is the decision record of a completed request.
 type Recorded struct{ Record decision.Record }
 
-// Noted is something that operators should know. The driver logs it.
+// Noted is a state change for the operators, logged by the driver.
 type Noted struct {
 	Note Note
 	// Subject is a backend server, a shard, or a confirmation state.
 	Subject string
-	// Detail is a plain sentence or empty.
+	// Detail is a sentence with the reason, or empty.
 	Detail string
-	// Took is set with NoteDetected.
+	// Took is set only for NoteDetected.
 	Took time.Duration
 }
 
-// Note says what Noted is about.
+// Note is the kind of a Noted event.
 type Note int
 
 const (
-	// NoteEjected: a backend server was ejected.
+	// NoteEjected reports that a backend server was ejected.
 	NoteEjected Note = iota
-	// NoteReturned: a backend server is used again.
+	// NoteReturned reports that a backend server is no longer ejected.
 	NoteReturned
-	// NoteShardWritten: a shard's parts were divided anew.
+	// NoteShardWritten reports that the parts of a shard were reassigned.
 	NoteShardWritten
-	// NoteConfirmation: the confirmation state changed.
+	// NoteConfirmation reports that the confirmation state changed.
 	NoteConfirmation
-	// NoteDetected: this instance had a backend server ejected; Took is the
-	// time since the first bad attempt reported against it.
+	// NoteDetected reports that a proposal of this instance ejected a backend
+	// server. Took is the time since the first report of a failed or late
+	// attempt at that server.
 	NoteDetected
 )
--- a/node/locate.go
+++ b/node/locate.go
@@ -32,7 +32,8 @@
 // addresses returns the addresses of the entry instances for a workspace, in
 // order of preference: those that hold parts of its limits, then others by
 // rendezvous hash. This confines the load of an overactive workspace to a small
-// and stable set of instances. With self false, the own address is left out.
+// and stable set of instances. The own address is left
+// out if self is false or the instance is leaving.
 func (n *Node) addresses(workspace string, self bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
 	ids := n.liveHolders(shard)
@@ -60,7 +61,8 @@
 	return addresses[:min(len(addresses), n.settings.LocateAddresses)]
 }
 
-// liveHolders returns the live liveHolders of a shard, most parts first.
+// liveHolders returns the live holders of a shard, those with the most
+// parts first.
 func (n *Node) liveHolders(shard string) []string {
 	live := n.entryIDs()
 	ids := quota.AskOrder(n.replica.Shard(shard), "")
