--- a/node/example_test.go
+++ b/node/example_test.go
@@ -10,13 +10,13 @@
 	"foxtailspoke/storage"
 )
 
-// A node is driven by events and answers with effects; the same events give
-// the same effects. Here it learns its configuration from the table and
-// refuses a request without a key.
+// A node is driven by events and returns effects. Here it refuses a request while
+// its configuration is not confirmed, reads the configuration from the table, and
+// refuses a request without an API key.
 func Example() {
 	s := node.DefaultSettings()
 	s.Self = storage.Instance{ID: "a", Kind: storage.Entry, DataCentre: "luzon-1", State: storage.Live}
-	s.Secret = []byte("a secret of this start, kept in memory")
+	s.Secret = []byte("a random secret, new with every start")
 	s.Seed = 1
 	n := node.New(s)
 
--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -15,7 +15,7 @@
 	revision storage.Revision
 }
 
-// putRow commits a row of the control table at once, as operators do.
+// putRow commits a row of the control table immediately, as an operator does.
 func (f *fleet) putRow(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -71,8 +71,9 @@
 	return c
 }
 
-// callPlatform does something at the table, and brings the answer or none.
-func (f *fleet) callPlatform(i *instance, do func() Event, none Event) {
+// callPlatform carries out a platform call after one hop and delivers its result,
+// or failed after readTime if the platform cannot be reached.
+func (f *fleet) callPlatform(i *instance, call func() Event, failed Event) {
 	ended := false
 	end := func(e Event) {
 		if !ended {
@@ -84,10 +85,10 @@
 		if f.platformDown || !f.open(i.name, "table") {
 			return
 		}
-		e := do()
+		e := call()
 		if f.open("table", i.name) {
 			f.after(hop, func() { end(e) })
 		}
 	})
-	f.after(readTime, func() { end(none) })
+	f.after(readTime, func() { end(failed) })
 }
--- a/node/flood_test.go
+++ b/node/faults_test.go
@@ -12,26 +12,26 @@
 	"foxtailspoke/storage"
 )
 
-// injectFault makes one fault at random, and undoes it later.
+// injectFault injects a random fault and schedules its end or a replacement instance.
 func (f *fleet) injectFault() {
 	name := f.names[f.rng.IntN(len(f.names))]
-	long := time.Duration(1+f.rng.IntN(9)) * time.Second
+	duration := time.Duration(1+f.rng.IntN(9)) * time.Second
 	switch f.rng.IntN(10) {
 	case 0:
 		f.freeze(name)
-		f.after(long, func() { f.thaw(name) })
+		f.after(duration, func() { f.thaw(name) })
 	case 1:
 		f.platformDown = true
-		f.after(long, func() { f.platformDown = false })
+		f.after(duration, func() { f.platformDown = false })
 	case 2, 3:
-		f.partition(name, true, false, long)
+		f.partition(name, true, false, duration)
 	case 4:
-		f.partition(name, false, true, long)
+		f.partition(name, false, true, duration)
 	case 5:
-		f.partition(name, true, true, long)
+		f.partition(name, true, true, duration)
 	case 6:
 		f.cut["table>"+name] = true
-		f.after(long, func() { f.cut["table>"+name] = false })
+		f.after(duration, func() { f.cut["table>"+name] = false })
 	case 7:
 		if len(f.names) < 9 && !f.nodes[name].dead {
 			f.kill(name)
@@ -42,8 +42,9 @@
 	}
 }
 
-// markEnded cuts an instance off, and the platform takes it for ended
-// while it still runs and callers still reach it. Its parts go to others.
+// markEnded partitions an instance from the platform and the other instances, and
+// lists it as ended while it still runs and callers still reach it. Its parts are
+// reassigned.
 func (f *fleet) markEnded(name string) {
 	if len(f.names) >= 9 || f.nodes[name].dead {
 		return
@@ -56,9 +57,9 @@
 	f.start(fmt.Sprintf("n%d", len(f.names)), f.rng.IntN(3))
 }
 
-// partition cuts an instance and perhaps a second one off from all others and
-// from the platform, in one direction or both.
-func (f *fleet) partition(name string, out, in bool, long time.Duration) {
+// partition cuts the links between an instance and all others and the platform,
+// in one direction or both.
+func (f *fleet) partition(name string, out, in bool, duration time.Duration) {
 	others := append(slices.Clone(f.names), "table")
 	for _, other := range others {
 		if other == name {
@@ -67,7 +68,7 @@
 		f.cut[name+">"+other] = out
 		f.cut[other+">"+name] = in
 	}
-	f.after(long, func() {
+	f.after(duration, func() {
 		for _, other := range others {
 			f.cut[name+">"+other] = false
 			f.cut[other+">"+name] = false
@@ -75,8 +76,8 @@
 	})
 }
 
-// maxOverspend replays admissions against one bucket of the whole limit, and
-// returns by how many tokens they went beyond it.
+// maxOverspend replays admissions against a single token bucket with the whole
+// limit and returns the greatest number of tokens by which they exceeded it.
 func maxOverspend(starts []firstAttempt, rate, burst float64) float64 {
 	level, at, worst := burst, time.Duration(0), 0.0
 	for _, s := range starts {
@@ -87,10 +88,11 @@
 	return worst
 }
 
-// The caller floods a workspace at several times its rate on all instances,
-// while instances are frozen, cut off one way, killed and replaced, and the
-// platform comes and goes. The fleet as a whole must stay within rate and
-// burst over every window, and never run an order twice or deny one that ran.
+// Guards against exceeding a workspace's limit, and against running an operation
+// twice or reporting one that ran as not run. A caller sends several times the
+// rate to all instances while instances are frozen, partitioned in one direction,
+// killed and replaced, and the platform is unavailable at times. The fleet as a
+// whole must stay within rate and burst over every window.
 func TestRateAndOutcomesHoldUnderFaults(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
@@ -112,7 +114,8 @@
 }
 
 // generateLoad sends requests to random instances at about three times the rate:
-// orders under keys that are repeated elsewhere, orders without keys, lookups.
+// orders with idempotency keys that are repeated at other instances, orders
+// without keys, and lookups. It injects faults in between.
 func generateLoad(f *fleet, d time.Duration) {
 	until := f.now + d
 	keys := []string{"made-by-caller-0"}
@@ -147,7 +150,8 @@
 	return f.servers[fmt.Sprintf("s%d", f.rng.IntN(len(f.servers)))]
 }
 
-// checkOutcomes compares what callers were told with what backend servers ran.
+// checkOutcomes compares the outcomes reported to callers with the executions on
+// the backend servers.
 func checkOutcomes(t *testing.T, f *fleet, seed uint64) {
 	byOperation := map[string]int{}
 	byRequest := map[string]int{}
@@ -163,17 +167,17 @@
 	}
 	for request, a := range f.answers {
 		if a.outcome == "not-run" {
-			must.Eq(t, 0, byRequest[request], must.Sprint("seed ", seed, " told not-run: ", request, a))
+			must.Eq(t, 0, byRequest[request], must.Sprint("seed ", seed, " executed but reported not-run: ", request, a))
 		}
 	}
 }
 
-// A run that was recorded is replayed on a fresh node: the same events at the
-// same times give the same effects.
+// Guards against nondeterminism in a node: two runs of the fleet with the same
+// seed must give the same answers and executions.
 func TestSameSeedGivesSameRun(t *testing.T) {
-	one, two := newSettledFleet(5, 5, 3), newSettledFleet(5, 5, 3)
-	generateLoad(one, 20*time.Second)
-	generateLoad(two, 20*time.Second)
-	must.Eq(t, one.answers, two.answers)
-	must.Eq(t, one.executed, two.executed)
+	first, second := newSettledFleet(5, 5, 3), newSettledFleet(5, 5, 3)
+	generateLoad(first, 20*time.Second)
+	generateLoad(second, 20*time.Second)
+	must.Eq(t, first.answers, second.answers)
+	must.Eq(t, first.executed, second.executed)
 }
