--- a/node/attempts.go
+++ b/node/attempts.go
@@ -98,15 +98,15 @@
 	return a
 }
 
-// attemptEnded records the result of an attempt and relays its answer, retries or
+// handleAttemptEnded records the result of an attempt and relays its answer, retries or
 // refuses the request.
-func (n *Node) attemptEnded(e AttemptEnded) {
+func (n *Node) handleAttemptEnded(e AttemptEnded) {
 	a, ok := n.attempts[e.Attempt]
 	if !ok {
 		return
 	}
 	if a.forwarded {
-		n.forwardEnded(a, e)
+		n.handleForwardEnded(a, e)
 		return
 	}
 	n.observe(a, e)
@@ -154,9 +154,9 @@
 }
 
 func (n *Node) retryState(r *request, e AttemptEnded) retry.Attempt {
-	others, room := n.untriedServers(r)
+	untried, hasSlot := n.untriedServers(r)
 	if !e.Replayable {
-		others = 0
+		untried = 0
 	}
 	return retry.Attempt{
 		Result:         e.Result,
@@ -165,8 +165,8 @@
 		MayHaveRun:     r.mayHaveRun,
 		InFlight:       len(r.running),
 		Deadline:       r.deadline,
-		Untried:        others,
-		UntriedHasSlot: room,
+		Untried:        untried,
+		UntriedHasSlot: hasSlot,
 	}
 }
 
@@ -212,9 +212,9 @@
 }
 
 // cancelOthers cancels all attempts of a request except one.
-func (n *Node) cancelOthers(r *request, but *attempt) {
+func (n *Node) cancelOthers(r *request, except *attempt) {
 	for _, a := range r.running {
-		if a != but {
+		if a != except {
 			n.emit(CancelAttempt{Attempt: a.id})
 		}
 	}
@@ -226,8 +226,8 @@
 	n.emitRecord(n.record(r, decision.RuleServed))
 }
 
-// streamEnded completes a request whose answer was streamed to the caller.
-func (n *Node) streamEnded(e StreamEnded) {
+// handleStreamEnded completes a request whose answer was streamed to the caller.
+func (n *Node) handleStreamEnded(e StreamEnded) {
 	a, ok := n.attempts[e.Attempt]
 	if !ok || !a.streaming {
 		return
--- a/node/detection.go
+++ b/node/detection.go
@@ -23,22 +23,22 @@
 // ejection.
 func (n *Node) recordFailures(r health.Report) {
 	for _, s := range r.Servers {
-		bad := slices.ContainsFunc(s.Workspaces, func(w health.WorkspaceCount) bool { return w.Failed+w.Late > 0 })
-		if !bad {
+		failing := slices.ContainsFunc(s.Workspaces, func(w health.WorkspaceCount) bool { return w.Failed+w.Late > 0 })
+		if !failing {
 			continue
 		}
-		d, known := n.failureSpans[s.Server]
-		if !known || n.now-d.last > failureSpanGap {
-			d.first = n.now
+		span, known := n.failureSpans[s.Server]
+		if !known || n.now-span.last > failureSpanGap {
+			span.first = n.now
 		}
-		d.last = n.now
-		n.failureSpans[s.Server] = d
+		span.last = n.now
+		n.failureSpans[s.Server] = span
 	}
 }
 
 func (n *Node) evictFailureSpans() {
-	for server, d := range n.failureSpans {
-		if n.now-d.last > failureSpanGap {
+	for server, span := range n.failureSpans {
+		if n.now-span.last > failureSpanGap {
 			delete(n.failureSpans, server)
 		}
 	}
@@ -55,16 +55,17 @@
 	return added
 }
 
-// permitsWritten takes the end of a write of a permits row.
-func (n *Node) permitsWritten(service string, r storage.WriteResult) {
+// handlePermitsWritten handles the result of a write to a permits row and
+// reports how long it took to detect each newly ejected server.
+func (n *Node) handlePermitsWritten(service string, r storage.WriteResult) {
 	ejected := n.permitWrites[service]
 	delete(n.permitWrites, service)
 	if r.Outcome != storage.Committed {
 		return
 	}
 	for _, server := range ejected {
-		if d, known := n.failureSpans[server]; known {
-			n.emit(Noted{Note: NoteDetected, Subject: server, Took: n.now - d.first})
+		if span, known := n.failureSpans[server]; known {
+			n.emit(Noted{Note: NoteDetected, Subject: server, Took: n.now - span.first})
 		}
 	}
 }
--- a/node/locate.go
+++ b/node/locate.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/quota"
 )
 
-// locate answers a caller's query for the entry addresses to use.
-func (n *Node) locate(e LocateAsked) {
+// handleLocate answers a caller's query for the entry addresses to use.
+func (n *Node) handleLocate(e LocateAsked) {
 	r := &request{arrived: RequestArrived{Request: e.Request, At: e.At}, arrivedAt: n.now}
 	rule, workspace := n.authenticate(e.Key, e.HasKey, &r.figures)
 	if rule != "" {
--- a/node/node.go
+++ b/node/node.go
@@ -129,21 +129,21 @@
 	case RequestGone:
 		n.handleCallerGone(e.Request)
 	case AttemptEnded:
-		n.attemptEnded(e)
+		n.handleAttemptEnded(e)
 	case StreamEnded:
-		n.streamEnded(e)
+		n.handleStreamEnded(e)
 	case LocateAsked:
-		n.locate(e)
+		n.handleLocate(e)
 	case CallEnded:
 		n.handleCallEnded(e)
 	case Called:
 		n.handleCall(e)
 	case TableRead:
-		n.tableRead(e)
+		n.handleTableRead(e)
 	case TableWritten:
-		n.tableWritten(e)
+		n.handleTableWritten(e)
 	case InstancesRead:
-		n.instancesRead(e)
+		n.handleInstancesRead(e)
 	case ProbeEnded:
 		n.collector.RecordProbe(n.now, e.Probe, e.Result, e.Latency)
 	case LeaveRequested:
@@ -191,7 +191,7 @@
 	}
 }
 
-func (n *Node) tableRead(e TableRead) {
+func (n *Node) handleTableRead(e TableRead) {
 	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
@@ -204,7 +204,7 @@
 	n.applyUpdates()
 }
 
-func (n *Node) tableWritten(e TableWritten) {
+func (n *Node) handleTableWritten(e TableWritten) {
 	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
@@ -219,11 +219,11 @@
 	case ownerUnadvertised:
 		n.unadvertised.writing = false
 	case ownerPermits:
-		n.permitsWritten(p.subject, e.Result)
+		n.handlePermitsWritten(p.subject, e.Result)
 	}
 }
 
-func (n *Node) instancesRead(e InstancesRead) {
+func (n *Node) handleInstancesRead(e InstancesRead) {
 	p, ok := n.takePending(e.ID)
 	if !ok {
 		return
--- a/node/operations.go
+++ b/node/operations.go
@@ -123,9 +123,9 @@
 	})
 }
 
-// forwardEnded relays the minter's answer. Without an answer, the outcome is
+// handleForwardEnded relays the minter's answer. Without an answer, the outcome is
 // unknown both for this request and for earlier ones with the same key.
-func (n *Node) forwardEnded(a *attempt, e AttemptEnded) {
+func (n *Node) handleForwardEnded(a *attempt, e AttemptEnded) {
 	r := a.request
 	if answeredByMinter(e.Result) {
 		if e.Streaming {
