--- a/claim/prune.go
+++ b/claim/prune.go
@@ -6,64 +6,65 @@
 	"foxtailspoke/storage"
 )
 
-// RetentionTracker tells which claims are older than a retention, without comparing
-// clocks: it notes at which time of the own clock the claims table had which
-// revision. The retention must be longer than callers repeat a request: once
-// its claim is pruned, a key is free again.
+// RetentionTracker determines which claims are older than a retention period
+// without comparing the clocks of instances: it samples the revision of the claims
+// table against the local clock. The retention period must exceed the time for
+// which callers repeat a request, because the key of a pruned claim can be claimed
+// again.
 type RetentionTracker struct {
 	retention time.Duration
-	// every is the time between two notes.
-	every time.Duration
-	notes []note
-	// passed is the newest revision older than the retention.
-	passed storage.Revision
+	// sampleInterval is the minimum time between two samples.
+	sampleInterval time.Duration
+	samples        []revisionSample
+	// expired is the highest sampled revision older than the retention period.
+	expired storage.Revision
 }
 
-type note struct {
+type revisionSample struct {
 	at       time.Duration
 	revision storage.Revision
 }
 
-// notesKept is how many notes cover the retention.
-const notesKept = 64
+// samplesPerRetention is the number of samples that cover the retention period.
+const samplesPerRetention = 64
 
-// NewRetentionTracker returns a horizon that knows of no old claim. Claims become old
-// once the instance has run for the retention.
+// NewRetentionTracker returns a tracker without samples. No claim counts as
+// expired before the instance has run for the retention period.
 func NewRetentionTracker(retention time.Duration) *RetentionTracker {
-	return &RetentionTracker{retention: retention, every: retention / notesKept}
+	return &RetentionTracker{retention: retention, sampleInterval: retention / samplesPerRetention}
 }
 
-// Observe takes the revision of the claims table that a read returned at a time.
-func (h *RetentionTracker) Observe(now time.Duration, r storage.Revision) {
-	n := len(h.notes)
-	if n == 0 || now-h.notes[n-1].at >= h.every {
-		h.notes = append(h.notes, note{at: now, revision: r})
+// Observe records the revision of the claims table that a read returned.
+func (t *RetentionTracker) Observe(now time.Duration, r storage.Revision) {
+	n := len(t.samples)
+	if n == 0 || now-t.samples[n-1].at >= t.sampleInterval {
+		t.samples = append(t.samples, revisionSample{at: now, revision: r})
 	}
 }
 
-// ExpiredRevision returns the highest revision whose claims are older than the
-// retention, 0 if none is known.
-func (h *RetentionTracker) ExpiredRevision(now time.Duration) storage.Revision {
-	for len(h.notes) > 0 && now-h.notes[0].at >= h.retention {
-		h.passed = max(h.passed, h.notes[0].revision)
-		h.notes = h.notes[1:]
+// ExpiredRevision returns the highest revision known to be older than the
+// retention period, or 0 if there is none.
+func (t *RetentionTracker) ExpiredRevision(now time.Duration) storage.Revision {
+	for len(t.samples) > 0 && now-t.samples[0].at >= t.retention {
+		t.expired = max(t.expired, t.samples[0].revision)
+		t.samples = t.samples[1:]
 	}
-	return h.passed
+	return t.expired
 }
 
-// Prune returns a transaction that deletes at most limit of the rows last
-// changed at or below a revision, or false if there are none. A row that
-// changes in between makes the transaction fail as a whole.
-func (c *Claimer) Prune(rows []storage.Row, old storage.Revision, limit int) (storage.Txn, bool) {
-	t := storage.Txn{Attempt: c.attemptID()}
+// Prune returns a transaction that deletes at most limit of the rows last changed
+// at or below the expired revision, or false if there are none. The whole
+// transaction fails if one of these rows changes before it is applied.
+func (c *Claimer) Prune(rows []storage.Row, expired storage.Revision, limit int) (storage.Txn, bool) {
+	txn := storage.Txn{Attempt: c.attemptID()}
 	for _, row := range rows {
-		if row.Deleted || row.Revision > old || len(t.Puts) >= limit {
+		if row.Deleted || row.Revision > expired || len(txn.Puts) >= limit {
 			continue
 		}
-		t.Conditions = append(t.Conditions, storage.Condition{
+		txn.Conditions = append(txn.Conditions, storage.Condition{
 			Table: storage.Claims, Key: row.Key, Revision: row.Revision,
 		})
-		t.Puts = append(t.Puts, storage.Put{Table: storage.Claims, Key: row.Key, Delete: true})
+		txn.Puts = append(txn.Puts, storage.Put{Table: storage.Claims, Key: row.Key, Delete: true})
 	}
-	return t, len(t.Puts) > 0
+	return txn, len(txn.Puts) > 0
 }
