--- a/node/locate.go
+++ b/node/locate.go
@@ -33,8 +33,8 @@
 // order of preference: those that hold parts of its limits, then others by
 // rendezvous hash. This confines the load of an overactive workspace to a small
 // and stable set of instances. The own address is left
-// out if self is false or the instance is leaving.
-func (n *Node) addresses(workspace string, self bool) []string {
+// out if includeSelf is false or the instance is leaving.
+func (n *Node) addresses(workspace string, includeSelf bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
 	ids := n.liveHolders(shard)
 	for _, id := range n.member.Directory().HolderCandidates("locate/"+workspace, n.settings.LocateAddresses) {
@@ -51,7 +51,7 @@
 	var addresses []string
 	for _, id := range ids {
 		own := id == n.settings.Self.ID
-		if own && (!self || n.leaving) {
+		if own && (!includeSelf || n.leaving) {
 			continue
 		}
 		if i, ok := n.member.Directory().Instance(id); ok {
--- a/node/request.go
+++ b/node/request.go
@@ -121,14 +121,14 @@
 
 // authenticate returns the workspace of a key, or the rule under which the request
 // is refused.
-func (n *Node) authenticate(key config.KeyHash, has bool, f *decision.Figures) (decision.Rule, config.Workspace) {
+func (n *Node) authenticate(key config.KeyHash, hasKey bool, f *decision.Figures) (decision.Rule, config.Workspace) {
 	c := n.member.Confirmation(n.now)
 	f.Revision = uint64(c.Revision)
 	if c.State == membership.CutOff {
 		f.AgeLimit = n.member.Settings().Fresh
 		return decision.RuleConfigUnconfirmed, config.Workspace{}
 	}
-	if !has {
+	if !hasKey {
 		return decision.RuleNoKey, config.Workspace{}
 	}
 	workspace, ok := n.replica.WorkspaceByKey(key)
