--- a/node/locate.go
+++ b/node/locate.go
@@ -32,8 +32,8 @@
 // addresses returns the addresses of the entry instances for a workspace, in
 // order of preference: those that hold parts of its limits, then others by
 // rendezvous hash. This confines the load of an overactive workspace to a small
-// and stable set of instances. The own address is left
-// out if includeSelf is false or the instance is leaving.
+// and stable set of instances. The own address is left out if includeSelf is
+// false or the instance is leaving.
 func (n *Node) addresses(workspace string, includeSelf bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
 	ids := n.liveHolders(shard)
