--- a/entry/driver.go
+++ b/entry/driver.go
@@ -18,7 +18,7 @@
 	log     *slog.Logger
 	metrics *metrics.Metrics
 	callers *callers.Service
-	records *records.Keeper
+	records *records.Writer
 	store   *store.Store
 	peers   *peers.Peers
 	probes  *prober
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -68,7 +68,7 @@
 	loop    *loop.Loop
 	sender  *attempt.Sender
 	callers *callers.Service
-	records *records.Keeper
+	records *records.Writer
 	metrics *metrics.Metrics
 	ports   ports
 	driver  *driver
@@ -85,11 +85,11 @@
 
 // New binds the addresses and builds the instance. Run starts it.
 func New(s settings.Settings, log *slog.Logger) (*Entry, error) {
-	secret, err := settings.Secret(s.Peers.SecretFile)
+	secret, err := settings.ReadSecret(s.Peers.SecretFile)
 	if err != nil {
 		return nil, err
 	}
-	token, err := settings.Secret(s.Operators.TokenFile)
+	token, err := settings.ReadSecret(s.Operators.TokenFile)
 	if err != nil {
 		return nil, err
 	}
@@ -155,13 +155,13 @@
 		decision.NewBuffer(e.self.ID, decision.BufferSettings{}),
 		e.client.Objects(), time.Duration(e.settings.Platform.RecordsEvery), e.log)
 	e.sender = attempt.NewSender(attempt.Settings{
-		MaxBufferedBytes:     e.settings.Callers.HoldBytes,
+		MaxBufferedBytes:     e.settings.Callers.MaxBufferedBytes,
 		ConnectTimeout:       connectTimeout,
 		IdleTimeout:          serverIdle,
 		ConnectionsPerServer: connectionsPerServer,
 	})
 	e.callers, err = callers.New(e.self.ID, callers.Settings{
-		MaxBufferedBytes:     e.settings.Callers.HoldBytes,
+		MaxBufferedBytes:     e.settings.Callers.MaxBufferedBytes,
 		MaxBodyBytes:         e.settings.Callers.MaxBodyBytes,
 		WriteTimeout:         time.Duration(e.settings.Callers.WriteTimeout),
 		MaxStoredAnswerBytes: keptAnswer,
@@ -204,7 +204,7 @@
 	s.LocateTTL = time.Duration(e.settings.Fleet.LocateTTL)
 	s.LocateAddresses = e.settings.Fleet.LocateAddresses
 	s.Membership.Seeds = e.settings.Peers.Seeds
-	s.Membership.Fresh = time.Duration(e.settings.Fleet.Fresh)
+	s.Membership.Fresh = time.Duration(e.settings.Fleet.MaxConfigAge)
 	return s
 }
 
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -199,8 +199,8 @@
 	s.Platform.RecordsEvery = config.Duration(100 * time.Millisecond)
 	s.Fleet.LocateTTL = config.Duration(200 * time.Millisecond)
 	s.Fleet.Shards = 2
-	s.Fleet.Fresh = config.Duration(fresh)
-	s.Stop.Patience = config.Duration(2 * time.Second)
+	s.Fleet.MaxConfigAge = config.Duration(fresh)
+	s.Stop.Timeout = config.Duration(2 * time.Second)
 	if o.adjust != nil {
 		o.adjust(&s)
 	}
--- a/entry/gone_test.go
+++ b/entry/gone_test.go
@@ -225,7 +225,7 @@
 func TestStopDoesNotWaitForEver(t *testing.T) {
 	hangs := make(chan struct{}, 8)
 	w := newWorld(t, options{
-		adjust: func(s *settings.Settings) { s.Stop.Patience = config.Duration(300 * time.Millisecond) },
+		adjust: func(s *settings.Settings) { s.Stop.Timeout = config.Duration(300 * time.Millisecond) },
 		own: func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost {
 				hangs <- struct{}{}
--- a/entry/operators/operators.go
+++ b/entry/operators/operators.go
@@ -32,12 +32,12 @@
 type Service struct {
 	instance string
 	loop     Loop
-	records  *records.Keeper
+	records  *records.Writer
 }
 
 // New returns the handler of the operator address: the API under /v1/ and the
 // metrics under /metrics, both for whoever presents the token.
-func New(instance string, token []byte, l Loop, k *records.Keeper, metrics http.Handler) (http.Handler, error) {
+func New(instance string, token []byte, l Loop, k *records.Writer, metrics http.Handler) (http.Handler, error) {
 	s := &Service{instance: instance, loop: l, records: k}
 	check := operator.NewTokenCheck(string(token))
 	api, err := oas.NewServer(s, check)
--- a/entry/path_bench_test.go
+++ b/entry/path_bench_test.go
@@ -66,7 +66,7 @@
 	s.Callers.Listen, s.Peers.Listen, s.Operators.Listen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	s.Peers.SecretFile, s.Operators.TokenFile = secret, secret
 	s.Platform.URL = platform
-	s.Fleet.LocateTTL, s.Stop.Patience = config.Duration(time.Second), config.Duration(100*time.Millisecond)
+	s.Fleet.LocateTTL, s.Stop.Timeout = config.Duration(time.Second), config.Duration(100*time.Millisecond)
 	e, err := New(s, slog.New(slog.DiscardHandler))
 	must.NoError(b, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/entry/records/records.go
+++ b/entry/records/records.go
@@ -13,8 +13,8 @@
 	"foxtailspoke/storage"
 )
 
-// Keeper is the instance's buffer of records with its way to the store.
-type Keeper struct {
+// Writer is the instance's buffer of records with its way to the store.
+type Writer struct {
 	objects storage.Objects
 	every   time.Duration
 	log     *slog.Logger
@@ -25,19 +25,19 @@
 }
 
 // New returns a Keeper that writes a batch at most as often as every.
-func New(b *decision.Buffer, o storage.Objects, every time.Duration, log *slog.Logger) *Keeper {
-	return &Keeper{objects: o, every: every, log: log, buffer: b}
+func New(b *decision.Buffer, o storage.Objects, every time.Duration, log *slog.Logger) *Writer {
+	return &Writer{objects: o, every: every, log: log, buffer: b}
 }
 
 // Add takes a record. It doesn't block.
-func (k *Keeper) Add(r decision.Record) {
+func (k *Writer) Add(r decision.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.buffer.Add(r)
 }
 
 // Search returns the records in memory that match, newest first.
-func (k *Keeper) Search(q decision.Query) (found []decision.Record, dropped uint64) {
+func (k *Writer) Search(q decision.Query) (found []decision.Record, dropped uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.buffer.Search(q), k.buffer.Dropped()
@@ -45,7 +45,7 @@
 
 // Serve writes batches until ctx ends. It implements suture.Service. What is
 // left then is for Flush.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *Writer) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(k.every)
 	defer ticker.Stop()
 	for {
@@ -59,9 +59,9 @@
 }
 
 // Flush writes what no batch holds yet, within the context's time.
-func (k *Keeper) Flush(ctx context.Context) { k.flush(ctx) }
+func (k *Writer) Flush(ctx context.Context) { k.flush(ctx) }
 
-func (k *Keeper) flush(ctx context.Context) {
+func (k *Writer) flush(ctx context.Context) {
 	for ctx.Err() == nil && k.storeNext(ctx) {
 	}
 	k.noteDropped()
@@ -71,7 +71,7 @@
 // object store didn't take it; the same batch is then tried again later. The
 // batch is encoded outside the lock: that takes milliseconds, and Add is
 // called on the loop's goroutine.
-func (k *Keeper) storeNext(ctx context.Context) bool {
+func (k *Writer) storeNext(ctx context.Context) bool {
 	cut, ok := k.take()
 	if !ok {
 		return false
@@ -88,19 +88,19 @@
 	return true
 }
 
-func (k *Keeper) take() (decision.UnencodedBatch, bool) {
+func (k *Writer) take() (decision.UnencodedBatch, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.buffer.NextBatch()
 }
 
-func (k *Keeper) settle(f func()) {
+func (k *Writer) settle(f func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f()
 }
 
-func (k *Keeper) noteDropped() {
+func (k *Writer) noteDropped() {
 	k.mu.Lock()
 	total := k.buffer.Dropped()
 	fresh := total - k.dropped
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -46,9 +46,9 @@
 	MaxHeaderBytes int `json:"maxHeaderBytes"`
 	// MaxBodyBytes bounds a request's body. Default 67108864 (64 MiB).
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
-	// HoldBytes of a body or an answer are held in memory, so that a request
+	// MaxBufferedBytes of a body or an answer are held in memory, so that a request
 	// can be sent again, and no half answer goes out. Default 262144.
-	HoldBytes int64 `json:"holdBytes"`
+	MaxBufferedBytes int64 `json:"holdBytes"`
 	// HeaderTimeout bounds the reading of a request's headers. Default "5s".
 	HeaderTimeout config.Duration `json:"headerTimeout"`
 	// ReadTimeout bounds the reading of a whole request. Default "60s".
@@ -101,10 +101,10 @@
 type Fleet struct {
 	// Shards of workspaces. Default 64; 1024 for 2,000 instances.
 	Shards int `json:"shards"`
-	// Fresh is how old the proof of the newest configuration may be. A
+	// MaxConfigAge is how old the proof of the newest configuration may be. A
 	// change is in force everywhere a little more than this after a majority
 	// of the witnesses know it. Default "2s".
-	Fresh config.Duration `json:"fresh"`
+	MaxConfigAge config.Duration `json:"fresh"`
 	// LocateTTL is how long callers may keep an answer of locate. A planned
 	// stop takes at least as long. Default "30s".
 	LocateTTL config.Duration `json:"locateTTL"`
@@ -114,9 +114,9 @@
 
 // Stop is the planned stop.
 type Stop struct {
-	// Patience bounds the wait for requests in progress after callers have
+	// Timeout bounds the wait for requests in progress after callers have
 	// stopped to come. Default "30s".
-	Patience config.Duration `json:"patience"`
+	Timeout config.Duration `json:"patience"`
 }
 
 // Log is what is logged.
@@ -144,7 +144,7 @@
 			MaxConnections: 4096,
 			MaxHeaderBytes: 16 << 10,
 			MaxBodyBytes:   64 << 20,
-			HoldBytes:      256 << 10,
+			MaxBufferedBytes:      256 << 10,
 			HeaderTimeout:  config.Duration(5 * time.Second),
 			ReadTimeout:    config.Duration(60 * time.Second),
 			WriteTimeout:   config.Duration(30 * time.Second),
@@ -154,11 +154,11 @@
 		Platform: Platform{AnnounceEvery: config.Duration(10 * time.Second), RecordsEvery: config.Duration(time.Minute)},
 		Fleet: Fleet{
 			Shards:          64,
-			Fresh:           config.Duration(2 * time.Second),
+			MaxConfigAge:           config.Duration(2 * time.Second),
 			LocateTTL:       config.Duration(30 * time.Second),
 			LocateAddresses: 4,
 		},
-		Stop: Stop{Patience: config.Duration(30 * time.Second)},
+		Stop: Stop{Timeout: config.Duration(30 * time.Second)},
 		Log:  Log{Level: "info"},
 
 		Trace: Trace{MaxBytes: 64 << 20},
@@ -211,11 +211,11 @@
 	f.between("callers.maxConnections", int64(s.Callers.MaxConnections), 1, 1<<20)
 	f.between("callers.maxHeaderBytes", int64(s.Callers.MaxHeaderBytes), 1024, 1<<20)
 	f.between("callers.maxBodyBytes", s.Callers.MaxBodyBytes, 1, 1<<40)
-	f.between("callers.holdBytes", s.Callers.HoldBytes, 64<<10, 64<<20)
+	f.between("callers.holdBytes", s.Callers.MaxBufferedBytes, 64<<10, 64<<20)
 	f.between("peers.maxConnections", int64(s.Peers.MaxConnections), 1, 1<<20)
-	f.duration("fleet.fresh", s.Fleet.Fresh, 100*time.Millisecond, time.Minute)
+	f.duration("fleet.fresh", s.Fleet.MaxConfigAge, 100*time.Millisecond, time.Minute)
 	f.duration("fleet.locateTTL", s.Fleet.LocateTTL, 100*time.Millisecond, time.Hour)
-	f.duration("stop.patience", s.Stop.Patience, 0, time.Hour)
+	f.duration("stop.patience", s.Stop.Timeout, 0, time.Hour)
 	f.duration("callers.headerTimeout", s.Callers.HeaderTimeout, time.Millisecond, time.Hour)
 	f.duration("callers.readTimeout", s.Callers.ReadTimeout, time.Millisecond, time.Hour)
 	f.duration("callers.writeTimeout", s.Callers.WriteTimeout, time.Millisecond, time.Hour)
@@ -227,8 +227,8 @@
 	return f.err()
 }
 
-// Secret reads a secret from its file; white space around it doesn't count.
-func Secret(file string) ([]byte, error) {
+// ReadSecret reads a secret from its file; white space around it doesn't count.
+func ReadSecret(file string) ([]byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "secret")
--- a/entry/settings/settings_test.go
+++ b/entry/settings/settings_test.go
@@ -22,7 +22,7 @@
 func TestMinimalTakesDefaults(t *testing.T) {
 	s, err := Parse([]byte(minimal))
 	must.NoError(t, err)
-	must.Eq(t, config.Duration(1500*time.Millisecond), s.Fleet.Fresh)
+	must.Eq(t, config.Duration(1500*time.Millisecond), s.Fleet.MaxConfigAge)
 	must.Eq(t, 64, s.Fleet.Shards)
 }
 
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -54,7 +54,7 @@
 // awaitHandOver waits for the instance's parts and seat to go to others, but
 // not longer than the patience: with the platform away they can't.
 func (e *Entry) awaitHandOver() {
-	deadline := time.Now().Add(time.Duration(e.settings.Stop.Patience))
+	deadline := time.Now().Add(time.Duration(e.settings.Stop.Timeout))
 	for time.Now().Before(deadline) {
 		done := true
 		e.loop.Do(func(n *node.Node, _ time.Duration) { done = !n.HoldsParts() && !n.IsWitness() })
@@ -68,7 +68,7 @@
 // finishRequests stops to accept connections and waits for the requests in
 // progress. It returns how many had to be cut.
 func (e *Entry) finishRequests() int {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.Stop.Patience))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.Stop.Timeout))
 	defer cancel()
 	_ = e.callerServer.Shutdown(ctx)
 	cut := e.callers.Drain(ctx)
