--- a/entry/driver.go
+++ b/entry/driver.go
@@ -38,7 +38,7 @@
 		d.records.Add(e.Record)
 	case node.Noted:
 		d.metrics.Noted(e)
-		d.note(e)
+		d.logNote(e)
 	case node.StartProbe:
 		d.probes.start(e)
 	case node.ReplyCall:
@@ -56,16 +56,16 @@
 	}
 }
 
-// notes are the log events of what a node notes.
-var notes = map[node.Note]event.Event{
+// noteEvents are the log events of what a node noteEvents.
+var noteEvents = map[node.Note]event.Event{
 	node.NoteEjected:      event.ServerEjected,
 	node.NoteReturned:     event.ServerReturned,
 	node.NoteShardWritten: event.ShardWritten,
 	node.NoteConfirmation: event.ConfirmationChanged,
 }
 
-func (d *driver) note(e node.Noted) {
-	logged, ok := notes[e.Note]
+func (d *driver) logNote(e node.Noted) {
+	logged, ok := noteEvents[e.Note]
 	if !ok {
 		return // only counted
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -45,14 +45,14 @@
 	callTimeout = 250 * time.Millisecond
 	// platformTimeout bounds a call to the platform.
 	platformTimeout = time.Second
-	// peerIdle closes connections to instances that weren't called lately.
-	peerIdle = time.Minute
-	// keptAnswer bounds the answer that is kept for repeats, in bytes.
-	keptAnswer = 64 << 10
+	// peerIdleTimeout closes connections to instances that weren't called lately.
+	peerIdleTimeout = time.Minute
+	// maxStoredAnswerBytes bounds the answer that is kept for repeats, in bytes.
+	maxStoredAnswerBytes = 64 << 10
 	// connectTimeout bounds the making of a connection to a backend server.
 	connectTimeout = 250 * time.Millisecond
-	// serverIdle closes unused connections to backend servers.
-	serverIdle = 30 * time.Second
+	// serverIdleTimeout closes unused connections to backend servers.
+	serverIdleTimeout = 30 * time.Second
 	// connectionsPerServer bounds the connections to one backend server.
 	connectionsPerServer = 64
 )
@@ -63,16 +63,16 @@
 	log      *slog.Logger
 	self     storage.Instance
 
-	client  *client.Client
-	peers   *peer.Client
-	loop    *loop.Loop
-	sender  *attempt.Sender
-	callers *callers.Service
-	records *records.Writer
-	metrics *metrics.Metrics
-	ports   ports
-	driver  *driver
-	tree    *suture.Supervisor
+	client    *client.Client
+	peers     *peer.Client
+	loop      *loop.Loop
+	sender    *attempt.Sender
+	callers   *callers.Service
+	records   *records.Writer
+	metrics   *metrics.Metrics
+	listeners listeners
+	driver    *driver
+	tree      *suture.Supervisor
 
 	callerServer *http.Server
 	leaving      atomic.Bool
@@ -80,8 +80,8 @@
 	traceFile *os.File
 }
 
-// ports are the listeners, bound before anything is announced.
-type ports struct{ callers, peers, operators net.Listener }
+// listeners are the listeners, bound before anything is announced.
+type listeners struct{ callers, peers, operators net.Listener }
 
 // New binds the addresses and builds the instance. Run starts it.
 func New(s settings.Settings, log *slog.Logger) (*Entry, error) {
@@ -97,7 +97,7 @@
 	if err := e.bind(); err != nil {
 		return nil, err
 	}
-	e.self = e.describe()
+	e.self = e.newInstance()
 	if e.client, err = client.New(s.Platform.URL, client.Settings{Timeout: platformTimeout}); err != nil {
 		return nil, err
 	}
@@ -109,27 +109,27 @@
 
 func (e *Entry) bind() error {
 	var err error
-	if e.ports.callers, err = net.Listen("tcp", e.settings.Callers.Listen); err != nil {
+	if e.listeners.callers, err = net.Listen("tcp", e.settings.Callers.Listen); err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
-	if e.ports.peers, err = net.Listen("tcp", e.settings.Peers.Listen); err != nil {
+	if e.listeners.peers, err = net.Listen("tcp", e.settings.Peers.Listen); err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
-	if e.ports.operators, err = net.Listen("tcp", e.settings.Operators.Listen); err != nil {
+	if e.listeners.operators, err = net.Listen("tcp", e.settings.Operators.Listen); err != nil {
 		return errors.Wrap(err, "listen for operators")
 	}
 	return nil
 }
 
-func (e *Entry) describe() storage.Instance {
+func (e *Entry) newInstance() storage.Instance {
 	return storage.Instance{
 		ID:              uuid.NewString(),
 		Kind:            storage.Entry,
 		DataCentre:      e.settings.DataCentre,
 		Region:          e.settings.Region,
-		Address:         advertised(e.settings.Callers.Advertise, e.ports.callers),
-		PeerAddress:     advertised(e.settings.Peers.Advertise, e.ports.peers),
-		OperatorAddress: advertised(e.settings.Operators.Advertise, e.ports.operators),
+		Address:         advertised(e.settings.Callers.Advertise, e.listeners.callers),
+		PeerAddress:     advertised(e.settings.Peers.Advertise, e.listeners.peers),
+		OperatorAddress: advertised(e.settings.Operators.Advertise, e.listeners.operators),
 		State:           storage.Live,
 	}
 }
@@ -143,7 +143,7 @@
 
 func (e *Entry) build(secret, token []byte) error {
 	nodeSettings := e.nodeSettings()
-	recorder, err := e.record(nodeSettings)
+	recorder, err := e.startTrace(nodeSettings)
 	if err != nil {
 		return err
 	}
@@ -157,14 +157,14 @@
 	e.sender = attempt.NewSender(attempt.Settings{
 		MaxBufferedBytes:     e.settings.Callers.MaxBufferedBytes,
 		ConnectTimeout:       connectTimeout,
-		IdleTimeout:          serverIdle,
+		IdleTimeout:          serverIdleTimeout,
 		ConnectionsPerServer: connectionsPerServer,
 	})
 	e.callers, err = callers.New(e.self.ID, callers.Settings{
 		MaxBufferedBytes:     e.settings.Callers.MaxBufferedBytes,
 		MaxBodyBytes:         e.settings.Callers.MaxBodyBytes,
 		WriteTimeout:         time.Duration(e.settings.Callers.WriteTimeout),
-		MaxStoredAnswerBytes: keptAnswer,
+		MaxStoredAnswerBytes: maxStoredAnswerBytes,
 	}, e.loop, e.sender, e.metrics, e.ready, e.records.Add, monotonic.Now)
 	if err != nil {
 		return err
@@ -175,11 +175,11 @@
 	e.driver.peers = peers.New(e.peers, e.loop, callTimeout)
 	e.driver.probes = newProber(e.sender, e.loop)
 	e.exportGauges()
-	return e.plant(secret, token)
+	return e.buildTree(secret, token)
 }
 
-// record begins the trace, if the settings ask for one.
-func (e *Entry) record(s node.Settings) (loop.Recorder, error) {
+// startTrace begins the trace, if the settings ask for one.
+func (e *Entry) startTrace(s node.Settings) (loop.Recorder, error) {
 	if e.settings.Trace.File == "" {
 		return nil, nil
 	}
--- a/entry/metrics/metrics.go
+++ b/entry/metrics/metrics.go
@@ -21,14 +21,14 @@
 
 // Metrics of one instance. Its methods are safe for concurrent use.
 type Metrics struct {
-	registry  *prometheus.Registry
-	answers   *prometheus.CounterVec
-	added     prometheus.Histogram
-	took      *prometheus.HistogramVec
-	attempts  *prometheus.CounterVec
-	ejections *prometheus.CounterVec
-	detection prometheus.Histogram
-	states    *prometheus.GaugeVec
+	registry     *prometheus.Registry
+	answers      *prometheus.CounterVec
+	added        prometheus.Histogram
+	duration     *prometheus.HistogramVec
+	attempts     *prometheus.CounterVec
+	ejections    *prometheus.CounterVec
+	detection    prometheus.Histogram
+	confirmation *prometheus.GaugeVec
 }
 
 // New returns metrics at zero.
@@ -44,7 +44,7 @@
 			Help:    "Time from a request's arrival to its answer's first byte, less the backend server's time.",
 			Buckets: prometheus.ExponentialBuckets(50e-6, 2, 14),
 		}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds",
 			Help:    "Time from a request's arrival to its end, by service.",
 			Buckets: prometheus.ExponentialBuckets(1e-3, 2, 14),
@@ -62,12 +62,12 @@
 			Help:    "Time from the first bad attempt reported against a backend server to its ejection, by the instance that had it ejected.",
 			Buckets: prometheus.ExponentialBuckets(0.125, 2, 12),
 		}),
-		states: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		confirmation: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "confirmation",
 			Help: "1 for what confirms that the configuration is the newest.",
 		}, []string{"state"}),
 	}
-	m.registry.MustRegister(m.answers, m.added, m.took, m.attempts, m.ejections, m.detection, m.states)
+	m.registry.MustRegister(m.answers, m.added, m.duration, m.attempts, m.ejections, m.detection, m.confirmation)
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
@@ -98,7 +98,7 @@
 // Recorded counts a request that has ended.
 func (m *Metrics) Recorded(r decision.Record) {
 	if r.Service != "" {
-		m.took.WithLabelValues(r.Service).Observe(r.Took.Seconds())
+		m.duration.WithLabelValues(r.Service).Observe(r.Took.Seconds())
 	}
 }
 
@@ -117,7 +117,7 @@
 	case node.NoteDetected:
 		m.detection.Observe(e.Took.Seconds())
 	case node.NoteConfirmation:
-		m.states.Reset()
-		m.states.WithLabelValues(e.Subject).Set(1)
+		m.confirmation.Reset()
+		m.confirmation.WithLabelValues(e.Subject).Set(1)
 	}
 }
--- a/entry/operators/convert.go
+++ b/entry/operators/convert.go
@@ -11,9 +11,9 @@
 		Instance:   s.Instance.ID,
 		DataCentre: s.Instance.DataCentre,
 		Region:     optString(s.Instance.Region),
-		Serving:    serving(s),
+		Serving:    servingToAPI(s),
 		Confirmation: oas.Confirmation{
-			Source:       source(s.Confirmation.State),
+			Source:       sourceToAPI(s.Confirmation.State),
 			AgeSeconds:   s.Confirmation.Age.Seconds(),
 			LimitSeconds: s.ConfigAgeLimit.Seconds(),
 		},
@@ -40,7 +40,7 @@
 	return out
 }
 
-func serving(s node.Status) oas.StatusServing {
+func servingToAPI(s node.Status) oas.StatusServing {
 	switch {
 	case s.Leaving:
 		return oas.StatusServingLeaving
--- a/entry/operators/operators.go
+++ b/entry/operators/operators.go
@@ -37,8 +37,8 @@
 
 // New returns the handler of the operator address: the API under /v1/ and the
 // metrics under /metrics, both for whoever presents the token.
-func New(instance string, token []byte, l Loop, k *records.Writer, metrics http.Handler) (http.Handler, error) {
-	s := &Service{instance: instance, loop: l, records: k}
+func New(instance string, token []byte, l Loop, w *records.Writer, metrics http.Handler) (http.Handler, error) {
+	s := &Service{instance: instance, loop: l, records: w}
 	check := operator.NewTokenCheck(string(token))
 	api, err := oas.NewServer(s, check)
 	if err != nil {
@@ -46,12 +46,12 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", api)
-	mux.Handle("GET /metrics", guarded(check, metrics))
+	mux.Handle("GET /metrics", requireToken(check, metrics))
 	return mux, nil
 }
 
-// guarded lets in who presents the operators' token, like the API.
-func guarded(check *operator.TokenCheck, h http.Handler) http.Handler {
+// requireToken lets in who presents the operators' token, like the API.
+func requireToken(check *operator.TokenCheck, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if _, err := check.HandleOperatorToken(r.Context(), "", oas.OperatorToken{Token: token}); err != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-func source(state membership.State) oas.ConfirmationSource {
+func sourceToAPI(state membership.State) oas.ConfirmationSource {
 	switch state {
 	case membership.ConfirmedByTable:
 		return oas.ConfirmationSourceTable
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	p.waiting[token] = reply
 	p.mu.Unlock()
-	defer p.drop(token)
+	defer p.removeWaiting(token)
 	p.loop.Submit(node.Called{Token: token, From: from, Request: request})
 	select {
 	case r := <-reply:
@@ -90,7 +90,7 @@
 	}
 }
 
-func (p *Peers) drop(token uint64) {
+func (p *Peers) removeWaiting(token uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, token)
--- a/entry/probe.go
+++ b/entry/probe.go
@@ -16,9 +16,9 @@
 // while they fail real requests, and one that came back by its report would
 // be ejected again after it has failed callers again.
 type prober struct {
-	sender *attempt.Sender
-	loop   interface{ Submit(node.Event) }
-	number atomic.Uint64
+	sender     *attempt.Sender
+	loop       interface{ Submit(node.Event) }
+	lastNumber atomic.Uint64
 }
 
 func newProber(s *attempt.Sender, l interface{ Submit(node.Event) }) *prober {
@@ -28,7 +28,7 @@
 // start carries out the effect. It doesn't block. Each probe has an id of its
 // own, so that a late answer to the one before doesn't count for it.
 func (p *prober) start(e node.StartProbe) {
-	id := "probe." + e.Probe.Server + "." + strconv.FormatUint(p.number.Add(1), 10)
+	id := "probe." + e.Probe.Server + "." + strconv.FormatUint(p.lastNumber.Add(1), 10)
 	go func() {
 		o := p.sender.Send(context.Background(), attempt.Request{
 			Attempt: id,
--- a/entry/records/records.go
+++ b/entry/records/records.go
@@ -15,43 +15,43 @@
 
 // Writer is the instance's buffer of records with its way to the store.
 type Writer struct {
-	objects storage.Objects
-	every   time.Duration
-	log     *slog.Logger
+	objects  storage.Objects
+	interval time.Duration
+	log      *slog.Logger
 
-	mu      sync.Mutex
-	buffer  *decision.Buffer
-	dropped uint64
+	mu            sync.Mutex
+	buffer        *decision.Buffer
+	loggedDropped uint64
 }
 
 // New returns a Keeper that writes a batch at most as often as every.
 func New(b *decision.Buffer, o storage.Objects, every time.Duration, log *slog.Logger) *Writer {
-	return &Writer{objects: o, every: every, log: log, buffer: b}
+	return &Writer{objects: o, interval: every, log: log, buffer: b}
 }
 
 // Add takes a record. It doesn't block.
-func (k *Writer) Add(r decision.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.buffer.Add(r)
+func (w *Writer) Add(r decision.Record) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.buffer.Add(r)
 }
 
 // Search returns the records in memory that match, newest first.
-func (k *Writer) Search(q decision.Query) (found []decision.Record, dropped uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.buffer.Search(q), k.buffer.Dropped()
+func (w *Writer) Search(q decision.Query) (found []decision.Record, dropped uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buffer.Search(q), w.buffer.Dropped()
 }
 
 // Serve writes batches until ctx ends. It implements suture.Service. What is
 // left then is for Flush.
-func (k *Writer) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(k.every)
+func (w *Writer) Serve(ctx context.Context) error {
+	ticker := time.NewTicker(w.interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			k.flush(ctx)
+			w.flush(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -59,54 +59,54 @@
 }
 
 // Flush writes what no batch holds yet, within the context's time.
-func (k *Writer) Flush(ctx context.Context) { k.flush(ctx) }
+func (w *Writer) Flush(ctx context.Context) { w.flush(ctx) }
 
-func (k *Writer) flush(ctx context.Context) {
-	for ctx.Err() == nil && k.storeNext(ctx) {
+func (w *Writer) flush(ctx context.Context) {
+	for ctx.Err() == nil && w.storeNext(ctx) {
 	}
-	k.noteDropped()
+	w.logDropped()
 }
 
 // storeNext stores one batch. It returns false if there is none, or if the
 // object store didn't take it; the same batch is then tried again later. The
 // batch is encoded outside the lock: that takes milliseconds, and Add is
 // called on the loop's goroutine.
-func (k *Writer) storeNext(ctx context.Context) bool {
-	cut, ok := k.take()
+func (w *Writer) storeNext(ctx context.Context) bool {
+	cut, ok := w.nextBatch()
 	if !ok {
 		return false
 	}
 	batch, err := cut.Encode()
 	if err != nil {
-		k.settle(func() { k.buffer.Discard(cut.Name) })
+		w.withLock(func() { w.buffer.Discard(cut.Name) })
 		return true
 	}
-	if k.objects.Put(ctx, batch.Name, batch.Data) != nil {
+	if w.objects.Put(ctx, batch.Name, batch.Data) != nil {
 		return false
 	}
-	k.settle(func() { k.buffer.MarkStored(batch.Name) })
+	w.withLock(func() { w.buffer.MarkStored(batch.Name) })
 	return true
 }
 
-func (k *Writer) take() (decision.UnencodedBatch, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.buffer.NextBatch()
+func (w *Writer) nextBatch() (decision.UnencodedBatch, bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buffer.NextBatch()
 }
 
-func (k *Writer) settle(f func()) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (w *Writer) withLock(f func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	f()
 }
 
-func (k *Writer) noteDropped() {
-	k.mu.Lock()
-	total := k.buffer.Dropped()
-	fresh := total - k.dropped
-	k.dropped = total
-	k.mu.Unlock()
+func (w *Writer) logDropped() {
+	w.mu.Lock()
+	total := w.buffer.Dropped()
+	fresh := total - w.loggedDropped
+	w.loggedDropped = total
+	w.mu.Unlock()
 	if fresh > 0 {
-		event.RecordsDropped.Log(k.log, slog.Uint64("count", fresh))
+		event.RecordsDropped.Log(w.log, slog.Uint64("count", fresh))
 	}
 }
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// handOverCheck is how often a stopping instance looks whether its parts
+	// handOverPollInterval is how often a stopping instance looks whether its parts
 	// and its seat have gone to others.
-	handOverCheck = 50 * time.Millisecond
-	// lastWords bounds the last batch of records and the last announcement.
-	lastWords = 2 * time.Second
+	handOverPollInterval = 50 * time.Millisecond
+	// finalCallTimeout bounds the last batch of records and the last announcement.
+	finalCallTimeout = 2 * time.Second
 )
 
 // stop is the planned stop. The order matters: the instance first leaves the
@@ -25,7 +25,7 @@
 func (e *Entry) stop(ended <-chan struct{}) {
 	event.Stopping.Log(e.log, slog.String("instance", e.self.ID))
 	e.leaving.Store(true)
-	e.tell(storage.Leaving)
+	e.announceState(storage.Leaving)
 	e.loop.Submit(node.LeaveRequested{})
 	select {
 	case <-time.After(time.Duration(e.settings.Fleet.LocateTTL)):
@@ -34,17 +34,17 @@
 	}
 	e.awaitHandOver()
 	cut := e.finishRequests()
-	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+	ctx, cancel := context.WithTimeout(context.Background(), finalCallTimeout)
 	defer cancel()
 	e.records.Flush(ctx)
-	e.tell(storage.Ended)
+	e.announceState(storage.Ended)
 	event.Stopped.Log(e.log, slog.String("instance", e.self.ID), slog.Int("cut", cut))
 }
 
-// tell announces a state once. A lost announcement is made good by the
+// announceState announces a state once. A lost announcement is made good by the
 // announcer, or by the platform noticing that the instance is silent.
-func (e *Entry) tell(state storage.State) {
-	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+func (e *Entry) announceState(state storage.State) {
+	ctx, cancel := context.WithTimeout(context.Background(), finalCallTimeout)
 	defer cancel()
 	self := e.self
 	self.State = state
@@ -61,7 +61,7 @@
 		if done {
 			return
 		}
-		time.Sleep(handOverCheck)
+		time.Sleep(handOverPollInterval)
 	}
 }
 
@@ -74,7 +74,7 @@
 	cut := e.callers.Drain(ctx)
 	if cut > 0 {
 		// Callers that still wait are told how their requests ended.
-		ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+		ctx, cancel := context.WithTimeout(context.Background(), finalCallTimeout)
 		defer cancel()
 		_ = e.callerServer.Shutdown(ctx)
 	}
--- a/entry/store/store.go
+++ b/entry/store/store.go
@@ -26,10 +26,10 @@
 	log       *slog.Logger
 	timeout   time.Duration
 
-	away   atomic.Bool
-	reads  atomic.Uint64
-	writes atomic.Uint64
-	wg     sync.WaitGroup
+	unavailable atomic.Bool
+	reads       atomic.Uint64
+	writes      atomic.Uint64
+	wg          sync.WaitGroup
 }
 
 // New returns a Store whose calls end after the timeout.
@@ -48,7 +48,7 @@
 	s.reads.Add(1)
 	s.run(func(ctx context.Context) {
 		changes, err := s.table.Read(ctx, e.Read)
-		s.note(err)
+		s.logOutage(err)
 		s.loop.Submit(node.TableRead{ID: e.ID, Changes: changes, OK: err == nil})
 	})
 }
@@ -83,12 +83,12 @@
 	})
 }
 
-// note logs the beginning and the end of an outage, not every failed read.
-func (s *Store) note(err error) {
+// logOutage logs the beginning and the end of an outage, not every failed read.
+func (s *Store) logOutage(err error) {
 	switch away := err != nil; {
-	case away && !s.away.Swap(true):
+	case away && !s.unavailable.Swap(true):
 		event.PlatformUnavailable.Log(s.log, slog.String("error", err.Error()))
-	case !away && s.away.Swap(false):
+	case !away && s.unavailable.Swap(false):
 		event.PlatformReturned.Log(s.log)
 	}
 }
--- a/entry/tree.go
+++ b/entry/tree.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// greeting bounds a peer's handshake.
-	greeting = time.Second
+	// handshakeTimeout bounds a peer's handshake.
+	handshakeTimeout = time.Second
 	// maxOperatorConnections bounds the connections of operators.
 	maxOperatorConnections = 64
 )
 
-// plant puts the children into the tree.
-func (e *Entry) plant(secret, token []byte) error {
+// buildTree puts the children into the tree.
+func (e *Entry) buildTree(secret, token []byte) error {
 	e.tree = suture.New("entry", suture.Spec{EventHook: e.logFailure, Timeout: 5 * time.Second})
-	server, err := peer.NewServer(secret, e.settings.Peers.MaxConnections, greeting, e.driver.peers.Handle)
+	server, err := peer.NewServer(secret, e.settings.Peers.MaxConnections, handshakeTimeout, e.driver.peers.Handle)
 	if err != nil {
 		return err
 	}
@@ -42,18 +42,18 @@
 	}
 	e.callerServer = e.httpServer(e.callers)
 	e.tree.Add(child{"loop", e.serveLoop})
-	e.tree.Add(child{"peers", func(ctx context.Context) error { return server.Serve(ctx, e.ports.peers) }})
+	e.tree.Add(child{"peers", func(ctx context.Context) error { return server.Serve(ctx, e.listeners.peers) }})
 	e.tree.Add(child{"callers", func(ctx context.Context) error {
-		l := netutil.LimitListener(e.ports.callers, e.settings.Callers.MaxConnections)
+		l := netutil.LimitListener(e.listeners.callers, e.settings.Callers.MaxConnections)
 		return serveHTTP(ctx, e.callerServer, l)
 	}})
 	e.tree.Add(child{"operators", func(ctx context.Context) error {
-		l := netutil.LimitListener(e.ports.operators, maxOperatorConnections)
+		l := netutil.LimitListener(e.listeners.operators, maxOperatorConnections)
 		return serveHTTP(ctx, e.httpServer(operatorAPI), l)
 	}})
 	e.tree.Add(child{"announcer", e.announce})
 	e.tree.Add(child{"records", e.records.Serve})
-	e.tree.Add(child{"sweeper", e.sweep})
+	e.tree.Add(child{"sweeper", e.closeIdlePeers})
 	return nil
 }
 
@@ -113,7 +113,7 @@
 		case errors.Is(err, client.ErrEnded):
 			return suture.ErrTerminateSupervisorTree
 		case err != nil:
-			pause = min(pause, announceRetry)
+			pause = min(pause, announceRetryInterval)
 		}
 		select {
 		case <-time.After(pause):
@@ -123,10 +123,10 @@
 	}
 }
 
-// announceRetry is the pause after an announcement without an answer. Waiting
+// announceRetryInterval is the pause after an announcement without an answer. Waiting
 // for the next regular one could let the platform take a working instance for
 // ended.
-const announceRetry = time.Second
+const announceRetryInterval = time.Second
 
 func (e *Entry) announced() storage.Instance {
 	self := e.self
@@ -136,14 +136,14 @@
 	return self
 }
 
-// sweep closes connections to instances that aren't called any more.
-func (e *Entry) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(peerIdle)
+// closeIdlePeers closes connections to instances that aren't called any more.
+func (e *Entry) closeIdlePeers(ctx context.Context) error {
+	ticker := time.NewTicker(peerIdleTimeout)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			e.peers.CloseIdle(peerIdle)
+			e.peers.CloseIdle(peerIdleTimeout)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
