--- a/entry/driver.go
+++ b/entry/driver.go
@@ -13,7 +13,7 @@
 	"foxtailspoke/node"
 )
 
-// driver carries out a node's effects. None of them blocks.
+// driver executes a node's effects. No method blocks.
 type driver struct {
 	log     *slog.Logger
 	metrics *metrics.Metrics
@@ -67,7 +67,7 @@
 func (d *driver) logNote(e node.Noted) {
 	logged, ok := noteEvents[e.Note]
 	if !ok {
-		return // only counted
+		return // exported as a metric only
 	}
 	logged.Log(d.log, slog.String("subject", e.Subject), slog.String("detail", e.Detail))
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,10 +1,11 @@
-// Package entry is the daemon as a library: a supervisor tree that drives one
-// node and connects it with callers, backend servers, other entry instances,
-// the platform and operators.
+// Package entry implements the entry daemon as a library: a supervisor tree
+// that drives one node and connects it with callers, backend servers, other
+// entry instances, the platform and operators.
 //
-// Each folder below is one child of the tree or one of its tools. The loop is
-// the only child that isn't restarted: if its node breaks an invariant, the
-// process ends and the platform replaces the instance.
+// Each subpackage implements one child of the tree or a component that
+// children use. The event loop is the only child that isn't restarted after a
+// panic: if its node violates an invariant, the process exits and the platform
+// replaces the instance.
 package entry
 
 import (
@@ -45,19 +46,21 @@
 	callTimeout = 250 * time.Millisecond
 	// platformTimeout bounds a call to the platform.
 	platformTimeout = time.Second
-	// peerIdleTimeout closes connections to instances that weren't called lately.
+	// peerIdleTimeout is how long an unused connection to another instance
+	// stays open.
 	peerIdleTimeout = time.Minute
-	// maxStoredAnswerBytes bounds the answer that is kept for repeats, in bytes.
+	// maxStoredAnswerBytes bounds the answer stored for repeated requests.
 	maxStoredAnswerBytes = 64 << 10
-	// connectTimeout bounds the making of a connection to a backend server.
+	// connectTimeout bounds connecting to a backend server.
 	connectTimeout = 250 * time.Millisecond
-	// serverIdleTimeout closes unused connections to backend servers.
+	// serverIdleTimeout is how long an unused connection to a backend server
+	// stays open.
 	serverIdleTimeout = 30 * time.Second
-	// connectionsPerServer bounds the connections to one backend server.
+	// connectionsPerServer limits the connections to one backend server.
 	connectionsPerServer = 64
 )
 
-// Entry is one instance.
+// Entry is one entry instance.
 type Entry struct {
 	settings settings.Settings
 	log      *slog.Logger
@@ -76,14 +79,14 @@
 
 	callerServer *http.Server
 	leaving      atomic.Bool
-	// traceFile is nil without a trace.
+	// traceFile is nil if tracing is disabled.
 	traceFile *os.File
 }
 
-// listeners are the listeners, bound before anything is announced.
+// listeners are bound before the instance is announced.
 type listeners struct{ callers, peers, operators net.Listener }
 
-// New binds the addresses and builds the instance. Run starts it.
+// New binds the listeners and builds the instance. Run starts it.
 func New(s settings.Settings, log *slog.Logger) (*Entry, error) {
 	secret, err := settings.ReadSecret(s.Peers.SecretFile)
 	if err != nil {
@@ -104,7 +107,7 @@
 	return e, e.build(secret, token)
 }
 
-// Addresses returns where the instance listens, for scripts and tests.
+// Addresses returns the instance's description with its advertised addresses.
 func (e *Entry) Addresses() storage.Instance { return e.self }
 
 func (e *Entry) bind() error {
@@ -178,7 +181,8 @@
 	return e.buildTree(secret, token)
 }
 
-// startTrace begins the trace, if the settings ask for one.
+// startTrace opens the trace file and returns its recorder, or nil if tracing
+// is disabled.
 func (e *Entry) startTrace(s node.Settings) (loop.Recorder, error) {
 	if e.settings.Trace.File == "" {
 		return nil, nil
@@ -191,7 +195,7 @@
 	return trace.NewRecorder(f, e.settings.Trace.MaxBytes, s)
 }
 
-// nodeSettings translates the settings of the process for the node.
+// nodeSettings derives the node's settings from those of the process.
 func (e *Entry) nodeSettings() node.Settings {
 	s := node.DefaultSettings()
 	s.Self = e.self
@@ -215,8 +219,9 @@
 	return rule, ready
 }
 
-// Run serves until ctx ends, then stops as planned: it cuts no request. The
-// error is nil after a planned stop.
+// Run serves until ctx is done and then performs a planned stop, which waits
+// for requests in progress up to the stop timeout. The error is nil after a
+// planned stop.
 func (e *Entry) Run(ctx context.Context) error {
 	treeCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -235,7 +240,7 @@
 	select {
 	case <-ended:
 		e.close()
-		return errors.Wrap(treeErr, "entry: a part that can't be restarted has ended")
+		return errors.Wrap(treeErr, "entry: supervisor tree terminated")
 	case <-ctx.Done():
 	}
 	e.stop(ended)
@@ -245,7 +250,8 @@
 	return nil
 }
 
-// close ends what outlives the tree: connections to others, and the trace.
+// close releases resources that outlive the tree: client connections and the
+// trace file.
 func (e *Entry) close() {
 	e.peers.Close()
 	e.sender.Close()
--- a/entry/metrics/metrics.go
+++ b/entry/metrics/metrics.go
@@ -1,8 +1,8 @@
-// Package metrics counts what an instance does, for Prometheus.
+// Package metrics exports the Prometheus metrics of an instance.
 //
-// No label is a workspace: at 55,000 workspaces that would be millions of
-// series. How single workspaces fare is in the decision records and in the
-// operators' status.
+// No metric has a workspace label: with 55,000 workspaces that would create
+// millions of series. Per-workspace results are in the decision records and
+// in the operator API's status.
 package metrics
 
 import (
@@ -19,7 +19,7 @@
 
 const namespace = "foxtailspoke"
 
-// Metrics of one instance. Its methods are safe for concurrent use.
+// Metrics holds the metrics of one instance. It is safe for concurrent use.
 type Metrics struct {
 	registry     *prometheus.Registry
 	answers      *prometheus.CounterVec
@@ -31,7 +31,7 @@
 	confirmation *prometheus.GaugeVec
 }
 
-// New returns metrics at zero.
+// New returns Metrics with all series registered.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -72,17 +72,17 @@
 	return m
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that exposes the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Gauge adds a value that is read when the metrics are asked for.
+// Gauge registers a gauge whose value is read on each scrape.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Counter adds a rising value that is read when the metrics are asked for.
+// Counter registers a counter whose value is read on each scrape.
 func (m *Metrics) Counter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
@@ -95,19 +95,20 @@
 // Added implements callers.Metrics.
 func (m *Metrics) Added(d time.Duration) { m.added.Observe(d.Seconds()) }
 
-// Recorded counts a request that has ended.
+// Recorded observes the duration of a completed request. Requests without a
+// service are not counted.
 func (m *Metrics) Recorded(r decision.Record) {
 	if r.Service != "" {
 		m.duration.WithLabelValues(r.Service).Observe(r.Took.Seconds())
 	}
 }
 
-// Attempt counts an attempt that has ended.
+// Attempt counts a completed attempt.
 func (m *Metrics) Attempt(service, result string) {
 	m.attempts.WithLabelValues(service, result).Inc()
 }
 
-// Noted counts what the node noted.
+// Noted updates the metrics for a note of the node.
 func (m *Metrics) Noted(e node.Noted) {
 	switch e.Note {
 	case node.NoteEjected:
--- a/entry/operators/operators.go
+++ b/entry/operators/operators.go
@@ -19,16 +19,17 @@
 	"foxtailspoke/storage"
 )
 
-// ErrStopped reports that the instance doesn't answer any more.
+// ErrStopped reports that the instance's event loop has stopped.
 var ErrStopped = errors.New("operators: the instance has stopped")
 
-// Loop gives access to the node.
+// Loop runs functions on the node's event loop. Its methods return false once
+// the loop has stopped.
 type Loop interface {
 	Do(func(n *node.Node, now time.Duration)) bool
 	DoAndDispatch(func(n *node.Node, now time.Duration) []node.Effect) bool
 }
 
-// Service implements the generated interfaces.
+// Service implements the generated operator API.
 type Service struct {
 	instance string
 	loop     Loop
@@ -36,7 +37,7 @@
 }
 
 // New returns the handler of the operator address: the API under /v1/ and the
-// metrics under /metrics, both for whoever presents the token.
+// metrics under /metrics. Both require the bearer token.
 func New(instance string, token []byte, l Loop, w *records.Writer, metrics http.Handler) (http.Handler, error) {
 	s := &Service{instance: instance, loop: l, records: w}
 	check := operator.NewTokenCheck(string(token))
@@ -50,7 +51,8 @@
 	return mux, nil
 }
 
-// requireToken lets in who presents the operators' token, like the API.
+// requireToken rejects requests without the operators' bearer token, using the
+// same check as the API.
 func requireToken(check *operator.TokenCheck, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -74,8 +76,8 @@
 	return out, nil
 }
 
-// GetInForce implements oas.Handler. It starts finding out, and says what is
-// known by now; operators ask again.
+// GetInForce implements oas.Handler. It starts collecting confirmations and
+// returns those known so far; operators poll until the result is complete.
 func (s *Service) GetInForce(_ context.Context, p oas.GetInForceParams) (*oas.InForce, error) {
 	revision := storage.Revision(p.Revision)
 	out := &oas.InForce{Revision: p.Revision, KnownBy: []string{}, Missing: []string{}}
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers connects a node with the nodes of other instances: it carries
-// out its calls and hands it theirs.
+// Package peers carries calls between the node of this instance and the nodes
+// of other instances.
 package peers
 
 import (
@@ -13,10 +13,11 @@
 	"foxtailspoke/peer"
 )
 
-// Submitter takes events for the node.
+// Submitter queues events for the node.
 type Submitter interface{ Submit(node.Event) }
 
-// Peers is an instance's connection with the others.
+// Peers sends the node's calls to other instances and passes incoming calls to
+// the node.
 type Peers struct {
 	client  *peer.Client
 	loop    Submitter
@@ -28,17 +29,18 @@
 	wg      sync.WaitGroup
 }
 
-// New returns the connection. A call that has no reply within the timeout
-// ends without one.
+// New returns a Peers. Calls in both directions fail if there is no reply
+// within the timeout.
 func New(client *peer.Client, loop Submitter, timeout time.Duration) *Peers {
 	return &Peers{client: client, loop: loop, timeout: timeout, waiting: map[uint64]chan node.ReplyCall{}}
 }
 
-// Wait returns when no call is under way.
+// Wait blocks until no outgoing call is in progress.
 func (p *Peers) Wait() { p.wg.Wait() }
 
-// Call carries out the effect: it sends the request to the instance's peer
-// address. Without an address the call ends at once. It doesn't block.
+// Call executes the effect: it sends the request to the instance's peer
+// address and submits the result to the node. With an empty address the call
+// fails immediately. It doesn't block.
 func (p *Peers) Call(e effect.Call, address string) {
 	p.wg.Go(func() {
 		ended := node.CallEnded{ID: e.ID}
@@ -60,7 +62,8 @@
 	return r, ok
 }
 
-// Handle is the peer.Handler of the instance.
+// Handle implements peer.Handler. It blocks until the node replies or the
+// timeout expires.
 func (p *Peers) Handle(from string, body any) (any, bool) {
 	request, ok := body.(node.PeerRequest)
 	if !ok {
@@ -81,7 +84,8 @@
 	}
 }
 
-// Reply carries out the effect. It doesn't block.
+// Reply executes the effect: it answers an incoming call. Replies after the
+// timeout are discarded. It doesn't block.
 func (p *Peers) Reply(e node.ReplyCall) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/probe.go
+++ b/entry/probe.go
@@ -11,10 +11,10 @@
 	"foxtailspoke/node"
 )
 
-// prober sends probes to ejected backend servers. A probe is a request like a
-// caller's, to the service's own path: servers go on reporting good health
-// while they fail real requests, and one that came back by its report would
-// be ejected again after it has failed callers again.
+// prober sends probes to ejected backend servers. A probe is an ordinary
+// request to a path of the service, not to the health endpoint: a server may
+// report good health while it fails real requests, and if it were reinstated
+// on its report, it would fail callers again before its next ejection.
 type prober struct {
 	sender     *attempt.Sender
 	loop       interface{ Submit(node.Event) }
@@ -25,8 +25,8 @@
 	return &prober{sender: s, loop: l}
 }
 
-// start carries out the effect. It doesn't block. Each probe has an id of its
-// own, so that a late answer to the one before doesn't count for it.
+// start executes the effect. It doesn't block. Each probe has a unique ID, so
+// that a late answer to an earlier probe isn't attributed to it.
 func (p *prober) start(e node.StartProbe) {
 	id := "probe." + e.Probe.Server + "." + strconv.FormatUint(p.lastNumber.Add(1), 10)
 	go func() {
--- a/entry/records/records.go
+++ b/entry/records/records.go
@@ -1,5 +1,5 @@
-// Package records keeps an instance's decision records and writes them to the
-// object store in batches.
+// Package records buffers an instance's decision records and writes them to
+// the object store in batches.
 package records
 
 import (
@@ -13,7 +13,8 @@
 	"foxtailspoke/storage"
 )
 
-// Writer is the instance's buffer of records with its way to the store.
+// Writer buffers decision records in memory and writes them to the object
+// store. It is safe for concurrent use.
 type Writer struct {
 	objects  storage.Objects
 	interval time.Duration
@@ -25,26 +26,27 @@
 }
 
 // New returns a Keeper that writes a batch at most as often as every.
-func New(b *decision.Buffer, o storage.Objects, every time.Duration, log *slog.Logger) *Writer {
-	return &Writer{objects: o, interval: every, log: log, buffer: b}
+func New(b *decision.Buffer, o storage.Objects, interval time.Duration, log *slog.Logger) *Writer {
+	return &Writer{objects: o, interval: interval, log: log, buffer: b}
 }
 
-// Add takes a record. It doesn't block.
+// Add buffers a record. It performs no I/O.
 func (w *Writer) Add(r decision.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.buffer.Add(r)
 }
 
-// Search returns the records in memory that match, newest first.
+// Search returns the buffered records that match, newest first, and the total
+// number of dropped records.
 func (w *Writer) Search(q decision.Query) (found []decision.Record, dropped uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buffer.Search(q), w.buffer.Dropped()
 }
 
-// Serve writes batches until ctx ends. It implements suture.Service. What is
-// left then is for Flush.
+// Serve writes batches until ctx is done. It implements suture.Service.
+// Records that are still pending then are written by Flush.
 func (w *Writer) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(w.interval)
 	defer ticker.Stop()
@@ -58,7 +60,7 @@
 	}
 }
 
-// Flush writes what no batch holds yet, within the context's time.
+// Flush writes all pending records until ctx is done.
 func (w *Writer) Flush(ctx context.Context) { w.flush(ctx) }
 
 func (w *Writer) flush(ctx context.Context) {
@@ -67,18 +69,18 @@
 	w.logDropped()
 }
 
-// storeNext stores one batch. It returns false if there is none, or if the
-// object store didn't take it; the same batch is then tried again later. The
-// batch is encoded outside the lock: that takes milliseconds, and Add is
-// called on the loop's goroutine.
+// storeNext stores one batch. It returns false if there is none or if the
+// write to the object store failed; the same batch is then retried later. The
+// batch is encoded outside the lock because encoding takes milliseconds and
+// Add is called on the event loop's goroutine.
 func (w *Writer) storeNext(ctx context.Context) bool {
-	cut, ok := w.nextBatch()
+	unencoded, ok := w.nextBatch()
 	if !ok {
 		return false
 	}
-	batch, err := cut.Encode()
+	batch, err := unencoded.Encode()
 	if err != nil {
-		w.withLock(func() { w.buffer.Discard(cut.Name) })
+		w.withLock(func() { w.buffer.Discard(unencoded.Name) })
 		return true
 	}
 	if w.objects.Put(ctx, batch.Name, batch.Data) != nil {
@@ -103,10 +105,10 @@
 func (w *Writer) logDropped() {
 	w.mu.Lock()
 	total := w.buffer.Dropped()
-	fresh := total - w.loggedDropped
+	newlyDropped := total - w.loggedDropped
 	w.loggedDropped = total
 	w.mu.Unlock()
-	if fresh > 0 {
-		event.RecordsDropped.Log(w.log, slog.Uint64("count", fresh))
+	if newlyDropped > 0 {
+		event.RecordsDropped.Log(w.log, slog.Uint64("count", newlyDropped))
 	}
 }
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings of an entry instance: what a process
-// needs to know before it starts, in JSON with comments. What operators
-// change while it runs, the lists and the keys, is in the platform's table.
+// Package settings reads the start-up settings of an entry instance from JSON
+// with comments. Configuration that operators change at run time, the lists
+// and the keys, is in the platform's table.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"foxtailspoke/config"
 )
 
-// Settings of one entry instance.
+// Settings configure one entry instance.
 type Settings struct {
 	// DataCentre and Region that the instance runs in. Required.
 	DataCentre string `json:"dataCentre"`
@@ -33,12 +33,12 @@
 	Trace     Trace     `json:"trace"`
 }
 
-// Callers is the service for callers.
+// Callers configures the listener for callers.
 type Callers struct {
-	// Listen is "ip:port"; port 0 takes a free one. Required.
+	// Listen is "ip:port"; port 0 selects a free port. Required.
 	Listen string `json:"listen"`
-	// Advertise is what callers and other instances connect to, if it isn't
-	// the address that is listened on.
+	// Advertise is the address that callers and other instances connect to.
+	// Default is the listen address.
 	Advertise string `json:"advertise"`
 	// MaxConnections bounds the connections of all callers. Default 4096.
 	MaxConnections int `json:"maxConnections"`
@@ -46,98 +46,100 @@
 	MaxHeaderBytes int `json:"maxHeaderBytes"`
 	// MaxBodyBytes bounds a request's body. Default 67108864 (64 MiB).
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
-	// MaxBufferedBytes of a body or an answer are held in memory, so that a request
-	// can be sent again, and no half answer goes out. Default 262144.
+	// MaxBufferedBytes of a request body or an answer are buffered in memory,
+	// so that a request can be retried and no truncated answer is sent.
+	// Default 262144.
 	MaxBufferedBytes int64 `json:"holdBytes"`
 	// HeaderTimeout bounds the reading of a request's headers. Default "5s".
 	HeaderTimeout config.Duration `json:"headerTimeout"`
 	// ReadTimeout bounds the reading of a whole request. Default "60s".
 	ReadTimeout config.Duration `json:"readTimeout"`
-	// WriteTimeout is how long a caller may take nothing of its answer before
+	// WriteTimeout is how long a caller may read nothing of its answer before
 	// the connection is closed. Default "30s".
 	WriteTimeout config.Duration `json:"writeTimeout"`
-	// IdleTimeout closes connections without a request. Default "90s".
+	// IdleTimeout is how long a connection without a request stays open. Default "90s".
 	IdleTimeout config.Duration `json:"idleTimeout"`
 }
 
-// Peers is the service for other entry instances.
+// Peers configures the listener for other entry instances.
 type Peers struct {
 	// Listen and Advertise as for callers. Listen is required.
 	Listen    string `json:"listen"`
 	Advertise string `json:"advertise"`
-	// SecretFile holds the secret that all instances share, at least 16
-	// bytes. Required.
+	// SecretFile is a file with the secret that all instances share, at least
+	// 16 bytes. Required.
 	SecretFile string `json:"secretFile"`
 	// MaxConnections bounds the connections of other instances. Default 4096.
 	MaxConnections int `json:"maxConnections"`
-	// Seeds are peer addresses of instances that probably run. They let this
-	// instance start while the platform is away. Default none.
+	// Seeds are peer addresses of instances that are expected to run. They let
+	// this instance start while the platform is unavailable. Default none.
 	Seeds []string `json:"seeds"`
 }
 
-// Operators is the service for operators, with the metrics.
+// Operators configures the listener for the operator API and the metrics.
 type Operators struct {
 	// Listen and Advertise as for callers. Listen is required.
 	Listen    string `json:"listen"`
 	Advertise string `json:"advertise"`
-	// TokenFile holds the token that operators present. Required.
+	// TokenFile is a file with the bearer token of the operator API, at least
+	// 16 bytes. Required.
 	TokenFile string `json:"tokenFile"`
 }
 
-// Platform is how to reach the platform.
+// Platform configures access to the platform.
 type Platform struct {
 	// URL such as "http://10.0.0.1:7000". Required.
 	URL string `json:"url"`
-	// AnnounceEvery is the time between two announcements. It must be well
-	// below the silence after which the platform takes an instance for ended.
-	// At 2,000 instances "10s" makes 200 announcements a second. Default "10s".
+	// AnnounceEvery is the interval between announcements. It must be well
+	// below the time after which the platform lists a silent instance as
+	// ended. With 2,000 instances "10s" makes 200 announcements per second. Default "10s".
 	AnnounceEvery config.Duration `json:"announceEvery"`
-	// RecordsEvery is the time between two batches of decision records.
+	// RecordsEvery is the interval between writes of decision records.
 	// Default "60s".
 	RecordsEvery config.Duration `json:"recordsEvery"`
 }
 
-// Fleet must be the same on every instance.
+// Fleet holds the settings that must be the same on every instance.
 type Fleet struct {
-	// Shards of workspaces. Default 64; 1024 for 2,000 instances.
+	// Shards is the number of workspace shards. Default 64; 1024 for 2,000 instances.
 	Shards int `json:"shards"`
-	// MaxConfigAge is how old the proof of the newest configuration may be. A
-	// change is in force everywhere a little more than this after a majority
-	// of the witnesses know it. Default "2s".
+	// MaxConfigAge is the maximum age of the confirmation that the
+	// configuration is the newest. A change is in force everywhere slightly
+	// later than this after a majority of the witnesses know it. Default "2s".
 	MaxConfigAge config.Duration `json:"fresh"`
-	// LocateTTL is how long callers may keep an answer of locate. A planned
-	// stop takes at least as long. Default "30s".
+	// LocateTTL is how long callers may cache a locate answer. A planned stop
+	// takes at least this long. Default "30s".
 	LocateTTL config.Duration `json:"locateTTL"`
-	// LocateAddresses is how many addresses such an answer names. Default 4.
+	// LocateAddresses is the number of addresses in a locate answer. Default 4.
 	LocateAddresses int `json:"locateAddresses"`
 }
 
-// Stop is the planned stop.
+// Stop configures the planned stop.
 type Stop struct {
-	// Timeout bounds the wait for requests in progress after callers have
-	// stopped to come. Default "30s".
+	// Timeout bounds the wait for the hand-over to other instances, and then
+	// the wait for requests in progress. Default "30s".
 	Timeout config.Duration `json:"patience"`
 }
 
-// Log is what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error". Default "info".
 	Level string `json:"level"`
 }
 
-// Trace is the recording of what the instance decides, for replay. The file
-// has to be kept like a secret.
+// Trace configures the recording of the node's events and effects for replay.
+// The file must be protected like a secret.
 type Trace struct {
-	// File to write; nothing is recorded without it.
+	// File is the path of the trace; if it is empty, nothing is recorded.
 	File string `json:"file"`
 	// MaxBytes bounds the file. Default 67108864 (64 MiB).
 	MaxBytes int64 `json:"maxBytes"`
 }
 
-// minSecret is the least length of the shared secret, in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of a secret or token.
+const minSecretBytes = 16
 
-// Default returns the settings that a file's values replace.
+// Default returns the settings used for fields that a file doesn't set.
 func Default() Settings {
 	return Settings{
 		Callers: Callers{
@@ -165,7 +167,7 @@
 	}
 }
 
-// Load reads and checks a file. The error names every fault.
+// Load reads and validates a file. The error lists every invalid field.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -175,24 +177,24 @@
 	return s, errors.Wrapf(err, "settings %s", file)
 }
 
-// Parse reads and checks settings in JSON with comments.
+// Parse decodes and validates settings in JSON with comments.
 func Parse(data []byte) (Settings, error) {
 	standard, err := hujson.Standardize(data)
 	if err != nil {
-		return Settings{}, errors.Wrap(err, "not JSON with comments")
+		return Settings{}, errors.Wrap(err, "parse JSON with comments")
 	}
 	s := Default()
 	decoder := json.NewDecoder(bytes.NewReader(standard))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return Settings{}, errors.Wrap(err, "not the expected fields")
+		return Settings{}, errors.Wrap(err, "decode fields")
 	}
 	return s, s.Check()
 }
 
-// Check returns an error that names every fault, or nil.
+// Check returns an error that lists every invalid field, or nil.
 func (s Settings) Check() error {
-	var f faults
+	var f fieldErrors
 	f.require("dataCentre", s.DataCentre)
 	f.address("callers.listen", s.Callers.Listen, true)
 	f.address("peers.listen", s.Peers.Listen, true)
@@ -227,33 +229,33 @@
 	return f.err()
 }
 
-// ReadSecret reads a secret from its file; white space around it doesn't count.
+// ReadSecret reads a secret from a file and trims surrounding white space.
 func ReadSecret(file string) ([]byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "secret")
 	}
 	secret := bytes.TrimSpace(data)
-	if len(secret) < minSecret {
-		return nil, errors.Newf("secret %s: %d bytes, at least %d are needed", file, len(secret), minSecret)
+	if len(secret) < minSecretBytes {
+		return nil, errors.Newf("secret %s: %d bytes, want at least %d", file, len(secret), minSecretBytes)
 	}
 	return secret, nil
 }
 
-// faults collects what is wrong.
-type faults []string
+// fieldErrors collects the validation errors of a Settings.
+type fieldErrors []string
 
-func (f *faults) add(field, found, allowed string) {
+func (f *fieldErrors) add(field, found, allowed string) {
 	*f = append(*f, field+": "+found+"; allowed: "+allowed)
 }
 
-func (f *faults) require(field, value string) {
+func (f *fieldErrors) require(field, value string) {
 	if value == "" {
-		f.add(field, "nothing", "a value")
+		f.add(field, "missing", "a value")
 	}
 }
 
-func (f *faults) address(field, value string, required bool) {
+func (f *fieldErrors) address(field, value string, required bool) {
 	if value == "" && !required {
 		return
 	}
@@ -263,19 +265,19 @@
 	}
 }
 
-func (f *faults) between(field string, value, least, most int64) {
-	if value < least || value > most {
-		f.add(field, number(value), number(least)+" to "+number(most))
+func (f *fieldErrors) between(field string, value, minimum, maximum int64) {
+	if value < minimum || value > maximum {
+		f.add(field, number(value), number(minimum)+" to "+number(maximum))
 	}
 }
 
-func (f *faults) duration(field string, value config.Duration, least, most time.Duration) {
-	if d := time.Duration(value); d < least || d > most {
-		f.add(field, d.String(), least.String()+" to "+most.String())
+func (f *fieldErrors) duration(field string, value config.Duration, minimum, maximum time.Duration) {
+	if d := time.Duration(value); d < minimum || d > maximum {
+		f.add(field, d.String(), minimum.String()+" to "+maximum.String())
 	}
 }
 
-func (f *faults) oneOf(field, value string, allowed ...string) {
+func (f *fieldErrors) oneOf(field, value string, allowed ...string) {
 	for _, a := range allowed {
 		if a == value {
 			return
@@ -284,9 +286,9 @@
 	f.add(field, quoted(value), strings.Join(allowed, ", "))
 }
 
-func (f *faults) err() error {
+func (f *fieldErrors) err() error {
 	if len(*f) == 0 {
 		return nil
 	}
-	return errors.Newf("%d faults:\n  %s", len(*f), strings.Join(*f, "\n  "))
+	return errors.Newf("%d invalid fields:\n  %s", len(*f), strings.Join(*f, "\n  "))
 }
--- a/entry/settings/settings_test.go
+++ b/entry/settings/settings_test.go
@@ -10,7 +10,7 @@
 )
 
 const minimal = `{
-	// The least that an instance needs.
+	// Only the required fields.
 	"dataCentre": "luzon-1",
 	"callers": {"listen": "127.0.0.1:0"},
 	"peers": {"listen": "127.0.0.1:0", "secretFile": "secret"},
@@ -26,7 +26,7 @@
 	must.Eq(t, 64, s.Fleet.Shards)
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestAllInvalidFieldsAreReported(t *testing.T) {
 	_, err := Parse([]byte(`{"callers": {"listen": "localhost:80", "holdBytes": 1}, "fleet": {"shards": 0}, "log": {"level": "loud"}}`))
 	must.Error(t, err)
 	for _, field := range []string{"dataCentre", "callers.listen", "peers.secretFile", "callers.holdBytes", "fleet.shards", "log.level", "platform.url"} {
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// handOverPollInterval is how often a stopping instance looks whether its parts
-	// and its seat have gone to others.
+	// handOverPollInterval is how often a stopping instance checks whether
+	// other instances have taken over its quota parts and witness seat.
 	handOverPollInterval = 50 * time.Millisecond
-	// finalCallTimeout bounds the last batch of records and the last announcement.
+	// finalCallTimeout bounds the final flush of records, each announcement of
+	// a stop, and the delivery of final answers to callers.
 	finalCallTimeout = 2 * time.Second
 )
 
-// stop is the planned stop. The order matters: the instance first leaves the
-// answers to locate, goes on serving until the answers that name it have run
-// out and its parts have moved, and closes its listener only then. A caller
-// never finds the address that it was given closed.
+// stop performs the planned stop. The order matters: the instance is first
+// removed from locate answers, serves until the answers that name it have
+// expired and its parts have moved, and only then closes its listener. So
+// callers never get a closed address from a locate answer that is still valid.
 func (e *Entry) stop(ended <-chan struct{}) {
 	event.Stopping.Log(e.log, slog.String("instance", e.self.ID))
 	e.leaving.Store(true)
@@ -41,8 +42,8 @@
 	event.Stopped.Log(e.log, slog.String("instance", e.self.ID), slog.Int("cut", cut))
 }
 
-// announceState announces a state once. A lost announcement is made good by the
-// announcer, or by the platform noticing that the instance is silent.
+// announceState announces a state once, without a retry. If the announcement is
+// lost, the announcer repeats it or the platform detects the silent instance.
 func (e *Entry) announceState(state storage.State) {
 	ctx, cancel := context.WithTimeout(context.Background(), finalCallTimeout)
 	defer cancel()
@@ -51,8 +52,9 @@
 	_ = e.client.Announce(ctx, self)
 }
 
-// awaitHandOver waits for the instance's parts and seat to go to others, but
-// not longer than the patience: with the platform away they can't.
+// awaitHandOver waits until other instances have taken over the instance's
+// parts and seat, at most for the stop timeout: while the platform is
+// unavailable no hand-over is possible.
 func (e *Entry) awaitHandOver() {
 	deadline := time.Now().Add(time.Duration(e.settings.Stop.Timeout))
 	for time.Now().Before(deadline) {
@@ -65,15 +67,15 @@
 	}
 }
 
-// finishRequests stops to accept connections and waits for the requests in
-// progress. It returns how many had to be cut.
+// finishRequests stops accepting connections and waits for the requests in
+// progress. It returns the number of requests that were aborted.
 func (e *Entry) finishRequests() int {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.Stop.Timeout))
 	defer cancel()
 	_ = e.callerServer.Shutdown(ctx)
 	cut := e.callers.Drain(ctx)
 	if cut > 0 {
-		// Callers that still wait are told how their requests ended.
+		// Let callers that still wait receive the outcome of their requests.
 		ctx, cancel := context.WithTimeout(context.Background(), finalCallTimeout)
 		defer cancel()
 		_ = e.callerServer.Shutdown(ctx)
--- a/entry/store/store.go
+++ b/entry/store/store.go
@@ -1,5 +1,5 @@
-// Package store carries out a node's reads and writes of the platform, each
-// on a goroutine of its own and bounded in time, and reports their ends.
+// Package store executes a node's reads and writes of the platform, each on
+// its own goroutine and with a timeout, and submits the results to the node.
 package store
 
 import (
@@ -15,10 +15,10 @@
 	"foxtailspoke/storage"
 )
 
-// Submitter takes events for the node.
+// Submitter queues events for the node.
 type Submitter interface{ Submit(node.Event) }
 
-// Store is an instance's access to the platform.
+// Store executes the platform calls of one instance.
 type Store struct {
 	table     storage.Table
 	instances storage.Instances
@@ -32,18 +32,18 @@
 	wg          sync.WaitGroup
 }
 
-// New returns a Store whose calls end after the timeout.
+// New returns a Store whose calls fail after the timeout.
 func New(t storage.Table, i storage.Instances, loop Submitter, log *slog.Logger, timeout time.Duration) *Store {
 	return &Store{table: t, instances: i, loop: loop, log: log, timeout: timeout}
 }
 
-// Counts returns the reads and writes sent so far.
+// Counts returns the number of reads and writes started so far.
 func (s *Store) Counts() (reads, writes uint64) { return s.reads.Load(), s.writes.Load() }
 
-// Wait returns when no call is under way.
+// Wait blocks until no call is in progress.
 func (s *Store) Wait() { s.wg.Wait() }
 
-// ReadTable carries out the effect. It doesn't block.
+// ReadTable executes the effect. It doesn't block.
 func (s *Store) ReadTable(e effect.ReadTable) {
 	s.reads.Add(1)
 	s.run(func(ctx context.Context) {
@@ -53,20 +53,20 @@
 	})
 }
 
-// WriteTable carries out the effect. It doesn't block.
+// WriteTable executes the effect. It doesn't block.
 func (s *Store) WriteTable(e effect.WriteTable) {
 	s.writes.Add(1)
 	s.run(func(ctx context.Context) {
 		result, err := s.table.Write(ctx, e.Txn)
 		if err != nil {
-			// A transaction that the table finds malformed took no effect.
+			// The table rejected the transaction as malformed, so it had no effect.
 			result = storage.WriteResult{Outcome: storage.Conflict}
 		}
 		s.loop.Submit(node.TableWritten{ID: e.ID, Result: result})
 	})
 }
 
-// ReadInstances carries out the effect. It doesn't block.
+// ReadInstances executes the effect. It doesn't block.
 func (s *Store) ReadInstances(e effect.ReadInstances) {
 	s.reads.Add(1)
 	s.run(func(ctx context.Context) {
@@ -83,12 +83,13 @@
 	})
 }
 
-// logOutage logs the beginning and the end of an outage, not every failed read.
+// logOutage logs the start and the end of an outage of the table, not every
+// failed read.
 func (s *Store) logOutage(err error) {
-	switch away := err != nil; {
-	case away && !s.unavailable.Swap(true):
+	switch failed := err != nil; {
+	case failed && !s.unavailable.Swap(true):
 		event.PlatformUnavailable.Log(s.log, slog.String("error", err.Error()))
-	case !away && s.unavailable.Swap(false):
+	case !failed && s.unavailable.Swap(false):
 		event.PlatformReturned.Log(s.log)
 	}
 }
--- a/entry/tree.go
+++ b/entry/tree.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// handshakeTimeout bounds a peer's handshake.
+	// handshakeTimeout bounds the handshake of an incoming peer connection.
 	handshakeTimeout = time.Second
-	// maxOperatorConnections bounds the connections of operators.
+	// maxOperatorConnections limits the connections to the operator address.
 	maxOperatorConnections = 64
 )
 
-// buildTree puts the children into the tree.
+// buildTree creates the supervisor tree and adds its children.
 func (e *Entry) buildTree(secret, token []byte) error {
 	e.tree = suture.New("entry", suture.Spec{EventHook: e.logFailure, Timeout: 5 * time.Second})
 	server, err := peer.NewServer(secret, e.settings.Peers.MaxConnections, handshakeTimeout, e.driver.peers.Handle)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// child is a named part of the tree.
+// child is a named service of the tree.
 type child struct {
 	name  string
 	serve func(context.Context) error
@@ -66,11 +66,11 @@
 // Serve implements suture.Service.
 func (c child) Serve(ctx context.Context) error { return c.serve(ctx) }
 
-// String names the child in logs.
+// String returns the name used in logs.
 func (c child) String() string { return c.name }
 
-// serveLoop runs the node. A panic of the node is a broken invariant: what
-// it would decide next can't be trusted, so the process stops.
+// serveLoop runs the event loop. A panic means that the node violated an
+// invariant: its further decisions can't be trusted, so the tree terminates.
 func (e *Entry) serveLoop(ctx context.Context) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -105,26 +105,26 @@
 	return err
 }
 
-// announce tells the platform again and again that the instance runs.
+// announce announces the instance to the platform periodically.
 func (e *Entry) announce(ctx context.Context) error {
 	for {
-		pause := time.Duration(e.settings.Platform.AnnounceEvery)
+		delay := time.Duration(e.settings.Platform.AnnounceEvery)
 		switch err := e.client.Announce(ctx, e.announced()); {
 		case errors.Is(err, client.ErrEnded):
 			return suture.ErrTerminateSupervisorTree
 		case err != nil:
-			pause = min(pause, announceRetryInterval)
+			delay = min(delay, announceRetryInterval)
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// announceRetryInterval is the pause after an announcement without an answer. Waiting
-// for the next regular one could let the platform take a working instance for
+// announceRetryInterval is the delay after a failed announcement. If only the
+// regular interval were used, the platform could list a running instance as
 // ended.
 const announceRetryInterval = time.Second
 
@@ -136,7 +136,7 @@
 	return self
 }
 
-// closeIdlePeers closes connections to instances that aren't called any more.
+// closeIdlePeers periodically closes idle connections to other instances.
 func (e *Entry) closeIdlePeers(ctx context.Context) error {
 	ticker := time.NewTicker(peerIdleTimeout)
 	defer ticker.Stop()
@@ -155,7 +155,7 @@
 	event.ChildFailed.Log(e.log, slog.String("error", ev.String()), slog.Any("type", attrs["type"]))
 }
 
-// exportGauges adds the figures that are read from the parts on demand.
+// exportGauges registers the metrics that are read on each scrape.
 func (e *Entry) exportGauges() {
 	e.metrics.Counter("platform_reads_total", "Reads of the platform's table and list.", func() float64 {
 		reads, _ := e.driver.store.Counts()
