--- a/entry/callers_test.go
+++ b/entry/callers_test.go
@@ -21,28 +21,28 @@
 )
 
 func TestAnswersAndRefusals(t *testing.T) {
-	w := newWorld(t, options{})
-	e := w.entries[0]
-	till := w.giveKey("till")
-	eventually(t, "the key is known", func() bool { return w.get(e, "/catalogue/a", till).status == http.StatusTooManyRequests })
+	env := newEnvironment(t, options{})
+	e := env.entries[0]
+	till := env.giveKey("till")
+	eventually(t, "the key is known", func() bool { return env.get(e, "/catalogue/a", till).status == http.StatusTooManyRequests })
 	cases := []struct {
 		name, method, path, key string
 		status                  int
 		outcome, rule           string
 		retry                   bool
 	}{
-		{"served", "GET", "/catalogue/a?x=1", w.key, 200, "served", "", false},
-		{"head", "HEAD", "/catalogue/a", w.key, 200, "served", "", false},
-		{"options", "OPTIONS", "/catalogue/a", w.key, 200, "served", "", false},
+		{"served", "GET", "/catalogue/a?x=1", env.key, 200, "served", "", false},
+		{"head", "HEAD", "/catalogue/a", env.key, 200, "served", "", false},
+		{"options", "OPTIONS", "/catalogue/a", env.key, 200, "served", "", false},
 		{"no key", "GET", "/catalogue/a", "", 401, "not-run", "no-key", false},
 		{"unknown key", "GET", "/catalogue/a", "fsk_none", 401, "not-run", "key-unknown", false},
-		{"not in plan", "GET", "/orders/1", w.key, 403, "not-run", "service-not-in-plan", false},
-		{"no route", "GET", "/nowhere/", w.key, 404, "not-run", "no-route", false},
+		{"not in plan", "GET", "/orders/1", env.key, 403, "not-run", "service-not-in-plan", false},
+		{"no route", "GET", "/nowhere/", env.key, 404, "not-run", "no-route", false},
 		{"over rate", "GET", "/catalogue/a", till, 429, "not-run", "over-rate", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := w.call(e, c.method, c.path, c.key, nil, nil)
+			r := env.call(e, c.method, c.path, c.key, nil, nil)
 			must.NoError(t, r.err)
 			must.Eq(t, c.status, r.status)
 			must.Eq(t, c.outcome, r.header.Get(wire.HeaderOutcome))
@@ -63,14 +63,14 @@
 	}
 }
 
-// A workspace whose plan has the catalogue only asks for
-// /catalogue/..%2Forders/1. By its beginning that is the catalogue's; a
-// backend server, or a router before it, that unescapes and cleans paths
-// would read /orders/1. Such paths are refused before anything is sent.
-func TestPathsThatServersReadDifferentlyAreRefused(t *testing.T) {
-	w := newWorld(t, options{})
-	e := w.entries[0]
-	before, _ := w.catalogue.Executions()
+// A path such as /catalogue/..%2Forders/1 matches the catalogue's route by its
+// prefix, but a backend server or proxy that unescapes and cleans paths reads
+// /orders/1, which the workspace's plan doesn't include. Such paths must be
+// refused before anything is sent.
+func TestAmbiguousPathsAreRefused(t *testing.T) {
+	env := newEnvironment(t, options{})
+	e := env.entries[0]
+	before, _ := env.catalogue.Executions()
 	for _, target := range []string{
 		"/catalogue/../orders/1", "/catalogue/./a", "/catalogue/%2e%2e/orders/1", "/catalogue/..%2forders/1",
 		"/catalogue/..%5Corders/1", `/catalogue/..\orders/1`, "/catalogue//orders/1", "//catalogue/a", "/catalogue/..;x/orders/1",
@@ -78,8 +78,8 @@
 		"/catalogue/%252e./", "/catalogue/a%0d%0ab",
 	} {
 		t.Run(target, func(t *testing.T) {
-			conn := w.dial(e)
-			_, err := fmt.Fprintf(conn, "OPTIONS %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nConnection: close\r\n\r\n", target, w.key)
+			conn := env.dial(e)
+			_, err := fmt.Fprintf(conn, "OPTIONS %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nConnection: close\r\n\r\n", target, env.key)
 			must.NoError(t, err)
 			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			must.NoError(t, err)
@@ -90,73 +90,73 @@
 			must.Eq(t, wire.OutcomeNotRun, answer.Header.Get(wire.HeaderOutcome))
 		})
 	}
-	after, _ := w.catalogue.Executions()
+	after, _ := env.catalogue.Executions()
 	must.Eq(t, len(before), len(after))
 	for _, plain := range []string{"/catalogue/a/", "/catalogue/a%20b", "/catalogue/a;v=1", "/catalogue/...", "/catalogue/%C5%9F", "/catalogue/a%25b", "/%63atalogue/a"} {
-		must.Eq(t, http.StatusOK, w.get(e, plain, w.key).status, must.Sprint(plain))
+		must.Eq(t, http.StatusOK, env.get(e, plain, env.key).status, must.Sprint(plain))
 	}
 }
 
 func TestLocateLiveReady(t *testing.T) {
-	w := newWorld(t, options{entries: 2})
-	e := w.entries[0]
-	r := w.get(e, "/-/v1/locate?operations=2", w.full)
+	env := newEnvironment(t, options{entries: 2})
+	e := env.entries[0]
+	r := env.get(e, "/-/v1/locate?operations=2", env.full)
 	must.Eq(t, http.StatusOK, r.status)
 	must.StrContains(t, r.body, `"addresses":["127.0.0.1:`)
 	must.Eq(t, 2, strings.Count(r.body, `"key"`))
-	must.Eq(t, http.StatusUnauthorized, w.get(e, "/-/v1/locate", "").status)
-	must.Eq(t, http.StatusUnauthorized, w.get(e, "/-/v1/locate", "fsk_none").status)
-	must.Eq(t, http.StatusNoContent, w.get(e, "/-/v1/live", "").status)
-	must.Eq(t, http.StatusNoContent, w.get(e, "/-/v1/ready", "").status)
-	must.Eq(t, http.StatusNotFound, w.get(e, "/-/v1/else", w.full).status)
+	must.Eq(t, http.StatusUnauthorized, env.get(e, "/-/v1/locate", "").status)
+	must.Eq(t, http.StatusUnauthorized, env.get(e, "/-/v1/locate", "fsk_none").status)
+	must.Eq(t, http.StatusNoContent, env.get(e, "/-/v1/live", "").status)
+	must.Eq(t, http.StatusNoContent, env.get(e, "/-/v1/ready", "").status)
+	must.Eq(t, http.StatusNotFound, env.get(e, "/-/v1/else", env.full).status)
 }
 
-// An operation key is minted by one instance and the order arrives at
-// another, which passes it on. The backend server must see it once, however
-// often and wherever it is sent.
-func TestOperationRunsOnceWhereverItArrives(t *testing.T) {
-	w := newWorld(t, options{entries: 3})
-	located := w.get(w.entries[0], "/-/v1/locate?operations=1", w.full)
+// One instance issues an operation key, and requests with the key arrive at
+// all instances, repeatedly, and are forwarded. The backend server must
+// execute the operation exactly once.
+func TestOperationRunsOnceAcrossInstances(t *testing.T) {
+	env := newEnvironment(t, options{entries: 3})
+	located := env.get(env.entries[0], "/-/v1/locate?operations=1", env.full)
 	_, rest, ok := strings.Cut(located.body, `"key":"`)
 	must.True(t, ok)
 	operation, _, _ := strings.Cut(rest, `"`)
-	before, _ := w.orders.Executions()
+	before, _ := env.orders.Executions()
 	var bodies []string
-	for _, e := range append(w.entries, w.entries...) {
-		r := w.call(e, http.MethodPost, "/orders/", w.full, strings.NewReader("one door"), map[string]string{"Idempotency-Key": operation})
+	for _, e := range append(env.entries, env.entries...) {
+		r := env.call(e, http.MethodPost, "/orders/", env.full, strings.NewReader("one door"), map[string]string{"Idempotency-Key": operation})
 		must.Eq(t, http.StatusOK, r.status, must.Sprint(r.body))
 		bodies = append(bodies, r.body)
 	}
-	after, _ := w.orders.Executions()
+	after, _ := env.orders.Executions()
 	must.Eq(t, len(before)+1, len(after))
 	for _, body := range bodies {
 		must.Eq(t, bodies[0], body)
 	}
 }
 
-func TestLargeUploadAndAnswerPassWhole(t *testing.T) {
-	w := newWorld(t, options{})
-	e := w.entries[0]
+func TestLargeUploadAndAnswerAreComplete(t *testing.T) {
+	env := newEnvironment(t, options{})
+	e := env.entries[0]
 	photo := strings.Repeat("splinter", 1<<17)
 	for _, header := range []map[string]string{nil, {"Expect": "100-continue"}} {
-		r := w.call(e, http.MethodPost, "/catalogue/photo", w.key, strings.NewReader(photo), header)
+		r := env.call(e, http.MethodPost, "/catalogue/photo", env.key, strings.NewReader(photo), header)
 		must.Eq(t, http.StatusOK, r.status, must.Sprint(r.body))
-		all, _ := w.catalogue.Executions()
+		all, _ := env.catalogue.Executions()
 		last := all[len(all)-1]
 		sum := sha256.Sum256([]byte(photo))
 		must.Eq(t, hex.EncodeToString(sum[:]), last.BodySHA256)
 	}
-	large := w.get(e, "/catalogue/large?size=3000000", w.key)
+	large := env.get(e, "/catalogue/large?size=3000000", env.key)
 	must.NoError(t, large.err)
 	must.GreaterEq(t, 3_000_000, len(large.body))
 }
 
-// A backend server breaks off in the middle of a large answer, whose first
-// bytes have gone to the caller. Ended normally, the caller would take half
-// an answer for the whole; the connection must break instead, above all when
-// the answer comes in chunks, where no length tells.
-func TestLargeAnswerBreaksOffVisibly(t *testing.T) {
-	w := newWorld(t, options{own: func(w http.ResponseWriter, r *http.Request) {
+// A backend server aborts a large answer after its first bytes have been sent
+// to the caller. The connection to the caller must be aborted too: a normal
+// end would make a truncated answer look complete, above all with chunked
+// encoding, where there is no content length to compare with.
+func TestTruncatedAnswerAbortsConnection(t *testing.T) {
+	env := newEnvironment(t, options{own: func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 		if r.URL.Path == "/own/ready" {
 			return
@@ -164,22 +164,21 @@
 		_, _ = w.Write(make([]byte, 1<<20))
 		panic(http.ErrAbortHandler)
 	}})
-	e := w.entries[0]
-	eventually(t, "the own service is known", func() bool { return w.get(e, "/own/ready", w.full).status == http.StatusOK })
-	must.NoError(t, w.catalogue.SetFaults(standin.BackendFaults{HalfRatio: 1}))
-	for _, r := range []reply{w.get(e, "/own/chunks", w.full), w.get(e, "/catalogue/large?size=3000000", w.key)} {
+	e := env.entries[0]
+	eventually(t, "the own service is known", func() bool { return env.get(e, "/own/ready", env.full).status == http.StatusOK })
+	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{HalfRatio: 1}))
+	for _, r := range []reply{env.get(e, "/own/chunks", env.full), env.get(e, "/catalogue/large?size=3000000", env.key)} {
 		must.Eq(t, http.StatusOK, r.status)
 		must.Error(t, r.err)
 		must.Positive(t, len(r.body))
 	}
 }
 
-// What a backend server says to the instance about their connection must not
-// reach the caller, and the other way round; bodies that may not be there
-// aren't, and everything else passes.
-func TestHeadersOfConnectionsStayOnThem(t *testing.T) {
+// Hop-by-hop headers must not be forwarded in either direction, and answers
+// that must not have a body have none. Other headers are forwarded.
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	seen := make(chan http.Header, 1)
-	w := newWorld(t, options{own: func(w http.ResponseWriter, r *http.Request) {
+	env := newEnvironment(t, options{own: func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
 		h.Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 		h.Set("Connection", "X-Hop, keep-alive")
@@ -199,8 +198,8 @@
 			_, _ = io.WriteString(w, "whole")
 		}
 	}})
-	e := w.entries[0]
-	eventually(t, "the own service is known", func() bool { return w.get(e, "/own/200", w.full).status == http.StatusOK })
+	e := env.entries[0]
+	eventually(t, "the own service is known", func() bool { return env.get(e, "/own/200", env.full).status == http.StatusOK })
 	<-seen
 	for _, c := range []struct {
 		method, path string
@@ -214,7 +213,7 @@
 		{"POST", "/own/201", 201, ""},
 		{"GET", "/own/404", 404, ""},
 	} {
-		r := w.call(e, c.method, c.path, w.full, strings.NewReader("upload"), map[string]string{
+		r := env.call(e, c.method, c.path, env.full, strings.NewReader("upload"), map[string]string{
 			"Expect": "100-continue", "Connection": "X-Mine", "X-Mine": "1", "X-Passed": "1", "Cookie": "c=1",
 			wire.HeaderWorkspace: "workshop-of-another", wire.HeaderForwarded: "",
 		})
@@ -233,23 +232,23 @@
 }
 
 func TestLimitsAreNamed(t *testing.T) {
-	w := newWorld(t, options{adjust: func(s *settings.Settings) {
+	env := newEnvironment(t, options{adjust: func(s *settings.Settings) {
 		s.Callers.MaxBodyBytes = 1 << 20
 		s.Callers.HeaderTimeout = config.Duration(200 * time.Millisecond)
 		s.Callers.MaxConnections = 8
 	}})
-	e := w.entries[0]
+	e := env.entries[0]
 	t.Run("body with a length", func(t *testing.T) {
-		r := w.call(e, http.MethodPost, "/catalogue/a", w.key, strings.NewReader(strings.Repeat("x", 2<<20)), nil)
+		r := env.call(e, http.MethodPost, "/catalogue/a", env.key, strings.NewReader(strings.Repeat("x", 2<<20)), nil)
 		must.Eq(t, http.StatusRequestEntityTooLarge, r.status)
 		must.Eq(t, "too-large", r.problem(t)["rule"].(string))
 	})
 	t.Run("header", func(t *testing.T) {
-		r := w.call(e, http.MethodGet, "/catalogue/a", w.key, nil, map[string]string{"X-Long": strings.Repeat("x", 64<<10)})
+		r := env.call(e, http.MethodGet, "/catalogue/a", env.key, nil, map[string]string{"X-Long": strings.Repeat("x", 64<<10)})
 		must.Eq(t, http.StatusRequestHeaderFieldsTooLarge, r.status)
 	})
 	t.Run("slow header", func(t *testing.T) {
-		conn := w.dial(e)
+		conn := env.dial(e)
 		_, err := io.WriteString(conn, "GET /catalogue/a HTTP/1.1\r\nHost:")
 		must.NoError(t, err)
 		start := time.Now()
@@ -259,10 +258,10 @@
 	})
 	t.Run("flood of connections", func(t *testing.T) {
 		for range 40 {
-			_ = w.dial(e)
+			_ = env.dial(e)
 		}
-		// The idle ones are cut by the header timeout, and then it serves.
-		r := w.get(e, "/catalogue/a", w.key)
+		// The header timeout closes the idle connections, which frees the limit.
+		r := env.get(e, "/catalogue/a", env.key)
 		if r.status != http.StatusOK {
 			t.Logf("refused: %v", r.problem(t))
 		}
--- a/entry/driver.go
+++ b/entry/driver.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// noteEvents are the log events of what a node noteEvents.
+// noteEvents maps the notes of a node to log events.
 var noteEvents = map[node.Note]event.Event{
 	node.NoteEjected:      event.ServerEjected,
 	node.NoteReturned:     event.ServerReturned,
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -34,25 +34,26 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// patience bounds every wait for something that must happen.
-	patience = 20 * time.Second
-	// fresh is how old the proof of the configuration may be, the product's own
-	// default. With half a second, a test process that got no processor for as
-	// long refused requests as not run, rule cut-off, which is what it must do
-	// and not what most of these tests are about.
-	fresh = 2 * time.Second
-	// token and secret are long enough to be found in a log, if they are there.
+	// waitTimeout bounds every wait for an expected condition.
+	waitTimeout = 20 * time.Second
+	// maxConfigAge is the maximum age of the configuration, the default of the
+	// settings. With half a second, a test process that got no CPU time for as
+	// long correctly refused requests with rule cut-off, which most of these
+	// tests aren't about.
+	maxConfigAge = 2 * time.Second
+	// token and secret are long enough to search for them in logs.
 	token  = "operators-token-0123456789"
 	secret = "peers-secret-0123456789"
 )
 
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(patience), wait.Gap(5*time.Millisecond)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(waitTimeout), wait.Gap(5*time.Millisecond)), must.Sprint(what))
 }
 
-// world is a platform, backend servers of two services and entry instances.
-type world struct {
+// environment is a platform, backend servers of two services and entry
+// instances, all in the test process.
+type environment struct {
 	t         *testing.T
 	platform  *standin.Platform
 	client    *client.Client
@@ -60,84 +61,84 @@
 	catalogue *standin.Backend
 	orders    *standin.Backend
 	entries   []*entry.Entry
-	// stops begins the planned stop of an instance, and ends are how Run ended.
+	// stops start the planned stop of an instance; ends receive Run's results.
 	stops []context.CancelFunc
 	ends  []chan error
-	log   *logged
-	// key belongs to a workspace that may use the catalogue only; full to one
-	// that may use everything.
+	log   *logBuffer
+	// key belongs to a workspace whose plan has the catalogue only, full to
+	// one whose plan has all services.
 	key, full string
 	http      *http.Client
 }
 
-// logged collects what all parts log.
-type logged struct {
+// logBuffer collects the log output of all instances.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *logged) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// options of a world.
+// options configure an environment.
 type options struct {
 	entries int
-	// catalogues is how many servers the catalogue has, at least 1.
+	// catalogues is the number of catalogue servers; 0 means 1.
 	catalogues int
-	// own serves the path /own/ if it is set; echoing the attempt is its job.
+	// own serves the path /own/ if it is set; it must echo the attempt header.
 	own    http.HandlerFunc
 	adjust func(*settings.Settings)
 }
 
-func newWorld(t *testing.T, o options) *world {
+func newEnvironment(t *testing.T, o options) *environment {
 	t.Helper()
 	t.Parallel()
-	w := &world{t: t, log: &logged{}}
+	env := &environment{t: t, log: &logBuffer{}}
 	var err error
-	w.platform, err = standin.StartPlatform(standin.PlatformOptions{})
+	env.platform, err = standin.StartPlatform(standin.PlatformOptions{})
 	must.NoError(t, err)
-	t.Cleanup(w.platform.Close)
-	w.client, err = client.New(w.platform.URL(), client.Settings{})
+	t.Cleanup(env.platform.Close)
+	env.client, err = client.New(env.platform.URL(), client.Settings{})
 	must.NoError(t, err)
-	t.Cleanup(w.client.Close)
-	w.catalogue = w.backend("catalogue")
+	t.Cleanup(env.client.Close)
+	env.catalogue = env.backend("catalogue")
 	for range o.catalogues - 1 {
-		w.backend("catalogue")
+		env.backend("catalogue")
 	}
-	w.orders = w.backend("ordering")
+	env.orders = env.backend("ordering")
 	if o.own != nil {
-		w.serveOwn(o.own)
+		env.serveOwn(o.own)
 	}
-	w.operator = operator.New(w.client, operator.Settings{Who: "test"})
-	w.apply(worldLists())
-	w.key, w.full = w.giveKey("boatyard"), w.giveKey("workshop")
+	env.operator = operator.New(env.client, operator.Settings{Who: "test"})
+	env.apply(testLists())
+	env.key, env.full = env.giveKey("boatyard"), env.giveKey("workshop")
 	transport := &http.Transport{DisableCompression: true}
 	t.Cleanup(transport.CloseIdleConnections)
-	w.http = &http.Client{Transport: transport}
+	env.http = &http.Client{Transport: transport}
 	for range max(o.entries, 1) {
-		w.start(o)
+		env.start(o)
 	}
 	eventually(t, "all instances serve", func() bool {
-		for _, e := range w.entries {
-			if w.get(e, "/catalogue/glue", w.key).status != http.StatusOK || w.get(e, "/orders/1", w.full).status != http.StatusOK {
+		for _, e := range env.entries {
+			if env.get(e, "/catalogue/glue", env.key).status != http.StatusOK || env.get(e, "/orders/1", env.full).status != http.StatusOK {
 				return false
 			}
 		}
 		return true
 	})
-	return w
+	return env
 }
 
-func worldLists() lists.Lists {
+func testLists() lists.Lists {
 	l := lists.Empty()
 	l.Services["catalogue"] = config.Service{Floor: 1, Timeout: config.Duration(time.Minute), Routes: []config.Route{{Prefix: "/catalogue/"}}}
 	l.Services["ordering"] = config.Service{Floor: 1, Timeout: config.Duration(3 * time.Second), Routes: []config.Route{{Prefix: "/orders/"}}}
@@ -152,82 +153,82 @@
 	return l
 }
 
-func (w *world) backend(service string) *standin.Backend {
+func (env *environment) backend(service string) *standin.Backend {
 	b, err := standin.StartBackend(standin.BackendOptions{
-		Service: service, DataCentre: "dc1", Slots: 16, Instances: w.client,
+		Service: service, DataCentre: "dc1", Slots: 16, Instances: env.client,
 		AnnounceEvery: 100 * time.Millisecond, Latency: time.Millisecond,
 	})
-	must.NoError(w.t, err)
-	w.t.Cleanup(b.Close)
+	must.NoError(env.t, err)
+	env.t.Cleanup(b.Close)
 	return b
 }
 
-// serveOwn lists a backend server whose answers the test makes up.
-func (w *world) serveOwn(h http.HandlerFunc) {
+// serveOwn announces a backend server that answers with the given handler.
+func (env *environment) serveOwn(h http.HandlerFunc) {
 	server := httptest.NewServer(h)
-	w.t.Cleanup(server.Close)
-	must.NoError(w.t, w.client.Announce(context.Background(), storage.Instance{
+	env.t.Cleanup(server.Close)
+	must.NoError(env.t, env.client.Announce(context.Background(), storage.Instance{
 		ID: uuid.NewString(), Kind: storage.BackendServer, Service: "own", DataCentre: "dc1",
 		Address: server.Listener.Addr().String(), Slots: 8, State: storage.Live,
 	}))
 }
 
-func (w *world) apply(l lists.Lists) {
-	p, err := w.operator.Propose(context.Background(), l)
-	must.NoError(w.t, err)
-	applied, err := w.operator.Commit(context.Background(), p)
-	must.NoError(w.t, err)
-	must.Eq(w.t, operator.Accepted, applied.Outcome)
+func (env *environment) apply(l lists.Lists) {
+	p, err := env.operator.Propose(context.Background(), l)
+	must.NoError(env.t, err)
+	applied, err := env.operator.Commit(context.Background(), p)
+	must.NoError(env.t, err)
+	must.Eq(env.t, operator.Accepted, applied.Outcome)
 }
 
-func (w *world) giveKey(workspace string) string {
-	k, err := w.operator.GiveKey(context.Background(), workspace, "")
-	must.NoError(w.t, err)
+func (env *environment) giveKey(workspace string) string {
+	k, err := env.operator.GiveKey(context.Background(), workspace, "")
+	must.NoError(env.t, err)
 	return k.Secret.Reveal()
 }
 
-func (w *world) start(o options) *entry.Entry {
-	dir := w.t.TempDir()
-	must.NoError(w.t, os.WriteFile(filepath.Join(dir, "secret"), []byte(secret), 0o600))
-	must.NoError(w.t, os.WriteFile(filepath.Join(dir, "token"), []byte(token), 0o600))
+func (env *environment) start(o options) *entry.Entry {
+	dir := env.t.TempDir()
+	must.NoError(env.t, os.WriteFile(filepath.Join(dir, "secret"), []byte(secret), 0o600))
+	must.NoError(env.t, os.WriteFile(filepath.Join(dir, "token"), []byte(token), 0o600))
 	s := settings.Default()
 	s.DataCentre = "dc1"
 	s.Callers.Listen, s.Peers.Listen, s.Operators.Listen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	s.Peers.SecretFile, s.Operators.TokenFile = filepath.Join(dir, "secret"), filepath.Join(dir, "token")
-	s.Platform.URL = w.platform.URL()
+	s.Platform.URL = env.platform.URL()
 	s.Platform.AnnounceEvery = config.Duration(100 * time.Millisecond)
 	s.Platform.RecordsEvery = config.Duration(100 * time.Millisecond)
 	s.Fleet.LocateTTL = config.Duration(200 * time.Millisecond)
 	s.Fleet.Shards = 2
-	s.Fleet.MaxConfigAge = config.Duration(fresh)
+	s.Fleet.MaxConfigAge = config.Duration(maxConfigAge)
 	s.Stop.Timeout = config.Duration(2 * time.Second)
 	if o.adjust != nil {
 		o.adjust(&s)
 	}
-	must.NoError(w.t, s.Check())
-	e, err := entry.New(s, slog.New(slog.NewJSONHandler(w.log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	must.NoError(w.t, err)
+	must.NoError(env.t, s.Check())
+	e, err := entry.New(s, slog.New(slog.NewJSONHandler(env.log, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	must.NoError(env.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
 		defer close(done)
 		done <- e.Run(ctx)
 	}()
-	w.stops, w.ends = append(w.stops, cancel), append(w.ends, done)
-	w.t.Cleanup(func() {
+	env.stops, env.ends = append(env.stops, cancel), append(env.ends, done)
+	env.t.Cleanup(func() {
 		cancel()
 		select {
 		case err, open := <-done:
-			must.NoError(w.t, err, must.Sprint(open))
-		case <-time.After(patience):
-			w.t.Error("the instance didn't stop")
+			must.NoError(env.t, err, must.Sprint(open))
+		case <-time.After(waitTimeout):
+			env.t.Error("the instance did not stop in time")
 		}
 	})
-	w.entries = append(w.entries, e)
+	env.entries = append(env.entries, e)
 	return e
 }
 
-// reply is what a caller got.
+// reply is the result of a call as the caller sees it.
 type reply struct {
 	status int
 	header http.Header
@@ -244,28 +245,28 @@
 	return p
 }
 
-func (w *world) get(e *entry.Entry, path, key string) reply {
-	return w.call(e, http.MethodGet, path, key, nil, nil)
+func (env *environment) get(e *entry.Entry, path, key string) reply {
+	return env.call(e, http.MethodGet, path, key, nil, nil)
 }
 
-func (w *world) call(e *entry.Entry, method, path, key string, body io.Reader, header map[string]string) reply {
-	w.t.Helper()
-	return w.callAt(e.Addresses().Address, method, path, key, body, header)
+func (env *environment) call(e *entry.Entry, method, path, key string, body io.Reader, header map[string]string) reply {
+	env.t.Helper()
+	return env.callAt(e.Addresses().Address, method, path, key, body, header)
 }
 
-func (w *world) callAt(address, method, path, key string, body io.Reader, header map[string]string) reply {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (env *environment) callAt(address, method, path, key string, body io.Reader, header map[string]string) reply {
+	env.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, body)
-	must.NoError(w.t, err)
+	must.NoError(env.t, err)
 	if key != "" {
 		r.Header.Set("Authorization", "Bearer "+key)
 	}
 	for name, value := range header {
 		r.Header.Set(name, value)
 	}
-	answer, err := w.http.Do(r)
+	answer, err := env.http.Do(r)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -274,11 +275,11 @@
 	return reply{status: answer.StatusCode, header: answer.Header, body: string(text), err: err}
 }
 
-// dial opens a bare connection to an instance's address for callers.
-func (w *world) dial(e *entry.Entry) net.Conn {
+// dial opens a TCP connection to an instance's address for callers.
+func (env *environment) dial(e *entry.Entry) net.Conn {
 	conn, err := net.Dial("tcp", e.Addresses().Address)
-	must.NoError(w.t, err)
-	w.t.Cleanup(func() { _ = conn.Close() })
-	must.NoError(w.t, conn.SetDeadline(time.Now().Add(patience)))
+	must.NoError(env.t, err)
+	env.t.Cleanup(func() { _ = conn.Close() })
+	must.NoError(env.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	return conn
 }
--- a/entry/path_bench_test.go
+++ b/entry/path_bench_test.go
@@ -20,9 +20,9 @@
 	"foxtailspoke/storage/client"
 )
 
-// BenchmarkPath sends lookups through an entry instance in this process, to a
-// backend server's stand-in in this process, one after the other, and for
-// comparison straight to it. With -cpuprofile it shows what the path costs.
+// BenchmarkPath sends sequential requests to a stand-in backend server, through
+// an entry instance and directly for comparison. All run in this process, so
+// -cpuprofile shows the cost of the request path.
 func BenchmarkPath(b *testing.B) {
 	p, err := standin.StartPlatform(standin.PlatformOptions{})
 	must.NoError(b, err)
--- a/entry/records/records.go
+++ b/entry/records/records.go
@@ -25,7 +25,7 @@
 	loggedDropped uint64
 }
 
-// New returns a Keeper that writes a batch at most as often as every.
+// New returns a Writer that writes pending batches once per interval.
 func New(b *decision.Buffer, o storage.Objects, interval time.Duration, log *slog.Logger) *Writer {
 	return &Writer{objects: o, interval: interval, log: log, buffer: b}
 }
--- a/entry/trace_test.go
+++ b/entry/trace_test.go
@@ -18,24 +18,24 @@
 	"foxtailspoke/node"
 )
 
-// An instance runs among faults and records; a fresh node then gets the same
-// events and must decide the same, and what it decided can be stated.
+// An instance records a trace while backend servers fail. Replaying its events
+// into a new node must give the same effects, which the replay reports.
 func TestRecordedTraceReplays(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
-	w := newWorld(t, options{catalogues: 3, adjust: func(s *settings.Settings) { s.Trace.File = file }})
-	e := w.entries[0]
-	must.NoError(t, w.catalogue.SetFaults(standin.BackendFaults{ErrorRatio: 0.5, HalfRatio: 0.5}))
+	env := newEnvironment(t, options{catalogues: 3, adjust: func(s *settings.Settings) { s.Trace.File = file }})
+	e := env.entries[0]
+	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{ErrorRatio: 0.5, HalfRatio: 0.5}))
 	for i := range 30 {
 		if i == 5 { // the retries of five lookups are within the budget
-			must.NoError(t, w.catalogue.SetFaults(standin.BackendFaults{}))
+			must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{}))
 		}
-		lookup := w.get(e, "/catalogue/a", w.key)
+		lookup := env.get(e, "/catalogue/a", env.key)
 		must.Eq(t, http.StatusOK, lookup.status, must.Sprint(lookup.body))
-		w.call(e, http.MethodPost, "/orders/", w.full, strings.NewReader("x"), map[string]string{"Idempotency-Key": "mine"})
-		w.get(e, "/orders/", w.key)
-		w.get(e, "/-/v1/locate?operations=1", w.full)
+		env.call(e, http.MethodPost, "/orders/", env.full, strings.NewReader("x"), map[string]string{"Idempotency-Key": "mine"})
+		env.get(e, "/orders/", env.key)
+		env.get(e, "/-/v1/locate?operations=1", env.full)
 	}
-	w.metrics(e) // asked on the loop's goroutine, without a change
+	env.metrics(e) // read on the event loop's goroutine without changing the node
 	eventually(t, "the trace is written", func() bool {
 		data, err := os.ReadFile(file)
 		return err == nil && len(data) > 1<<14
@@ -51,7 +51,7 @@
 		}
 	})
 	t.Log(done.Steps, "steps,", len(data), "bytes")
-	// What was read last may be half a step.
+	// The last step may have been read incompletely.
 	must.False(t, errors.Is(err, trace.ErrMismatch), must.Sprint(err))
 	must.False(t, done.ExternalChange)
 	must.GreaterEq(t, 200, done.Steps)
@@ -62,8 +62,9 @@
 	must.Eq(t, os.FileMode(0o600), info.Mode().Perm())
 }
 
-// A trace that says otherwise than the node decides is noticed at its step.
-func TestChangedTraceIsNoticed(t *testing.T) {
+// Replay must report the step at which the node's effects differ from the
+// trace, and the recorder must stop at its size limit.
+func TestReplayReportsMismatch(t *testing.T) {
 	s := node.DefaultSettings()
 	s.Self.ID, s.Secret = "a", []byte("sixteen bytes of secret")
 	var b bytes.Buffer
