--- a/node/effect.go
+++ b/node/effect.go
@@ -7,11 +7,11 @@
 // Noted, or one of package effect with ids that are unique in the node.
 type Effect any
 
-// owner is the part of the node that an effect's answer belongs to.
-type owner int
+// component is the part of the node that an effect's answer belongs to.
+type component int
 
 const (
-	ownerMember owner = iota
+	ownerMember component = iota
 	ownerShard
 	ownerPermits
 	ownerTokens
@@ -23,7 +23,7 @@
 
 // pendingEffect is an effect whose answer is awaited.
 type pendingEffect struct {
-	owner owner
+	owner component
 	// id is the effect's id within the owner.
 	id uint64
 	// subject is a shard, a service or a request, by owner.
--- a/node/message.go
+++ b/node/message.go
@@ -44,21 +44,21 @@
 }
 
 func (n *Node) handleCall(e Called) {
-	reply, ok := n.answerCall(e)
+	reply, ok := n.replyTo(e)
 	n.emit(ReplyCall{Token: e.Token, Reply: reply, OK: ok})
 }
 
-func (n *Node) answerCall(e Called) (PeerReply, bool) {
+func (n *Node) replyTo(e Called) (PeerReply, bool) {
 	switch {
 	case e.Request.Member != nil:
 		reply := n.member.Handle(n.now, e.From, *e.Request.Member)
 		n.noticeRevision()
 		return PeerReply{Member: &reply}, true
 	case e.Request.Ask != nil:
-		transfer, ok := n.give(*e.Request.Ask)
+		transfer, ok := n.handleTokenAsk(*e.Request.Ask)
 		return PeerReply{Transfer: &transfer}, ok
 	case e.Request.Settlement != nil:
-		n.settle(*e.Request.Settlement)
+		n.handleSettlement(*e.Request.Settlement)
 		return PeerReply{}, true
 	case e.Request.Report != nil:
 		suspects := n.collector.Accept(n.now, e.From, *e.Request.Report)
@@ -84,7 +84,7 @@
 		n.emitMemberEffects(n.member.CallDone(n.now, p.id, reply, answered))
 		n.noticeRevision()
 	case ownerTokens:
-		n.asked(p.subject, p.id, e.Reply.Transfer, e.OK)
+		n.handleTokenReply(p.subject, p.id, e.Reply.Transfer, e.OK)
 	case ownerSettlement:
 	case ownerReport:
 		if e.OK && e.Reply.Advice != nil {
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -34,9 +34,9 @@
 // routesPerService makes 11,200 routes of 560 services.
 const routesPerService = 20
 
-// lone is a node among a fleet that exists only as rows and as a list. Its
+// singleNode is a node among a fleet that exists only as rows and as a list. Its
 // reads and pulls are answered with what it has not heard yet.
-type lone struct {
+type singleNode struct {
 	node     *Node
 	now      time.Duration
 	revision storage.Revision
@@ -67,7 +67,7 @@
 func serviceName(i int) string   { return fmt.Sprintf("service-%03d", i) }
 func workspaceName(i int) string { return fmt.Sprintf("workspace-%06d", i) }
 
-func (l *lone) put(key string, value any) {
+func (l *singleNode) put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -76,28 +76,28 @@
 	l.rows = append(l.rows, storage.Row{Key: key, Value: data, Revision: l.revision, Attempt: "8c5e0d4a-0000-4000-8000-000000000000"})
 }
 
-// newLone returns a node that has the whole table and list, holds all parts
+// newConfiguredNode returns a node that has the whole table and list, holds all parts
 // of every shard, and has them in force.
-func newLone(tb testing.TB, s scale) *lone {
-	l := newBare(s)
+func newConfiguredNode(tb testing.TB, s scale) *singleNode {
+	l := newEmptyNode(s)
 	l.fillTable(s)
 	l.fillList(s)
 	for range 40 {
-		l.pass(250 * time.Millisecond)
+		l.advance(250 * time.Millisecond)
 	}
 	must.Eq(tb, l.revision, l.node.replica.Revision())
 	must.Eq(tb, membership.ConfirmedByTable, l.node.state)
 	return l
 }
 
-func newBare(s scale) *lone {
+func newEmptyNode(s scale) *singleNode {
 	settings := DefaultSettings()
 	settings.Self = s.entry(0)
 	settings.Secret = []byte("a secret of thirty-two bytes, so")
-	return &lone{node: New(settings), now: time.Second}
+	return &singleNode{node: New(settings), now: time.Second}
 }
 
-func (l *lone) fillTable(s scale) {
+func (l *singleNode) fillTable(s scale) {
 	for i := range s.workspaces {
 		l.put(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: fmt.Sprintf("plan-%02d", i%40)})
 		l.put(config.KeyPrefix+config.HashKey(workspaceName(i)).String(), config.Key{Workspace: workspaceName(i), Label: "till"})
@@ -123,7 +123,7 @@
 	l.put(config.ListsKey, config.Lists{Version: 1, Digest: "d"})
 }
 
-func (l *lone) fillList(s scale) {
+func (l *singleNode) fillList(s scale) {
 	l.version = 1
 	for i := range s.entries {
 		l.changed = append(l.changed, s.entry(i))
@@ -133,9 +133,9 @@
 	}
 }
 
-// pass lets time pass with one wake, answers what the node asks for, and
+// advance lets time advance with one wake, answers what the node asks for, and
 // returns what the wake and the answers took.
-func (l *lone) pass(d time.Duration) (wake, answers time.Duration) {
+func (l *singleNode) advance(d time.Duration) (wake, answers time.Duration) {
 	l.now += d
 	start := time.Now()
 	effects := slices.Clone(l.node.Step(l.now, Wake{}))
@@ -154,7 +154,7 @@
 	return wake, answers
 }
 
-func (l *lone) reply(e Effect) Event {
+func (l *singleNode) reply(e Effect) Event {
 	switch e := e.(type) {
 	case effect.ReadTable:
 		return TableRead{ID: e.ID, Changes: l.changes(e.Read.Since), OK: true}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func (l *lone) changes(since storage.Revision) storage.Changes {
+func (l *singleNode) changes(since storage.Revision) storage.Changes {
 	c := storage.Changes{Revision: l.revision, Full: since == 0}
 	if since < l.revision {
 		c.Rows = l.rows
@@ -182,7 +182,7 @@
 	return c
 }
 
-func (l *lone) listChanges(since uint64) storage.InstanceChanges {
+func (l *singleNode) listChanges(since uint64) storage.InstanceChanges {
 	c := storage.InstanceChanges{Version: l.version, Full: since == 0}
 	if since < l.version {
 		c.Changed = l.changed
@@ -193,7 +193,7 @@
 
 // request takes a caller's request the whole way and says whether it was
 // served.
-func (l *lone) request(i int, s scale) bool {
+func (l *singleNode) request(i int, s scale) bool {
 	id := fmt.Sprint("r", i)
 	workspace := i % s.workspaces
 	service := (workspace % 40) % s.services
@@ -224,7 +224,7 @@
 }
 
 func benchmarkScale(b *testing.B, s scale) {
-	l := newLone(b, s)
+	l := newConfiguredNode(b, s)
 	for i := range 100 {
 		l.request(i, s)
 	}
@@ -233,7 +233,7 @@
 		for i := range b.N {
 			if i%1000 == 0 {
 				b.StopTimer()
-				l.pass(100 * time.Millisecond)
+				l.advance(100 * time.Millisecond)
 				b.StartTimer()
 			}
 			if l.request(i, s) {
@@ -249,7 +249,7 @@
 		}
 	})
 	b.Run("wakeWithNothingToDo", func(b *testing.B) {
-		l.pass(time.Millisecond)
+		l.advance(time.Millisecond)
 		for range b.N {
 			l.node.Step(l.now, Wake{})
 		}
@@ -257,7 +257,7 @@
 	b.Run("quarterSecond", func(b *testing.B) {
 		var wakes, answers time.Duration
 		for range b.N {
-			wake, answer := l.pass(250 * time.Millisecond)
+			wake, answer := l.advance(250 * time.Millisecond)
 			wakes += wake
 			answers += answer
 		}
@@ -268,7 +268,7 @@
 		var spent time.Duration
 		for i := range b.N {
 			l.put(config.WorkspacePrefix+workspaceName(i%s.workspaces), config.Workspace{Plan: "plan-01"})
-			_, answers := l.pass(500 * time.Millisecond)
+			_, answers := l.advance(500 * time.Millisecond)
 			spent += answers
 		}
 		micros(b, spent, "µs/revision")
@@ -277,8 +277,8 @@
 		var spent time.Duration
 		for i := range b.N {
 			l.put(config.ListsKey, config.Lists{Version: uint64(i + 2)})
-			l.pass(500 * time.Millisecond)
-			wake, _ := l.pass(250 * time.Millisecond)
+			l.advance(500 * time.Millisecond)
+			wake, _ := l.advance(250 * time.Millisecond)
 			spent += wake
 		}
 		micros(b, spent, "µs/lists")
@@ -290,9 +290,9 @@
 			changed := s.target(i % s.targets)
 			changed.Slots = 2 + i%3
 			l.changed = append(l.changed, changed)
-			_, answers := l.pass(time.Second)
+			_, answers := l.advance(time.Second)
 			spent += answers
-			wake, _ := l.pass(250 * time.Millisecond)
+			wake, _ := l.advance(250 * time.Millisecond)
 			next += wake
 		}
 		micros(b, spent, "µs/change")
@@ -302,7 +302,7 @@
 }
 
 // benchmarkParts times what steps and housekeeping call.
-func benchmarkParts(b *testing.B, l *lone, s scale) {
+func benchmarkParts(b *testing.B, l *singleNode, s scale) {
 	n := l.node
 	service, _ := n.replica.Service(serviceName(0))
 	r := &request{service: service, workspace: config.Workspace{Name: workspaceName(0)}}
@@ -320,7 +320,7 @@
 	part("reportHealth", n.sendHealthReports)
 	part("planShards", n.writeStaleShard)
 	part("refreshShards", n.refreshShards)
-	n.shards.line["0"] = 0
+	n.shards.writerRank["0"] = 0
 	part("indexLimits,writer", n.indexLimits)
 	part("planShards,writer", func() {
 		n.writeStaleShard()
@@ -336,23 +336,23 @@
 	for _, s := range scales[1:] {
 		b.Run("list/"+s.String(), func(b *testing.B) {
 			before := heapBytes()
-			l := newBare(s)
+			l := newEmptyNode(s)
 			l.fillList(s)
-			l.pass(time.Second)
-			l.pass(time.Second)
+			l.advance(time.Second)
+			l.advance(time.Second)
 			must.Eq(b, s.entries, len(l.node.member.Directory().Entries()))
 			b.ReportMetric(float64(heapBytes()-before)/float64(s.entries+s.targets), "B/instance")
 			runtime.KeepAlive(l)
 		})
 		b.Run("node/"+s.String(), func(b *testing.B) {
 			before := heapBytes()
-			l := newLone(b, s)
+			l := newConfiguredNode(b, s)
 			idle := heapBytes()
 			b.ReportMetric(float64(idle-before)/(1<<20), "MB")
 			for i := range s.workspaces {
 				l.request(i, s)
 				if i%1000 == 0 {
-					l.pass(250 * time.Millisecond)
+					l.advance(250 * time.Millisecond)
 				}
 			}
 			b.ReportMetric(float64(heapBytes()-idle)/float64(s.workspaces), "B/bucket")
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -196,7 +196,7 @@
 	}
 	must.False(t, named())
 	must.SliceEmpty(t, f.nodes[f.names[1]].node.replica.Permits("orders").Ejected)
-	f.run(unadvertisedFor + 5*time.Second)
+	f.run(unadvertisedPeriod + 5*time.Second)
 	must.True(t, named())
 }
 
--- a/node/servers.go
+++ b/node/servers.go
@@ -41,19 +41,19 @@
 		}
 	}
 	floor := balance.SubsetFloor(service.Floor, len(listed), len(subset))
-	n.weigh(r, view, usable, floor)
+	n.assignWeights(r, view, usable, floor)
 	return view
 }
 
-// leaverMemory is how long a server's own word that it leaves counts. The
+// leavingTTL is how long a server's own word that it leaves counts. The
 // platform's list says so as well by then, or the server has stayed after all.
-const leaverMemory = time.Minute
+const leavingTTL = time.Minute
 
 // markLeaving keeps new requests from a server that said that it leaves. The
 // platform's list may lag by minutes; every request in between would cost an
 // attempt that is refused.
 func (n *Node) markLeaving(server string) {
-	n.leavers[server] = n.now + leaverMemory
+	n.leavers[server] = n.now + leavingTTL
 }
 
 func (n *Node) expireLeaving() {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (n *Node) weigh(r *request, view []balance.Server, usable []string, floor int) {
+func (n *Node) assignWeights(r *request, view []balance.Server, usable []string, floor int) {
 	weights := n.observer.Weights(n.now, r.service.Name, r.workspace.Name, usable, floor)
 	next := 0
 	for i := range view {
@@ -136,13 +136,13 @@
 			continue
 		}
 		if n.member.Confirmation(n.now).State == membership.ConfirmedByTable {
-			n.propose(service)
+			n.proposeEjections(service)
 		}
-		n.probe(service)
+		n.startProbes(service)
 	}
 }
 
-func (n *Node) propose(service string) {
+func (n *Node) proposeEjections(service string) {
 	if _, writing := n.permitting[service]; writing {
 		return
 	}
@@ -166,7 +166,7 @@
 	n.emit(n.trackEffect(p, effect.WriteTable{Txn: n.txn(config.PermitPrefix+service, value)}))
 }
 
-func (n *Node) probe(service string) {
+func (n *Node) startProbes(service string) {
 	about, _ := n.replica.Service(service)
 	for _, probe := range n.collector.DueProbes(n.now, service, n.replica.Permits(service)) {
 		server, ok := n.member.Directory().Instance(probe.Server)
--- a/node/shards.go
+++ b/node/shards.go
@@ -12,9 +12,9 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// inLine is how many instances try to write a shard's row, one after the
+// writersPerShard is how many instances try to write a shard's row, one after the
 // other, when the one before doesn't.
-const inLine = 2
+const writersPerShard = 2
 
 // shards is what the node does about the rows of shards: use what it holds,
 // and write the rows that it is in line for.
@@ -22,20 +22,20 @@
 	names []string
 	held  map[string]*heldShard
 	seen  map[string]seenRow
-	// line has the shards that this instance writes, with its place.
-	line map[string]int
+	// writerRank has the shards that this instance writes, with its place.
+	writerRank map[string]int
 	// limits of the workspaces, by shard; for the lists with this version.
 	limits  map[string][]config.Limit
-	limited uint64
-	// right has the basis on which a shard's row was found right.
-	right map[string]basis
-	// wantedAt is since when a shard's row should be written.
-	wantedAt map[string]time.Duration
+	limitsVersion uint64
+	// upToDate has the basis on which a shard's row was found upToDate.
+	upToDate map[string]planInputs
+	// staleSince is since when a shard's row should be written.
+	staleSince map[string]time.Duration
 	writing  bool
 	// writeAt is when the next write may be sent; more says that there may
 	// be one to send.
 	writeAt time.Duration
-	more    bool
+	mayHaveMore    bool
 	// nextGrantCheck is when to look again at the entries that aren't in force.
 	nextGrantCheck time.Duration
 }
@@ -55,20 +55,20 @@
 	revision storage.Revision
 	// granted has the entries that came in force, by their Since.
 	granted map[uint64]bool
-	waiting bool
+	grantsPending bool
 }
 
-// settleEvery is how often entries that wait for being in force are looked at.
-const settleEvery = 50 * time.Millisecond
+// grantCheckInterval is how often entries that wait for being in force are looked at.
+const grantCheckInterval = 50 * time.Millisecond
 
 func newShards(count int) shards {
 	s := shards{
 		held:     map[string]*heldShard{},
 		seen:     map[string]seenRow{},
-		line:     map[string]int{},
+		writerRank:     map[string]int{},
 		limits:   map[string][]config.Limit{},
-		wantedAt: map[string]time.Duration{},
-		right:    map[string]basis{},
+		staleSince: map[string]time.Duration{},
+		upToDate:    map[string]planInputs{},
 		nextGrantCheck:     never,
 	}
 	for i := range count {
@@ -80,7 +80,7 @@
 // nextWrite returns when to look for the next row to write, after one that
 // was written.
 func (s *shards) nextWrite() time.Duration {
-	if s.writing || !s.more {
+	if s.writing || !s.mayHaveMore {
 		return never
 	}
 	return s.writeAt
@@ -116,13 +116,13 @@
 	}
 	held.revision = row.Revision
 	n.emitMemberEffects(n.member.Require(n.now, row.Revision))
-	n.settleShard(name, held, n.freshUntil)
+	n.applyGrants(name, held, n.freshUntil)
 }
 
-// holderRow returns a shard's row for asking its holders. Until a new row is
+// rowWithFormerHolders returns a shard's row for asking its holders. Until a new row is
 // in force it names the former holders as well: they may still use their
 // parts, and the new ones may not yet.
-func (n *Node) holderRow(name string) config.Shard {
+func (n *Node) rowWithFormerHolders(name string) config.Shard {
 	seen := n.shards.seen[name]
 	if n.now >= seen.formerUntil {
 		return seen.row
@@ -130,14 +130,14 @@
 	return quota.WithPreviousHolders(seen.row, seen.former)
 }
 
-// settleShard hands the holder the entries of a row that are in force. Parts
+// applyGrants hands the holder the entries of a row that are in force. Parts
 // that the row takes away count until lostUntil.
 //
 // An entry counts as in force when the row that it was read from is. The
 // entry's own Since is older than the write that made it: if that were
 // enough, two instances could use the same parts for the time in which the
 // former holder hasn't heard of the write.
-func (n *Node) settleShard(name string, held *heldShard, lostUntil time.Duration) {
+func (n *Node) applyGrants(name string, held *heldShard, lostUntil time.Duration) {
 	row := n.replica.Shard(name)
 	rowInForce := n.member.InForce(n.now, held.revision)
 	inForce := func(since uint64) bool { return held.granted[since] || rowInForce }
@@ -148,9 +148,9 @@
 		held.granted[g.Since] = true
 	}
 	pending := quota.EntryRevisions(row, n.settings.Self.ID)
-	held.waiting = len(grants) < len(pending)
-	if held.waiting {
-		n.shards.nextGrantCheck = min(n.shards.nextGrantCheck, n.now+settleEvery)
+	held.grantsPending = len(grants) < len(pending)
+	if held.grantsPending {
+		n.shards.nextGrantCheck = min(n.shards.nextGrantCheck, n.now+grantCheckInterval)
 	}
 	if len(pending) == 0 {
 		delete(n.shards.held, name)
@@ -163,8 +163,8 @@
 	}
 	n.shards.nextGrantCheck = never
 	for _, name := range n.shards.names {
-		if held := n.shards.held[name]; held != nil && held.waiting {
-			n.settleShard(name, held, n.now)
+		if held := n.shards.held[name]; held != nil && held.grantsPending {
+			n.applyGrants(name, held, n.now)
 		}
 	}
 }
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -13,19 +13,19 @@
 
 // rankShardWriters finds the shards that this instance is in line for.
 func (n *Node) rankShardWriters() {
-	n.shards.limited = 0
-	clear(n.shards.line)
+	n.shards.limitsVersion = 0
+	clear(n.shards.writerRank)
 	entries := n.member.Directory().Entries()
 	for _, name := range n.shards.names {
-		if place, ok := n.place(name, entries); ok {
-			n.shards.line[name] = place
+		if place, ok := n.writerRankOf(name, entries); ok {
+			n.shards.writerRank[name] = place
 		}
 	}
 }
 
-// place counts the live instances before this one by rendezvous hash, and
+// writerRankOf counts the live instances before this one by rendezvous hash, and
 // stops as soon as there are enough of them.
-func (n *Node) place(name string, entries []storage.Instance) (int, bool) {
+func (n *Node) writerRankOf(name string, entries []storage.Instance) (int, bool) {
 	key := "shard-writer/" + name
 	before := 0
 	listed := false
@@ -37,7 +37,7 @@
 		if membership.TopRanked(key, []string{e.ID, n.settings.Self.ID}) == e.ID {
 			before++
 		}
-		if before >= inLine {
+		if before >= writersPerShard {
 			return 0, false
 		}
 	}
@@ -49,49 +49,49 @@
 	if n.member.Confirmation(n.now).State != membership.ConfirmedByTable || n.shards.writing || n.now < n.shards.writeAt {
 		return
 	}
-	n.shards.more = false
+	n.shards.mayHaveMore = false
 	var candidates []quota.Candidate
 	for _, name := range n.shards.names {
-		place, ok := n.shards.line[name]
-		if !ok || n.shards.right[name] == n.basis(name) {
+		place, ok := n.shards.writerRank[name]
+		if !ok || n.shards.upToDate[name] == n.planInputs(name) {
 			continue
 		}
 		if candidates == nil {
 			candidates = n.candidates()
 		}
-		if n.planShard(name, place, candidates) {
+		if n.writeShardIfStale(name, place, candidates) {
 			return
 		}
 	}
 }
 
-// basis is all that the plan for a shard depends on. A row that was found
-// right isn't planned again on the same basis: ranking 2,000 candidates for
+// planInputs is all that the plan for a shard depends on. A row that was found
+// right isn't planned again on the same planInputs: ranking 2,000 candidates for
 // it four times a second would take half a percent of a core.
-type basis struct {
+type planInputs struct {
 	row     storage.Revision
 	list    uint64
 	lists   uint64
 	leaving bool
 }
 
-func (n *Node) basis(name string) basis {
+func (n *Node) planInputs(name string) planInputs {
 	row, _ := n.replica.Row(shardKey(name))
-	return basis{row: row.Revision, list: n.seenList, lists: n.replica.Lists().Version, leaving: n.leaving}
+	return planInputs{row: row.Revision, list: n.seenList, lists: n.replica.Lists().Version, leaving: n.leaving}
 }
 
-func (n *Node) planShard(name string, place int, candidates []quota.Candidate) bool {
+func (n *Node) writeShardIfStale(name string, place int, candidates []quota.Candidate) bool {
 	row, _ := n.replica.Row(shardKey(name))
 	holders := quota.HolderCount(n.shardLimits(name), n.settings.MaxHolders)
 	next, changed := quota.Assign(name, n.replica.Shard(name), candidates, holders, uint64(row.Revision))
 	if !changed {
-		delete(n.shards.wantedAt, name)
-		n.shards.right[name] = n.basis(name)
+		delete(n.shards.staleSince, name)
+		n.shards.upToDate[name] = n.planInputs(name)
 		return false
 	}
-	since, known := n.shards.wantedAt[name]
+	since, known := n.shards.staleSince[name]
 	if !known {
-		n.shards.wantedAt[name] = n.now
+		n.shards.staleSince[name] = n.now
 		since = n.now
 	}
 	if n.now < since+time.Duration(place)*n.settings.ShardStagger {
@@ -116,8 +116,8 @@
 		n.shards.writeAt = n.now + n.member.Settings().PollEvery
 		return
 	}
-	n.shards.more = true
-	delete(n.shards.wantedAt, name)
+	n.shards.mayHaveMore = true
+	delete(n.shards.staleSince, name)
 	n.emit(Noted{Note: NoteShardWritten, Subject: name})
 	n.emitMemberEffects(n.member.Require(n.now, r.Revisions[storage.Control]))
 }
@@ -138,8 +138,8 @@
 // shardLimits returns the limits of a shard's workspaces under the lists in
 // force here.
 func (n *Node) shardLimits(name string) []config.Limit {
-	if version := n.replica.Lists().Version; version != n.shards.limited {
-		n.shards.limited = version
+	if version := n.replica.Lists().Version; version != n.shards.limitsVersion {
+		n.shards.limitsVersion = version
 		n.indexLimits()
 	}
 	return n.shards.limits[name]
@@ -152,7 +152,7 @@
 	plans := map[string][]config.Limit{}
 	for w := range n.replica.Workspaces() {
 		shard := quota.ShardOf(w.Name, n.settings.Shards)
-		if _, ok := n.shards.line[shard]; !ok {
+		if _, ok := n.shards.writerRank[shard]; !ok {
 			continue
 		}
 		limits, known := plans[w.Plan]
--- a/node/status.go
+++ b/node/status.go
@@ -63,8 +63,8 @@
 	Count  uint64
 }
 
-// maxRefusals bounds the workspaces whose refusals are counted.
-const maxRefusals = 1000
+// maxRefusalCounts bounds the workspaces whose refusals are counted.
+const maxRefusalCounts = 1000
 
 type rateRefusalCounts map[quota.Bucket]uint64
 
@@ -73,7 +73,7 @@
 		return
 	}
 	b := quota.Bucket{Workspace: record.Workspace, Service: record.Service}
-	if _, known := r[b]; known || len(r) < maxRefusals {
+	if _, known := r[b]; known || len(r) < maxRefusalCounts {
 		r[b]++
 	}
 }
--- a/node/timers.go
+++ b/node/timers.go
@@ -8,19 +8,19 @@
 // timers are things to do later, soonest first.
 type timers struct {
 	list timerList
-	made uint64
+	lastSequence uint64
 }
 
 type timer struct {
 	at time.Duration
-	// number keeps timers of the same time in the order of their making.
-	number uint64
-	do     func()
+	// sequence keeps timers of the same time in the order of their making.
+	sequence uint64
+	run     func()
 }
 
 func (t *timers) add(at time.Duration, do func()) {
-	t.made++
-	heap.Push(&t.list, timer{at: at, number: t.made, do: do})
+	t.lastSequence++
+	heap.Push(&t.list, timer{at: at, sequence: t.lastSequence, run: do})
 }
 
 func (t *timers) nextTime() (time.Duration, bool) {
@@ -35,7 +35,7 @@
 	if at, ok := t.nextTime(); !ok || at > now {
 		return nil, false
 	}
-	return heap.Pop(&t.list).(timer).do, true
+	return heap.Pop(&t.list).(timer).run, true
 }
 
 type timerList []timer
@@ -43,7 +43,7 @@
 func (l timerList) Len() int { return len(l) }
 
 func (l timerList) Less(i, j int) bool {
-	return l[i].at < l[j].at || (l[i].at == l[j].at && l[i].number < l[j].number)
+	return l[i].at < l[j].at || (l[i].at == l[j].at && l[i].sequence < l[j].sequence)
 }
 func (l timerList) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 func (l *timerList) Push(x any)   { *l = append(*l, x.(timer)) }
--- a/node/unadvertised.go
+++ b/node/unadvertised.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// unadvertisedFor is how long callers aren't told of an instance whose
+	// unadvertisedPeriod is how long callers aren't told of an instance whose
 	// own network is bad, before it is tried again.
-	unadvertisedFor = 20 * time.Second
-	// unadvertisedShare bounds these instances: one, or one of so many live
+	unadvertisedPeriod = 20 * time.Second
+	// instancesPerUnadvertised bounds these instances: one, or one of so many live
 	// ones.
-	unadvertisedShare = 20
+	instancesPerUnadvertised = 20
 	// unadvertisedRole is the rendezvous key of the instance that ends it.
 	unadvertisedRole = "unadvertised"
 )
@@ -58,7 +58,7 @@
 // its failures.
 func (n *Node) unadvertiseFaultyReporter(from, service string) {
 	u := &n.unadvertised
-	bound := max(1, len(n.member.Directory().Entries())/unadvertisedShare)
+	bound := max(1, len(n.member.Directory().Entries())/instancesPerUnadvertised)
 	if len(u.instances) >= bound || slices.Contains(u.instances, from) || !n.collector.ReporterAtFault(n.now, from, service) {
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 	live := n.entryIDs()
 	rest := slices.DeleteFunc(slices.Clone(u.instances), func(id string) bool {
-		return n.now >= u.since[id]+unadvertisedFor || !slices.Contains(live, id)
+		return n.now >= u.since[id]+unadvertisedPeriod || !slices.Contains(live, id)
 	})
 	if len(rest) < len(u.instances) {
 		n.writeUnadvertised(rest)
