--- a/effect/effect.go
+++ b/effect/effect.go
@@ -1,6 +1,6 @@
-// Package effect lists what a decision may ask the outside world to do. The
-// decisions themselves do no input or output: they return effects, and the
-// answer comes back later as a call with the effect's id.
+// Package effect defines the I/O requests that the decision packages return.
+// Those packages do no input or output themselves: the caller carries out each
+// effect and passes the result back with the effect's ID.
 package effect
 
 import "foxtailspoke/storage"
@@ -8,14 +8,14 @@
 // Effect is one of Call, ReadTable, WriteTable and ReadInstances.
 type Effect interface{ effect() }
 
-// Call sends a request to another entry instance. It ends with a reply or
-// with none, after a time that the caller of the decision bounds.
+// Call sends a request to another entry instance. It ends with a reply, or
+// without one after a timeout set by the driver.
 type Call struct {
 	// ID is unique among the calls of the package that made it.
 	ID uint64
-	// To is the instance's id.
+	// To is the ID of the instance.
 	To string
-	// Request is a message type of the package that made the call.
+	// Request is a message type defined by the package that made the call.
 	Request any
 }
 
@@ -25,8 +25,9 @@
 	Read storage.ReadRequest
 }
 
-// WriteTable sends one transaction to the platform's table, once. Sending
-// it again after an unknown outcome is a decision, not the driver's habit.
+// WriteTable sends one transaction to the platform's table, exactly once. The
+// driver must not resend it after an unknown outcome: whether to do so is
+// decided by the package that returned the effect.
 type WriteTable struct {
 	ID  uint64
 	Txn storage.Txn
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,14 +1,14 @@
-// Package node composes the decisions of one entry instance: whether its
-// configuration is confirmed, whether a request is inside its workspace's
-// rate, which backend server gets it, what follows a failure, and how the
-// instance shares in the fleet's work.
+// Package node implements the decision logic of one entry instance: whether its
+// configuration is confirmed, whether a request is within its workspace's rate
+// limit, which backend server serves it, how failures are handled, and which
+// fleet-wide tasks the instance performs.
 //
-// A Node is a state machine: Step takes the time and one event, and returns
-// effects. It has no goroutine, clock, input or output. The same events at
-// the same times give the same effects, so a recorded run can be replayed.
-// Request and answer bodies never pass through it.
+// A Node is a deterministic state machine: Step takes the time and one event,
+// and returns effects. It has no goroutines, clock, input or output. The same
+// events at the same times give the same effects, so a recorded run can be
+// replayed. Request and answer bodies never pass through it.
 //
-// Whoever drives a Node calls Step with Wake at NextWake or earlier, carries
-// out the effects, and reports how each one ended: every StartAttempt ends
-// with one AttemptEnded, every effect.Call with one CallEnded, and so on.
+// The driver of a Node calls Step with Wake no later than NextWake, carries out
+// the effects, and reports the result of each one: every StartAttempt ends with
+// one AttemptEnded, every effect.Call with one CallEnded, and so on.
 package node
--- a/node/effect.go
+++ b/node/effect.go
@@ -2,12 +2,12 @@
 
 import "foxtailspoke/effect"
 
-// Effect is what a step asks the driver to do: Relay, Refuse, Repeat,
-// StartAttempt, CancelAttempt, StartProbe, ReplyCall, Located, Recorded,
-// Noted, or one of package effect with ids that are unique in the node.
+// Effect is an action that the driver must carry out: Relay, Refuse, Repeat,
+// StartAttempt, CancelAttempt, StartProbe, ReplyCall, Located, Recorded, Noted,
+// or a type of package effect with an ID that is unique within the node.
 type Effect any
 
-// component is the part of the node that an effect's answer belongs to.
+// component identifies the part of the node that handles an effect's result.
 type component int
 
 const (
@@ -21,16 +21,16 @@
 	ownerUnadvertised
 )
 
-// pendingEffect is an effect whose answer is awaited.
+// pendingEffect is an effect whose result is outstanding.
 type pendingEffect struct {
 	owner component
-	// id is the effect's id within the owner.
+	// id is the effect's ID within the owner.
 	id uint64
-	// subject is a shard, a service or a request, by owner.
+	// subject is a shard, service or request, depending on the owner.
 	subject string
 }
 
-// trackEffect gives an effect of a part its id in the node.
+// trackEffect assigns an effect its node-wide ID and records it as pending.
 func (n *Node) trackEffect(p pendingEffect, e effect.Effect) Effect {
 	n.lastEffect++
 	id := n.lastEffect
@@ -52,14 +52,14 @@
 	panic("node: effect of unknown type")
 }
 
-// takePending removes and returns what an answer belongs to.
+// takePending removes and returns the pending effect with the given ID.
 func (n *Node) takePending(id uint64) (pendingEffect, bool) {
 	p, ok := n.pending[id]
 	delete(n.pending, id)
 	return p, ok
 }
 
-// emitMemberEffects passes the membership's effects on.
+// emitMemberEffects emits the membership's effects under node-wide IDs.
 func (n *Node) emitMemberEffects(effects []effect.Effect) {
 	for _, e := range effects {
 		p := pendingEffect{owner: ownerMember}
--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -80,14 +80,14 @@
 			f.step(i, e)
 		}
 	}
-	f.at(hop, func() {
-		if f.platformDown || !f.open(i.name, "table") {
+	f.at(linkDelay, func() {
+		if f.platformDown || !f.reachable(i.name, "table") {
 			return
 		}
 		e := do()
-		if f.open("table", i.name) {
-			f.at(hop, func() { end(e) })
+		if f.reachable("table", i.name) {
+			f.at(linkDelay, func() { end(e) })
 		}
 	})
-	f.at(readTime, func() { end(none) })
+	f.at(readTimeout, func() { end(none) })
 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -12,7 +12,7 @@
 	"foxtailspoke/storage"
 )
 
-// fleet drives a handful of real nodes over fakes of the table, the links and
+// fleet runs several real nodes against fakes of the platform, the network and
 // the backend servers, in simulated time. The same seed gives the same run.
 type fleet struct {
 	rng   *rand.Rand
@@ -20,16 +20,16 @@
 	seq   int
 	queue jobs
 
-	tables    map[storage.TableName]*table
+	tables       map[storage.TableName]*table
 	platformDown bool
-	list      []storage.Instance
-	version   uint64
+	list         []storage.Instance
+	version      uint64
 
 	nodes   map[string]*instance
 	names   []string
 	servers map[string]*server
-	// cut has the one-way cuts "from>to"; "table" is the platform.
-	cut map[string]bool
+	// blocked has the blocked one-way links as "from>to"; "table" is the platform.
+	blocked map[string]bool
 
 	starts    []firstAttempt
 	executed  []execution
@@ -38,22 +38,23 @@
 	forwarded map[string]string
 	replying  map[uint64]func(ReplyCall)
 	requests  int
-	// noted has the detections.
+	// noted has the NoteDetected notes.
 	noted []Noted
-	// seeds of the instances that are started.
+	// seeds is passed to the instances that are started.
 	seeds []string
 }
 
-// instance is a node with its clock and what happens while it is frozen.
+// instance is a node with its own clock. Events that arrive while it is frozen
+// are queued.
 type instance struct {
-	node   *Node
-	name   string
-	begin  time.Duration
-	rate   float64
-	frozen bool
-	dead   bool
-	held   []Event
-	wakeAt time.Duration
+	node       *Node
+	name       string
+	startedAt  time.Duration
+	rate       float64
+	frozen     bool
+	dead       bool
+	heldEvents []Event
+	wakeAt     time.Duration
 }
 
 // server is a fake backend server.
@@ -63,7 +64,7 @@
 	refused int
 }
 
-// firstAttempt is a request's first attempt: the moment of its admission.
+// firstAttempt records the first attempt of a request, made on its admission.
 type firstAttempt struct {
 	at        time.Duration
 	workspace string
@@ -83,9 +84,9 @@
 }
 
 const (
-	hop      = time.Millisecond
-	callTime = 250 * time.Millisecond
-	readTime = time.Second
+	linkDelay   = time.Millisecond
+	callTimeout = 250 * time.Millisecond
+	readTimeout = time.Second
 )
 
 func newFleet(seed uint64, entries, servers int) *fleet {
@@ -97,7 +98,7 @@
 		},
 		nodes:     map[string]*instance{},
 		servers:   map[string]*server{},
-		cut:       map[string]bool{},
+		blocked:   map[string]bool{},
 		answers:   map[string]reply{},
 		located:   map[string]Located{},
 		forwarded: map[string]string{},
@@ -133,34 +134,35 @@
 	s.Shards = 2
 	s.ShardStagger = time.Second
 	s.Membership.Seeds = f.seeds
-	i := &instance{node: New(s), name: name, begin: f.now, rate: 1 + (f.rng.Float64()-0.5)*0.0008, wakeAt: never}
+	i := &instance{node: New(s), name: name, startedAt: f.now, rate: 1 + (f.rng.Float64()-0.5)*0.0008, wakeAt: never}
 	f.nodes[name] = i
 	f.names = append(f.names, name)
 	f.step(i, Wake{})
 	return i
 }
 
-// step hands an event to a node, unless it is frozen or gone.
+// step passes an event to a node. Events for a frozen node are queued, those for
+// a dead one are dropped.
 func (f *fleet) step(i *instance, e Event) {
 	switch {
 	case i.dead:
 		return
 	case i.frozen:
-		i.held = append(i.held, e)
+		i.heldEvents = append(i.heldEvents, e)
 		return
 	}
 	for _, effect := range slices.Clone(i.node.Step(i.local(f.now), e)) {
-		f.carryOut(i, effect)
+		f.execute(i, effect)
 	}
 	f.scheduleWake(i)
 }
 
 func (i *instance) local(now time.Duration) time.Duration {
-	return time.Duration(float64(now-i.begin) * i.rate)
+	return time.Duration(float64(now-i.startedAt) * i.rate)
 }
 
 func (f *fleet) scheduleWake(i *instance) {
-	at := max(f.now, i.begin+time.Duration(float64(i.node.NextWake())/i.rate)+1)
+	at := max(f.now, i.startedAt+time.Duration(float64(i.node.NextWake())/i.rate)+1)
 	if i.wakeAt > f.now && i.wakeAt <= at {
 		return
 	}
@@ -177,8 +179,8 @@
 func (f *fleet) thaw(name string) {
 	i := f.nodes[name]
 	i.frozen = false
-	held := i.held
-	i.held = nil
+	held := i.heldEvents
+	i.heldEvents = nil
 	for _, e := range held {
 		f.step(i, e)
 	}
@@ -194,15 +196,15 @@
 	})
 }
 
-func (f *fleet) open(from, to string) bool { return !f.cut[from+">"+to] }
+func (f *fleet) reachable(from, to string) bool { return !f.blocked[from+">"+to] }
 
-// carryOut does what a driver does.
-func (f *fleet) carryOut(i *instance, e Effect) {
+// execute carries out an effect as a driver does.
+func (f *fleet) execute(i *instance, e Effect) {
 	switch e := e.(type) {
 	case StartAttempt:
 		f.attempt(i, e)
 	case ReplyCall:
-		f.replies(e)
+		f.deliverReply(e)
 	case Relay:
 		f.answer(e.Request, "served", "")
 	case Repeat:
@@ -238,39 +240,40 @@
 	}
 }
 
-// attempt sends a request to a backend server or to its key's minter.
+// attempt sends a request to a backend server, or forwards it to the instance
+// that minted its operation key.
 func (f *fleet) attempt(i *instance, e StartAttempt) {
 	if e.Forward {
 		f.forward(i, e)
 		return
 	}
-	f.noteStart(i, e)
+	f.recordFirstAttempt(i, e)
 	s := f.servers[e.Server.ID]
 	end := func(in time.Duration, r health.Result) {
 		f.at(in, func() {
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: r, Latency: in, Replayable: true})
 		})
 	}
-	if s.mode == "refuse" || !f.open(i.name, e.Server.ID) {
-		end(hop, health.ConnectFailed)
+	if s.mode == "refuse" || !f.reachable(i.name, e.Server.ID) {
+		end(linkDelay, health.ConnectFailed)
 		return
 	}
 	if s.mode == "leaving" {
 		s.refused++
-		f.at(2*hop, func() {
+		f.at(2*linkDelay, func() {
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.NotRun, Replayable: true, Leaving: true})
 		})
 		return
 	}
 	if s.mode == "shed" {
-		end(2*hop, health.Shed)
+		end(2*linkDelay, health.Shed)
 		return
 	}
-	f.at(hop, func() {
+	f.at(linkDelay, func() {
 		f.executed = append(f.executed, execution{at: f.now, request: e.Request, operation: e.Operation})
 	})
 	switch {
-	case s.mode == "hang" || !f.open(e.Server.ID, i.name):
+	case s.mode == "hang" || !f.reachable(e.Server.ID, i.name):
 		end(e.Timeout, health.Timeout)
 	case s.mode == "half":
 		end(s.latency, health.Incomplete)
@@ -279,32 +282,32 @@
 	}
 }
 
-func (f *fleet) noteStart(i *instance, e StartAttempt) {
+func (f *fleet) recordFirstAttempt(i *instance, e StartAttempt) {
 	r := i.node.requests[e.Request]
 	if len(r.tried) == 1 {
 		f.starts = append(f.starts, firstAttempt{at: f.now, workspace: e.Workspace, service: r.service.Name, key: r.arrived.Key.String()})
 	}
 }
 
-// forward hands the request to the minter as another request.
+// forward sends the request to the minting instance under a new request ID.
 func (f *fleet) forward(i *instance, e StartAttempt) {
 	r := i.node.requests[e.Request].arrived
 	r.Request += "@" + e.Server.ID
 	r.Forwarded = true
 	f.forwarded[r.Request] = e.Request
 	minter := f.nodes[e.Server.ID]
-	if minter.dead || !f.open(i.name, minter.name) {
-		f.at(hop, func() { f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.ConnectFailed}) })
+	if minter.dead || !f.reachable(i.name, minter.name) {
+		f.at(linkDelay, func() { f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.ConnectFailed}) })
 		return
 	}
-	f.at(hop, func() { f.step(minter, r) })
+	f.at(linkDelay, func() { f.step(minter, r) })
 	f.awaitForward(i, e, r.Request, f.now+e.Timeout)
 }
 
 func (f *fleet) awaitForward(i *instance, e StartAttempt, request string, until time.Duration) {
-	f.at(5*hop, func() {
+	f.at(5*linkDelay, func() {
 		switch _, done := f.answers[request]; {
-		case done && f.open(e.Server.ID, i.name):
+		case done && f.reachable(e.Server.ID, i.name):
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.OK})
 		case f.now >= until:
 			f.step(i, AttemptEnded{Attempt: e.Attempt, Result: health.Timeout})
@@ -314,7 +317,7 @@
 	})
 }
 
-// call carries a message to another node, and its reply back.
+// call delivers a message to another node and its reply back.
 func (f *fleet) call(i *instance, e effect.Call) {
 	f.requests++
 	token := uint64(f.requests)
@@ -325,29 +328,29 @@
 			f.step(i, c)
 		}
 	}
-	f.at(callTime, func() { end(CallEnded{ID: e.ID}) })
+	f.at(callTimeout, func() { end(CallEnded{ID: e.ID}) })
 	to, ok := f.nodes[i.node.PeerAddress(e.To)]
-	if !ok || to.dead || !f.open(i.name, to.name) {
+	if !ok || to.dead || !f.reachable(i.name, to.name) {
 		return
 	}
-	f.at(hop, func() {
+	f.at(linkDelay, func() {
 		f.replying[token] = func(r ReplyCall) {
-			if r.OK && f.open(to.name, i.name) {
-				f.at(hop, func() { end(CallEnded{ID: e.ID, Reply: r.Reply, OK: true}) })
+			if r.OK && f.reachable(to.name, i.name) {
+				f.at(linkDelay, func() { end(CallEnded{ID: e.ID, Reply: r.Reply, OK: true}) })
 			}
 		}
 		f.step(to, Called{Token: token, From: i.name, Request: e.Request.(PeerRequest)})
 	})
 }
 
-func (f *fleet) replies(e ReplyCall) {
+func (f *fleet) deliverReply(e ReplyCall) {
 	if reply, ok := f.replying[e.Token]; ok {
 		delete(f.replying, e.Token)
 		reply(e)
 	}
 }
 
-// sendRequest sends a caller's request to a node.
+// sendRequest sends a caller's request to a node and returns the request's ID.
 func (f *fleet) sendRequest(to string, key string, r RequestArrived) string {
 	f.requests++
 	r.Request = "r" + strconv.Itoa(f.requests)
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -30,8 +30,8 @@
 	case 5:
 		f.split(name, true, true, long)
 	case 6:
-		f.cut["table>"+name] = true
-		f.at(long, func() { f.cut["table>"+name] = false })
+		f.blocked["table>"+name] = true
+		f.at(long, func() { f.blocked["table>"+name] = false })
 	case 7:
 		if len(f.names) < 9 && !f.nodes[name].dead {
 			f.kill(name)
@@ -64,13 +64,13 @@
 		if other == name {
 			continue
 		}
-		f.cut[name+">"+other] = out
-		f.cut[other+">"+name] = in
+		f.blocked[name+">"+other] = out
+		f.blocked[other+">"+name] = in
 	}
 	f.at(long, func() {
 		for _, other := range others {
-			f.cut[name+">"+other] = false
-			f.cut[other+">"+name] = false
+			f.blocked[name+">"+other] = false
+			f.blocked[other+">"+name] = false
 		}
 	})
 }
--- a/node/lost_bench_test.go
+++ b/node/lost_bench_test.go
@@ -10,16 +10,17 @@
 	"foxtailspoke/storage"
 )
 
-// BenchmarkDataCentreLost reports the writes after one of 17 data centres is
-// gone: how many rows of the control table (shards, witnesses), how fast at
-// most, and how long until the last one. Every shard has six holders. Run it with -benchtime 1x.
+// BenchmarkDataCentreLost measures the control table writes (shards, witnesses)
+// after the loss of one of 17 data centres: the number of rows, the maximum
+// rate, and the time until the last write. Every shard has six holders. Run it
+// with -benchtime 1x.
 func BenchmarkDataCentreLost(b *testing.B) {
 	for _, size := range []int{34, 68, 136} {
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
 			for range b.N {
-				f := wideFleet(size)
+				f := newWideFleet(size)
 				f.run(40 * time.Second)
-				rows, most, last := f.loseCentre()
+				rows, most, last := f.loseDataCentre()
 				b.ReportMetric(float64(rows), "rows")
 				b.ReportMetric(float64(most), "rows/s(max)")
 				b.ReportMetric(last.Seconds(), "s")
@@ -28,9 +29,9 @@
 	}
 }
 
-const wideCentres = 17
+const wideDataCentres = 17
 
-func wideFleet(size int) *fleet {
+func newWideFleet(size int) *fleet {
 	f := newFleet(1, 0, 1)
 	f.write(config.PlanPrefix+"p", config.Plan{Services: map[string]config.Limit{"orders": {Rate: 1000, Burst: 1000}}})
 	f.write(config.ServicePrefix+"orders", config.Service{Routes: []config.Route{{Prefix: "/o/"}}})
@@ -48,23 +49,22 @@
 func (f *fleet) startWide(i int) {
 	name := fmt.Sprintf("n%03d", i)
 	s := DefaultSettings()
-	s.Self = storage.Instance{ID: name, Kind: storage.Entry, DataCentre: "dc" + strconv.Itoa(i%wideCentres), Address: name, PeerAddress: name, State: storage.Live}
+	s.Self = storage.Instance{ID: name, Kind: storage.Entry, DataCentre: "dc" + strconv.Itoa(i%wideDataCentres), Address: name, PeerAddress: name, State: storage.Live}
 	s.Secret = []byte("secret of " + name)
 	s.Seed = uint64(i)
 	f.announce(s.Self)
-	n := &instance{node: New(s), name: name, begin: f.now, rate: 1, wakeAt: never}
+	n := &instance{node: New(s), name: name, startedAt: f.now, rate: 1, wakeAt: never}
 	f.nodes[name] = n
 	f.names = append(f.names, name)
 	f.step(n, Wake{})
 }
 
-// loseCentre kills a data centre; the platform lists its instances as ended
-// three seconds later. It returns the rows that were written, the
-// most of them in a second, and when the last one was written, counted from
-// the list's change.
-func (f *fleet) loseCentre() (rows, most int, last time.Duration) {
+// loseDataCentre kills all instances of a data centre; the platform lists them as
+// ended three seconds later. It returns the number of rows written, the maximum
+// per second, and the time of the last write, counted from the list's change.
+func (f *fleet) loseDataCentre() (rows, most int, last time.Duration) {
 	for i, name := range f.names {
-		if i%wideCentres == 0 {
+		if i%wideDataCentres == 0 {
 			f.kill(name)
 		}
 	}
@@ -82,5 +82,5 @@
 	return rows, most, last
 }
 
-// controlWrites counts the writes of the control table so far.
+// controlWrites returns the number of control table writes so far.
 func (f *fleet) controlWrites() int { return int(f.tables[storage.Control].revision) }
--- a/node/message.go
+++ b/node/message.go
@@ -8,7 +8,8 @@
 	"foxtailspoke/quota"
 )
 
-// PeerRequest is a call from one entry instance to another; one field is set.
+// PeerRequest is a call from one entry instance to another. Exactly one field
+// is set.
 type PeerRequest struct {
 	Member *membership.Request
 	Ask    *quota.Ask
@@ -17,14 +18,15 @@
 	Settlement *quota.Settlement
 }
 
-// PeerReply answers a PeerRequest; the same field is set.
+// PeerReply answers a PeerRequest. The field that corresponds to the request's
+// field is set.
 type PeerReply struct {
 	Member   *membership.Reply
 	Transfer *quota.Transfer
 	Advice   *Advice
 }
 
-// Advice is a collector's answer to a report.
+// Advice is a collector's answer to a health report.
 type Advice struct {
 	Service  string
 	Suspects []health.Suspect
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -17,8 +17,8 @@
 	"foxtailspoke/storage"
 )
 
-// scale is a size of the whole deployment. The last one is the target size.
-type scale struct{ entries, targets, services, workspaces, centres int }
+// scale is the size of a deployment. The last entry of scales is the target size.
+type scale struct{ entries, targets, services, workspaces, dataCentres int }
 
 var scales = []scale{
 	{40, 50, 4, 10, 4},
@@ -31,11 +31,12 @@
 	return fmt.Sprintf("entries=%d/targets=%d/services=%d/workspaces=%d", s.entries, s.targets, s.services, s.workspaces)
 }
 
-// routesPerService makes 11,200 routes of 560 services.
+// routesPerService gives 11,200 routes for 560 services.
 const routesPerService = 20
 
-// singleNode is a node among a fleet that exists only as rows and as a list. Its
-// reads and pulls are answered with what it has not heard yet.
+// singleNode is one real node in a fleet that otherwise exists only as table rows
+// and list entries. Its reads and pulls are answered with the changes that it
+// has not seen yet.
 type singleNode struct {
 	node     *Node
 	now      time.Duration
@@ -51,7 +52,7 @@
 
 func (s scale) entry(i int) storage.Instance {
 	return storage.Instance{
-		ID: instanceID("entry", i), Kind: storage.Entry, DataCentre: fmt.Sprintf("dc-%02d", i%s.centres), Region: fmt.Sprintf("region-%d", i%6),
+		ID: instanceID("entry", i), Kind: storage.Entry, DataCentre: fmt.Sprintf("dc-%02d", i%s.dataCentres), Region: fmt.Sprintf("region-%d", i%6),
 		Address: fmt.Sprintf("10.1.%d.%d:8010", i/250, i%250), PeerAddress: fmt.Sprintf("10.1.%d.%d:8011", i/250, i%250),
 		OperatorAddress: fmt.Sprintf("10.1.%d.%d:8012", i/250, i%250), State: storage.Live,
 	}
@@ -59,7 +60,7 @@
 
 func (s scale) target(i int) storage.Instance {
 	return storage.Instance{
-		ID: instanceID("target", i), Kind: storage.BackendServer, Service: serviceName(i % s.services), DataCentre: fmt.Sprintf("dc-%02d", i%s.centres),
+		ID: instanceID("target", i), Kind: storage.BackendServer, Service: serviceName(i % s.services), DataCentre: fmt.Sprintf("dc-%02d", i%s.dataCentres),
 		Region: fmt.Sprintf("region-%d", i%6), Address: fmt.Sprintf("10.2.%d.%d:9000", i/250, i%250), Slots: 4, State: storage.Live,
 	}
 }
@@ -76,8 +77,8 @@
 	l.rows = append(l.rows, storage.Row{Key: key, Value: data, Revision: l.revision, Attempt: "8c5e0d4a-0000-4000-8000-000000000000"})
 }
 
-// newConfiguredNode returns a node that has the whole table and list, holds all parts
-// of every shard, and has them in force.
+// newConfiguredNode returns a node that has the whole table and list, and holds
+// all parts of every shard, all in force.
 func newConfiguredNode(tb testing.TB, s scale) *singleNode {
 	l := newEmptyNode(s)
 	l.fillTable(s)
@@ -133,8 +134,8 @@
 	}
 }
 
-// advance lets time advance with one wake, answers what the node asks for, and
-// returns what the wake and the answers took.
+// advance moves the time forward by d with one wake and answers the node's
+// effects. It returns the time spent in the wake and in handling the answers.
 func (l *singleNode) advance(d time.Duration) (wake, answers time.Duration) {
 	l.now += d
 	start := time.Now()
@@ -191,8 +192,7 @@
 	return c
 }
 
-// request takes a caller's request the whole way and says whether it was
-// served.
+// request runs a caller's request to its end and reports whether it was served.
 func (l *singleNode) request(i int, s scale) bool {
 	id := fmt.Sprint("r", i)
 	workspace := i % s.workspaces
@@ -211,12 +211,13 @@
 	return served
 }
 
-// micros reports a time per operation of b, in microseconds.
-func micros(b *testing.B, spent time.Duration, unit string) {
+// reportMicros reports the mean time per iteration of b in microseconds.
+func reportMicros(b *testing.B, spent time.Duration, unit string) {
 	b.ReportMetric(float64(spent.Nanoseconds())/1e3/float64(b.N), unit)
 }
 
-// BenchmarkScale gives the slopes of one instance's steps in docs/CAPACITY.md.
+// BenchmarkScale measures the cost of one instance's steps by deployment size;
+// docs/CAPACITY.md uses the slopes.
 func BenchmarkScale(b *testing.B) {
 	for _, s := range scales {
 		b.Run(s.String(), func(b *testing.B) { benchmarkScale(b, s) })
@@ -261,8 +262,8 @@
 			wakes += wake
 			answers += answer
 		}
-		micros(b, wakes, "µs/wake")
-		micros(b, answers, "µs/answers")
+		reportMicros(b, wakes, "µs/wake")
+		reportMicros(b, answers, "µs/answers")
 	})
 	b.Run("revision", func(b *testing.B) {
 		var spent time.Duration
@@ -271,7 +272,7 @@
 			_, answers := l.advance(500 * time.Millisecond)
 			spent += answers
 		}
-		micros(b, spent, "µs/revision")
+		reportMicros(b, spent, "µs/revision")
 	})
 	b.Run("lists", func(b *testing.B) {
 		var spent time.Duration
@@ -281,7 +282,7 @@
 			wake, _ := l.advance(250 * time.Millisecond)
 			spent += wake
 		}
-		micros(b, spent, "µs/lists")
+		reportMicros(b, spent, "µs/lists")
 	})
 	b.Run("listChange", func(b *testing.B) {
 		var spent, next time.Duration
@@ -295,13 +296,13 @@
 			wake, _ := l.advance(250 * time.Millisecond)
 			next += wake
 		}
-		micros(b, spent, "µs/change")
-		micros(b, next, "µs/nextWake")
+		reportMicros(b, spent, "µs/change")
+		reportMicros(b, next, "µs/nextWake")
 	})
 	benchmarkParts(b, l, s)
 }
 
-// benchmarkParts times what steps and housekeeping call.
+// benchmarkParts measures the functions called by steps and housekeeping.
 func benchmarkParts(b *testing.B, l *singleNode, s scale) {
 	n := l.node
 	service, _ := n.replica.Service(serviceName(0))
@@ -330,8 +331,8 @@
 	part("holderForget", func() { n.holder.EvictIdle(n.now) })
 }
 
-// BenchmarkScaleBytes reports the memory of an instance's list and of the
-// whole node. Run it with -benchtime 1x.
+// BenchmarkScaleBytes measures the memory of an instance's list and of the whole
+// node. Run it with -benchtime 1x.
 func BenchmarkScaleBytes(b *testing.B) {
 	for _, s := range scales[1:] {
 		b.Run("list/"+s.String(), func(b *testing.B) {
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -20,7 +20,8 @@
 	key   = "fsk_a"
 )
 
-// newSettledFleet returns a fleet with one service, one workspace and settled parts.
+// newSettledFleet returns a fleet with one service and one workspace, whose parts
+// have been assigned and are in force.
 func newSettledFleet(seed uint64, entries, servers int) *fleet {
 	f := newFleet(seed, entries, servers)
 	f.configure()
@@ -57,8 +58,8 @@
 	}
 }
 
-// A workspace is over its rate. The status shows what is left here, and that it
-// fills again.
+// Status must report the tokens that a workspace over its rate has left on the
+// instance, and that the bucket refills.
 func TestStatusShowsTokens(t *testing.T) {
 	f := newSettledFleet(12, 1, 3)
 	for range 3 * int(burst) {
@@ -73,10 +74,10 @@
 	must.Eq(t, burst, n.node.Status(n.local(f.now)).RateRefusals[0].Tokens)
 }
 
-// An operator withdraws a key. Its caller keeps flooding every instance on
-// connections that are open, while instances hear late or not at all. Within
-// three seconds nobody serves it any more, whoever is cut off or frozen.
-func TestWithdrawnKeyStops(t *testing.T) {
+// A withdrawn key must be refused by every instance within three seconds, while
+// its caller keeps sending on open connections and while some instances are
+// partitioned or frozen, so that they learn of the withdrawal late or never.
+func TestWithdrawnKeyIsRefused(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newSettledFleet(seed, 5, 3)
 		f.split(f.names[seed%5], seed%2 == 0, seed%3 == 0, 20*time.Second)
@@ -92,9 +93,9 @@
 	}
 }
 
-// A key is withdrawn while a lookup waits for its first answer, with a
-// timeout of a minute. The server then breaks off. The lookup is not sent to
-// another server under the key that was withdrawn long before.
+// A key is withdrawn while a lookup with a timeout of one minute waits for its
+// first answer, and the server then breaks off. The lookup must not be retried
+// on another server under the withdrawn key.
 func TestWithdrawnKeyIsNotRetried(t *testing.T) {
 	f := newSettledFleet(7, 3, 3)
 	f.write(config.ServicePrefix+"orders", config.Service{Floor: 1, Timeout: config.Duration(time.Minute), Routes: []config.Route{{Prefix: "/orders/"}}})
@@ -113,10 +114,10 @@
 	must.Eq(t, "unknown", f.answers[id].outcome)
 }
 
-// The platform is away for three hours. Everybody keeps serving on the last
-// accepted configuration, confirmed by the witnesses, and orders can still be
-// placed by the advised way.
-func TestPlatformAwayForHours(t *testing.T) {
+// The platform is unavailable for three hours. All instances must keep serving
+// with the last accepted configuration, confirmed by the witnesses, and orders
+// with an operation key from locate must be accepted.
+func TestPlatformUnavailableForHours(t *testing.T) {
 	f := newSettledFleet(3, 5, 3)
 	f.platformDown = true
 	for range 3 {
@@ -131,10 +132,11 @@
 	}
 }
 
-// An instance starts while the platform is away. It gets the configuration
-// and the list from a seed, is confirmed by witnesses, and serves; one whose
-// seeds are all gone refuses as not run rather than serve on nothing.
-func TestStartWhilePlatformIsAway(t *testing.T) {
+// An instance that starts while the platform is unavailable must get the
+// configuration and the instance list from a seed, be confirmed by witnesses, and
+// serve. An instance whose seeds are all gone must refuse requests as not run
+// instead of serving without a configuration.
+func TestStartWhilePlatformIsUnavailable(t *testing.T) {
 	f := newSettledFleet(6, 5, 3)
 	f.platformDown = true
 	f.run(10 * time.Second)
@@ -150,10 +152,10 @@
 	must.Eq(t, "cut-off", f.answers[refused].rule)
 }
 
-// A large photo is put, and the server is late. Its body is on its way and
-// can't be read twice at the same time, so there is no second copy; the one for
-// a lookup goes out.
-func TestHedgeNeedsAHeldBody(t *testing.T) {
+// A request whose body is streamed can't be hedged, because the body can't be
+// read twice at the same time. A slow server must cause a second attempt only
+// for a request whose body is held.
+func TestHedgeNeedsHeldBody(t *testing.T) {
 	for held, executions := range map[bool]int{false: 1, true: 2} {
 		f := newSettledFleet(10, 3, 3)
 		for range 40 { // teaches the instance how long answers take
@@ -170,10 +172,11 @@
 	}
 }
 
-// One instance's own network fails towards all backend servers. Callers of
-// several workspaces meet failures there and nowhere else. The others stop
-// naming it, eject no server for it, and name it again later.
-func TestInstanceWithBadNetworkIsNotNamed(t *testing.T) {
+// The network of one instance fails towards all backend servers, and callers of
+// several workspaces see failures only there. The other instances must leave it
+// out of the answers to locate, eject no server because of it, and include it
+// again later.
+func TestInstanceWithBadNetworkIsNotAdvertised(t *testing.T) {
 	f := newSettledFleet(11, 5, 4)
 	keys := []string{key, "fsk_b", "fsk_c", "fsk_d"}
 	for _, k := range keys[1:] {
@@ -182,7 +185,7 @@
 	}
 	bad := f.names[0]
 	for id := range f.servers {
-		f.cut[bad+">"+id] = true
+		f.blocked[bad+">"+id] = true
 	}
 	named := func() bool {
 		f.operationKey(f.names[1], key)
@@ -200,8 +203,8 @@
 	must.True(t, named())
 }
 
-// A backend server sends half answers from one moment on. The instance that has
-// it ejected says how long that took since the first one reported.
+// A backend server starts to send incomplete answers. The note on its ejection
+// must give the time since the first report of a failure.
 func TestDetectionIsTimed(t *testing.T) {
 	f := newSettledFleet(13, 5, 4)
 	for i := range 50 {
@@ -219,9 +222,10 @@
 	must.Between(t, 1, f.noted[0].Took, f.now-began)
 }
 
-// A backend server drains, and the platform's list doesn't show it. It refuses
-// as not run; the requests go elsewhere, and each instance tries it once only.
-func TestServerThatLeavesIsLeftAlone(t *testing.T) {
+// A backend server is leaving, but the platform's list doesn't show it. It
+// refuses requests as not run. They must be served elsewhere, and each instance
+// may try that server only once.
+func TestLeavingServerIsNotRetried(t *testing.T) {
 	f := newSettledFleet(8, 3, 4)
 	f.servers["s0"].mode = "leaving"
 	for i := range 200 {
@@ -232,8 +236,8 @@
 	must.Between(t, 1, f.servers["s0"].refused, 3)
 }
 
-// The fleet has just started, and no instance holds parts of any limit yet. A
-// caller is refused, but not told that its workspace has used its rate up.
+// On a cold start no instance holds parts of any limit yet. A caller must be
+// refused, but not with the answer that its workspace has exceeded its rate.
 func TestColdStartIsNotOverRate(t *testing.T) {
 	f := newFleet(9, 3, 3)
 	f.configure()
@@ -244,8 +248,8 @@
 	must.Eq(t, "not-run", f.answers[id].outcome)
 }
 
-// A holder of parts is killed while its workspace uses half of its rate.
-// Refusals inside the rate end when the parts have moved.
+// A holder of parts is killed while its workspace uses half of its rate. Requests
+// within the rate must not be refused once the parts have moved.
 func TestKilledHolder(t *testing.T) {
 	f := newSettledFleet(4, 5, 3)
 	f.kill(f.names[0])
--- a/node/servers.go
+++ b/node/servers.go
@@ -12,8 +12,8 @@
 	"foxtailspoke/storage"
 )
 
-// serverView returns this instance's view of a service for one request: its
-// subset of the backend serverView, with their weights.
+// serverView returns the subset of a service's backend servers that this
+// instance uses, with their weights for the given request.
 func (n *Node) serverView(r *request) []balance.Server {
 	service := r.service
 	listed := n.member.Directory().Servers(service.Name)
@@ -45,13 +45,13 @@
 	return view
 }
 
-// leavingTTL is how long a server's own word that it leaves counts. The
-// platform's list says so as well by then, or the server has stayed after all.
+// leavingTTL is how long a server's own statement that it is leaving counts. By
+// then the platform's list shows it as well, or the server has stayed.
 const leavingTTL = time.Minute
 
-// markLeaving keeps new requests from a server that said that it leaves. The
-// platform's list may lag by minutes; every request in between would cost an
-// attempt that is refused.
+// markLeaving stops new requests to a server that reported that it is leaving.
+// The platform's list may lag by minutes, and each request sent in between
+// would cost a refused attempt.
 func (n *Node) markLeaving(server string) {
 	n.leavers[server] = n.now + leavingTTL
 }
@@ -75,8 +75,9 @@
 	}
 }
 
-// untriedServers counts the servers that the request may still be sent to, and says
-// whether one of them has a free slot as far as this instance knows.
+// untriedServers counts the servers that the request may still be sent to, and
+// reports whether one of them has a free slot according to this instance's own
+// in-flight counts.
 func (n *Node) untriedServers(r *request) (count int, room bool) {
 	for _, s := range n.serverView(r) {
 		if s.Leaving || s.Ejected || slices.Contains(r.tried, s.ID) {
@@ -92,8 +93,8 @@
 	return slices.ContainsFunc(p.Ejected, func(e config.Ejection) bool { return e.Server == server })
 }
 
-// updateServers tells health and balance which servers there are, for the
-// services that this instance was asked for.
+// updateServers passes the current servers to the health observer and the
+// picker, for the services that this instance has received requests for.
 func (n *Node) updateServers() {
 	for _, service := range sortedKeys(n.budgets) {
 		permits := n.replica.Permits(service)
@@ -109,7 +110,7 @@
 	}
 }
 
-// sendHealthReports sends what this instance saw to the services' collectors.
+// sendHealthReports sends the due health reports to the services' collectors.
 func (n *Node) sendHealthReports() {
 	for _, report := range n.observer.DueReports(n.now) {
 		collector := n.member.Directory().Collector(report.Service)
@@ -128,8 +129,8 @@
 }
 
 // runCollector proposes ejections for the services that this instance collects
-// for, and probes the ejected backend servers. While the platform is away the
-// permits stay as they are.
+// reports for, and probes their ejected backend servers. While the platform is
+// unavailable the permits stay unchanged.
 func (n *Node) runCollector() {
 	for _, service := range n.replica.Services() {
 		if n.member.Directory().Collector(service) != n.settings.Self.ID || n.leaving {
@@ -177,8 +178,8 @@
 	}
 }
 
-// reportEjectionChanges tells operators which backend servers were ejected or came
-// back.
+// reportEjectionChanges notifies operators of backend servers that were ejected
+// or returned to service.
 func (n *Node) reportEjectionChanges() {
 	for _, service := range n.replica.Services() {
 		now := map[string]bool{}
--- a/node/settings.go
+++ b/node/settings.go
@@ -12,39 +12,41 @@
 	"foxtailspoke/storage"
 )
 
-// Settings of a node. DefaultSettings fills in all but Self and Secret.
+// Settings configures a node. DefaultSettings sets all fields but Self, Secret
+// and Seed, and Membership, whose defaults are filled in by membership.New.
 type Settings struct {
-	// Self is the instance as the platform lists it. Its ID is new with
-	// every start.
+	// Self is the instance as the platform lists it. Its ID changes with every
+	// start.
 	Self storage.Instance
-	// Secret signs operation keys. It is random and new with every start.
+	// Secret signs operation keys. It is random and changes with every start.
 	Secret []byte
-	// Seed of the node's random choices.
+	// Seed is the seed of the node's random choices.
 	Seed uint64
 
-	// Shards is the number of shards of workspaces, the same on every
+	// Shards is the number of workspace shards. It must be the same on every
 	// instance of the fleet.
 	Shards int
-	// MaxHolders bounds the holders of a shard.
+	// MaxHolders is the maximum number of holders of a shard.
 	MaxHolders int
-	// MaxRequests bounds the requests in progress.
+	// MaxRequests is the maximum number of requests in progress.
 	MaxRequests int
-	// MaxConnections bounds the entry instances that connect to one backend
-	// server.
+	// MaxConnections is the maximum number of entry instances that connect to one
+	// backend server.
 	MaxConnections int
-	// LocateAddresses is how many addresses an answer to locate names.
+	// LocateAddresses is the number of addresses in an answer to locate.
 	LocateAddresses int
-	// LocateTTL is how long callers may keep the answer.
+	// LocateTTL is how long callers may cache an answer to locate.
 	LocateTTL time.Duration
-	// DefaultTimeout bounds requests to services that name no timeout.
+	// DefaultTimeout applies to requests to services that define no timeout.
 	DefaultTimeout time.Duration
-	// ShardWriteGap is the least time between two shard writes of this
-	// instance, so that the loss of a data centre doesn't flood the table.
+	// ShardWriteGap is the minimum time between two shard writes of this instance,
+	// so that the loss of a data centre doesn't overload the table.
 	ShardWriteGap time.Duration
-	// ShardStagger is how long the second instance in line for a shard waits
-	// for the first.
+	// ShardStagger is how long the second-ranked writer of a shard waits for the
+	// first.
 	ShardStagger time.Duration
-	// HousekeepEvery is the time between reports, proposals and probes.
+	// HousekeepEvery is the interval of health reports, ejection proposals and
+	// probes.
 	HousekeepEvery time.Duration
 
 	Membership membership.Settings
@@ -56,7 +58,7 @@
 	Retry      retry.Settings
 }
 
-// DefaultSettings returns the settings that suit both deployments of today.
+// DefaultSettings returns settings that suit both current deployments.
 func DefaultSettings() Settings {
 	return Settings{
 		Shards:          64,
--- a/node/shards.go
+++ b/node/shards.go
@@ -12,31 +12,33 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// writersPerShard is how many instances try to write a shard's row, one after the
-// other, when the one before doesn't.
+// writersPerShard is how many instances may write a shard's row. Each waits for
+// the one ranked before it and writes only if that one doesn't.
 const writersPerShard = 2
 
-// shards is what the node does about the rows of shards: use what it holds,
-// and write the rows that it is in line for.
+// shards is the state of the node's work on shard rows: using the parts that it
+// holds, and writing the rows that it is a writer of.
 type shards struct {
 	names []string
 	held  map[string]*heldShard
 	seen  map[string]seenRow
-	// writerRank has the shards that this instance writes, with its place.
+	// writerRank maps each shard that this instance writes to its rank among the
+	// shard's writers.
 	writerRank map[string]int
-	// limits of the workspaces, by shard; for the lists with this version.
-	limits  map[string][]config.Limit
+	// limits are the workspaces' limits by shard, as of the lists with version
+	// limitsVersion.
+	limits        map[string][]config.Limit
 	limitsVersion uint64
-	// upToDate has the basis on which a shard's row was found upToDate.
+	// upToDate has the inputs for which a shard's row was found to need no change.
 	upToDate map[string]planInputs
-	// staleSince is since when a shard's row should be written.
+	// staleSince is when a shard's row was first found to need a write.
 	staleSince map[string]time.Duration
-	writing  bool
-	// writeAt is when the next write may be sent; more says that there may
-	// be one to send.
-	writeAt time.Duration
-	mayHaveMore    bool
-	// nextGrantCheck is when to look again at the entries that aren't in force.
+	writing    bool
+	// writeAt is the earliest time of the next write; mayHaveMore reports whether
+	// another row may need one.
+	writeAt     time.Duration
+	mayHaveMore bool
+	// nextGrantCheck is when to check again the entries that aren't in force yet.
 	nextGrantCheck time.Duration
 }
 
@@ -44,8 +46,8 @@
 type seenRow struct {
 	revision storage.Revision
 	row      config.Shard
-	// former is the row before, whose holders may still use their parts
-	// until formerUntil.
+	// former is the previous row. Its holders may use their parts until
+	// formerUntil.
 	former      config.Shard
 	formerUntil time.Duration
 }
@@ -53,23 +55,23 @@
 // heldShard is a shard whose row names this instance.
 type heldShard struct {
 	revision storage.Revision
-	// granted has the entries that came in force, by their Since.
-	granted map[uint64]bool
+	// granted has the entries that have come into force, keyed by Since.
+	granted       map[uint64]bool
 	grantsPending bool
 }
 
-// grantCheckInterval is how often entries that wait for being in force are looked at.
+// grantCheckInterval is how often entries that aren't in force yet are checked.
 const grantCheckInterval = 50 * time.Millisecond
 
 func newShards(count int) shards {
 	s := shards{
-		held:     map[string]*heldShard{},
-		seen:     map[string]seenRow{},
+		held:           map[string]*heldShard{},
+		seen:           map[string]seenRow{},
 		writerRank:     map[string]int{},
-		limits:   map[string][]config.Limit{},
-		staleSince: map[string]time.Duration{},
-		upToDate:    map[string]planInputs{},
-		nextGrantCheck:     never,
+		limits:         map[string][]config.Limit{},
+		staleSince:     map[string]time.Duration{},
+		upToDate:       map[string]planInputs{},
+		nextGrantCheck: never,
 	}
 	for i := range count {
 		s.names = append(s.names, itoa(uint64(i)))
@@ -77,8 +79,8 @@
 	return s
 }
 
-// nextWrite returns when to look for the next row to write, after one that
-// was written.
+// nextWrite returns when to look for the next row to write after a committed
+// write, or never.
 func (s *shards) nextWrite() time.Duration {
 	if s.writing || !s.mayHaveMore {
 		return never
@@ -86,7 +88,7 @@
 	return s.writeAt
 }
 
-// refreshShards follows the rows after a new revision.
+// refreshShards applies the shard rows of a new table revision.
 func (n *Node) refreshShards() {
 	for _, name := range n.shards.names {
 		n.refreshShard(name)
@@ -119,9 +121,9 @@
 	n.applyGrants(name, held, n.freshUntil)
 }
 
-// rowWithFormerHolders returns a shard's row for asking its holders. Until a new row is
-// in force it names the former holders as well: they may still use their
-// parts, and the new ones may not yet.
+// rowWithFormerHolders returns a shard's row for asking its holders for tokens.
+// Until a new row is in force it includes the former holders: they may still
+// use their parts, and the new holders may not yet.
 func (n *Node) rowWithFormerHolders(name string) config.Shard {
 	seen := n.shards.seen[name]
 	if n.now >= seen.formerUntil {
@@ -130,13 +132,13 @@
 	return quota.WithPreviousHolders(seen.row, seen.former)
 }
 
-// applyGrants hands the holder the entries of a row that are in force. Parts
+// applyGrants passes the entries of a row that are in force to the holder. Parts
 // that the row takes away count until lostUntil.
 //
-// An entry counts as in force when the row that it was read from is. The
-// entry's own Since is older than the write that made it: if that were
-// enough, two instances could use the same parts for the time in which the
-// former holder hasn't heard of the write.
+// An entry is in force when the row that it was read from is. The entry's own
+// Since isn't sufficient, because it is older than the write that created the
+// entry: two instances could use the same parts until the former holder learns
+// of that write.
 func (n *Node) applyGrants(name string, held *heldShard, lostUntil time.Duration) {
 	row := n.replica.Shard(name)
 	rowInForce := n.member.InForce(n.now, held.revision)
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -11,7 +11,7 @@
 	"foxtailspoke/storage"
 )
 
-// rankShardWriters finds the shards that this instance is in line for.
+// rankShardWriters determines the shards that this instance is a writer of.
 func (n *Node) rankShardWriters() {
 	n.shards.limitsVersion = 0
 	clear(n.shards.writerRank)
@@ -23,8 +23,8 @@
 	}
 }
 
-// writerRankOf counts the live instances before this one by rendezvous hash, and
-// stops as soon as there are enough of them.
+// writerRankOf returns the number of live instances ranked before this one for a
+// shard by rendezvous hash, and whether this one is among the shard's writers.
 func (n *Node) writerRankOf(name string, entries []storage.Instance) (int, bool) {
 	key := "shard-writer/" + name
 	before := 0
@@ -44,7 +44,7 @@
 	return before, listed
 }
 
-// writeStaleShard writes at most one row that should be different.
+// writeStaleShard writes at most one shard row that is out of date.
 func (n *Node) writeStaleShard() {
 	if n.member.Confirmation(n.now).State != membership.ConfirmedByTable || n.shards.writing || n.now < n.shards.writeAt {
 		return
@@ -65,9 +65,9 @@
 	}
 }
 
-// planInputs is all that the plan for a shard depends on. A row that was found
-// right isn't planned again on the same planInputs: ranking 2,000 candidates for
-// it four times a second would take half a percent of a core.
+// planInputs is everything that the plan for a shard depends on. A row that
+// needed no change isn't planned again for the same inputs: ranking 2,000
+// candidates four times a second would take 0.5 % of a core.
 type planInputs struct {
 	row     storage.Revision
 	list    uint64
@@ -107,8 +107,9 @@
 	return true
 }
 
-// shardWritten takes the end of a write. Whatever it was, the row is what the
-// replica says when it comes by; a write whose answer was lost shows there.
+// shardWritten handles the result of a shard write. Whatever the result, the row
+// is taken from the replica, so a committed write whose answer was lost is seen
+// when the replica is updated.
 func (n *Node) shardWritten(name string, r storage.WriteResult) {
 	n.shards.writing = false
 	n.shards.writeAt = n.now + n.settings.ShardWriteGap
@@ -122,7 +123,7 @@
 	n.emitMemberEffects(n.member.Require(n.now, r.Revisions[storage.Control]))
 }
 
-// candidates lists the instances that may hold parts.
+// candidates returns the instances that may hold parts.
 func (n *Node) candidates() []quota.Candidate {
 	entries := n.member.Directory().Entries()
 	list := make([]quota.Candidate, 0, len(entries))
@@ -135,8 +136,8 @@
 	return list
 }
 
-// shardLimits returns the limits of a shard's workspaces under the lists in
-// force here.
+// shardLimits returns the limits of a shard's workspaces under the lists that
+// this instance uses.
 func (n *Node) shardLimits(name string) []config.Limit {
 	if version := n.replica.Lists().Version; version != n.shards.limitsVersion {
 		n.shards.limitsVersion = version
@@ -145,8 +146,8 @@
 	return n.shards.limits[name]
 }
 
-// indexLimits collects the limits of the shards that this instance writes.
-// It goes once through all workspaces, and not through all services for each.
+// indexLimits collects the limits of the shards that this instance writes. It
+// makes one pass over all workspaces and reads the services of each plan once.
 func (n *Node) indexLimits() {
 	clear(n.shards.limits)
 	plans := map[string][]config.Limit{}
--- a/node/status.go
+++ b/node/status.go
@@ -13,37 +13,38 @@
 	"foxtailspoke/storage"
 )
 
-// Status is what operators see of an instance.
+// Status is the state of an instance as shown to operators.
 type Status struct {
 	Instance     storage.Instance
 	Confirmation membership.Confirmation
-	// ConfigAgeLimit is the age beyond which the instance refuses requests.
-	ConfigAgeLimit    time.Duration
-	Lists    config.Lists
-	Services []ServiceStatus
-	// RateRefusals for the rate, the most first.
+	// ConfigAgeLimit is the configuration age beyond which the instance refuses
+	// requests.
+	ConfigAgeLimit time.Duration
+	Lists          config.Lists
+	Services       []ServiceStatus
+	// RateRefusals is sorted by count, highest first.
 	RateRefusals []RateRefusals
-	Entries  []storage.Instance
-	Leaving  bool
-	Counters membership.Counters
-	Buckets  int
-	Requests int
+	Entries      []storage.Instance
+	Leaving      bool
+	Counters     membership.Counters
+	Buckets      int
+	Requests     int
 }
 
-// WorstWorkspace returns the workspace that fares worst here; false if none was here
-// often enough to tell.
+// WorstWorkspace returns the workspace with the worst service on this instance,
+// or false if none has had enough requests to tell.
 func (n *Node) WorstWorkspace(now time.Duration) (Fare, bool) {
 	n.now = max(n.now, now)
 	return n.fares.worst(n.now)
 }
 
-// ServiceStatus is one service as this instance sees it.
+// ServiceStatus is the state of a service as seen by this instance.
 type ServiceStatus struct {
 	Service config.Service
 	Servers int
 	Usable  int
 	Ejected []config.Ejection
-	// Lowered are the backend servers that this instance uses less.
+	// Lowered lists the backend servers that get fewer requests from this instance.
 	Lowered []LoweredServer
 }
 
@@ -53,17 +54,18 @@
 	Weight float64
 }
 
-// RateRefusals counts the requests of a workspace that were refused for the rate.
+// RateRefusals counts the requests of a workspace that were refused because its
+// rate was exceeded.
 type RateRefusals struct {
 	Workspace, Service string
 	Limit              config.Limit
 	Parts              int
-	// Tokens that this instance has now.
+	// Tokens is the number of tokens currently available on this instance.
 	Tokens float64
 	Count  uint64
 }
 
-// maxRefusalCounts bounds the workspaces whose refusals are counted.
+// maxRefusalCounts is the maximum number of buckets whose refusals are counted.
 const maxRefusalCounts = 1000
 
 type rateRefusalCounts map[quota.Bucket]uint64
@@ -78,19 +80,19 @@
 	}
 }
 
-// Status returns the node's state as of the time.
+// Status returns the node's state at the given time.
 func (n *Node) Status(now time.Duration) Status {
 	n.now = max(n.now, now)
 	s := Status{
-		Instance:     n.settings.Self,
-		Confirmation: n.member.Confirmation(n.now),
-		ConfigAgeLimit:        n.member.Settings().Fresh,
-		Lists:        n.replica.Lists(),
-		Entries:      slices.Clone(n.member.Directory().Entries()),
-		Leaving:      n.leaving,
-		Counters:     n.member.Counters(),
-		Buckets:      n.holder.BucketCount(),
-		Requests:     len(n.requests),
+		Instance:       n.settings.Self,
+		Confirmation:   n.member.Confirmation(n.now),
+		ConfigAgeLimit: n.member.Settings().Fresh,
+		Lists:          n.replica.Lists(),
+		Entries:        slices.Clone(n.member.Directory().Entries()),
+		Leaving:        n.leaving,
+		Counters:       n.member.Counters(),
+		Buckets:        n.holder.BucketCount(),
+		Requests:       len(n.requests),
 	}
 	for _, name := range n.replica.Services() {
 		s.Services = append(s.Services, n.serviceStatus(name))
@@ -139,7 +141,7 @@
 	return list
 }
 
-// Require starts finding out whether a revision is in force everywhere.
+// Require starts to determine when a revision is in force on all instances.
 func (n *Node) Require(now time.Duration, revision storage.Revision) []Effect {
 	n.now = max(n.now, now)
 	n.effects = n.effects[:0]
@@ -147,8 +149,8 @@
 	return n.effects
 }
 
-// InForce says whether a revision is in force everywhere, and which witnesses
-// know it and which are missing.
+// InForce reports whether a revision is in force on all instances, and which
+// witnesses have acknowledged it and which have not.
 func (n *Node) InForce(now time.Duration, revision storage.Revision) (inForce bool, known, missing []string) {
 	n.now = max(n.now, now)
 	missing = n.member.PendingWitnesses(revision)
@@ -160,8 +162,8 @@
 	return n.member.InForce(n.now, revision), known, missing
 }
 
-// PeerAddress returns where an instance takes calls from other instances;
-// empty if it isn't known or has ended.
+// PeerAddress returns the address where an instance accepts calls from other
+// instances, or "" if the address is unknown or the instance has ended.
 func (n *Node) PeerAddress(id string) string {
 	if address, ok := membership.SeedAddress(id); ok {
 		return address
@@ -173,13 +175,13 @@
 	return i.PeerAddress
 }
 
-// Idle says whether no request is in progress.
+// Idle reports whether no requests or attempts are in progress.
 func (n *Node) Idle() bool { return len(n.requests) == 0 && len(n.attempts) == 0 }
 
-// HoldsParts says whether a shard's row still names this instance.
+// HoldsParts reports whether a shard's row still names this instance.
 func (n *Node) HoldsParts() bool { return len(n.shards.held) > 0 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// IsWitness says whether the instance is a witness as far as it knows.
+// IsWitness reports whether this instance is a witness as far as it knows.
 func (n *Node) IsWitness() bool { return n.member.IsWitness() }
--- a/node/timers.go
+++ b/node/timers.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// timers are things to do later, soonest first.
+// timers is a queue of functions to run later, ordered by time.
 type timers struct {
-	list timerList
+	list         timerList
 	lastSequence uint64
 }
 
 type timer struct {
 	at time.Duration
-	// sequence keeps timers of the same time in the order of their making.
+	// sequence orders timers with the same time by creation.
 	sequence uint64
-	run     func()
+	run      func()
 }
 
 func (t *timers) add(at time.Duration, do func()) {
@@ -30,7 +30,7 @@
 	return t.list[0].at, true
 }
 
-// popDue removes and returns the first thing to do whose time has come.
+// popDue removes and returns the first function whose time has come.
 func (t *timers) popDue(now time.Duration) (func(), bool) {
 	if at, ok := t.nextTime(); !ok || at > now {
 		return nil, false
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/storage"
 )
 
-// acquireTokens counts the request against its workspace's limit, out of this
-// instance's own parts or by asking the other holders.
+// acquireTokens counts the request against its workspace's limit, using this
+// instance's own parts or tokens from the other holders.
 func (n *Node) acquireTokens(r *request) {
 	r.search = quota.NewSearch(r.bucket(), quota.Token)
 	n.continueTokenSearch(r)
@@ -33,8 +33,8 @@
 	}
 }
 
-// askForTokens asks a holder for tokens, for a request or, without one, to even out
-// the holders' levels.
+// askForTokens asks a holder for tokens, either for a request or, if request is
+// empty, to balance the holders' levels.
 func (n *Node) askForTokens(to string, a quota.Ask, request string) {
 	p := pendingEffect{owner: ownerTokens, id: a.ID, subject: request}
 	n.emit(n.trackEffect(p, effect.Call{To: to, Request: PeerRequest{Ask: &a}}))
@@ -46,16 +46,17 @@
 	}
 }
 
-// sendSettlements tells givers that what they gave is used. Nothing depends on
-// their answer.
+// sendSettlements tells the instances that transferred tokens here that those
+// are used. Nothing depends on the reply.
 func (n *Node) sendSettlements() {
 	for _, s := range n.holder.DrainSettlements() {
 		n.emit(n.trackEffect(pendingEffect{owner: ownerSettlement}, effect.Call{To: s.To, Request: PeerRequest{Settlement: &s}}))
 	}
 }
 
-// handleTokenReply takes the end of an ask. The request may have ended meanwhile; what
-// was given is kept as far as it fits.
+// handleTokenReply handles the result of a token request. The caller's request
+// may have ended meanwhile; the transferred tokens are kept up to the bucket's
+// capacity.
 func (n *Node) handleTokenReply(id string, ask uint64, t *quota.Transfer, ok bool) {
 	answered := ok && t != nil
 	if answered {
@@ -92,17 +93,17 @@
 	n.refuse(r, rule, retryAfter)
 }
 
-// hasNoHolders says whether nobody may use any part of a shard's limits by now: its
-// first row isn't written or isn't in force. Its workspaces have used nothing
-// up then, and must not be told that they have.
+// hasNoHolders reports whether no instance may use any part of a shard's limits
+// yet, because its first row isn't written or isn't in force. Its workspaces
+// have used no tokens then, and must not be refused as over their rate.
 func (n *Node) hasNoHolders(name string) bool {
 	seen := n.shards.seen[name]
 	return len(seen.row.Holders) == 0 || (len(seen.former.Holders) == 0 && n.now < seen.formerUntil)
 }
 
-// handleTokenAsk answers another instance's ask out of the own parts. An instance
-// whose configuration isn't confirmed gives nothing: its parts may be
-// somebody else's by now.
+// handleTokenAsk answers another instance's request for tokens from this
+// instance's own parts. An instance whose configuration isn't confirmed gives
+// none, because its parts may have been assigned to another instance.
 func (n *Node) handleTokenAsk(a quota.Ask) (quota.Transfer, bool) {
 	if n.member.Confirmation(n.now).State == membership.CutOff {
 		return quota.Transfer{}, false
@@ -117,7 +118,8 @@
 	return t, true
 }
 
-// handleSettlement takes another instance's word that what it was given is used.
+// handleSettlement records that another instance has used the tokens that it
+// was given.
 func (n *Node) handleSettlement(s quota.Settlement) {
 	if limit, ok := n.replica.Limit(s.Bucket.Workspace, s.Bucket.Service); ok {
 		n.holder.HandleSettlement(n.now, limit, s)
@@ -128,8 +130,8 @@
 	return quota.ShardOf(r.workspace.Name, n.settings.Shards)
 }
 
-// txn returns a transaction on one row of the control table, conditional on
-// the row as the replica has it.
+// txn returns a transaction that writes one row of the control table, on the
+// condition that the row still has the revision known to the replica.
 func (n *Node) txn(key string, value []byte) storage.Txn {
 	n.lastTxn++
 	row, _ := n.replica.Row(key)
--- a/node/unadvertised.go
+++ b/node/unadvertised.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	// unadvertisedPeriod is how long callers aren't told of an instance whose
-	// own network is bad, before it is tried again.
+	// unadvertisedPeriod is how long an instance with a faulty network is left
+	// out of the answers to locate before it is included again.
 	unadvertisedPeriod = 20 * time.Second
-	// instancesPerUnadvertised bounds these instances: one, or one of so many live
-	// ones.
+	// instancesPerUnadvertised limits the unadvertised instances to one per
+	// this many live instances, with a minimum of one.
 	instancesPerUnadvertised = 20
-	// unadvertisedRole is the rendezvous key of the instance that ends it.
+	// unadvertisedRole is the rendezvous key that selects the instance which
+	// ends the unadvertised periods.
 	unadvertisedRole = "unadvertised"
 )
 
-// unadvertised follows the row of the instances that callers aren't told of.
+// unadvertised tracks the row of the instances that are left out of the answers
+// to locate.
 //
-// An instance whose own network loses packets serves its callers badly
-// whatever backend server it picks, and no server is to blame. Only the
-// collectors see that it is alone in this; they keep it out of the answers to
-// locate for a while, few at a time.
+// An instance whose own network loses packets serves its callers badly whichever
+// backend server it picks, and the servers are not at fault. Only the collectors
+// can see that no other instance has these failures. They leave it out of the
+// answers to locate for a limited time, and only a few instances at once.
 type unadvertised struct {
 	revision  uint64
 	instances []string
-	// since is when this instance first saw each of them.
+	// since is when this instance first saw each of them in the row.
 	since   map[string]time.Duration
 	writing bool
 }
@@ -54,8 +56,8 @@
 	n.unadvertised.since = since
 }
 
-// unadvertiseFaultyReporter looks whether the instance that sent a report is alone with
-// its failures.
+// unadvertiseFaultyReporter stops advertising the instance that sent a report if
+// no other instance has the failures that it reports.
 func (n *Node) unadvertiseFaultyReporter(from, service string) {
 	u := &n.unadvertised
 	bound := max(1, len(n.member.Directory().Entries())/instancesPerUnadvertised)
@@ -65,8 +67,8 @@
 	n.writeUnadvertised(append(slices.Clone(u.instances), from))
 }
 
-// readvertiseInstances lets callers be told again of the instances whose time is
-// over, and forgets those that have ended.
+// readvertiseInstances ends the unadvertised period of the instances whose time
+// is over, and removes those that have ended.
 func (n *Node) readvertiseInstances() {
 	u := &n.unadvertised
 	if len(u.instances) == 0 || n.member.Directory().Collector(unadvertisedRole) != n.settings.Self.ID {
--- a/node/wire_bench_test.go
+++ b/node/wire_bench_test.go
@@ -17,9 +17,9 @@
 	"foxtailspoke/storage"
 )
 
-// BenchmarkWireBytes reports what a call and its reply take on an established
-// connection, in the payload of TCP. The first calls, which carry gob's
-// descriptions of the types, aren't counted, nor is the handshake.
+// BenchmarkWireBytes measures the TCP payload of a call and its reply on an
+// established connection. The handshake and the first calls, which carry gob's
+// type descriptions, aren't counted.
 func BenchmarkWireBytes(b *testing.B) {
 	s := scales[len(scales)-1]
 	row := storage.Row{
@@ -85,7 +85,8 @@
 	}
 }
 
-// wireBytes calls b.N times and returns the mean bytes of request and reply.
+// wireBytes makes b.N calls and returns the mean size of request and reply in
+// bytes.
 func wireBytes(b *testing.B, request PeerRequest, reply PeerReply) (out, in float64) {
 	secret := []byte("secret")
 	server, err := peer.NewServer(secret, 2, time.Second, func(string, any) (any, bool) { return reply, true })
