--- a/node/effect.go
+++ b/node/effect.go
@@ -1,6 +1,10 @@
 package node
 
-import "foxtailspoke/effect"
+import (
+	"fmt"
+
+	"foxtailspoke/effect"
+)
 
 // Effect is an action that the driver must carry out: Relay, Refuse, Repeat,
 // StartAttempt, CancelAttempt, StartProbe, ReplyCall, Located, Recorded, Noted,
@@ -49,7 +53,7 @@
 		e.ID = id
 		return e
 	}
-	panic("node: effect of unknown type")
+	panic(fmt.Sprintf("node: unknown effect type %T", e))
 }
 
 // takePending removes and returns the pending effect with the given ID.
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -31,15 +31,15 @@
 	// blocked has the blocked one-way links as "from>to"; "table" is the platform.
 	blocked map[string]bool
 
-	starts    []firstAttempt
-	executed  []execution
-	answers   map[string]reply
-	located   map[string]Located
-	forwarded map[string]string
-	replying  map[uint64]func(ReplyCall)
-	requests  int
-	// noted has the NoteDetected notes.
-	noted []Noted
+	firstAttempts  []firstAttempt
+	executed       []execution
+	answers        map[string]reply
+	located        map[string]Located
+	forwarded      map[string]string
+	pendingReplies map[uint64]func(ReplyCall)
+	requests       int
+	// detections has the NoteDetected notes.
+	detections []Noted
 	// seeds is passed to the instances that are started.
 	seeds []string
 }
@@ -96,13 +96,13 @@
 			storage.Control: {rows: map[string]storage.Row{}},
 			storage.Claims:  {rows: map[string]storage.Row{}},
 		},
-		nodes:     map[string]*instance{},
-		servers:   map[string]*server{},
-		blocked:   map[string]bool{},
-		answers:   map[string]reply{},
-		located:   map[string]Located{},
-		forwarded: map[string]string{},
-		replying:  map[uint64]func(ReplyCall){},
+		nodes:          map[string]*instance{},
+		servers:        map[string]*server{},
+		blocked:        map[string]bool{},
+		answers:        map[string]reply{},
+		located:        map[string]Located{},
+		forwarded:      map[string]string{},
+		pendingReplies: map[uint64]func(ReplyCall){},
 	}
 	for i := range servers {
 		f.addServer("s" + strconv.Itoa(i))
@@ -124,8 +124,8 @@
 	f.list = append(f.list, i)
 }
 
-func (f *fleet) start(name string, place int) *instance {
-	self := storage.Instance{ID: name, Kind: storage.Entry, DataCentre: "dc" + strconv.Itoa(place%3), Address: name, PeerAddress: name, State: storage.Live}
+func (f *fleet) start(name string, index int) *instance {
+	self := storage.Instance{ID: name, Kind: storage.Entry, DataCentre: "dc" + strconv.Itoa(index%3), Address: name, PeerAddress: name, State: storage.Live}
 	f.announce(self)
 	s := DefaultSettings()
 	s.Self = self
@@ -213,7 +213,7 @@
 		f.answer(e.Request, string(e.Record.Outcome), string(e.Record.Rule))
 	case Noted:
 		if e.Note == NoteDetected {
-			f.noted = append(f.noted, e)
+			f.detections = append(f.detections, e)
 		}
 	case Located:
 		f.located[e.Request] = e
@@ -285,7 +285,7 @@
 func (f *fleet) recordFirstAttempt(i *instance, e StartAttempt) {
 	r := i.node.requests[e.Request]
 	if len(r.tried) == 1 {
-		f.starts = append(f.starts, firstAttempt{at: f.now, workspace: e.Workspace, service: r.service.Name, key: r.arrived.Key.String()})
+		f.firstAttempts = append(f.firstAttempts, firstAttempt{at: f.now, workspace: e.Workspace, service: r.service.Name, key: r.arrived.Key.String()})
 	}
 }
 
@@ -334,7 +334,7 @@
 		return
 	}
 	f.at(linkDelay, func() {
-		f.replying[token] = func(r ReplyCall) {
+		f.pendingReplies[token] = func(r ReplyCall) {
 			if r.OK && f.reachable(to.name, i.name) {
 				f.at(linkDelay, func() { end(CallEnded{ID: e.ID, Reply: r.Reply, OK: true}) })
 			}
@@ -344,8 +344,8 @@
 }
 
 func (f *fleet) deliverReply(e ReplyCall) {
-	if reply, ok := f.replying[e.Token]; ok {
-		delete(f.replying, e.Token)
+	if reply, ok := f.pendingReplies[e.Token]; ok {
+		delete(f.pendingReplies, e.Token)
 		reply(e)
 	}
 }
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -100,7 +100,7 @@
 	for seed := range seeds {
 		f := newSettledFleet(seed, 5, 3)
 		flood(f, 40*time.Second)
-		must.LessEq(t, 1e-6, overspent(f.starts, rate, burst), must.Sprint("seed ", seed))
+		must.LessEq(t, 1e-6, overspent(f.firstAttempts, rate, burst), must.Sprint("seed ", seed))
 		checkOrders(t, f, seed)
 		for _, a := range f.answers {
 			if a.outcome == "served" {
--- a/node/message.go
+++ b/node/message.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/gob"
+	"fmt"
 
 	"foxtailspoke/health"
 	"foxtailspoke/membership"
@@ -40,7 +41,7 @@
 func memberRequest(r any) PeerRequest {
 	request, ok := r.(membership.Request)
 	if !ok {
-		panic("node: membership call without a request")
+		panic(fmt.Sprintf("node: membership call with a request of type %T", r))
 	}
 	return PeerRequest{Member: &request}
 }
@@ -93,6 +94,6 @@
 			n.observer.ApplyAdvice(n.now, e.Reply.Advice.Service, e.Reply.Advice.Suspects)
 		}
 	default:
-		panic("node: call of a part that makes none")
+		panic(fmt.Sprintf("node: call ended for component %d, which makes no calls", p.owner))
 	}
 }
--- a/node/scenario_test.go
+++ b/node/scenario_test.go
@@ -87,7 +87,7 @@
 		withdrawn := f.now
 		f.drop(config.KeyPrefix + config.HashKey(key).String())
 		flood(f, 15*time.Second)
-		for _, s := range f.starts {
+		for _, s := range f.firstAttempts {
 			must.LessEq(t, withdrawn+3*time.Second, s.at, must.Sprint("seed ", seed))
 		}
 	}
@@ -158,7 +158,7 @@
 func TestHedgeNeedsHeldBody(t *testing.T) {
 	for held, executions := range map[bool]int{false: 1, true: 2} {
 		f := newSettledFleet(10, 3, 3)
-		for range 40 { // teaches the instance how long answers take
+		for range 40 { // gives the instance latency samples
 			f.sendRequest(f.names[0], key, get())
 			f.run(60 * time.Millisecond)
 		}
@@ -213,13 +213,13 @@
 	}
 	f.servers["s0"].mode = "half"
 	began := f.now
-	for i := 0; len(f.noted) == 0 && i < 1000; i++ {
+	for i := 0; len(f.detections) == 0 && i < 1000; i++ {
 		f.sendRequest(f.names[i%5], key, get())
 		f.run(60 * time.Millisecond)
 	}
-	must.Len(t, 1, f.noted)
-	must.Eq(t, "s0", f.noted[0].Subject)
-	must.Between(t, 1, f.noted[0].Took, f.now-began)
+	must.Len(t, 1, f.detections)
+	must.Eq(t, "s0", f.detections[0].Subject)
+	must.Between(t, 1, f.detections[0].Took, f.now-began)
 }
 
 // A backend server is leaving, but the platform's list doesn't show it. It
--- a/node/servers.go
+++ b/node/servers.go
@@ -78,15 +78,15 @@
 // untriedServers counts the servers that the request may still be sent to, and
 // reports whether one of them has a free slot according to this instance's own
 // in-flight counts.
-func (n *Node) untriedServers(r *request) (count int, room bool) {
+func (n *Node) untriedServers(r *request) (count int, hasFreeSlot bool) {
 	for _, s := range n.serverView(r) {
 		if s.Leaving || s.Ejected || slices.Contains(r.tried, s.ID) {
 			continue
 		}
 		count++
-		room = room || n.picker.InFlight(r.service.Name, s.ID) < max(s.Slots, 1)
+		hasFreeSlot = hasFreeSlot || n.picker.InFlight(r.service.Name, s.ID) < max(s.Slots, 1)
 	}
-	return count, room
+	return count, hasFreeSlot
 }
 
 func isEjected(p config.Permits, server string) bool {
@@ -168,13 +168,13 @@
 }
 
 func (n *Node) startProbes(service string) {
-	about, _ := n.replica.Service(service)
+	definition, _ := n.replica.Service(service)
 	for _, probe := range n.collector.DueProbes(n.now, service, n.replica.Permits(service)) {
 		server, ok := n.member.Directory().Instance(probe.Server)
 		if !ok {
 			continue
 		}
-		n.emit(StartProbe{Probe: probe, Server: server, Path: about.ProbePath(), Timeout: n.settings.Health.SlowProbe})
+		n.emit(StartProbe{Probe: probe, Server: server, Path: definition.ProbePath(), Timeout: n.settings.Health.SlowProbe})
 	}
 }
 
--- a/node/shardwriter.go
+++ b/node/shardwriter.go
@@ -17,8 +17,8 @@
 	clear(n.shards.writerRank)
 	entries := n.member.Directory().Entries()
 	for _, name := range n.shards.names {
-		if place, ok := n.writerRankOf(name, entries); ok {
-			n.shards.writerRank[name] = place
+		if rank, ok := n.writerRankOf(name, entries); ok {
+			n.shards.writerRank[name] = rank
 		}
 	}
 }
@@ -52,14 +52,14 @@
 	n.shards.mayHaveMore = false
 	var candidates []quota.Candidate
 	for _, name := range n.shards.names {
-		place, ok := n.shards.writerRank[name]
+		rank, ok := n.shards.writerRank[name]
 		if !ok || n.shards.upToDate[name] == n.planInputs(name) {
 			continue
 		}
 		if candidates == nil {
 			candidates = n.candidates()
 		}
-		if n.writeShardIfStale(name, place, candidates) {
+		if n.writeShardIfStale(name, rank, candidates) {
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 	return planInputs{row: row.Revision, list: n.seenList, lists: n.replica.Lists().Version, leaving: n.leaving}
 }
 
-func (n *Node) writeShardIfStale(name string, place int, candidates []quota.Candidate) bool {
+func (n *Node) writeShardIfStale(name string, rank int, candidates []quota.Candidate) bool {
 	row, _ := n.replica.Row(shardKey(name))
 	holders := quota.HolderCount(n.shardLimits(name), n.settings.MaxHolders)
 	next, changed := quota.Assign(name, n.replica.Shard(name), candidates, holders, uint64(row.Revision))
@@ -94,7 +94,7 @@
 		n.shards.staleSince[name] = n.now
 		since = n.now
 	}
-	if n.now < since+time.Duration(place)*n.settings.ShardStagger {
+	if n.now < since+time.Duration(rank)*n.settings.ShardStagger {
 		return false
 	}
 	value, err := json.Marshal(next)
--- a/node/timers.go
+++ b/node/timers.go
@@ -18,9 +18,9 @@
 	run      func()
 }
 
-func (t *timers) add(at time.Duration, do func()) {
+func (t *timers) add(at time.Duration, run func()) {
 	t.lastSequence++
-	heap.Push(&t.list, timer{at: at, sequence: t.lastSequence, run: do})
+	heap.Push(&t.list, timer{at: at, sequence: t.lastSequence, run: run})
 }
 
 func (t *timers) nextTime() (time.Duration, bool) {
@@ -56,10 +56,10 @@
 
 func (n *Node) runTimers() {
 	for {
-		do, ok := n.timers.popDue(n.now)
+		run, ok := n.timers.popDue(n.now)
 		if !ok {
 			return
 		}
-		do()
+		run()
 	}
 }
