--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -10,69 +10,72 @@
 	"github.com/shoenig/test/must"
 )
 
-var seeds = flag.Int("claim.seeds", 500, "number of seeded histories")
+var seeds = flag.Int("claim.seeds", 500, "number of simulated histories per kill rate, seeded from 0")
 
-// event is one call on an operation, for the checker of the register.
-type event struct {
+// historyEvent is one call on an operation in the history that is checked for
+// linearizability. An end of 0 marks a call that is still open.
+type historyEvent struct {
 	call, end int64
 	input     any
 	verdict   Verdict
 }
 
-// request and finish are the register's operations.
+// requestOperation and finishOperation are the inputs of claimModel.
 type (
-	request struct{}
-	finish  struct{ outcome Outcome }
+	requestOperation struct{}
+	finishOperation  struct{ outcome Outcome }
 )
 
-func (w *world) tick() int64 {
-	w.now++
-	return int64(w.now)
+func (sim *simulation) nextTimestamp() int64 {
+	sim.now++
+	return int64(sim.now)
 }
 
-// begin notes the start of a request and returns its place in the history.
-func (w *world) begin(op *operationLog) int {
-	op.history = append(op.history, event{call: w.tick(), input: request{}})
+// recordCall records the start of a request and returns its index in the history.
+func (sim *simulation) recordCall(op *operationLog) int {
+	op.history = append(op.history, historyEvent{call: sim.nextTimestamp(), input: requestOperation{}})
 	return len(op.history) - 1
 }
 
-func (w *world) end(op *operationLog, call int, d Decision) {
+func (sim *simulation) recordReturn(op *operationLog, call int, d Decision) {
 	if call < 0 || op.history[call].end != 0 {
 		return
 	}
-	op.history[call].end = w.tick()
+	op.history[call].end = sim.nextTimestamp()
 	op.history[call].verdict = d.Verdict
 }
 
-// endOperation notes an end. When the row shows it is open.
-func (w *world) endOperation(op *operationLog, o Outcome) {
-	op.history = append(op.history, event{call: w.tick(), input: finish{o}})
+// recordFinish records the end of an operation as an open call, because the row
+// may show it at any later time.
+func (sim *simulation) recordFinish(op *operationLog, o Outcome) {
+	op.history = append(op.history, historyEvent{call: sim.nextTimestamp(), input: finishOperation{o}})
 }
 
-// register is what a claim may look like from outside: free, held, ran.
-type register int
+// keyState is the state of a key in claimModel.
+type keyState int
 
 const (
-	free register = iota
+	free keyState = iota
 	held
 	ran
 )
 
-// claimModel lets a request without a known answer claim the key or not, and
-// an end take effect at any later time. What it never allows is a run of a
-// key that is held or ran, and an answer of an operation that didn't run.
+// claimModel is the sequential specification of a key. A request without a
+// recorded verdict may or may not claim the key, and a finish may take effect at
+// any later time. The model rejects a Run of a key that is held or ran, and a
+// Replay or RanAlready of an operation that did not run.
 var claimModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{free} },
 	Step: func(state, input, output any) []any {
-		s := state.(register)
-		if f, ok := input.(finish); ok {
+		s := state.(keyState)
+		if f, ok := input.(finishOperation); ok {
 			return s.finish(f.outcome)
 		}
 		switch output.(Verdict) {
 		case Run:
-			return when(s == free, held)
+			return transitionIf(s == free, held)
 		case Replay, RanAlready:
-			return when(s == ran, ran)
+			return transitionIf(s == ran, ran)
 		case InProgress, UnknownOutcome:
 			return []any{s}
 		default:
@@ -81,7 +84,7 @@
 	},
 }
 
-func (s register) finish(o Outcome) []any {
+func (s keyState) finish(o Outcome) []any {
 	switch {
 	case s != held:
 		return nil
@@ -94,16 +97,16 @@
 	}
 }
 
-func when(ok bool, next register) []any {
+func transitionIf(ok bool, next keyState) []any {
 	if !ok {
 		return nil
 	}
 	return []any{next}
 }
 
-// events returns an operation's history for the checker. What has no end
-// may take effect until the very end.
-func (op *operationLog) events(last int64) []porcupine.Operation {
+// porcupineOperations converts the history for the checker. Open calls may take
+// effect until the end of the simulation.
+func (op *operationLog) porcupineOperations(last int64) []porcupine.Operation {
 	var ops []porcupine.Operation
 	for i, e := range op.history {
 		o := porcupine.Operation{ClientId: i, Input: e.input, Call: e.call, Output: e.verdict, Return: e.end}
@@ -115,10 +118,10 @@
 	return ops
 }
 
-// Callers send the same orders again and again, to the same and to other
-// instances, at the same time and after timeouts. Instances are killed and
-// stall; the table is away, or its answer is lost after the write. No order
-// runs twice, and nobody is told "never ran" of an order that did.
+// Callers repeat requests at the same and at other instances, concurrently and
+// after timeouts, while instances are killed or stall, the table is unavailable,
+// or its response is lost after the write took effect. No operation may run
+// twice, and NeverRan may not be set for one that ran.
 func TestHistoriesRunAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -128,60 +131,61 @@
 		{"many kills", 30},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			total := tally{verdicts: map[Verdict]int{}}
+			total := summary{verdicts: map[Verdict]int{}}
 			for seed := range uint64(*seeds) {
-				w := newWorld(seed, 4, 8, c.kills)
-				w.run()
-				if faults := total.add(w); len(faults) > 0 {
-					total.red++
-					t.Logf("seed %d: %v", seed, faults)
+				sim := newSimulation(seed, 4, 8, c.kills)
+				sim.run()
+				if violations := total.add(sim); len(violations) > 0 {
+					total.failedSeeds++
+					t.Logf("seed %d: %v", seed, violations)
 				}
 			}
 			t.Log(total)
-			must.Zero(t, total.red)
+			must.Zero(t, total.failedSeeds)
 		})
 	}
 }
 
-// tally sums up histories.
-type tally struct {
-	verdicts  map[Verdict]int
-	executed  int
-	claimed   int // runs of caller-made keys
-	writes    int
-	avoidable int
-	red       int
+// summary aggregates the results of all simulations.
+type summary struct {
+	verdicts          map[Verdict]int
+	executions        int
+	claimRuns         int // runs of caller-supplied keys
+	writes            int
+	avoidableUnknowns int
+	failedSeeds       int
 }
 
-func (s *tally) add(w *world) []string {
-	last := w.tick()
-	s.writes += w.writes
-	for _, op := range w.ops {
+// add returns the violations of a finished simulation.
+func (s *summary) add(sim *simulation) []string {
+	last := sim.nextTimestamp()
+	s.writes += sim.writes
+	for _, op := range sim.ops {
 		if op.executions > 1 {
-			w.fail(op, "%d executions", op.executions)
+			sim.reportViolation(op, "%d executions", op.executions)
 		}
-		if !checkRegister(op.events(last)) {
-			w.fail(op, "not a register")
+		if !isLinearizable(op.porcupineOperations(last)) {
+			sim.reportViolation(op, "history is not linearizable")
 		}
-		s.executed += op.executions
-		if op.minted == nil {
-			s.claimed += op.verdicts[Run]
+		s.executions += op.executions
+		if op.operationKey == nil {
+			s.claimRuns += op.verdicts[Run]
 		}
-		s.avoidable += op.avoidable
+		s.avoidableUnknowns += op.avoidableUnknowns
 		for v, n := range op.verdicts {
 			s.verdicts[v] += n
 		}
 	}
-	return w.faults
+	return sim.violations
 }
 
-func (s tally) String() string {
-	return fmt.Sprintf("%d executed; %.2f writes a run with a claim; run %d, in progress %d, replay %d, unknown %d (%d known elsewhere), refused %d; %d red",
-		s.executed, float64(s.writes)/float64(s.claimed), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
-		s.verdicts[UnknownOutcome], s.avoidable, s.verdicts[Refused], s.red)
+func (s summary) String() string {
+	return fmt.Sprintf("%d executions; %.2f writes per claimed run; run %d, in progress %d, replay %d, unknown %d (%d known to a live instance), refused %d; %d failed seeds",
+		s.executions, float64(s.writes)/float64(s.claimRuns), s.verdicts[Run], s.verdicts[InProgress], s.verdicts[Replay],
+		s.verdicts[UnknownOutcome], s.avoidableUnknowns, s.verdicts[Refused], s.failedSeeds)
 }
 
-func checkRegister(ops []porcupine.Operation) bool {
+func isLinearizable(ops []porcupine.Operation) bool {
 	model := claimModel.ToModel()
 	return porcupine.CheckOperationsTimeout(model, ops, 10*time.Second) == porcupine.Ok
 }
--- a/node/servers.go
+++ b/node/servers.go
@@ -32,7 +32,7 @@
 			ID:         id,
 			DataCentre: s.DataCentre,
 			Slots:      s.Slots,
-			Leaving:    s.State != storage.Live || n.now < n.leavers[id],
+			Leaving:    s.State != storage.Live || n.now < n.leavingServers[id],
 			Ejected:    isEjected(permits, id),
 		}
 		view = append(view, b)
@@ -53,13 +53,13 @@
 // The platform's list may lag by minutes, and each request sent in between
 // would cost a refused attempt.
 func (n *Node) markLeaving(server string) {
-	n.leavers[server] = n.now + leavingTTL
+	n.leavingServers[server] = n.now + leavingTTL
 }
 
 func (n *Node) expireLeaving() {
-	for server, until := range n.leavers {
+	for server, until := range n.leavingServers {
 		if n.now >= until {
-			delete(n.leavers, server)
+			delete(n.leavingServers, server)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		case n.settings.Self.ID:
 			suspects := n.collector.Accept(n.now, collector, report)
 			n.unadvertiseFaultyReporter(collector, report.Service)
-			n.noteDoubts(report)
+			n.recordFailures(report)
 			n.observer.ApplyAdvice(n.now, report.Service, suspects)
 		default:
 			p := pendingEffect{owner: ownerReport, subject: report.Service}
@@ -144,7 +144,7 @@
 }
 
 func (n *Node) proposeEjections(service string) {
-	if _, writing := n.permitting[service]; writing {
+	if _, writing := n.permitWrites[service]; writing {
 		return
 	}
 	var live []string
@@ -162,7 +162,7 @@
 	if err != nil {
 		panic(err)
 	}
-	n.permitting[service] = proposed(n.replica.Permits(service), proposal.Permits)
+	n.permitWrites[service] = newlyEjected(n.replica.Permits(service), proposal.Permits)
 	p := pendingEffect{owner: ownerPermits, subject: service}
 	n.emit(n.trackEffect(p, effect.WriteTable{Txn: n.txn(config.PermitPrefix+service, value)}))
 }
--- a/node/shard_writer.go
+++ b/node/shard_writer.go
@@ -77,7 +77,7 @@
 
 func (n *Node) planInputs(name string) planInputs {
 	row, _ := n.replica.Row(shardKey(name))
-	return planInputs{row: row.Revision, list: n.seenList, lists: n.replica.Lists().Version, leaving: n.leaving}
+	return planInputs{row: row.Revision, list: n.followedListVersion, lists: n.replica.ListsVersion().Version, leaving: n.leaving}
 }
 
 func (n *Node) writeShardIfStale(name string, rank int, candidates []quota.Candidate) bool {
@@ -139,7 +139,7 @@
 // shardLimits returns the limits of a shard's workspaces under the lists that
 // this instance uses.
 func (n *Node) shardLimits(name string) []config.Limit {
-	if version := n.replica.Lists().Version; version != n.shards.limitsVersion {
+	if version := n.replica.ListsVersion().Version; version != n.shards.limitsVersion {
 		n.shards.limitsVersion = version
 		n.indexLimits()
 	}
--- a/node/shards.go
+++ b/node/shards.go
@@ -118,7 +118,7 @@
 	}
 	held.revision = row.Revision
 	n.emitMemberEffects(n.member.Require(n.now, row.Revision))
-	n.applyGrants(name, held, n.freshUntil)
+	n.applyGrants(name, held, n.confirmedUntil)
 }
 
 // rowWithFormerHolders returns a shard's row for asking its holders for tokens.
--- a/node/status.go
+++ b/node/status.go
@@ -20,7 +20,7 @@
 	// ConfigAgeLimit is the configuration age beyond which the instance refuses
 	// requests.
 	ConfigAgeLimit time.Duration
-	Lists          config.Lists
+	Lists          config.ListsVersion
 	Services       []ServiceStatus
 	// RateRefusals is sorted by count, highest first.
 	RateRefusals []RateRefusals
@@ -33,9 +33,9 @@
 
 // WorstWorkspace returns the workspace with the worst service on this instance,
 // or false if none has had enough requests to tell.
-func (n *Node) WorstWorkspace(now time.Duration) (Fare, bool) {
+func (n *Node) WorstWorkspace(now time.Duration) (WorkspaceFailures, bool) {
 	n.now = max(n.now, now)
-	return n.fares.worst(n.now)
+	return n.workspaceFailures.worst(n.now)
 }
 
 // ServiceStatus is the state of a service as seen by this instance.
@@ -87,7 +87,7 @@
 		Instance:       n.settings.Self,
 		Confirmation:   n.member.Confirmation(n.now),
 		ConfigAgeLimit: n.member.Settings().Fresh,
-		Lists:          n.replica.Lists(),
+		Lists:          n.replica.ListsVersion(),
 		Entries:        slices.Clone(n.member.Directory().Entries()),
 		Leaving:        n.leaving,
 		Counters:       n.member.Counters(),
@@ -122,8 +122,8 @@
 }
 
 func (n *Node) refusalStatus() []RateRefusals {
-	list := make([]RateRefusals, 0, len(n.refused))
-	for b, count := range n.refused {
+	list := make([]RateRefusals, 0, len(n.rateRefusals))
+	for b, count := range n.rateRefusals {
 		limit, _ := n.replica.Limit(b.Workspace, b.Service)
 		shard := n.replica.Shard(quota.ShardOf(b.Workspace, n.settings.Shards))
 		list = append(list, RateRefusals{
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -25,7 +25,7 @@
 	n.rebalanceTokens(row, r.bucket(), r.limit)
 	switch {
 	case step.Admitted:
-		n.begin(r)
+		n.startFirstAttempt(r)
 	case step.To != "":
 		n.askForTokens(step.To, step.Ask, r.arrived.Request)
 	default:
@@ -71,9 +71,9 @@
 		return
 	}
 	if !answered {
-		r.lost++
+		r.unansweredAsks++
 	}
-	if rule := n.reconsider(r); rule != "" {
+	if rule := n.revalidate(r); rule != "" {
 		n.refuse(r, rule, 0)
 		return
 	}
@@ -86,7 +86,7 @@
 	case n.hasNoHolders(n.shardOf(r)):
 		rule = decision.RulePeerUnreachable
 		r.figures.Detail = "no instance holds them yet"
-	case r.lost > 0:
+	case r.unansweredAsks > 0:
 		rule = decision.RulePeerUnreachable
 	}
 	r.figures.Parts = quota.PartsByInstance(n.replica.Shard(n.shardOf(r)))[n.settings.Self.ID]
