--- a/node/effect.go
+++ b/node/effect.go
@@ -1,10 +1,6 @@
 package node
 
-import (
-	"fmt"
-
-	"foxtailspoke/effect"
-)
+import "foxtailspoke/effect"
 
 // Effect is an action that the driver must carry out: Relay, Refuse, Repeat,
 // StartAttempt, CancelAttempt, StartProbe, ReplyCall, Located, Recorded, Noted,
@@ -53,7 +49,7 @@
 		e.ID = id
 		return e
 	}
-	panic(fmt.Sprintf("node: unknown effect type %T", e))
+	panic("node: unknown effect type")
 }
 
 // takePending removes and returns the pending effect with the given ID.
--- a/node/message.go
+++ b/node/message.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/gob"
-	"fmt"
 
 	"foxtailspoke/health"
 	"foxtailspoke/membership"
@@ -41,7 +40,7 @@
 func memberRequest(r any) PeerRequest {
 	request, ok := r.(membership.Request)
 	if !ok {
-		panic(fmt.Sprintf("node: membership call with a request of type %T", r))
+		panic("node: membership call without a membership.Request")
 	}
 	return PeerRequest{Member: &request}
 }
@@ -94,6 +93,6 @@
 			n.observer.ApplyAdvice(n.now, e.Reply.Advice.Service, e.Reply.Advice.Suspects)
 		}
 	default:
-		panic(fmt.Sprintf("node: call ended for component %d, which makes no calls", p.owner))
+		panic("node: call ended for a component that makes no calls")
 	}
 }
