--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -30,8 +30,8 @@
 	case 5:
 		f.partition(name, true, true, duration)
 	case 6:
-		f.cut["table>"+name] = true
-		f.after(duration, func() { f.cut["table>"+name] = false })
+		f.blocked["table>"+name] = true
+		f.after(duration, func() { f.blocked["table>"+name] = false })
 	case 7:
 		if len(f.names) < 9 && !f.nodes[name].dead {
 			f.kill(name)
@@ -65,13 +65,13 @@
 		if other == name {
 			continue
 		}
-		f.cut[name+">"+other] = out
-		f.cut[other+">"+name] = in
+		f.blocked[name+">"+other] = out
+		f.blocked[other+">"+name] = in
 	}
 	f.after(duration, func() {
 		for _, other := range others {
-			f.cut[name+">"+other] = false
-			f.cut[other+">"+name] = false
+			f.blocked[name+">"+other] = false
+			f.blocked[other+">"+name] = false
 		}
 	})
 }
@@ -102,7 +102,7 @@
 	for seed := range seeds {
 		f := newSettledFleet(seed, 5, 3)
 		generateLoad(f, 40*time.Second)
-		must.LessEq(t, 1e-6, maxOverspend(f.starts, rate, burst), must.Sprint("seed ", seed))
+		must.LessEq(t, 1e-6, maxOverspend(f.firstAttempts, rate, burst), must.Sprint("seed ", seed))
 		checkOutcomes(t, f, seed)
 		for _, a := range f.answers {
 			if a.outcome == "served" {
--- a/node/scale_bench_test.go
+++ b/node/scale_bench_test.go
@@ -17,8 +17,8 @@
 	"foxtailspoke/storage"
 )
 
-// scale is a size of the whole deployment. The last one is the target size.
-type scale struct{ entries, targets, services, workspaces, centres int }
+// scale is the size of a deployment. The last entry of scales is the target size.
+type scale struct{ entries, targets, services, workspaces, dataCentres int }
 
 var scales = []scale{
 	{40, 50, 4, 10, 4},
@@ -31,12 +31,13 @@
 	return fmt.Sprintf("entries=%d/targets=%d/services=%d/workspaces=%d", s.entries, s.targets, s.services, s.workspaces)
 }
 
-// routesPerService makes 11,200 routes of 560 services.
+// routesPerService gives 11,200 routes for 560 services.
 const routesPerService = 20
 
-// lone is a node among a fleet that exists only as rows and as a list. Its
-// reads and pulls are answered with what it has not heard yet.
-type lone struct {
+// singleNode is one real node in a fleet that otherwise exists only as table rows
+// and list entries. Its reads and pulls are answered with the changes that it
+// has not seen yet.
+type singleNode struct {
 	node     *Node
 	now      time.Duration
 	revision storage.Revision
@@ -51,7 +52,7 @@
 
 func (s scale) entry(i int) storage.Instance {
 	return storage.Instance{
-		ID: instanceID("entry", i), Kind: storage.Entry, DataCentre: fmt.Sprintf("dc-%02d", i%s.centres), Region: fmt.Sprintf("region-%d", i%6),
+		ID: instanceID("entry", i), Kind: storage.Entry, DataCentre: fmt.Sprintf("dc-%02d", i%s.dataCentres), Region: fmt.Sprintf("region-%d", i%6),
 		Address: fmt.Sprintf("10.1.%d.%d:8010", i/250, i%250), PeerAddress: fmt.Sprintf("10.1.%d.%d:8011", i/250, i%250),
 		OperatorAddress: fmt.Sprintf("10.1.%d.%d:8012", i/250, i%250), State: storage.Live,
 	}
@@ -59,7 +60,7 @@
 
 func (s scale) target(i int) storage.Instance {
 	return storage.Instance{
-		ID: instanceID("target", i), Kind: storage.BackendServer, Service: serviceName(i % s.services), DataCentre: fmt.Sprintf("dc-%02d", i%s.centres),
+		ID: instanceID("target", i), Kind: storage.BackendServer, Service: serviceName(i % s.services), DataCentre: fmt.Sprintf("dc-%02d", i%s.dataCentres),
 		Region: fmt.Sprintf("region-%d", i%6), Address: fmt.Sprintf("10.2.%d.%d:9000", i/250, i%250), Slots: 4, State: storage.Live,
 	}
 }
@@ -67,7 +68,7 @@
 func serviceName(i int) string   { return fmt.Sprintf("service-%03d", i) }
 func workspaceName(i int) string { return fmt.Sprintf("workspace-%06d", i) }
 
-func (l *lone) put(key string, value any) {
+func (l *singleNode) put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -76,28 +77,28 @@
 	l.rows = append(l.rows, storage.Row{Key: key, Value: data, Revision: l.revision, Attempt: "8c5e0d4a-0000-4000-8000-000000000000"})
 }
 
-// newLone returns a node that has the whole table and list, holds all parts
-// of every shard, and has them in force.
-func newLone(tb testing.TB, s scale) *lone {
-	l := newBare(s)
+// newConfiguredNode returns a node that has the whole table and list, and holds
+// all parts of every shard, all in force.
+func newConfiguredNode(tb testing.TB, s scale) *singleNode {
+	l := newEmptyNode(s)
 	l.fillTable(s)
 	l.fillList(s)
 	for range 40 {
-		l.pass(250 * time.Millisecond)
+		l.advance(250 * time.Millisecond)
 	}
 	must.Eq(tb, l.revision, l.node.replica.Revision())
 	must.Eq(tb, membership.ConfirmedByTable, l.node.reportedState)
 	return l
 }
 
-func newBare(s scale) *lone {
+func newEmptyNode(s scale) *singleNode {
 	settings := DefaultSettings()
 	settings.Self = s.entry(0)
 	settings.Secret = []byte("a secret of thirty-two bytes, so")
-	return &lone{node: New(settings), now: time.Second}
+	return &singleNode{node: New(settings), now: time.Second}
 }
 
-func (l *lone) fillTable(s scale) {
+func (l *singleNode) fillTable(s scale) {
 	for i := range s.workspaces {
 		l.put(config.WorkspacePrefix+workspaceName(i), config.Workspace{Plan: fmt.Sprintf("plan-%02d", i%40)})
 		l.put(config.APIKeyPrefix+config.HashKey(workspaceName(i)).String(), config.APIKey{Workspace: workspaceName(i), Label: "till"})
@@ -123,7 +124,7 @@
 	l.put(config.ListsKey, config.ListsVersion{Version: 1, Digest: "d"})
 }
 
-func (l *lone) fillList(s scale) {
+func (l *singleNode) fillList(s scale) {
 	l.version = 1
 	for i := range s.entries {
 		l.changed = append(l.changed, s.entry(i))
@@ -133,9 +134,9 @@
 	}
 }
 
-// pass lets time pass with one wake, answers what the node asks for, and
-// returns what the wake and the answers took.
-func (l *lone) pass(d time.Duration) (wake, answers time.Duration) {
+// advance moves the time forward by d with one wake and answers the node's
+// effects. It returns the time spent in the wake and in handling the answers.
+func (l *singleNode) advance(d time.Duration) (wake, answers time.Duration) {
 	l.now += d
 	start := time.Now()
 	effects := slices.Clone(l.node.Step(l.now, Wake{}))
@@ -154,7 +155,7 @@
 	return wake, answers
 }
 
-func (l *lone) reply(e Effect) Event {
+func (l *singleNode) reply(e Effect) Event {
 	switch e := e.(type) {
 	case effect.ReadTable:
 		return TableRead{ID: e.ID, Changes: l.changes(e.Read.Since), OK: true}
@@ -173,7 +174,7 @@
 	return nil
 }
 
-func (l *lone) changes(since storage.Revision) storage.Changes {
+func (l *singleNode) changes(since storage.Revision) storage.Changes {
 	c := storage.Changes{Revision: l.revision, Full: since == 0}
 	if since < l.revision {
 		c.Rows = l.rows
@@ -182,7 +183,7 @@
 	return c
 }
 
-func (l *lone) listChanges(since uint64) storage.InstanceChanges {
+func (l *singleNode) listChanges(since uint64) storage.InstanceChanges {
 	c := storage.InstanceChanges{Version: l.version, Full: since == 0}
 	if since < l.version {
 		c.Changed = l.changed
@@ -191,9 +192,8 @@
 	return c
 }
 
-// request takes a caller's request the whole way and says whether it was
-// served.
-func (l *lone) request(i int, s scale) bool {
+// request runs a caller's request to its end and reports whether it was served.
+func (l *singleNode) request(i int, s scale) bool {
 	id := fmt.Sprint("r", i)
 	workspace := i % s.workspaces
 	service := (workspace % 40) % s.services
@@ -211,12 +211,13 @@
 	return served
 }
 
-// micros reports a time per operation of b, in microseconds.
-func micros(b *testing.B, spent time.Duration, unit string) {
+// reportMicros reports the mean time per iteration of b in microseconds.
+func reportMicros(b *testing.B, spent time.Duration, unit string) {
 	b.ReportMetric(float64(spent.Nanoseconds())/1e3/float64(b.N), unit)
 }
 
-// BenchmarkScale gives the slopes of one instance's steps in docs/CAPACITY.md.
+// BenchmarkScale measures the cost of one instance's steps by deployment size;
+// docs/CAPACITY.md uses the slopes.
 func BenchmarkScale(b *testing.B) {
 	for _, s := range scales {
 		b.Run(s.String(), func(b *testing.B) { benchmarkScale(b, s) })
@@ -224,7 +225,7 @@
 }
 
 func benchmarkScale(b *testing.B, s scale) {
-	l := newLone(b, s)
+	l := newConfiguredNode(b, s)
 	for i := range 100 {
 		l.request(i, s)
 	}
@@ -233,7 +234,7 @@
 		for i := range b.N {
 			if i%1000 == 0 {
 				b.StopTimer()
-				l.pass(100 * time.Millisecond)
+				l.advance(100 * time.Millisecond)
 				b.StartTimer()
 			}
 			if l.request(i, s) {
@@ -249,7 +250,7 @@
 		}
 	})
 	b.Run("wakeWithNothingToDo", func(b *testing.B) {
-		l.pass(time.Millisecond)
+		l.advance(time.Millisecond)
 		for range b.N {
 			l.node.Step(l.now, Wake{})
 		}
@@ -257,31 +258,31 @@
 	b.Run("quarterSecond", func(b *testing.B) {
 		var wakes, answers time.Duration
 		for range b.N {
-			wake, answer := l.pass(250 * time.Millisecond)
+			wake, answer := l.advance(250 * time.Millisecond)
 			wakes += wake
 			answers += answer
 		}
-		micros(b, wakes, "µs/wake")
-		micros(b, answers, "µs/answers")
+		reportMicros(b, wakes, "µs/wake")
+		reportMicros(b, answers, "µs/answers")
 	})
 	b.Run("revision", func(b *testing.B) {
 		var spent time.Duration
 		for i := range b.N {
 			l.put(config.WorkspacePrefix+workspaceName(i%s.workspaces), config.Workspace{Plan: "plan-01"})
-			_, answers := l.pass(500 * time.Millisecond)
+			_, answers := l.advance(500 * time.Millisecond)
 			spent += answers
 		}
-		micros(b, spent, "µs/revision")
+		reportMicros(b, spent, "µs/revision")
 	})
 	b.Run("lists", func(b *testing.B) {
 		var spent time.Duration
 		for i := range b.N {
 			l.put(config.ListsKey, config.ListsVersion{Version: uint64(i + 2)})
-			l.pass(500 * time.Millisecond)
-			wake, _ := l.pass(250 * time.Millisecond)
+			l.advance(500 * time.Millisecond)
+			wake, _ := l.advance(250 * time.Millisecond)
 			spent += wake
 		}
-		micros(b, spent, "µs/lists")
+		reportMicros(b, spent, "µs/lists")
 	})
 	b.Run("listChange", func(b *testing.B) {
 		var spent, next time.Duration
@@ -290,19 +291,19 @@
 			changed := s.target(i % s.targets)
 			changed.Slots = 2 + i%3
 			l.changed = append(l.changed, changed)
-			_, answers := l.pass(time.Second)
+			_, answers := l.advance(time.Second)
 			spent += answers
-			wake, _ := l.pass(250 * time.Millisecond)
+			wake, _ := l.advance(250 * time.Millisecond)
 			next += wake
 		}
-		micros(b, spent, "µs/change")
-		micros(b, next, "µs/nextWake")
+		reportMicros(b, spent, "µs/change")
+		reportMicros(b, next, "µs/nextWake")
 	})
 	benchmarkParts(b, l, s)
 }
 
-// benchmarkParts times what steps and housekeeping call.
-func benchmarkParts(b *testing.B, l *lone, s scale) {
+// benchmarkParts measures the functions called by steps and housekeeping.
+func benchmarkParts(b *testing.B, l *singleNode, s scale) {
 	n := l.node
 	service, _ := n.replica.Service(serviceName(0))
 	r := &request{service: service, workspace: config.Workspace{Name: workspaceName(0)}}
@@ -320,7 +321,7 @@
 	part("reportHealth", n.sendHealthReports)
 	part("planShards", n.writeStaleShard)
 	part("refreshShards", n.refreshShards)
-	n.shards.line["0"] = 0
+	n.shards.writerRank["0"] = 0
 	part("indexLimits,writer", n.indexLimits)
 	part("planShards,writer", func() {
 		n.writeStaleShard()
@@ -330,29 +331,29 @@
 	part("holderForget", func() { n.holder.EvictIdle(n.now) })
 }
 
-// BenchmarkScaleBytes reports the memory of an instance's list and of the
-// whole node. Run it with -benchtime 1x.
+// BenchmarkScaleBytes measures the memory of an instance's list and of the whole
+// node. Run it with -benchtime 1x.
 func BenchmarkScaleBytes(b *testing.B) {
 	for _, s := range scales[1:] {
 		b.Run("list/"+s.String(), func(b *testing.B) {
 			before := heapBytes()
-			l := newBare(s)
+			l := newEmptyNode(s)
 			l.fillList(s)
-			l.pass(time.Second)
-			l.pass(time.Second)
+			l.advance(time.Second)
+			l.advance(time.Second)
 			must.Eq(b, s.entries, len(l.node.member.Directory().Entries()))
 			b.ReportMetric(float64(heapBytes()-before)/float64(s.entries+s.targets), "B/instance")
 			runtime.KeepAlive(l)
 		})
 		b.Run("node/"+s.String(), func(b *testing.B) {
 			before := heapBytes()
-			l := newLone(b, s)
+			l := newConfiguredNode(b, s)
 			idle := heapBytes()
 			b.ReportMetric(float64(idle-before)/(1<<20), "MB")
 			for i := range s.workspaces {
 				l.request(i, s)
 				if i%1000 == 0 {
-					l.pass(250 * time.Millisecond)
+					l.advance(250 * time.Millisecond)
 				}
 			}
 			b.ReportMetric(float64(heapBytes()-idle)/float64(s.workspaces), "B/bucket")
