--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -11,9 +11,9 @@
 	"foxtailspoke/storage"
 )
 
-// sizes are the three sizes of the slopes in docs/CAPACITY.md; the last is
+// workspaceCounts are the three workspaceCounts of the slopes in docs/CAPACITY.md; the last is
 // the target size.
-var sizes = []int{5_000, 20_000, 55_000}
+var workspaceCounts = []int{5_000, 20_000, 55_000}
 
 func workspaceRow(i int) storage.Row {
 	return row(fmt.Sprintf("%sworkspace-%06d", WorkspacePrefix, i), Workspace{Plan: fmt.Sprintf("plan-%02d", i%40)}, i)
@@ -38,7 +38,7 @@
 	return storage.Row{Key: key, Value: value, Revision: storage.Revision(i + 1), Attempt: fmt.Sprintf("8c5e0d4a-0000-4000-8000-%012d", i)}
 }
 
-func rowsOf(n int, f func(int) storage.Row) storage.Changes {
+func fullTable(n int, f func(int) storage.Row) storage.Changes {
 	c := storage.Changes{Revision: storage.Revision(n + 1), Full: true}
 	for i := range n {
 		c.Rows = append(c.Rows, f(i))
@@ -46,7 +46,7 @@
 	return c
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -58,22 +58,22 @@
 // Run it with -benchtime 1x.
 func BenchmarkReplicaBytes(b *testing.B) {
 	for _, kind := range []struct {
-		name  string
-		row   func(int) storage.Row
-		of    int
-		sizes []int
+		name   string
+		row    func(int) storage.Row
+		perRow int
+		sizes  []int
 	}{
-		{"workspace", workspaceRow, 1, sizes},
-		{"key", keyRow, 1, sizes},
+		{"workspace", workspaceRow, 1, workspaceCounts},
+		{"key", keyRow, 1, workspaceCounts},
 		{"route", serviceRow, 20, []int{50, 200, 560}},
 	} {
 		for _, n := range kind.sizes {
-			b.Run(fmt.Sprintf("%s/%d", kind.name, n*kind.of), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", kind.name, n*kind.perRow), func(b *testing.B) {
 				for range b.N {
-					before := heap()
+					before := heapBytes()
 					r := NewReplica()
-					must.True(b, r.Apply(rowsOf(n, kind.row)))
-					b.ReportMetric(float64(heap()-before)/float64(n*kind.of), "B/"+kind.name)
+					must.True(b, r.Apply(fullTable(n, kind.row)))
+					b.ReportMetric(float64(heapBytes()-before)/float64(n*kind.perRow), "B/"+kind.name)
 					runtime.KeepAlive(r)
 				}
 			})
@@ -98,10 +98,10 @@
 }
 
 func BenchmarkTargetSize(b *testing.B) {
-	before := heap()
+	before := heapBytes()
 	r := targetReplica(b)
 	b.Run("bytes", func(b *testing.B) {
-		b.ReportMetric(float64(heap()-before)/(1<<20), "MB")
+		b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MB")
 	})
 	b.Run("route", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
--- a/config/jsonc/document.go
+++ b/config/jsonc/document.go
@@ -22,9 +22,9 @@
 type Document struct {
 	file string
 	// lineStarts has the offset of each line's first byte.
-	lineStarts []int
-	faults     Diagnostics
-	parsed     bool
+	lineStarts  []int
+	diagnostics Diagnostics
+	parsed      bool
 }
 
 // Parse reads a file's syntax. If that fails, the document has one fault and
@@ -32,16 +32,16 @@
 func Parse(file string, data []byte) (*Document, Value) {
 	d := &Document{file: file, lineStarts: lineStarts(data)}
 	if len(data) > MaxBytes {
-		d.fault(0, "", fmt.Sprintf("%d bytes", len(data)), fmt.Sprintf("at most %d bytes", MaxBytes))
+		d.addDiagnostic(0, "", fmt.Sprintf("%d bytes", len(data)), fmt.Sprintf("at most %d bytes", MaxBytes))
 		return d, Value{}
 	}
-	if offset := tooDeep(data); offset >= 0 {
-		d.fault(offset, "", fmt.Sprintf("values nested more than %d deep", MaxDepth), "fewer")
+	if offset := depthExceededAt(data); offset >= 0 {
+		d.addDiagnostic(offset, "", fmt.Sprintf("values nested more than %d deep", MaxDepth), "fewer")
 		return d, Value{}
 	}
 	root, err := hujson.Parse(data)
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return d, Value{}
 	}
 	d.parsed = true
@@ -53,19 +53,19 @@
 
 // Diagnostics returns what was wrong so far, ordered by place.
 func (d *Document) Diagnostics() Diagnostics {
-	d.faults.Sort()
-	return d.faults
+	d.diagnostics.Sort()
+	return d.diagnostics
 }
 
-func (d *Document) fault(offset int, field, found, allowed string) {
-	line, column := d.place(offset)
-	d.faults = append(d.faults, Diagnostic{
+func (d *Document) addDiagnostic(offset int, field, found, allowed string) {
+	line, column := d.position(offset)
+	d.diagnostics = append(d.diagnostics, Diagnostic{
 		File: d.file, Line: line, Column: column, Field: field, Found: found, Allowed: allowed,
 	})
 }
 
-// place returns the line and column of an offset, both from 1.
-func (d *Document) place(offset int) (line, column int) {
+// position returns the line and column of an offset, both from 1.
+func (d *Document) position(offset int) (line, column int) {
 	line = sort.SearchInts(d.lineStarts, offset+1)
 	return line, offset - d.lineStarts[line-1] + 1
 }
@@ -80,10 +80,10 @@
 	return starts
 }
 
-// tooDeep returns the offset of the bracket that exceeds MaxDepth, or -1. It
+// depthExceededAt returns the offset of the bracket that exceeds MaxDepth, or -1. It
 // counts brackets in strings and comments as well: the bound is far above any
 // honest file, so that counting more than there are does no harm.
-func tooDeep(data []byte) int {
+func depthExceededAt(data []byte) int {
 	depth := 0
 	for i, c := range data {
 		switch c {
@@ -99,14 +99,14 @@
 	return -1
 }
 
-var syntaxError = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
+var syntaxErrorPattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
-func (d *Document) syntax(err error) {
+func (d *Document) addSyntaxError(err error) {
 	f := Diagnostic{File: d.file, Line: 1, Column: 1, Found: err.Error(), Allowed: "JSON, with // and /* */ comments and trailing commas"}
-	if m := syntaxError.FindStringSubmatch(err.Error()); m != nil {
+	if m := syntaxErrorPattern.FindStringSubmatch(err.Error()); m != nil {
 		f.Line, _ = strconv.Atoi(m[1])
 		f.Column, _ = strconv.Atoi(m[2])
 		f.Found = m[3]
 	}
-	d.faults = append(d.faults, f)
+	d.diagnostics = append(d.diagnostics, f)
 }
--- a/config/jsonc/value.go
+++ b/config/jsonc/value.go
@@ -35,7 +35,7 @@
 // Report reports the value as faulty.
 func (v Value) Report(found, allowed string) {
 	if v.doc != nil {
-		v.doc.fault(v.value.StartOffset, v.field, found, allowed)
+		v.doc.addDiagnostic(v.value.StartOffset, v.field, found, allowed)
 	}
 }
 
@@ -44,7 +44,7 @@
 	if v.doc == nil {
 		return 0
 	}
-	line, _ := v.doc.place(v.value.StartOffset)
+	line, _ := v.doc.position(v.value.StartOffset)
 	return line
 }
 
@@ -55,7 +55,7 @@
 		key, _ := name.Text()
 		i := slices.IndexFunc(fields, func(f Field) bool { return f.Name == key })
 		if i < 0 {
-			name.Report("the unknown field "+quote(key), "the fields "+fieldNames(fields))
+			name.Report("the unknown field "+quoteTruncated(key), "the fields "+fieldNames(fields))
 			return
 		}
 		seen[key] = true
@@ -66,7 +66,7 @@
 	}
 	for _, f := range fields {
 		if f.Required && !seen[f.Name] {
-			v.Report("no field "+quote(f.Name), "the field "+quote(f.Name)+" is required")
+			v.Report("no field "+quoteTruncated(f.Name), "the field "+quoteTruncated(f.Name)+" is required")
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	object, ok := v.value.Value.(*hujson.Object)
 	if !ok {
-		v.Report(v.kind(), "an object in braces")
+		v.Report(v.describe(), "an object in braces")
 		return false
 	}
 	first := map[string]int{}
@@ -88,7 +88,7 @@
 		name := Value{doc: v.doc, value: m.Name, field: v.field}
 		key, _ := name.Text()
 		if line, again := first[key]; again {
-			name.Report(fmt.Sprintf("%s a second time, first on line %d", quote(key), line), "each name once")
+			name.Report(fmt.Sprintf("%s a second time, first on line %d", quoteTruncated(key), line), "each name once")
 			continue
 		}
 		first[key] = name.Line()
@@ -105,7 +105,7 @@
 	}
 	array, ok := v.value.Value.(*hujson.Array)
 	if !ok {
-		v.Report(v.kind(), "a list in square brackets")
+		v.Report(v.describe(), "a list in square brackets")
 		return false
 	}
 	for i, e := range array.Elements {
@@ -118,12 +118,12 @@
 func (v Value) Text() (string, bool) {
 	literal, ok := v.literal('"')
 	if !ok {
-		v.Report(v.kind(), "a string in quotes")
+		v.Report(v.describe(), "a string in quotes")
 		return "", false
 	}
 	var s string
 	if err := json.Unmarshal(literal, &s); err != nil {
-		v.Report(v.kind(), "a string in quotes")
+		v.Report(v.describe(), "a string in quotes")
 		return "", false
 	}
 	return s, true
@@ -133,7 +133,7 @@
 func (v Value) Bool() (bool, bool) {
 	literal, ok := v.value.Value.(hujson.Literal)
 	if !ok || (literal.Kind() != 't' && literal.Kind() != 'f') {
-		v.Report(v.kind(), "true or false")
+		v.Report(v.describe(), "true or false")
 		return false, false
 	}
 	return literal.Bool(), true
@@ -141,15 +141,15 @@
 
 // Float reads a finite number from least to most.
 func (v Value) Float(least, most float64) (float64, bool) {
-	allowed := fmt.Sprintf("a number from %s to %s", number(least), number(most))
+	allowed := fmt.Sprintf("a number from %s to %s", formatFloat(least), formatFloat(most))
 	literal, ok := v.literal('0')
 	if !ok {
-		v.Report(v.kind(), allowed)
+		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	f, err := strconv.ParseFloat(string(literal), 64)
 	if err != nil || math.IsInf(f, 0) || f < least || f > most {
-		v.Report(v.kind(), allowed)
+		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	return f, true
@@ -160,12 +160,12 @@
 	allowed := fmt.Sprintf("a whole number from %d to %d", least, most)
 	literal, ok := v.literal('0')
 	if !ok {
-		v.Report(v.kind(), allowed)
+		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	n, err := strconv.Atoi(string(literal))
 	if err != nil || n < least || n > most {
-		v.Report(v.kind(), allowed)
+		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	return n, true
@@ -176,14 +176,14 @@
 	allowed := fmt.Sprintf(`a time from %s to %s in quotes, such as "1.5s"`, least, most)
 	literal, ok := v.literal('"')
 	if !ok {
-		v.Report(v.kind(), allowed)
+		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	var s string
 	_ = json.Unmarshal(literal, &s)
 	d, err := time.ParseDuration(s)
 	if err != nil || d < least || d > most {
-		v.Report(v.kind(), allowed)
+		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	return d, true
@@ -197,19 +197,19 @@
 	return literal, true
 }
 
-// maxShown bounds how much of a faulty value a fault repeats.
-const maxShown = 60
+// maxShownBytes bounds how much of a faulty value a fault repeats.
+const maxShownBytes = 60
 
-// kind describes the value as found.
-func (v Value) kind() string {
+// describe describes the value as found.
+func (v Value) describe() string {
 	switch x := v.value.Value.(type) {
 	case *hujson.Object:
 		return "an object"
 	case *hujson.Array:
 		return "a list"
 	case hujson.Literal:
-		if len(x) > maxShown {
-			return strings.ToValidUTF8(string(x[:maxShown]), "") + "…"
+		if len(x) > maxShownBytes {
+			return strings.ToValidUTF8(string(x[:maxShownBytes]), "") + "…"
 		}
 		return string(x)
 	default:
@@ -220,7 +220,7 @@
 func fieldNames(fields []Field) string {
 	names := make([]string, len(fields))
 	for i, f := range fields {
-		names[i] = quote(f.Name)
+		names[i] = quoteTruncated(f.Name)
 	}
 	return strings.Join(names, ", ")
 }
@@ -232,11 +232,11 @@
 	return path + "." + name
 }
 
-func quote(s string) string {
-	if len(s) > maxShown {
-		s = strings.ToValidUTF8(s[:maxShown], "") + "…"
+func quoteTruncated(s string) string {
+	if len(s) > maxShownBytes {
+		s = strings.ToValidUTF8(s[:maxShownBytes], "") + "…"
 	}
 	return strconv.Quote(s)
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
--- a/config/lists/check.go
+++ b/config/lists/check.go
@@ -25,15 +25,15 @@
 
 // Check reads both lists and returns everything that is wrong with them. If
 // there are faults, the lists returned are incomplete and not to be used.
-func Check(customers, plans Source, capacity ServerCounts) (Lists, jsonc.Diagnostics) {
-	r := &reader{lists: Empty(), prefixes: map[string]claimedPrefix{}}
+func Check(customers, plans Source, servers ServerCounts) (Lists, jsonc.Diagnostics) {
+	r := &reader{lists: Empty(), prefixes: map[string]prefixOrigin{}}
 	plansDoc, plansRoot := jsonc.Parse(plans.File, plans.Data)
 	customersDoc, customersRoot := jsonc.Parse(customers.File, customers.Data)
-	r.plansList(plansRoot)
-	r.customers(customersRoot)
+	r.readPlansFile(plansRoot)
+	r.readCustomersFile(customersRoot)
 	if plansDoc.Parsed() {
 		r.checkReferences()
-		r.checkFloors(capacity)
+		r.checkFloors(servers)
 	}
 	faults := append(slices.Clone(plansDoc.Diagnostics()), customersDoc.Diagnostics()...)
 	faults.Sort()
@@ -45,13 +45,13 @@
 	services := slices.Sorted(maps.Keys(r.lists.Services))
 	for _, ref := range r.serviceRefs {
 		if _, ok := r.lists.Services[ref.name]; !ok {
-			ref.at.Report("the unknown service "+quoted(ref.name), oneOf("services", services))
+			ref.value.Report("the unknown service "+quoteTruncated(ref.name), describeChoices("services", services))
 		}
 	}
 	plans := slices.Sorted(maps.Keys(r.lists.Plans))
 	for _, ref := range r.planRefs {
 		if _, ok := r.lists.Plans[ref.name]; !ok {
-			ref.at.Report("the unknown plan "+quoted(ref.name), oneOf("plans", plans))
+			ref.value.Report("the unknown plan "+quoteTruncated(ref.name), describeChoices("plans", plans))
 		}
 	}
 }
@@ -64,20 +64,20 @@
 	}
 	for _, s := range r.floors {
 		if live := capacity[s.service]; s.floor > live {
-			s.at.Report(fmt.Sprintf("the floor %d", s.floor),
-				fmt.Sprintf("at most %d, by the live backend servers that the platform lists for %s", live, quoted(s.service)))
+			s.value.Report(fmt.Sprintf("the floor %d", s.floor),
+				fmt.Sprintf("at most %d, by the live backend servers that the platform lists for %s", live, quoteTruncated(s.service)))
 		}
 	}
 }
 
-// maxListed bounds how many names a fault offers.
-const maxListed = 12
+// maxListedNames bounds how many names a fault offers.
+const maxListedNames = 12
 
-func oneOf(kind string, names []string) string {
+func describeChoices(kind string, names []string) string {
 	if len(names) == 0 {
 		return "one of the " + kind + " of the list, which has none"
 	}
-	shown := names[:min(len(names), maxListed)]
+	shown := names[:min(len(names), maxListedNames)]
 	text := "one of the " + kind + " " + strings.Join(shown, ", ")
 	if len(shown) < len(names) {
 		text += fmt.Sprintf(" and %d more", len(names)-len(shown))
@@ -110,10 +110,10 @@
 	return validPrefix(strings.TrimSuffix(s, "/")+"/") && !strings.HasPrefix(s, "/-/") && s != "/-"
 }
 
-func quoted(s string) string {
-	const most = 80
-	if len(s) > most {
-		s = strings.ToValidUTF8(s[:most], "") + "…"
+func quoteTruncated(s string) string {
+	const maxBytes = 80
+	if len(s) > maxBytes {
+		s = strings.ToValidUTF8(s[:maxBytes], "") + "…"
 	}
 	return strconv.Quote(s)
 }
--- a/config/lists/diff.go
+++ b/config/lists/diff.go
@@ -78,33 +78,33 @@
 	if existed {
 		c.Kind = Changed
 	}
-	before, after := facts(item, old), facts(item, row.Value)
+	before, after := describeRow(item, old), describeRow(item, row.Value)
 	for _, f := range slices.Sorted(maps.Keys(after)) {
 		if before[f] != after[f] {
-			c.Details = append(c.Details, detailOf(f, before[f], after[f]))
+			c.Details = append(c.Details, describeDifference(f, before[f], after[f]))
 		}
 	}
 	for _, f := range slices.Sorted(maps.Keys(before)) {
 		if _, still := after[f]; !still {
-			c.Details = append(c.Details, detailOf(f, before[f], ""))
+			c.Details = append(c.Details, describeDifference(f, before[f], ""))
 		}
 	}
 	return c
 }
 
-func detailOf(fact, before, after string) string {
+func describeDifference(attribute, before, after string) string {
 	switch {
 	case before == "":
-		return fact + " " + after
+		return attribute + " " + after
 	case after == "":
-		return fact + " " + before + " is removed"
+		return attribute + " " + before + " is removed"
 	default:
-		return fact + " " + before + " becomes " + after
+		return attribute + " " + before + " becomes " + after
 	}
 }
 
-// facts returns what a row says, by name, in plain words.
-func facts(item string, value []byte) map[string]string {
+// describeRow returns what a row says, by name, in plain words.
+func describeRow(item string, value []byte) map[string]string {
 	f := map[string]string{}
 	if value == nil {
 		return f
@@ -123,12 +123,12 @@
 	case config.ServicePrefix:
 		var s config.Service
 		_ = json.Unmarshal(value, &s)
-		serviceFacts(f, s)
+		describeService(f, s)
 	}
 	return f
 }
 
-func serviceFacts(f map[string]string, s config.Service) {
+func describeService(f map[string]string, s config.Service) {
 	f["floor"] = strconv.Itoa(s.Floor)
 	f["time-out"] = time.Duration(s.Timeout).String()
 	if s.Probe != "" {
--- a/config/lists/lists_test.go
+++ b/config/lists/lists_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	goodCustomers = `{"workspaces": {"a": {"plan": "p"}}}`
-	goodPlans     = `{
+	validCustomers = `{"workspaces": {"a": {"plan": "p"}}}`
+	validPlans     = `{
   "services": {"s": {"floor": 2, "timeout": "2s", "routes": [{"prefix": "/s/"}]}},
   "plans": {"p": {"services": {"s": {"rate": 20, "burst": 40}}}}
 }`
@@ -32,52 +32,52 @@
 // Each slip that an operator can make names its place, what was found and
 // what is allowed.
 func TestCheckFaults(t *testing.T) {
-	plan := func(old, replacement string) string { return strings.Replace(goodPlans, old, replacement, 1) }
+	plan := func(old, replacement string) string { return strings.Replace(validPlans, old, replacement, 1) }
 	tests := []struct {
 		name, customers, plans string
 		capacity               ServerCounts
 		want                   []string
 	}{
-		{"good", goodCustomers, goodPlans, ServerCounts{"s": 2}, nil},
-		{"syntax", `{"workspaces": `, goodPlans, nil, []string{"c.json:1:16: found parsing value: unexpected EOF; allowed: JSON"}},
+		{"good", validCustomers, validPlans, ServerCounts{"s": 2}, nil},
+		{"syntax", `{"workspaces": `, validPlans, nil, []string{"c.json:1:16: found parsing value: unexpected EOF; allowed: JSON"}},
 		{
-			"unknown field", `{"workspaces": {"a": {"plan": "p", "plam": 1}}}`, goodPlans, nil,
+			"unknown field", `{"workspaces": {"a": {"plan": "p", "plam": 1}}}`, validPlans, nil,
 			[]string{`c.json:1:36: workspaces.a.plam: found the unknown field "plam"; allowed: the fields "plan"`},
 		},
 		{
-			"duplicate workspace", "{\"workspaces\": {\n\"a\": {\"plan\": \"p\"},\n\"a\": {\"plan\": \"p\"}}}", goodPlans, nil,
+			"duplicate workspace", "{\"workspaces\": {\n\"a\": {\"plan\": \"p\"},\n\"a\": {\"plan\": \"p\"}}}", validPlans, nil,
 			[]string{`c.json:3:1: workspaces: found "a" a second time, first on line 2; allowed: each name once`},
 		},
-		{"missing section", `{}`, goodPlans, nil, []string{`c.json:1:1: found no field "workspaces"`}},
-		{"wrong type", `{"workspaces": []}`, goodPlans, nil, []string{`c.json:1:16: workspaces: found a list; allowed: an object in braces`}},
+		{"missing section", `{}`, validPlans, nil, []string{`c.json:1:1: found no field "workspaces"`}},
+		{"wrong type", `{"workspaces": []}`, validPlans, nil, []string{`c.json:1:16: workspaces: found a list; allowed: an object in braces`}},
 		{
-			"unknown plan", `{"workspaces": {"a": {"plan": "q"}}}`, goodPlans, nil,
+			"unknown plan", `{"workspaces": {"a": {"plan": "q"}}}`, validPlans, nil,
 			[]string{`c.json:1:31: workspaces.a.plan: found the unknown plan "q"; allowed: one of the plans p`},
 		},
-		{"bad name", `{"workspaces": {"A/b": {"plan": "p"}}}`, goodPlans, nil, []string{`c.json:1:17: workspaces.A/b: found the name "A/b"`}},
-		{"long name", `{"workspaces": {"` + strings.Repeat("a", MaxNameBytes+1) + `": {"plan": "p"}}}`, goodPlans, nil, []string{"c.json:1:17: "}},
+		{"bad name", `{"workspaces": {"A/b": {"plan": "p"}}}`, validPlans, nil, []string{`c.json:1:17: workspaces.A/b: found the name "A/b"`}},
+		{"long name", `{"workspaces": {"` + strings.Repeat("a", MaxNameBytes+1) + `": {"plan": "p"}}}`, validPlans, nil, []string{"c.json:1:17: "}},
 		{
-			"unknown service", goodCustomers, plan(`{"s": {"rate"`, `{"t": {"rate"`), nil,
+			"unknown service", validCustomers, plan(`{"s": {"rate"`, `{"t": {"rate"`), nil,
 			[]string{`p.json:3:32: plans.p.services.t: found the unknown service "t"; allowed: one of the services s`},
 		},
 		{
-			"no service", goodCustomers, plan(`{"s": {"rate": 20, "burst": 40}}`, `{}`), nil,
+			"no service", validCustomers, plan(`{"s": {"rate": 20, "burst": 40}}`, `{}`), nil,
 			[]string{`p.json:3:31: plans.p.services: found a plan without a service`},
 		},
-		{"rate zero", goodCustomers, plan("20", "0"), nil, []string{`p.json:3:46: plans.p.services.s.rate: found 0; allowed: a number from 0.0001 to 1000000`}},
-		{"rate infinite", goodCustomers, plan("20", "1e999"), nil, []string{`p.json:3:46: plans.p.services.s.rate: found 1e999`}},
-		{"rate text", goodCustomers, plan("20", `"20"`), nil, []string{`p.json:3:46: plans.p.services.s.rate: found "20"`}},
-		{"burst below one", goodCustomers, plan("40", "0.5"), nil, []string{`p.json:3:59: plans.p.services.s.burst: found 0.5; allowed: a number from 1 to`}},
-		{"floor above capacity", goodCustomers, goodPlans, ServerCounts{"s": 1}, []string{`p.json:2:31: services.s.floor: found the floor 2; allowed: at most 1`}},
-		{"floor zero", goodCustomers, plan(`"floor": 2`, `"floor": 0`), nil, []string{`p.json:2:31: services.s.floor: found 0`}},
-		{"probe of the own report", goodCustomers, plan(`"2s"`, `"2s", "probe": "/-/health"`), nil, []string{`p.json:2:60: services.s.probe: found "/-/health"; allowed: a path such as "/catalogue/glue", of at most 256 letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`}},
-		{"time-out without unit", goodCustomers, plan(`"2s"`, `"2"`), nil, []string{`p.json:2:45: services.s.timeout: found "2"; allowed: a time from 1ms to 1h0m0s`}},
-		{"no routes", goodCustomers, plan(`[{"prefix": "/s/"}]`, `[]`), nil, []string{`p.json:2:61: services.s.routes: found no route`}},
-		{"prefix without slash", goodCustomers, plan(`"/s/"`, `"/s"`), nil, []string{`p.json:2:73: services.s.routes[0].prefix: found "/s"`}},
-		{"prefix with dots", goodCustomers, plan(`"/s/"`, `"/s/../"`), nil, []string{`p.json:2:73: `}},
-		{"prefix escaped", goodCustomers, plan(`"/s/"`, `"/%73/"`), nil, []string{`p.json:2:73: `}},
+		{"rate zero", validCustomers, plan("20", "0"), nil, []string{`p.json:3:46: plans.p.services.s.rate: found 0; allowed: a number from 0.0001 to 1000000`}},
+		{"rate infinite", validCustomers, plan("20", "1e999"), nil, []string{`p.json:3:46: plans.p.services.s.rate: found 1e999`}},
+		{"rate text", validCustomers, plan("20", `"20"`), nil, []string{`p.json:3:46: plans.p.services.s.rate: found "20"`}},
+		{"burst below one", validCustomers, plan("40", "0.5"), nil, []string{`p.json:3:59: plans.p.services.s.burst: found 0.5; allowed: a number from 1 to`}},
+		{"floor above capacity", validCustomers, validPlans, ServerCounts{"s": 1}, []string{`p.json:2:31: services.s.floor: found the floor 2; allowed: at most 1`}},
+		{"floor zero", validCustomers, plan(`"floor": 2`, `"floor": 0`), nil, []string{`p.json:2:31: services.s.floor: found 0`}},
+		{"probe of the own report", validCustomers, plan(`"2s"`, `"2s", "probe": "/-/health"`), nil, []string{`p.json:2:60: services.s.probe: found "/-/health"; allowed: a path such as "/catalogue/glue", of at most 256 letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`}},
+		{"time-out without unit", validCustomers, plan(`"2s"`, `"2"`), nil, []string{`p.json:2:45: services.s.timeout: found "2"; allowed: a time from 1ms to 1h0m0s`}},
+		{"no routes", validCustomers, plan(`[{"prefix": "/s/"}]`, `[]`), nil, []string{`p.json:2:61: services.s.routes: found no route`}},
+		{"prefix without slash", validCustomers, plan(`"/s/"`, `"/s"`), nil, []string{`p.json:2:73: services.s.routes[0].prefix: found "/s"`}},
+		{"prefix with dots", validCustomers, plan(`"/s/"`, `"/s/../"`), nil, []string{`p.json:2:73: `}},
+		{"prefix escaped", validCustomers, plan(`"/s/"`, `"/%73/"`), nil, []string{`p.json:2:73: `}},
 		{
-			"prefix twice", goodCustomers, plan(`"services": {`, "\"services\": {\"t\": {\"floor\": 1, \"timeout\": \"1s\", \"routes\": [{\"prefix\": \"/s/\"}]},\n"), nil,
+			"prefix twice", validCustomers, plan(`"services": {`, "\"services\": {\"t\": {\"floor\": 1, \"timeout\": \"1s\", \"routes\": [{\"prefix\": \"/s/\"}]},\n"), nil,
 			[]string{`p.json:3:58: services.s.routes[0].prefix: found the prefix "/s/", which the service "t" has on line 2; allowed: each prefix once`},
 		},
 		{"everything at once", `{"workspaces": {"a": {"plan": "q"}}, "x": 1}`, plan("20, \"burst\": 40", "-1, \"burst\": 0"), ServerCounts{}, []string{
@@ -131,12 +131,12 @@
 	return back
 }
 
-func TestDiffNamesWhatChanged(t *testing.T) {
-	from, faults := check(goodCustomers, goodPlans, nil)
+func TestDiffDescribesChanges(t *testing.T) {
+	from, faults := check(validCustomers, validPlans, nil)
 	must.Len(t, 0, faults)
 	to, faults := check(`{"workspaces": {"b": {"plan": "p"}}}`, strings.NewReplacer(
 		`"rate": 20`, `"rate": 25.5`, `{"prefix": "/s/"}`, `{"prefix": "/s/", "idempotent": true}, {"prefix": "/t/"}`,
-	).Replace(goodPlans), nil)
+	).Replace(validPlans), nil)
 	must.Len(t, 0, faults)
 	var lines []string
 	for _, c := range Diff(from, to) {
@@ -153,7 +153,7 @@
 }
 
 func FuzzCheck(f *testing.F) {
-	f.Add([]byte(goodCustomers), []byte(goodPlans))
+	f.Add([]byte(validCustomers), []byte(validPlans))
 	f.Add([]byte(strings.Repeat("[", 5000)), []byte(`{"services": {"": {"floor": 1e9}}}`))
 	for _, name := range []string{"dimaculangan", "kervan"} {
 		f.Add(example(f, name, "customers.json").Data, example(f, name, "plans.json").Data)
@@ -169,12 +169,12 @@
 			return
 		}
 		must.Eq(t, l, roundTrip(t, l))
-		accepted(t, l)
+		requireServable(t, l)
 	})
 }
 
-// accepted checks that a replica can serve from lists without faults.
-func accepted(t *testing.T, l Lists) {
+// requireServable checks that a replica can serve from lists without faults.
+func requireServable(t *testing.T, l Lists) {
 	t.Helper()
 	r := config.NewReplica()
 	c := storage.Changes{Revision: 1, Full: true}
--- a/config/lists/read.go
+++ b/config/lists/read.go
@@ -33,60 +33,60 @@
 	lists       Lists
 	planRefs    []reference
 	serviceRefs []reference
-	floors      []floorAt
+	floors      []floorReference
 	// prefixes holds the place of the first route with each prefix.
-	prefixes map[string]claimedPrefix
+	prefixes map[string]prefixOrigin
 }
 
 type reference struct {
-	at   jsonc.Value
-	name string
+	value jsonc.Value
+	name  string
 }
 
-type floorAt struct {
-	at      jsonc.Value
+type floorReference struct {
+	value   jsonc.Value
 	service string
 	floor   int
 }
 
-type claimedPrefix struct {
+type prefixOrigin struct {
 	service string
 	line    int
 }
 
-func (r *reader) customers(root jsonc.Value) {
+func (r *reader) readCustomersFile(root jsonc.Value) {
 	root.Object(jsonc.Field{Name: "workspaces", Required: true, Read: func(v jsonc.Value) {
-		v.Members(r.workspace)
+		v.Members(r.readWorkspace)
 	}})
 }
 
-func (r *reader) workspace(name, v jsonc.Value) {
-	w := config.Workspace{Name: checkedName(name)}
+func (r *reader) readWorkspace(name, v jsonc.Value) {
+	w := config.Workspace{Name: readName(name)}
 	v.Object(jsonc.Field{Name: "plan", Required: true, Read: func(v jsonc.Value) {
 		plan, ok := v.Text()
 		if ok {
 			w.Plan = plan
-			r.planRefs = append(r.planRefs, reference{at: v, name: plan})
+			r.planRefs = append(r.planRefs, reference{value: v, name: plan})
 		}
 	}})
 	r.lists.Workspaces[w.Name] = w
 }
 
-func (r *reader) plansList(root jsonc.Value) {
+func (r *reader) readPlansFile(root jsonc.Value) {
 	root.Object(
-		jsonc.Field{Name: "services", Required: true, Read: func(v jsonc.Value) { v.Members(r.service) }},
-		jsonc.Field{Name: "plans", Required: true, Read: func(v jsonc.Value) { v.Members(r.plan) }},
+		jsonc.Field{Name: "services", Required: true, Read: func(v jsonc.Value) { v.Members(r.readService) }},
+		jsonc.Field{Name: "plans", Required: true, Read: func(v jsonc.Value) { v.Members(r.readPlan) }},
 	)
 }
 
-func (r *reader) service(name, v jsonc.Value) {
-	s := config.Service{Name: checkedName(name)}
+func (r *reader) readService(name, v jsonc.Value) {
+	s := config.Service{Name: readName(name)}
 	v.Object(
 		jsonc.Field{Name: "floor", Required: true, Read: func(v jsonc.Value) {
 			floor, ok := v.Int(1, MaxFloor)
 			if ok {
 				s.Floor = floor
-				r.floors = append(r.floors, floorAt{at: v, service: s.Name, floor: floor})
+				r.floors = append(r.floors, floorReference{value: v, service: s.Name, floor: floor})
 			}
 		}},
 		jsonc.Field{Name: "timeout", Required: true, Read: func(v jsonc.Value) {
@@ -94,17 +94,17 @@
 			s.Timeout = config.Duration(d)
 		}},
 		jsonc.Field{Name: "routes", Required: true, Read: func(v jsonc.Value) {
-			s.Routes = r.routes(s.Name, v)
+			s.Routes = r.readRoutes(s.Name, v)
 		}},
-		jsonc.Field{Name: "probe", Read: func(v jsonc.Value) { s.Probe = probe(v) }},
+		jsonc.Field{Name: "probe", Read: func(v jsonc.Value) { s.Probe = readProbe(v) }},
 	)
 	r.lists.Services[s.Name] = s
 }
 
-func (r *reader) routes(service string, v jsonc.Value) []config.Route {
+func (r *reader) readRoutes(service string, v jsonc.Value) []config.Route {
 	var routes []config.Route
 	ok := v.Elements(func(e jsonc.Value) {
-		routes = append(routes, r.route(service, e))
+		routes = append(routes, r.readRoute(service, e))
 	})
 	if ok && len(routes) == 0 {
 		v.Report("no route", "at least one route, or nobody can reach the service")
@@ -112,11 +112,11 @@
 	return routes
 }
 
-func (r *reader) route(service string, v jsonc.Value) config.Route {
+func (r *reader) readRoute(service string, v jsonc.Value) config.Route {
 	var route config.Route
 	v.Object(
 		jsonc.Field{Name: "prefix", Required: true, Read: func(v jsonc.Value) {
-			route.Prefix = r.prefix(service, v)
+			route.Prefix = r.readPrefix(service, v)
 		}},
 		jsonc.Field{Name: "idempotent", Read: func(v jsonc.Value) {
 			if b, ok := v.Bool(); ok {
@@ -127,41 +127,41 @@
 	return route
 }
 
-func (r *reader) prefix(service string, v jsonc.Value) string {
+func (r *reader) readPrefix(service string, v jsonc.Value) string {
 	prefix, ok := v.Text()
 	if !ok {
 		return ""
 	}
 	if !validPrefix(prefix) {
-		v.Report(quoted(prefix), fmt.Sprintf(
+		v.Report(quoteTruncated(prefix), fmt.Sprintf(
 			`a path that begins and ends with a slash, such as "/catalogue/", of at most %d letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes`, MaxPrefixBytes))
 		return prefix
 	}
 	if first, taken := r.prefixes[prefix]; taken {
-		v.Report(fmt.Sprintf("the prefix %s, which the service %s has on line %d", quoted(prefix), quoted(first.service), first.line),
+		v.Report(fmt.Sprintf("the prefix %s, which the service %s has on line %d", quoteTruncated(prefix), quoteTruncated(first.service), first.line),
 			"each prefix once in all services")
 		return prefix
 	}
-	r.prefixes[prefix] = claimedPrefix{service: service, line: v.Line()}
+	r.prefixes[prefix] = prefixOrigin{service: service, line: v.Line()}
 	return prefix
 }
 
-func probe(v jsonc.Value) string {
+func readProbe(v jsonc.Value) string {
 	path, ok := v.Text()
 	if ok && !validProbe(path) {
-		v.Report(quoted(path), fmt.Sprintf(
+		v.Report(quoteTruncated(path), fmt.Sprintf(
 			`a path such as "/catalogue/glue", of at most %d letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`, MaxPrefixBytes))
 	}
 	return path
 }
 
-func (r *reader) plan(name, v jsonc.Value) {
-	p := config.Plan{Name: checkedName(name), Services: map[string]config.Limit{}}
+func (r *reader) readPlan(name, v jsonc.Value) {
+	p := config.Plan{Name: readName(name), Services: map[string]config.Limit{}}
 	v.Object(jsonc.Field{Name: "services", Required: true, Read: func(v jsonc.Value) {
 		ok := v.Members(func(name, v jsonc.Value) {
 			service, _ := name.Text()
-			r.serviceRefs = append(r.serviceRefs, reference{at: name, name: service})
-			p.Services[service] = limit(v)
+			r.serviceRefs = append(r.serviceRefs, reference{value: name, name: service})
+			p.Services[service] = readLimit(v)
 		})
 		if ok && len(p.Services) == 0 {
 			v.Report("a plan without a service", "at least one service, or the plan allows nothing")
@@ -170,7 +170,7 @@
 	r.lists.Plans[p.Name] = p
 }
 
-func limit(v jsonc.Value) config.Limit {
+func readLimit(v jsonc.Value) config.Limit {
 	var l config.Limit
 	v.Object(
 		jsonc.Field{Name: "rate", Required: true, Read: func(v jsonc.Value) { l.Rate, _ = v.Float(MinRate, MaxRate) }},
@@ -179,10 +179,10 @@
 	return l
 }
 
-func checkedName(name jsonc.Value) string {
+func readName(name jsonc.Value) string {
 	s, ok := name.Text()
 	if ok && !validName(s) {
-		name.Report("the name "+quoted(s), fmt.Sprintf(
+		name.Report("the name "+quoteTruncated(s), fmt.Sprintf(
 			`1 to %d lower-case letters, digits, "-" and ".", beginning and ending with a letter or digit`, MaxNameBytes))
 	}
 	return s
--- a/config/replica.go
+++ b/config/replica.go
@@ -28,19 +28,19 @@
 	witnesses Witnesses
 	lists     ListsVersion
 	routes    routeIndex
-	// names has one copy of each plan's name that workspaces refer to.
-	names map[string]string
+	// planNames has one copy of each plan's name that workspaces refer to.
+	planNames map[string]string
 }
 
 // NewReplica returns an empty replica at revision 0.
 func NewReplica() *Replica {
 	return &Replica{
-		rows:     newRowStore(),
-		plans:    map[string]Plan{},
-		services: map[string]Service{},
-		shards:   map[string]Shard{},
-		permits:  map[string]Permits{},
-		names:    map[string]string{},
+		rows:      newRowStore(),
+		plans:     map[string]Plan{},
+		services:  map[string]Service{},
+		shards:    map[string]Shard{},
+		permits:   map[string]Permits{},
+		planNames: map[string]string{},
 	}
 }
 
@@ -49,7 +49,7 @@
 
 // HistoryStart returns the revision from which on the replica knows every change.
 // Since returns the whole table for an older revision.
-func (r *Replica) HistoryStart() storage.Revision { return r.rows.complete }
+func (r *Replica) HistoryStart() storage.Revision { return r.rows.historyStart }
 
 // Apply takes changes that were read with Since at or below the replica's
 // revision. It returns false, and changes nothing, if they are not newer.
@@ -59,42 +59,42 @@
 	}
 	if c.Full && r.revision == 0 {
 		// The whole table tells nothing of rows that were deleted.
-		r.rows.complete = c.Revision
+		r.rows.historyStart = c.Revision
 	}
 	routesChanged := false
 	for _, row := range c.Rows {
 		old := r.rows.get(packKey(row.Key))
 		if old != nil && old.revision >= row.Revision {
-			old.inWhole = c.Full
+			old.inSnapshot = c.Full
 			continue
 		}
-		routesChanged = r.index(row, c.Full) || routesChanged
+		routesChanged = r.indexRow(row, c.Full) || routesChanged
 	}
 	if c.Full {
-		routesChanged = r.dropAllBut(c.Revision) || routesChanged
+		routesChanged = r.deleteAbsent(c.Revision) || routesChanged
 	}
 	if routesChanged {
 		r.routes = newRouteIndex(r.services)
 	}
 	if r.rows.tombstones > maxTombstones {
-		r.prune(maxTombstones / 2)
+		r.pruneTombstones(maxTombstones / 2)
 	}
 	r.revision = c.Revision
 	return true
 }
 
-// dropAllBut deletes the rows that the whole table at a revision didn't have.
+// deleteAbsent deletes the rows that the whole table at a revision didn't have.
 // They were deleted some time up to then, so a tombstone at that revision
 // tells everybody who may still have them.
-func (r *Replica) dropAllBut(revision storage.Revision) (routesChanged bool) {
-	for _, rec := range r.rows.takeUnmarked() {
+func (r *Replica) deleteAbsent(revision storage.Revision) (routesChanged bool) {
+	for _, rec := range r.rows.takeAbsentFromSnapshot() {
 		gone := storage.Row{Key: unpackKey(rec.key()), Revision: revision, Deleted: true}
-		routesChanged = r.index(gone, false) || routesChanged
+		routesChanged = r.indexRow(gone, false) || routesChanged
 	}
 	return routesChanged
 }
 
-func (r *Replica) prune(keep int) { r.rows.prune(keep) }
+func (r *Replica) pruneTombstones(keep int) { r.rows.pruneTombstones(keep) }
 
 // Since returns what changed after a revision, for another instance. It is
 // the whole table if the revision is 0, or so old that a deletion since then
@@ -105,7 +105,7 @@
 	if since >= r.revision {
 		return c
 	}
-	if since < r.rows.complete {
+	if since < r.rows.historyStart {
 		c.Full = true
 	}
 	if c.Full {
@@ -133,18 +133,18 @@
 // WorkspaceByKey returns the workspace that the key was given to.
 func (r *Replica) WorkspaceByKey(h KeyHash) (Workspace, bool) {
 	key := r.rows.present(packHash(h))
-	if key == nil || !key.valid {
+	if key == nil || !key.hasRef {
 		return Workspace{}, false
 	}
-	return r.workspace(key.note)
+	return r.workspaceByName(key.refOrAttempt)
 }
 
-func (r *Replica) workspace(name string) (Workspace, bool) {
+func (r *Replica) workspaceByName(name string) (Workspace, bool) {
 	rec := r.rows.present(WorkspacePrefix + name)
-	if rec == nil || !rec.valid {
+	if rec == nil || !rec.hasRef {
 		return Workspace{}, false
 	}
-	return Workspace{Name: rec.key()[len(WorkspacePrefix):], Plan: rec.note}, true
+	return Workspace{Name: rec.key()[len(WorkspacePrefix):], Plan: rec.refOrAttempt}, true
 }
 
 // Workspaces goes through all workspaces, those whose row changed last at the
@@ -152,10 +152,10 @@
 func (r *Replica) Workspaces() iter.Seq[Workspace] {
 	return func(yield func(Workspace) bool) {
 		for _, rec := range r.rows.log {
-			if rec.superseded || !rec.valid || !strings.HasPrefix(rec.key(), WorkspacePrefix) {
+			if rec.superseded || !rec.hasRef || !strings.HasPrefix(rec.key(), WorkspacePrefix) {
 				continue
 			}
-			if !yield(Workspace{Name: rec.key()[len(WorkspacePrefix):], Plan: rec.note}) {
+			if !yield(Workspace{Name: rec.key()[len(WorkspacePrefix):], Plan: rec.refOrAttempt}) {
 				return
 			}
 		}
@@ -170,7 +170,7 @@
 
 // Limit returns what the workspace may use of a service; false if nothing.
 func (r *Replica) Limit(workspace, service string) (Limit, bool) {
-	w, ok := r.workspace(workspace)
+	w, ok := r.workspaceByName(workspace)
 	if !ok {
 		return Limit{}, false
 	}
@@ -189,7 +189,7 @@
 
 // Route returns the service and the route with the longest prefix of path.
 func (r *Replica) Route(path string) (string, Route, bool) {
-	e, ok := r.routes.find(path)
+	e, ok := r.routes.longestPrefix(path)
 	return e.service, e.Route, ok
 }
 
@@ -205,27 +205,27 @@
 // ListsVersion returns the version of the accepted lists.
 func (r *Replica) ListsVersion() ListsVersion { return r.lists }
 
-// index takes one row into the store and the indexes. It tells whether the
+// indexRow takes one row into the store and the indexes. It tells whether the
 // routes have to be indexed anew.
-func (r *Replica) index(row storage.Row, inWhole bool) (routesChanged bool) {
+func (r *Replica) indexRow(row storage.Row, inSnapshot bool) (routesChanged bool) {
 	rec := newRecord(row)
-	rec.inWhole = inWhole
+	rec.inSnapshot = inSnapshot
 	prefix, name, _ := strings.Cut(row.Key, "/")
 	switch prefix + "/" {
 	case WorkspacePrefix:
-		r.noteWorkspace(rec)
+		r.decodeWorkspaceRef(rec)
 	case APIKeyPrefix:
-		r.noteKey(rec)
+		r.decodeAPIKeyRef(rec)
 	case PlanPrefix:
-		setRow(r.plans, name, row, func(p *Plan) { p.Name = name })
+		decodeIntoIndex(r.plans, name, row, func(p *Plan) { p.Name = name })
 	case ServicePrefix:
 		before := r.services[name].Routes
-		setRow(r.services, name, row, func(s *Service) { s.Name = name })
+		decodeIntoIndex(r.services, name, row, func(s *Service) { s.Name = name })
 		routesChanged = !slices.EqualFunc(before, r.services[name].Routes, Route.equal)
 	case ShardPrefix:
-		setRow(r.shards, name, row, func(*Shard) {})
+		decodeIntoIndex(r.shards, name, row, func(*Shard) {})
 	case PermitPrefix:
-		setRow(r.permits, name, row, func(*Permits) {})
+		decodeIntoIndex(r.permits, name, row, func(*Permits) {})
 	}
 	switch row.Key {
 	case WitnessesKey:
@@ -241,7 +241,7 @@
 
 func newRecord(row storage.Row) *record {
 	key := packKey(row.Key)
-	rec := &record{revision: row.Revision, keyLen: uint32(len(key)), deleted: row.Deleted, note: row.Attempt}
+	rec := &record{revision: row.Revision, keyLen: uint32(len(key)), deleted: row.Deleted, refOrAttempt: row.Attempt}
 	rec.data = key
 	if !row.Deleted {
 		rec.data += string(row.Value)
@@ -249,42 +249,42 @@
 	return rec
 }
 
-// noteWorkspace decodes a workspace's plan. A row that can't be decoded
+// decodeWorkspaceRef decodes a workspace's plan. A row that can't be decoded
 // counts as absent: what isn't understood isn't granted.
-func (r *Replica) noteWorkspace(rec *record) {
+func (r *Replica) decodeWorkspaceRef(rec *record) {
 	var w Workspace
-	rec.note = ""
+	rec.refOrAttempt = ""
 	if rec.deleted || json.Unmarshal([]byte(rec.value()), &w) != nil {
 		return
 	}
-	rec.note, rec.valid = r.nameOnce(w.Plan), true
+	rec.refOrAttempt, rec.hasRef = r.internPlanName(w.Plan), true
 }
 
-// noteKey decodes a key's workspace.
-func (r *Replica) noteKey(rec *record) {
+// decodeAPIKeyRef decodes a key's workspace.
+func (r *Replica) decodeAPIKeyRef(rec *record) {
 	var k APIKey
-	rec.note = ""
+	rec.refOrAttempt = ""
 	if rec.deleted || json.Unmarshal([]byte(rec.value()), &k) != nil {
 		return
 	}
-	rec.note, rec.valid = k.Workspace, true
-	if w, ok := r.workspace(k.Workspace); ok {
-		rec.note = w.Name
+	rec.refOrAttempt, rec.hasRef = k.Workspace, true
+	if w, ok := r.workspaceByName(k.Workspace); ok {
+		rec.refOrAttempt = w.Name
 	}
 }
 
-// nameOnce returns the one copy of a name.
-func (r *Replica) nameOnce(name string) string {
-	if known, ok := r.names[name]; ok {
+// internPlanName returns the one copy of a name.
+func (r *Replica) internPlanName(name string) string {
+	if known, ok := r.planNames[name]; ok {
 		return known
 	}
-	r.names[name] = name
+	r.planNames[name] = name
 	return name
 }
 
-// setRow puts a row's decoded value into an index. A row that can't be
+// decodeIntoIndex puts a row's decoded value into an index. A row that can't be
 // decoded counts as absent.
-func setRow[K comparable, V any](m map[K]V, k K, row storage.Row, named func(*V)) {
+func decodeIntoIndex[K comparable, V any](m map[K]V, k K, row storage.Row, setName func(*V)) {
 	delete(m, k)
 	if row.Deleted {
 		return
@@ -293,6 +293,6 @@
 	if json.Unmarshal(row.Value, &v) != nil {
 		return
 	}
-	named(&v)
+	setName(&v)
 	m[k] = v
 }
--- a/config/replica_test.go
+++ b/config/replica_test.go
@@ -57,7 +57,7 @@
 				want = p
 			}
 		}
-		got, found := index.find(wanted)
+		got, found := index.longestPrefix(wanted)
 		must.Eq(t, want, got.Prefix)
 		must.Eq(t, want != "", found)
 	})
@@ -75,7 +75,7 @@
 	_, ok := r.WorkspaceByKey(h)
 	must.False(t, ok)
 	must.Len(t, 2, r.RowKeys(APIKeyPrefix))
-	must.Eq(t, []string{packHash(h)}, r.RowKeys(packedHash))
+	must.Eq(t, []string{packHash(h)}, r.RowKeys(hashTag))
 }
 
 // Keys come and go for years. What is remembered of them must stay bounded.
--- a/config/spread_test.go
+++ b/config/replication_test.go
@@ -26,7 +26,7 @@
 // the withdrawal and read the whole table, which shows no trace of the key.
 // The relay must not pass on only what it knows to have changed: the
 // instance would call itself up to date and keep the key for ever.
-func TestRelayThatReadTheWholeTablePassesOnWithdrawals(t *testing.T) {
+func TestRelayThatReadTheWholeTableForwardsDeletions(t *testing.T) {
 	store := tables.New()
 	h := HashKey("fsk_test")
 	write(t, store, storage.Put{Key: WorkspacePrefix + "a", Value: []byte(`{"plan":"p"}`)})
@@ -44,15 +44,15 @@
 // Instances read the table or pull from each other in any order, some start
 // anew, and tombstones are pruned. Whoever has reached a revision must have
 // exactly the rows that the table had at that revision.
-func TestSpreadIsExact(t *testing.T) {
+func TestReplicationIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := tables.New()
-		at := map[storage.Revision]map[string]string{0: {}}
+		rowsAtRevision := map[storage.Revision]map[string]string{0: {}}
 		replicas := make([]*Replica, 4)
 		for i := range replicas {
 			replicas[i] = NewReplica()
 		}
-		some := func(t *rapid.T, what string) int { return rapid.IntRange(0, len(replicas)-1).Draw(t, what) }
+		drawReplica := func(t *rapid.T, what string) int { return rapid.IntRange(0, len(replicas)-1).Draw(t, what) }
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
 				var puts []storage.Put
@@ -62,33 +62,35 @@
 				}
 				write(t, store, puts...)
 				c := read(t, store, 0)
-				at[c.Revision] = contents(c.Rows)
+				rowsAtRevision[c.Revision] = contents(c.Rows)
 			},
 			"read": func(t *rapid.T) {
-				r := replicas[some(t, "reader")]
+				r := replicas[drawReplica(t, "reader")]
 				r.Apply(read(t, store, r.Revision()))
 			},
 			"pull": func(t *rapid.T) {
-				to, from := replicas[some(t, "to")], replicas[some(t, "from")]
+				to, from := replicas[drawReplica(t, "to")], replicas[drawReplica(t, "from")]
 				c := from.Since(to.Revision())
 				for _, row := range c.Rows {
 					must.True(t, c.Full || row.Revision > to.Revision(), must.Sprint("nothing is sent that was known"))
 				}
 				to.Apply(c)
 			},
-			"restart": func(t *rapid.T) { replicas[some(t, "restarted")] = NewReplica() },
-			"prune":   func(t *rapid.T) { replicas[some(t, "pruned")].prune(rapid.IntRange(0, 2).Draw(t, "keep")) },
+			"restart": func(t *rapid.T) { replicas[drawReplica(t, "restarted")] = NewReplica() },
+			"prune": func(t *rapid.T) {
+				replicas[drawReplica(t, "pruned")].pruneTombstones(rapid.IntRange(0, 2).Draw(t, "keep"))
+			},
 			"": func(t *rapid.T) {
 				for _, r := range replicas {
-					must.Eq(t, at[r.Revision()], contents(r.Since(0).Rows))
+					must.Eq(t, rowsAtRevision[r.Revision()], contents(r.Since(0).Rows))
 					present := map[string]bool{}
 					for w := range r.Workspaces() {
 						must.False(t, present[w.Name])
 						present[w.Name] = true
-						must.Eq(t, at[r.Revision()][WorkspacePrefix+w.Name], fmt.Sprintf(`{"plan":%q}`, w.Plan))
+						must.Eq(t, rowsAtRevision[r.Revision()][WorkspacePrefix+w.Name], fmt.Sprintf(`{"plan":%q}`, w.Plan))
 					}
-					must.MapLen(t, len(present), at[r.Revision()])
-					for name := range at[r.Revision()] {
+					must.MapLen(t, len(present), rowsAtRevision[r.Revision()])
+					for name := range rowsAtRevision[r.Revision()] {
 						_, ok := r.Row(name)
 						must.True(t, ok)
 					}
--- a/config/routes.go
+++ b/config/routeindex.go
@@ -11,9 +11,9 @@
 // depends on the path's depth and not on the number of routes.
 type routeIndex struct {
 	byPrefix map[string]routeEntry
-	// deepest is the greatest number of slashes in a prefix. It bounds the
+	// maxSlashes is the greatest number of slashes in a prefix. It bounds the
 	// work that a hostile path of many slashes can cause.
-	deepest int
+	maxSlashes int
 }
 
 type routeEntry struct {
@@ -40,15 +40,15 @@
 		return
 	}
 	x.byPrefix[route.Prefix] = routeEntry{Route: route, service: service}
-	x.deepest = max(x.deepest, strings.Count(route.Prefix, "/"))
+	x.maxSlashes = max(x.maxSlashes, strings.Count(route.Prefix, "/"))
 }
 
-// find returns the entry with the longest prefix of path.
-func (x *routeIndex) find(path string) (routeEntry, bool) {
+// longestPrefix returns the entry with the longest prefix of path.
+func (x *routeIndex) longestPrefix(path string) (routeEntry, bool) {
 	var best routeEntry
 	found := false
 	end := 0
-	for range x.deepest {
+	for range x.maxSlashes {
 		next := strings.IndexByte(path[end:], '/')
 		if next < 0 {
 			break
--- a/config/rowkey.go
+++ b/config/rowkey.go
@@ -8,29 +8,29 @@
 // Row keys are kept packed: the hash in the key of a key's row, which is 64
 // hex digits, takes 32 bytes. At 55,000 keys that is 1.7 MB.
 const (
-	// packedHash begins the packed key of a key's row; the hash follows.
-	packedHash = "\x00"
-	// packedPlain begins a packed key that would otherwise look packed.
-	packedPlain = "\x01"
+	// hashTag begins the packed key of a key's row; the hash follows.
+	hashTag = "\x00"
+	// escapeTag begins a packed key that would otherwise look packed.
+	escapeTag = "\x01"
 )
 
 func packKey(key string) string {
 	if h, ok := parseHash(key); ok {
 		return packHash(h)
 	}
-	if strings.HasPrefix(key, packedHash) || strings.HasPrefix(key, packedPlain) {
-		return packedPlain + key
+	if strings.HasPrefix(key, hashTag) || strings.HasPrefix(key, escapeTag) {
+		return escapeTag + key
 	}
 	return key
 }
 
-func packHash(h KeyHash) string { return packedHash + string(h[:]) }
+func packHash(h KeyHash) string { return hashTag + string(h[:]) }
 
 func unpackKey(packed string) string {
-	if hash, ok := strings.CutPrefix(packed, packedHash); ok {
+	if hash, ok := strings.CutPrefix(packed, hashTag); ok {
 		return APIKeyPrefix + hex.EncodeToString([]byte(hash))
 	}
-	return strings.TrimPrefix(packed, packedPlain)
+	return strings.TrimPrefix(packed, escapeTag)
 }
 
 // parseHash returns the hash of a key's row in the one spelling that is
--- a/config/rows.go
+++ b/config/rowstore.go
@@ -20,18 +20,18 @@
 type record struct {
 	// data is the packed row key followed by the row's value.
 	data string
-	// note is what the row's kind needs kept beside it: the decoded plan of
+	// refOrAttempt is what the row's kind needs kept beside it: the decoded plan of
 	// a workspace, the decoded workspace of a key, else the attempt.
-	note     string
-	revision storage.Revision
-	keyLen   uint32
-	deleted  bool
-	// valid tells that note holds a decoded reference.
-	valid bool
+	refOrAttempt string
+	revision     storage.Revision
+	keyLen       uint32
+	deleted      bool
+	// hasRef tells that note holds a decoded reference.
+	hasRef bool
 	// superseded records are only in the log, until it is compacted.
 	superseded bool
-	// inWhole marks the records that the whole table has, while it is taken.
-	inWhole bool
+	// inSnapshot marks the records that the whole table has, while it is taken.
+	inSnapshot bool
 }
 
 func (r *record) key() string   { return r.data[:r.keyLen] }
@@ -39,8 +39,8 @@
 
 func (r *record) row() storage.Row {
 	row := storage.Row{Key: unpackKey(r.key()), Revision: r.revision, Deleted: r.deleted}
-	if !r.valid {
-		row.Attempt = r.note
+	if !r.hasRef {
+		row.Attempt = r.refOrAttempt
 	}
 	if !r.deleted {
 		row.Value = []byte(r.value())
@@ -56,9 +56,9 @@
 	log        []*record
 	superseded int
 	tombstones int
-	// complete is the revision from which on the store remembers every
+	// historyStart is the revision from which on the store remembers every
 	// change, deletions included. What was deleted before left no trace.
-	complete storage.Revision
+	historyStart storage.Revision
 }
 
 func newRowStore() *rowStore {
@@ -102,13 +102,13 @@
 func (s *rowStore) insert(rec *record) {
 	at := len(s.log)
 	if at > 0 && s.log[at-1].revision > rec.revision {
-		at = s.after(rec.revision)
+		at = s.indexAfter(rec.revision)
 	}
 	s.log = slices.Insert(s.log, at, rec)
 }
 
-// after returns the position of the first record above a revision.
-func (s *rowStore) after(r storage.Revision) int {
+// indexAfter returns the position of the first record above a revision.
+func (s *rowStore) indexAfter(r storage.Revision) int {
 	return sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > r })
 }
 
@@ -121,7 +121,7 @@
 // revision. Without tombstones, it returns the whole table.
 func (s *rowStore) since(r storage.Revision, tombstones bool) []storage.Row {
 	var rows []storage.Row
-	for _, rec := range s.log[s.after(r):] {
+	for _, rec := range s.log[s.indexAfter(r):] {
 		if rec.superseded || (rec.deleted && !tombstones) {
 			continue
 		}
@@ -130,23 +130,23 @@
 	return rows
 }
 
-// takeUnmarked returns the present records that aren't marked, and takes all
+// takeAbsentFromSnapshot returns the present records that aren't marked, and takes all
 // marks away.
-func (s *rowStore) takeUnmarked() []*record {
+func (s *rowStore) takeAbsentFromSnapshot() []*record {
 	var unmarked []*record
 	for _, rec := range s.log {
-		if !rec.superseded && !rec.deleted && !rec.inWhole {
+		if !rec.superseded && !rec.deleted && !rec.inSnapshot {
 			unmarked = append(unmarked, rec)
 		}
-		rec.inWhole = false
+		rec.inSnapshot = false
 	}
 	return unmarked
 }
 
-// prune forgets all but the newest tombstones. Whoever asks for changes since
+// pruneTombstones forgets all but the newest tombstones. Whoever asks for changes since
 // before a forgotten one gets the whole table instead, so that a row which
 // was deleted in between can't live on with it.
-func (s *rowStore) prune(keep int) {
+func (s *rowStore) pruneTombstones(keep int) {
 	for _, rec := range s.log {
 		if s.tombstones <= keep {
 			break
@@ -158,7 +158,7 @@
 		rec.superseded = true
 		s.superseded++
 		s.tombstones--
-		s.complete = max(s.complete, rec.revision)
+		s.historyStart = max(s.historyStart, rec.revision)
 	}
 	s.compact()
 }
