--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -11,8 +11,8 @@
 	"foxtailspoke/storage"
 )
 
-// workspaceCounts are the three workspaceCounts of the slopes in docs/CAPACITY.md; the last is
-// the target size.
+// workspaceCounts are the table sizes from which docs/CAPACITY.md derives the
+// memory per row; the last is the target size.
 var workspaceCounts = []int{5_000, 20_000, 55_000}
 
 func workspaceRow(i int) storage.Row {
@@ -24,7 +24,8 @@
 	return row(APIKeyPrefix+h.String(), APIKey{Workspace: fmt.Sprintf("workspace-%06d", i), Label: fmt.Sprintf("till-%d", i%5)}, i)
 }
 
-// serviceRow has 20 routes, near the 11,000 routes of 560 services.
+// serviceRow returns a service with 20 routes, so that 560 services have about the
+// target of 11,000 routes.
 func serviceRow(i int) storage.Row {
 	s := Service{Floor: 20, Timeout: Duration(2e9)}
 	for n := range 20 {
@@ -54,7 +55,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkReplicaBytes reports the memory that a row takes in a replica.
+// BenchmarkReplicaBytes reports the memory per row in a replica.
 // Run it with -benchtime 1x.
 func BenchmarkReplicaBytes(b *testing.B) {
 	for _, kind := range []struct {
@@ -81,8 +82,8 @@
 	}
 }
 
-// targetReplica has the target size: 55,000 workspaces with a key each and
-// 11,200 routes.
+// targetReplica returns a replica of the target size: 55,000 workspaces with an
+// API key each and 11,200 routes.
 func targetReplica(tb testing.TB) *Replica {
 	tb.Helper()
 	r := NewReplica()
--- a/config/config.go
+++ b/config/config.go
@@ -1,10 +1,11 @@
-// Package config holds what operators configure: the workspaces with their
-// plans, the plans with the services that they may use, and the keys. It
-// also holds the rows by which instances coordinate (shards, permits,
-// witnesses), because all of them live in the platform's control table.
+// Package config defines the operators' configuration: workspaces and their
+// plans, the services that each plan may use, and API keys. It also defines the
+// rows through which instances coordinate (shards, permits, witnesses), because
+// they are stored in the same control table of the platform.
 //
-// A Replica is one instance's copy of the control table. It is a plain value
-// without goroutines or input and output: whoever owns it feeds it changes.
+// A Replica is one instance's copy of the control table. It starts no
+// goroutines and does no I/O: its owner passes changes to it. It isn't safe for
+// concurrent use.
 package config
 
 import (
@@ -13,7 +14,8 @@
 	"time"
 )
 
-// Prefixes of the control table's row keys. What follows is the name.
+// Prefixes and names of row keys in the control table. A prefix is followed by
+// the name of the object.
 const (
 	WorkspacePrefix = "workspace/"
 	PlanPrefix      = "plan/"
@@ -22,11 +24,11 @@
 	ShardPrefix     = "shard/"
 	PermitPrefix    = "permit/"
 	WitnessesKey    = "witnesses"
-	// UnadvertisedKey is the row of the entry instances that callers aren't
-	// told of for the time being.
+	// UnadvertisedKey is the row that lists the entry instances that are
+	// temporarily not advertised to callers.
 	UnadvertisedKey = "unadvertised"
-	// ListsKey is the row that every accepted pair of lists rewrites, so
-	// that two operators' changes can't both win.
+	// ListsKey is the row that is rewritten with every accepted pair of lists,
+	// so that of two concurrent updates by operators only one succeeds.
 	ListsKey = "lists"
 )
 
@@ -36,15 +38,15 @@
 	Plan string `json:"plan"`
 }
 
-// Limit is a rate with its burst, over the whole fleet.
+// Limit is a fleet-wide rate limit with its burst.
 type Limit struct {
 	// Rate is in requests per second.
 	Rate float64 `json:"rate"`
-	// Burst is how many requests may come at once after a quiet time.
+	// Burst is the number of requests accepted at once after an idle period.
 	Burst float64 `json:"burst"`
 }
 
-// Plan says which services a workspace may use, and each one's limit.
+// Plan defines which services a workspace may use, and the limit for each.
 type Plan struct {
 	Name     string           `json:"-"`
 	Services map[string]Limit `json:"services"`
@@ -52,28 +54,30 @@
 
 // Route maps a path prefix to a service.
 type Route struct {
-	// Prefix of the path, beginning and ending with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
-	// Idempotent overrides what the method says (RFC 9110, section 9.2.2),
-	// for instance for a search by POST. Nil leaves it to the method.
+	// Idempotent overrides the idempotency of the request method (RFC 9110,
+	// section 9.2.2), for example for a search by POST. If nil, the method
+	// decides.
 	Idempotent *bool `json:"idempotent,omitempty"`
 }
 
-// Service is a group of backend servers that do the same work.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name string `json:"-"`
-	// Floor is how many backend servers must stay in use whatever happens.
+	// Floor is the minimum number of backend servers that must stay in use.
 	Floor int `json:"floor"`
-	// Timeout bounds one request from arrival to the end of its answer.
+	// Timeout bounds a request from its arrival to the end of its response.
 	Timeout Duration `json:"timeout"`
 	Routes  []Route  `json:"routes"`
-	// Probe is the path of a GET that is safe to send at any time and makes
-	// a backend server do a little of its real work. Probes of ejected
-	// servers ask for it. Empty stands for the first route's prefix.
+	// Probe is the path of the GET requests that probe ejected backend
+	// servers. The request must be safe to send at any time and should
+	// exercise a small part of the server's real work. If empty, the prefix
+	// of the first route is used.
 	Probe string `json:"probe,omitempty"`
 }
 
-// ProbePath returns the path that probes ask for.
+// ProbePath returns the path that probes request.
 func (s Service) ProbePath() string {
 	if s.Probe != "" || len(s.Routes) == 0 {
 		return s.Probe
@@ -81,36 +85,38 @@
 	return s.Routes[0].Prefix
 }
 
-// ListsVersion is the row under ListsKey.
+// ListsVersion is the value of the row ListsKey.
 type ListsVersion struct {
-	// Version rises by one with every accepted pair of lists.
+	// Version is incremented with every accepted pair of lists.
 	Version uint64 `json:"version"`
 	// Digest is the SHA-256 of the lists as applied, in hex.
 	Digest string `json:"digest"`
 }
 
-// APIKey is the row of a key that was given. The key itself isn't kept.
+// APIKey is the row of an issued API key. Only the key's hash is stored, as part
+// of the row key.
 type APIKey struct {
 	Workspace string `json:"workspace"`
-	// Label tells operators the keys of a workspace apart.
+	// Label lets operators distinguish the API keys of a workspace.
 	Label string `json:"label,omitempty"`
 }
 
-// KeyHash is the SHA-256 of a key. It takes the key's place everywhere.
+// KeyHash is the SHA-256 of an API key. API keys are stored and compared by
+// their hash only.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash under which a key is kept.
+// HashKey returns the hash under which an API key is stored.
 func HashKey(key string) KeyHash {
 	return sha256.Sum256([]byte(key))
 }
 
-// String returns the hash in hex, as in the row's key.
+// String returns the hash in hex, as it appears in the row key.
 func (h KeyHash) String() string {
 	return hex.EncodeToString(h[:])
 }
 
-// Shard is the row of one shard of workspaces: who holds which parts of
-// their limits. The parts add up to at most PartsPerShard.
+// Shard is the row of one shard of workspaces. It records which instances hold
+// how many parts of the workspaces' limits, at most PartsPerShard in total.
 type Shard struct {
 	Holders []Holder `json:"holders"`
 }
@@ -122,40 +128,41 @@
 type Holder struct {
 	Instance string `json:"instance"`
 	Parts    int    `json:"parts"`
-	// Since is the table revision expected before the write that last
-	// gave this instance more parts. Different writes have different ones.
+	// Since is the table revision that was the precondition of the write
+	// that last increased Parts. It is different for each such write.
 	Since uint64 `json:"since"`
 }
 
-// Permits is the row of one service's ejected backend servers.
+// Permits is the row that lists the ejected backend servers of a service.
 type Permits struct {
 	Ejected []Ejection `json:"ejected"`
 }
 
-// Ejection is a permit to keep a backend server out of use fleet-wide.
+// Ejection permits all instances to keep a backend server out of use.
 type Ejection struct {
 	Server string `json:"server"`
-	// By is the instance that asked.
+	// By is the instance that requested the ejection.
 	By string `json:"by"`
-	// Reason is a plain sentence for operators.
+	// Reason explains the ejection to operators.
 	Reason string `json:"reason"`
 }
 
 // Witnesses is the row that names the witnesses.
 type Witnesses struct {
-	// Members are the instances that count now.
+	// Members are the current witnesses.
 	Members []string `json:"members"`
-	// Previous are the members before a change that isn't finished; while it
-	// is set, every majority must be one of Members and of Previous as well.
+	// Previous are the witnesses before a change that is still in progress.
+	// While it is set, a quorum needs a majority of both Members and
+	// Previous.
 	Previous []string `json:"previous,omitempty"`
 }
 
-// Unadvertised is the row under UnadvertisedKey.
+// Unadvertised is the value of the row UnadvertisedKey.
 type Unadvertised struct {
 	Instances []string `json:"instances"`
 }
 
-// Duration is a time.Duration written like "1.5s" in JSON.
+// Duration is a time.Duration that is encoded in JSON as a string such as "1.5s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -7,8 +7,8 @@
 	"foxtailspoke/storage"
 )
 
-// A replica answers what a request needs from the rows of the control table,
-// and never goes back to an older revision.
+// A replica looks up workspace, route and limit of a request in the rows of the
+// control table, and never goes back to an older revision.
 func ExampleReplica() {
 	key := config.HashKey("fsk_example")
 	given := storage.Row{Key: config.APIKeyPrefix + key.String(), Value: []byte(`{"workspace":"cebu-boatyard"}`), Revision: 1}
--- a/config/jsonc/document.go
+++ b/config/jsonc/document.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// MaxBytes bounds a file. The lists of 55,000 workspaces take about a
-	// quarter of it.
+	// MaxBytes bounds the size of a file. The lists of 55,000 workspaces take
+	// about a quarter of it.
 	MaxBytes = 16 << 20
-	// MaxDepth bounds nesting. The parser recurses, and a file of brackets
-	// alone would otherwise exhaust the stack, which ends the process.
+	// MaxDepth bounds the nesting depth. The parser is recursive, so that a
+	// file of opening brackets could otherwise overflow the stack, which
+	// terminates the process.
 	MaxDepth = 1000
 )
 
-// Document is a file being read. It collects the faults.
+// Document is a file being read. It collects the diagnostics.
 type Document struct {
 	file string
-	// lineStarts has the offset of each line's first byte.
+	// lineStarts holds the offset of the first byte of each line.
 	lineStarts  []int
 	diagnostics Diagnostics
 	parsed      bool
 }
 
-// Parse reads a file's syntax. If that fails, the document has one fault and
-// the value is empty: reading it does nothing.
+// Parse parses a file. If it fails, the document has one diagnostic and the
+// returned value is the zero Value, whose methods report nothing.
 func Parse(file string, data []byte) (*Document, Value) {
 	d := &Document{file: file, lineStarts: lineStarts(data)}
 	if len(data) > MaxBytes {
@@ -36,7 +37,7 @@
 		return d, Value{}
 	}
 	if offset := depthExceededAt(data); offset >= 0 {
-		d.addDiagnostic(offset, "", fmt.Sprintf("values nested more than %d deep", MaxDepth), "fewer")
+		d.addDiagnostic(offset, "", fmt.Sprintf("values nested more than %d deep", MaxDepth), "fewer levels")
 		return d, Value{}
 	}
 	root, err := hujson.Parse(data)
@@ -48,10 +49,10 @@
 	return d, Value{doc: d, value: root}
 }
 
-// Parsed tells whether the file's syntax could be read.
+// Parsed reports whether the file was parsed without a syntax error.
 func (d *Document) Parsed() bool { return d.parsed }
 
-// Diagnostics returns what was wrong so far, ordered by place.
+// Diagnostics returns the errors found so far, ordered by position.
 func (d *Document) Diagnostics() Diagnostics {
 	d.diagnostics.Sort()
 	return d.diagnostics
@@ -64,7 +65,7 @@
 	})
 }
 
-// position returns the line and column of an offset, both from 1.
+// position returns the line and column of an offset, both counted from 1.
 func (d *Document) position(offset int) (line, column int) {
 	line = sort.SearchInts(d.lineStarts, offset+1)
 	return line, offset - d.lineStarts[line-1] + 1
@@ -80,9 +81,9 @@
 	return starts
 }
 
-// depthExceededAt returns the offset of the bracket that exceeds MaxDepth, or -1. It
-// counts brackets in strings and comments as well: the bound is far above any
-// honest file, so that counting more than there are does no harm.
+// depthExceededAt returns the offset of the bracket that exceeds MaxDepth, or -1.
+// It counts brackets in strings and comments as well, which is acceptable because
+// the bound is far above the nesting of any valid file.
 func depthExceededAt(data []byte) int {
 	depth := 0
 	for i, c := range data {
--- a/config/jsonc/value.go
+++ b/config/jsonc/value.go
@@ -12,17 +12,17 @@
 	"github.com/tailscale/hujson"
 )
 
-// Value is one value of a document with its path. Its methods report a fault
-// and return false if the value isn't what they ask for. The zero Value
-// stands for a file that couldn't be parsed; it is silent, because the
-// document has its fault already.
+// Value is one value of a document with its path. Its methods report a diagnostic
+// and return false if the value isn't of the requested type or range. The zero
+// Value represents a file that couldn't be parsed; it reports nothing, because the
+// document already has a diagnostic.
 type Value struct {
 	doc   *Document
 	value hujson.Value
 	field string
 }
 
-// Field is a member that an object may have.
+// Field defines a member that an object may have.
 type Field struct {
 	Name     string
 	Required bool
@@ -32,7 +32,7 @@
 // Path returns the value's path from the root, such as "plans.workshop".
 func (v Value) Path() string { return v.field }
 
-// Report reports the value as faulty.
+// Report adds a diagnostic at the position of the value.
 func (v Value) Report(found, allowed string) {
 	if v.doc != nil {
 		v.doc.addDiagnostic(v.value.StartOffset, v.field, found, allowed)
@@ -48,7 +48,7 @@
 	return line
 }
 
-// Object reads an object with the given members and no others.
+// Object reads an object that may have only the given members.
 func (v Value) Object(fields ...Field) {
 	seen := map[string]bool{}
 	ok := v.Members(func(name, member Value) {
@@ -71,9 +71,9 @@
 	}
 }
 
-// Members reads an object whose members' names are free, in their order. The
-// first argument of each is the name itself, as a value with a place. A name
-// that comes a second time is a fault and is left out.
+// Members reads an object with arbitrary member names, in the order of the file.
+// The first argument of each is the name as a value with its own position.
+// Duplicate names are reported and skipped.
 func (v Value) Members(each func(name, member Value)) bool {
 	if v.doc == nil {
 		return false
@@ -83,29 +83,29 @@
 		v.Report(v.describe(), "an object in braces")
 		return false
 	}
-	first := map[string]int{}
+	firstLine := map[string]int{}
 	for _, m := range object.Members {
 		name := Value{doc: v.doc, value: m.Name, field: v.field}
 		key, _ := name.Text()
-		if line, again := first[key]; again {
+		if line, duplicate := firstLine[key]; duplicate {
 			name.Report(fmt.Sprintf("%s a second time, first on line %d", quoteTruncated(key), line), "each name once")
 			continue
 		}
-		first[key] = name.Line()
+		firstLine[key] = name.Line()
 		name.field = join(v.field, key)
 		each(name, Value{doc: v.doc, value: m.Value, field: name.field})
 	}
 	return true
 }
 
-// Elements reads an array.
+// Elements reads an array and calls each for its elements in order.
 func (v Value) Elements(each func(Value)) bool {
 	if v.doc == nil {
 		return false
 	}
 	array, ok := v.value.Value.(*hujson.Array)
 	if !ok {
-		v.Report(v.describe(), "a list in square brackets")
+		v.Report(v.describe(), "an array in square brackets")
 		return false
 	}
 	for i, e := range array.Elements {
@@ -139,41 +139,41 @@
 	return literal.Bool(), true
 }
 
-// Float reads a finite number from least to most.
-func (v Value) Float(least, most float64) (float64, bool) {
-	allowed := fmt.Sprintf("a number from %s to %s", formatFloat(least), formatFloat(most))
+// Float reads a finite number in the range [lower, upper].
+func (v Value) Float(lower, upper float64) (float64, bool) {
+	allowed := fmt.Sprintf("a number from %s to %s", formatFloat(lower), formatFloat(upper))
 	literal, ok := v.literal('0')
 	if !ok {
 		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	f, err := strconv.ParseFloat(string(literal), 64)
-	if err != nil || math.IsInf(f, 0) || f < least || f > most {
+	if err != nil || math.IsInf(f, 0) || f < lower || f > upper {
 		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	return f, true
 }
 
-// Int reads a whole number from least to most.
-func (v Value) Int(least, most int) (int, bool) {
-	allowed := fmt.Sprintf("a whole number from %d to %d", least, most)
+// Int reads an integer in the range [lower, upper].
+func (v Value) Int(lower, upper int) (int, bool) {
+	allowed := fmt.Sprintf("an integer from %d to %d", lower, upper)
 	literal, ok := v.literal('0')
 	if !ok {
 		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	n, err := strconv.Atoi(string(literal))
-	if err != nil || n < least || n > most {
+	if err != nil || n < lower || n > upper {
 		v.Report(v.describe(), allowed)
 		return 0, false
 	}
 	return n, true
 }
 
-// Duration reads a time such as "1.5s", from least to most.
-func (v Value) Duration(least, most time.Duration) (time.Duration, bool) {
-	allowed := fmt.Sprintf(`a time from %s to %s in quotes, such as "1.5s"`, least, most)
+// Duration reads a duration such as "1.5s" in the range [lower, upper].
+func (v Value) Duration(lower, upper time.Duration) (time.Duration, bool) {
+	allowed := fmt.Sprintf(`a duration from %s to %s in quotes, such as "1.5s"`, lower, upper)
 	literal, ok := v.literal('"')
 	if !ok {
 		v.Report(v.describe(), allowed)
@@ -182,7 +182,7 @@
 	var s string
 	_ = json.Unmarshal(literal, &s)
 	d, err := time.ParseDuration(s)
-	if err != nil || d < least || d > most {
+	if err != nil || d < lower || d > upper {
 		v.Report(v.describe(), allowed)
 		return 0, false
 	}
@@ -197,16 +197,16 @@
 	return literal, true
 }
 
-// maxShownBytes bounds how much of a faulty value a fault repeats.
+// maxShownBytes bounds how much of an invalid value a diagnostic quotes.
 const maxShownBytes = 60
 
-// describe describes the value as found.
+// describe returns the text for the value in a diagnostic's Found.
 func (v Value) describe() string {
 	switch x := v.value.Value.(type) {
 	case *hujson.Object:
 		return "an object"
 	case *hujson.Array:
-		return "a list"
+		return "an array"
 	case hujson.Literal:
 		if len(x) > maxShownBytes {
 			return strings.ToValidUTF8(string(x[:maxShownBytes]), "") + "…"
--- a/config/lists/check.go
+++ b/config/lists/check.go
@@ -13,18 +13,18 @@
 
 // Source is a list as an operator wrote it.
 type Source struct {
-	// File is the name that faults carry.
+	// File is the file name used in diagnostics.
 	File string
 	Data []byte
 }
 
-// ServerCounts is the number of live backend servers of each service, from the
-// platform's list. Nil means that it isn't known; then floors are checked
-// against nothing but their own bounds.
+// ServerCounts is the number of live backend servers of each service, as listed
+// by the platform. If it is nil, the numbers are unknown, and floors are checked
+// against their fixed bounds only.
 type ServerCounts map[string]int
 
-// Check reads both lists and returns everything that is wrong with them. If
-// there are faults, the lists returned are incomplete and not to be used.
+// Check parses and validates both lists and returns all errors found. If there
+// are any, the returned lists are incomplete and must not be used.
 func Check(customers, plans Source, servers ServerCounts) (Lists, jsonc.Diagnostics) {
 	r := &reader{lists: Empty(), prefixes: map[string]prefixOrigin{}}
 	plansDoc, plansRoot := jsonc.Parse(plans.File, plans.Data)
@@ -35,12 +35,12 @@
 		r.checkReferences()
 		r.checkFloors(servers)
 	}
-	faults := append(slices.Clone(plansDoc.Diagnostics()), customersDoc.Diagnostics()...)
-	faults.Sort()
-	return r.lists, faults
+	diagnostics := append(slices.Clone(plansDoc.Diagnostics()), customersDoc.Diagnostics()...)
+	diagnostics.Sort()
+	return r.lists, diagnostics
 }
 
-// checkReferences finds names of plans and services that don't exist.
+// checkReferences reports references to plans and services that don't exist.
 func (r *reader) checkReferences() {
 	services := slices.Sorted(maps.Keys(r.lists.Services))
 	for _, ref := range r.serviceRefs {
@@ -56,26 +56,26 @@
 	}
 }
 
-// checkFloors compares the floors with the capacity as far as it is known. A
-// service that the platform doesn't list yet has the capacity 0.
-func (r *reader) checkFloors(capacity ServerCounts) {
-	if capacity == nil {
+// checkFloors reports floors above the number of live backend servers, if the
+// numbers are known. A service that the platform doesn't list yet has none.
+func (r *reader) checkFloors(servers ServerCounts) {
+	if servers == nil {
 		return
 	}
 	for _, s := range r.floors {
-		if live := capacity[s.service]; s.floor > live {
+		if live := servers[s.service]; s.floor > live {
 			s.value.Report(fmt.Sprintf("the floor %d", s.floor),
-				fmt.Sprintf("at most %d, by the live backend servers that the platform lists for %s", live, quoteTruncated(s.service)))
+				fmt.Sprintf("at most %d, the number of live backend servers that the platform lists for %s", live, quoteTruncated(s.service)))
 		}
 	}
 }
 
-// maxListedNames bounds how many names a fault offers.
+// maxListedNames bounds how many accepted names a diagnostic lists.
 const maxListedNames = 12
 
 func describeChoices(kind string, names []string) string {
 	if len(names) == 0 {
-		return "one of the " + kind + " of the list, which has none"
+		return "one of the " + kind + " of the list, which defines none"
 	}
 	shown := names[:min(len(names), maxListedNames)]
 	text := "one of the " + kind + " " + strings.Join(shown, ", ")
@@ -94,8 +94,8 @@
 	return len(s) <= MaxNameBytes && namePattern.MatchString(s)
 }
 
-// validPrefix accepts plain path segments only. Escapes are left out because
-// a path must have one spelling: two would make two routes of one.
+// validPrefix accepts unescaped path segments only. Percent-encoding is rejected
+// because equivalent spellings of a path would count as different routes.
 func validPrefix(s string) bool {
 	if len(s) > MaxPrefixBytes || !prefixPattern.MatchString(s) {
 		return false
@@ -103,9 +103,9 @@
 	return !strings.Contains(s, "/./") && !strings.Contains(s, "/../")
 }
 
-// validProbe accepts what validPrefix does, with or without a last slash, but
-// nothing under /-/: there backend servers report their own health, which
-// they do well while they fail real requests.
+// validProbe accepts what validPrefix does, with or without a trailing slash,
+// except paths under /-/: backend servers report their own health there, and may
+// report that they are healthy while they fail real requests.
 func validProbe(s string) bool {
 	return validPrefix(strings.TrimSuffix(s, "/")+"/") && !strings.HasPrefix(s, "/-/") && s != "/-"
 }
--- a/config/lists/diff.go
+++ b/config/lists/diff.go
@@ -14,15 +14,15 @@
 	"foxtailspoke/config"
 )
 
-// ChangeKind says what happened to an item.
+// ChangeKind is the kind of a change to an item.
 type ChangeKind string
 
 const (
-	// Added items are new.
+	// Added items are only in the new lists.
 	Added ChangeKind = "added"
-	// Removed items are gone.
+	// Removed items are only in the old lists.
 	Removed ChangeKind = "removed"
-	// Changed items are there before and after.
+	// Changed items are in both with different contents.
 	Changed ChangeKind = "changed"
 )
 
@@ -32,7 +32,7 @@
 	// Item is "workspace", "plan" or "service".
 	Item string `json:"item"`
 	Name string `json:"name"`
-	// Details tell in plain words what is different.
+	// Details describe the differences for operators.
 	Details []string `json:"details,omitempty"`
 	// Row is the row to write; its Value is nil for Removed.
 	Row Row `json:"-"`
@@ -48,8 +48,8 @@
 	return line
 }
 
-// Diff returns what has to change to get from one pair of lists to another,
-// ordered by row key.
+// Diff returns the changes that turn one pair of lists into another, ordered by
+// row key.
 func Diff(from, to Lists) []Change {
 	before := map[string][]byte{}
 	for _, row := range from.Rows() {
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, f := range slices.Sorted(maps.Keys(before)) {
-		if _, still := after[f]; !still {
+		if _, exists := after[f]; !exists {
 			c.Details = append(c.Details, describeDifference(f, before[f], ""))
 		}
 	}
@@ -103,39 +103,39 @@
 	}
 }
 
-// describeRow returns what a row says, by name, in plain words.
+// describeRow returns the attributes of a row as text, by name.
 func describeRow(item string, value []byte) map[string]string {
-	f := map[string]string{}
+	attributes := map[string]string{}
 	if value == nil {
-		return f
+		return attributes
 	}
 	switch item + "/" {
 	case config.WorkspacePrefix:
 		var w config.Workspace
 		_ = json.Unmarshal(value, &w)
-		f["plan"] = w.Plan
+		attributes["plan"] = w.Plan
 	case config.PlanPrefix:
 		var p config.Plan
 		_ = json.Unmarshal(value, &p)
 		for name, l := range p.Services {
-			f["service "+name] = limitText(l)
+			attributes["service "+name] = limitText(l)
 		}
 	case config.ServicePrefix:
 		var s config.Service
 		_ = json.Unmarshal(value, &s)
-		describeService(f, s)
+		describeService(attributes, s)
 	}
-	return f
+	return attributes
 }
 
-func describeService(f map[string]string, s config.Service) {
-	f["floor"] = strconv.Itoa(s.Floor)
-	f["time-out"] = time.Duration(s.Timeout).String()
+func describeService(attributes map[string]string, s config.Service) {
+	attributes["floor"] = strconv.Itoa(s.Floor)
+	attributes["time-out"] = time.Duration(s.Timeout).String()
 	if s.Probe != "" {
-		f["probe"] = "GET " + s.Probe
+		attributes["probe"] = "GET " + s.Probe
 	}
 	for _, r := range s.Routes {
-		f["route "+r.Prefix] = idempotentText(r.Idempotent)
+		attributes["route "+r.Prefix] = idempotentText(r.Idempotent)
 	}
 }
 
--- a/config/lists/example_test.go
+++ b/config/lists/example_test.go
@@ -6,19 +6,19 @@
 	"foxtailspoke/config/lists"
 )
 
-// Both lists are checked together; every fault tells its place.
+// Both lists are validated together; every diagnostic has its position.
 func ExampleCheck() {
 	customers := lists.Source{File: "customers.json", Data: []byte(`{
   "workspaces": {
-    "cebu-boatyard": {"plan": "workshp"}, // a slip
+    "cebu-boatyard": {"plan": "workshp"}, // a typo
   },
 }`)}
 	plans := lists.Source{File: "plans.json", Data: []byte(`{
   "services": {"catalogue": {"floor": 6, "timeout": "2s", "routes": [{"prefix": "/catalogue/"}]}},
   "plans": {"workshop": {"services": {"catalogue": {"rate": 20, "burst": 0.5}}}},
 }`)}
-	_, faults := lists.Check(customers, plans, lists.ServerCounts{"catalogue": 10})
-	for _, f := range faults {
+	_, diagnostics := lists.Check(customers, plans, lists.ServerCounts{"catalogue": 10})
+	for _, f := range diagnostics {
 		fmt.Println(f)
 	}
 	// Output:
--- a/config/lists/lists.go
+++ b/config/lists/lists.go
@@ -1,9 +1,9 @@
-// Package lists reads, checks and compares the two lists that operators edit:
-// the customers' list (which workspace has which plan) and the plans' list
-// (which services there are, and what each plan may use of them).
+// Package lists parses, validates and compares the two lists that operators edit:
+// the customers' list (the plan of each workspace) and the plans' list (the
+// services, and the limits of each plan for them).
 //
-// The lists become rows of the control table, one for each workspace, plan
-// and service, so that a change sends only what changed.
+// The lists are stored as rows of the control table, one for each workspace, plan
+// and service, so that an update transfers only the rows that changed.
 package lists
 
 import (
@@ -20,15 +20,15 @@
 	"foxtailspoke/storage"
 )
 
-// Lists are both lists together. They are checked together, accepted together
-// and have one version.
+// Lists holds both lists. They are validated and accepted together and share one
+// version.
 type Lists struct {
 	Workspaces map[string]config.Workspace
 	Plans      map[string]config.Plan
 	Services   map[string]config.Service
 }
 
-// Empty returns lists without anything in them.
+// Empty returns lists without entries.
 func Empty() Lists {
 	return Lists{
 		Workspaces: map[string]config.Workspace{},
@@ -43,8 +43,8 @@
 	Value []byte
 }
 
-// Rows returns the lists' rows of the control table, ordered by key. Equal
-// lists give equal bytes.
+// Rows returns the lists as rows of the control table, ordered by key. The
+// encoding is deterministic: equal lists give equal bytes.
 func (l Lists) Rows() []Row {
 	rows := make([]Row, 0, len(l.Workspaces)+len(l.Plans)+len(l.Services))
 	rows = appendRows(rows, config.PlanPrefix, l.Plans)
@@ -57,7 +57,8 @@
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		value, err := json.Marshal(m[name])
 		if err != nil {
-			// Checked lists hold finite numbers and plain strings only.
+			// Validated lists hold only finite numbers and strings, which can
+			// always be encoded.
 			panic(errors.Wrapf(err, "encode %s%s", prefix, name))
 		}
 		rows = append(rows, Row{Key: prefix + name, Value: value})
@@ -74,7 +75,7 @@
 	return DigestRows(rows)
 }
 
-// DigestRows returns the digest of the lists that consist of these rows.
+// DigestRows returns the SHA-256, in hex, of the lists that consist of these rows.
 func DigestRows(rows map[string][]byte) string {
 	h := sha256.New()
 	for _, key := range slices.Sorted(maps.Keys(rows)) {
@@ -86,8 +87,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// FromRows rebuilds the lists from rows of the control table. Rows of other
-// kinds and tombstones are left out.
+// FromRows decodes the lists from rows of the control table. Rows of other kinds
+// and tombstones are skipped.
 func FromRows(rows []storage.Row) (Lists, error) {
 	l := Empty()
 	for _, row := range rows {
--- a/config/lists/lists_test.go
+++ b/config/lists/lists_test.go
@@ -21,21 +21,21 @@
 )
 
 func check(customers, plans string, c ServerCounts) (Lists, []string) {
-	l, faults := Check(Source{"c.json", []byte(customers)}, Source{"p.json", []byte(plans)}, c)
+	l, diagnostics := Check(Source{"c.json", []byte(customers)}, Source{"p.json", []byte(plans)}, c)
 	var lines []string
-	for _, f := range faults {
+	for _, f := range diagnostics {
 		lines = append(lines, f.String())
 	}
 	return l, lines
 }
 
-// Each slip that an operator can make names its place, what was found and
-// what is allowed.
-func TestCheckFaults(t *testing.T) {
+// Each kind of invalid input must be reported with its position, what was found
+// and what is allowed.
+func TestCheckReportsErrors(t *testing.T) {
 	plan := func(old, replacement string) string { return strings.Replace(validPlans, old, replacement, 1) }
 	tests := []struct {
 		name, customers, plans string
-		capacity               ServerCounts
+		servers                ServerCounts
 		want                   []string
 	}{
 		{"good", validCustomers, validPlans, ServerCounts{"s": 2}, nil},
@@ -49,7 +49,7 @@
 			[]string{`c.json:3:1: workspaces: found "a" a second time, first on line 2; allowed: each name once`},
 		},
 		{"missing section", `{}`, validPlans, nil, []string{`c.json:1:1: found no field "workspaces"`}},
-		{"wrong type", `{"workspaces": []}`, validPlans, nil, []string{`c.json:1:16: workspaces: found a list; allowed: an object in braces`}},
+		{"wrong type", `{"workspaces": []}`, validPlans, nil, []string{`c.json:1:16: workspaces: found an array; allowed: an object in braces`}},
 		{
 			"unknown plan", `{"workspaces": {"a": {"plan": "q"}}}`, validPlans, nil,
 			[]string{`c.json:1:31: workspaces.a.plan: found the unknown plan "q"; allowed: one of the plans p`},
@@ -68,10 +68,10 @@
 		{"rate infinite", validCustomers, plan("20", "1e999"), nil, []string{`p.json:3:46: plans.p.services.s.rate: found 1e999`}},
 		{"rate text", validCustomers, plan("20", `"20"`), nil, []string{`p.json:3:46: plans.p.services.s.rate: found "20"`}},
 		{"burst below one", validCustomers, plan("40", "0.5"), nil, []string{`p.json:3:59: plans.p.services.s.burst: found 0.5; allowed: a number from 1 to`}},
-		{"floor above capacity", validCustomers, validPlans, ServerCounts{"s": 1}, []string{`p.json:2:31: services.s.floor: found the floor 2; allowed: at most 1`}},
+		{"floor above server count", validCustomers, validPlans, ServerCounts{"s": 1}, []string{`p.json:2:31: services.s.floor: found the floor 2; allowed: at most 1`}},
 		{"floor zero", validCustomers, plan(`"floor": 2`, `"floor": 0`), nil, []string{`p.json:2:31: services.s.floor: found 0`}},
-		{"probe of the own report", validCustomers, plan(`"2s"`, `"2s", "probe": "/-/health"`), nil, []string{`p.json:2:60: services.s.probe: found "/-/health"; allowed: a path such as "/catalogue/glue", of at most 256 letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`}},
-		{"time-out without unit", validCustomers, plan(`"2s"`, `"2"`), nil, []string{`p.json:2:45: services.s.timeout: found "2"; allowed: a time from 1ms to 1h0m0s`}},
+		{"probe of the health report path", validCustomers, plan(`"2s"`, `"2s", "probe": "/-/health"`), nil, []string{`p.json:2:60: services.s.probe: found "/-/health"; allowed: a path such as "/catalogue/glue", of at most 256 letters, digits, "-", "_", ".", "~" and slashes, without "//", "." and ".." between slashes, and not under /-/`}},
+		{"time-out without unit", validCustomers, plan(`"2s"`, `"2"`), nil, []string{`p.json:2:45: services.s.timeout: found "2"; allowed: a duration from 1ms to 1h0m0s`}},
 		{"no routes", validCustomers, plan(`[{"prefix": "/s/"}]`, `[]`), nil, []string{`p.json:2:61: services.s.routes: found no route`}},
 		{"prefix without slash", validCustomers, plan(`"/s/"`, `"/s"`), nil, []string{`p.json:2:73: services.s.routes[0].prefix: found "/s"`}},
 		{"prefix with dots", validCustomers, plan(`"/s/"`, `"/s/../"`), nil, []string{`p.json:2:73: `}},
@@ -86,7 +86,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			_, got := check(tc.customers, tc.plans, tc.capacity)
+			_, got := check(tc.customers, tc.plans, tc.servers)
 			must.Eq(t, len(tc.want), len(got), must.Sprint(got))
 			for i, want := range tc.want {
 				must.StrHasPrefix(t, want, got[i])
@@ -95,17 +95,17 @@
 	}
 }
 
-// The lists that both deployments start with, at their size of today.
-func TestExamples(t *testing.T) {
-	capacities := map[string]ServerCounts{
+// The example lists of both deployments must be valid.
+func TestExampleListsAreValid(t *testing.T) {
+	serverCounts := map[string]ServerCounts{
 		"dimaculangan": {"catalogue": 10, "diagnosis": 10, "ordering": 15, "billing": 15},
 		"kervan":       {"archive": 10, "subscription": 15, "dispatch": 15, "editorial": 5},
 	}
-	for name, capacity := range capacities {
-		l, faults := Check(example(t, name, "customers.json"), example(t, name, "plans.json"), capacity)
-		must.NoError(t, faults.Err())
+	for name, servers := range serverCounts {
+		l, diagnostics := Check(example(t, name, "customers.json"), example(t, name, "plans.json"), servers)
+		must.NoError(t, diagnostics.Err())
 		must.MapLen(t, 10, l.Workspaces)
-		must.MapLen(t, len(capacity), l.Services)
+		must.MapLen(t, len(servers), l.Services)
 		must.MapLen(t, 3, l.Plans)
 		must.Eq(t, l, roundTrip(t, l))
 	}
@@ -132,12 +132,12 @@
 }
 
 func TestDiffDescribesChanges(t *testing.T) {
-	from, faults := check(validCustomers, validPlans, nil)
-	must.Len(t, 0, faults)
-	to, faults := check(`{"workspaces": {"b": {"plan": "p"}}}`, strings.NewReplacer(
+	from, diagnostics := check(validCustomers, validPlans, nil)
+	must.Len(t, 0, diagnostics)
+	to, diagnostics := check(`{"workspaces": {"b": {"plan": "p"}}}`, strings.NewReplacer(
 		`"rate": 20`, `"rate": 25.5`, `{"prefix": "/s/"}`, `{"prefix": "/s/", "idempotent": true}, {"prefix": "/t/"}`,
 	).Replace(validPlans), nil)
-	must.Len(t, 0, faults)
+	must.Len(t, 0, diagnostics)
 	var lines []string
 	for _, c := range Diff(from, to) {
 		lines = append(lines, c.String())
@@ -159,13 +159,13 @@
 		f.Add(example(f, name, "customers.json").Data, example(f, name, "plans.json").Data)
 	}
 	f.Fuzz(func(t *testing.T, customers, plans []byte) {
-		l, faults := Check(Source{"c", customers}, Source{"p", plans}, ServerCounts{"s": 1})
-		for _, fault := range faults {
-			must.Positive(t, fault.Line)
-			must.Positive(t, fault.Column)
-			must.NotEq(t, "", fault.Allowed)
+		l, diagnostics := Check(Source{"c", customers}, Source{"p", plans}, ServerCounts{"s": 1})
+		for _, diagnostic := range diagnostics {
+			must.Positive(t, diagnostic.Line)
+			must.Positive(t, diagnostic.Column)
+			must.NotEq(t, "", diagnostic.Allowed)
 		}
-		if len(faults) > 0 {
+		if len(diagnostics) > 0 {
 			return
 		}
 		must.Eq(t, l, roundTrip(t, l))
@@ -173,7 +173,8 @@
 	})
 }
 
-// requireServable checks that a replica can serve from lists without faults.
+// requireServable checks that a replica serves every route and limit of valid
+// lists.
 func requireServable(t *testing.T, l Lists) {
 	t.Helper()
 	r := config.NewReplica()
--- a/config/lists/read.go
+++ b/config/lists/read.go
@@ -8,33 +8,34 @@
 	"foxtailspoke/config/jsonc"
 )
 
-// Bounds of what the lists may hold.
+// Bounds of the values in the lists.
 const (
 	// MaxNameBytes bounds the names of workspaces, plans and services, in bytes.
 	MaxNameBytes = 63
 	// MaxPrefixBytes bounds a route's prefix, in bytes.
 	MaxPrefixBytes = 256
-	// MaxFloor bounds a service's floor.
+	// MaxFloor bounds a service's floor, in backend servers.
 	MaxFloor = 100_000
-	// MinRate is one request in about three hours.
+	// MinRate bounds a rate from below, in requests per second. It is about one
+	// request in three hours.
 	MinRate = 0.0001
-	// MaxRate bounds a rate, in requests per second.
+	// MaxRate bounds a rate from above, in requests per second.
 	MaxRate = 1_000_000
 	// MaxBurst bounds a burst, in requests.
 	MaxBurst = 10_000_000
-	// MinTimeout and MaxTimeout bound a service's time-out.
+	// MinTimeout and MaxTimeout bound a service's timeout.
 	MinTimeout = time.Millisecond
 	MaxTimeout = time.Hour
 )
 
-// reader fills lists from both files and remembers where the names are that
-// can only be checked once everything has been read.
+// reader fills the lists from both files. It records references and floors with
+// their positions, because they can be checked only after both files are read.
 type reader struct {
 	lists       Lists
 	planRefs    []reference
 	serviceRefs []reference
 	floors      []floorReference
-	// prefixes holds the place of the first route with each prefix.
+	// prefixes holds the service and line of the first route with each prefix.
 	prefixes map[string]prefixOrigin
 }
 
@@ -107,7 +108,7 @@
 		routes = append(routes, r.readRoute(service, e))
 	})
 	if ok && len(routes) == 0 {
-		v.Report("no route", "at least one route, or nobody can reach the service")
+		v.Report("no route", "at least one route, otherwise the service can't be reached")
 	}
 	return routes
 }
@@ -164,7 +165,7 @@
 			p.Services[service] = readLimit(v)
 		})
 		if ok && len(p.Services) == 0 {
-			v.Report("a plan without a service", "at least one service, or the plan allows nothing")
+			v.Report("a plan without a service", "at least one service, otherwise the plan allows no requests")
 		}
 	}})
 	r.lists.Plans[p.Name] = p
--- a/config/lists/render.go
+++ b/config/lists/render.go
@@ -17,8 +17,8 @@
 	Plans    map[string]config.Plan    `json:"plans"`
 }
 
-// Render writes the lists as the two files that Check reads. Comments of the
-// files that they were applied from aren't kept in the table.
+// Render encodes the lists as the two files that Check reads. Comments in the
+// original files are lost, because the control table doesn't store them.
 func (l Lists) Render() (customers, plans []byte, err error) {
 	customers, err = json.MarshalIndent(customersFile{l.Workspaces}, "", "  ")
 	if err != nil {
--- a/config/replica.go
+++ b/config/replica.go
@@ -12,11 +12,11 @@
 
 // Replica is one instance's copy of the control table with its indexes.
 //
-// Its revision never goes down: changes that end at or below it are dropped,
-// so that a late or stale answer can't bring back a withdrawn key.
+// Its revision never decreases: changes that end at or below it are dropped, so
+// that a delayed or stale response can't restore a withdrawn API key.
 //
-// Workspaces and keys, of which there are many, are kept as their rows alone
-// with the one reference decoded that a request needs.
+// To save memory, workspaces and API keys are stored as encoded rows with only
+// the reference decoded that requests need: the plan or the workspace.
 type Replica struct {
 	revision storage.Revision
 	rows     *rowStore
@@ -28,7 +28,7 @@
 	witnesses Witnesses
 	lists     ListsVersion
 	routes    routeIndex
-	// planNames has one copy of each plan's name that workspaces refer to.
+	// planNames interns the plan names that workspaces refer to.
 	planNames map[string]string
 }
 
@@ -44,21 +44,22 @@
 	}
 }
 
-// Revision returns the revision of the control table that the replica has.
+// Revision returns the revision of the control table that the replica is at.
 func (r *Replica) Revision() storage.Revision { return r.revision }
 
-// HistoryStart returns the revision from which on the replica knows every change.
-// Since returns the whole table for an older revision.
+// HistoryStart returns the revision from which on the replica has every change,
+// including deletions. For an older revision, Since returns the whole table.
 func (r *Replica) HistoryStart() storage.Revision { return r.rows.historyStart }
 
-// Apply takes changes that were read with Since at or below the replica's
-// revision. It returns false, and changes nothing, if they are not newer.
+// Apply applies changes that were read since a revision at or below the
+// replica's. It returns false and changes nothing if c isn't newer than the
+// replica.
 func (r *Replica) Apply(c storage.Changes) bool {
 	if c.Revision <= r.revision {
 		return false
 	}
 	if c.Full && r.revision == 0 {
-		// The whole table tells nothing of rows that were deleted.
+		// A snapshot has no tombstones of the rows deleted before it.
 		r.rows.historyStart = c.Revision
 	}
 	routesChanged := false
@@ -83,9 +84,9 @@
 	return true
 }
 
-// deleteAbsent deletes the rows that the whole table at a revision didn't have.
-// They were deleted some time up to then, so a tombstone at that revision
-// tells everybody who may still have them.
+// deleteAbsent deletes the rows that the snapshot at a revision doesn't contain.
+// They were deleted at or before that revision, so a tombstone at it reaches
+// every replica that may still have them.
 func (r *Replica) deleteAbsent(revision storage.Revision) (routesChanged bool) {
 	for _, rec := range r.rows.takeAbsentFromSnapshot() {
 		gone := storage.Row{Key: unpackKey(rec.key()), Revision: revision, Deleted: true}
@@ -96,10 +97,10 @@
 
 func (r *Replica) pruneTombstones(keep int) { r.rows.pruneTombstones(keep) }
 
-// Since returns what changed after a revision, for another instance. It is
-// the whole table if the revision is 0, or so old that a deletion since then
-// may have been forgotten: whoever would get only the rest of the changes
-// would keep, say, a withdrawn key for ever.
+// Since returns the changes after a revision, for another instance. It returns
+// the whole table if the revision is 0, or so old that a later tombstone may have
+// been pruned: with an incremental update, the receiver would keep a deleted row,
+// such as a withdrawn API key, indefinitely.
 func (r *Replica) Since(since storage.Revision) storage.Changes {
 	c := storage.Changes{Revision: r.revision, Full: since == 0}
 	if since >= r.revision {
@@ -115,10 +116,10 @@
 	return c
 }
 
-// Row returns a row as it stands in the table, for conditional writes. The
-// row's Revision is 0 if it was never there, and for a deleted row the
-// condition to use is 0 as well. The rows of workspaces and keys come without
-// their attempt.
+// Row returns the current row for use in conditional writes. If the row doesn't
+// exist or was deleted, it returns a row with Revision 0, which is the revision to
+// use in the condition, and false. Rows of workspaces and API keys lack their
+// Attempt.
 func (r *Replica) Row(key string) (storage.Row, bool) {
 	rec := r.rows.present(packKey(key))
 	if rec == nil {
@@ -130,7 +131,7 @@
 // RowKeys returns the keys of the present rows that start with prefix, sorted.
 func (r *Replica) RowKeys(prefix string) []string { return r.rows.keys(prefix) }
 
-// WorkspaceByKey returns the workspace that the key was given to.
+// WorkspaceByKey returns the workspace that owns the API key with this hash.
 func (r *Replica) WorkspaceByKey(h KeyHash) (Workspace, bool) {
 	key := r.rows.present(packHash(h))
 	if key == nil || !key.hasRef {
@@ -147,8 +148,8 @@
 	return Workspace{Name: rec.key()[len(WorkspacePrefix):], Plan: rec.refOrAttempt}, true
 }
 
-// Workspaces goes through all workspaces, those whose row changed last at the
-// end. The order is the same at every replica with the same history.
+// Workspaces iterates over all workspaces by ascending revision of their rows.
+// The order is the same at every replica with the same history.
 func (r *Replica) Workspaces() iter.Seq[Workspace] {
 	return func(yield func(Workspace) bool) {
 		for _, rec := range r.rows.log {
@@ -168,7 +169,8 @@
 	return p, ok
 }
 
-// Limit returns what the workspace may use of a service; false if nothing.
+// Limit returns the workspace's limit for a service, and false if its plan
+// doesn't include the service.
 func (r *Replica) Limit(workspace, service string) (Limit, bool) {
 	w, ok := r.workspaceByName(workspace)
 	if !ok {
@@ -193,7 +195,7 @@
 	return e.service, e.Route, ok
 }
 
-// Shard returns the row of a shard by its name.
+// Shard returns a shard by name.
 func (r *Replica) Shard(name string) Shard { return r.shards[name] }
 
 // Permits returns the ejected backend servers of a service.
@@ -202,11 +204,11 @@
 // Witnesses returns the row that names the witnesses.
 func (r *Replica) Witnesses() Witnesses { return r.witnesses }
 
-// ListsVersion returns the version of the accepted lists.
+// ListsVersion returns the version and digest of the accepted lists.
 func (r *Replica) ListsVersion() ListsVersion { return r.lists }
 
-// indexRow takes one row into the store and the indexes. It tells whether the
-// routes have to be indexed anew.
+// indexRow puts a row into the store and the indexes. It reports whether the
+// route index has to be rebuilt.
 func (r *Replica) indexRow(row storage.Row, inSnapshot bool) (routesChanged bool) {
 	rec := newRecord(row)
 	rec.inSnapshot = inSnapshot
@@ -249,8 +251,8 @@
 	return rec
 }
 
-// decodeWorkspaceRef decodes a workspace's plan. A row that can't be decoded
-// counts as absent: what isn't understood isn't granted.
+// decodeWorkspaceRef decodes the plan name of a workspace. A row that can't be
+// decoded is treated as absent, so that it grants no access.
 func (r *Replica) decodeWorkspaceRef(rec *record) {
 	var w Workspace
 	rec.refOrAttempt = ""
@@ -260,7 +262,8 @@
 	rec.refOrAttempt, rec.hasRef = r.internPlanName(w.Plan), true
 }
 
-// decodeAPIKeyRef decodes a key's workspace.
+// decodeAPIKeyRef decodes the workspace name of an API key, and shares the
+// workspace row's copy of the name if there is one.
 func (r *Replica) decodeAPIKeyRef(rec *record) {
 	var k APIKey
 	rec.refOrAttempt = ""
@@ -273,7 +276,7 @@
 	}
 }
 
-// internPlanName returns the one copy of a name.
+// internPlanName returns the shared copy of a plan name.
 func (r *Replica) internPlanName(name string) string {
 	if known, ok := r.planNames[name]; ok {
 		return known
@@ -282,8 +285,8 @@
 	return name
 }
 
-// decodeIntoIndex puts a row's decoded value into an index. A row that can't be
-// decoded counts as absent.
+// decodeIntoIndex decodes a row's value into an index. A row that can't be
+// decoded is treated as absent.
 func decodeIntoIndex[K comparable, V any](m map[K]V, k K, row storage.Row, setName func(*V)) {
 	delete(m, k)
 	if row.Deleted {
--- a/config/replica_test.go
+++ b/config/replica_test.go
@@ -12,9 +12,8 @@
 	"foxtailspoke/storage"
 )
 
-// A caller keeps using a key that was withdrawn at revision 5. An answer that
-// left a relay at revision 4 arrives late, after the one with the withdrawal.
-// The replica must not bring the key back.
+// Guards against a delayed response that restores a withdrawn API key. The key is
+// withdrawn at revision 5; a relay's response at revision 4 arrives after that.
 func TestReplicaDropsOlderChanges(t *testing.T) {
 	h := HashKey("fsk_test")
 	given := storage.Row{Key: APIKeyPrefix + h.String(), Value: []byte(`{"workspace":"a"}`), Revision: 4}
@@ -32,7 +31,7 @@
 	must.Eq(t, storage.Revision(5), r.Revision())
 }
 
-// The index must route as a search through all prefixes would.
+// The index must give the same result as a linear search through all prefixes.
 func TestRouteFindsTheLongestPrefix(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "ab", ""})
 	path := rapid.Custom(func(t *rapid.T) string {
@@ -78,7 +77,8 @@
 	must.Eq(t, []string{packHash(h)}, r.RowKeys(hashTag))
 }
 
-// Keys come and go for years. What is remembered of them must stay bounded.
+// Guards against unbounded memory use by tombstones when API keys are issued and
+// withdrawn over years.
 func TestTombstonesAreBounded(t *testing.T) {
 	r := NewReplica()
 	for i := range 5 * maxTombstones {
@@ -93,8 +93,8 @@
 	must.False(t, r.Since(r.HistoryStart()).Full)
 }
 
-// One row is rewritten again and again, as a shard's row is. The log of
-// changes must not grow with it.
+// Guards against a change log that grows when a single row is rewritten many
+// times, as the row of a shard is.
 func TestRewritesAreBounded(t *testing.T) {
 	r := NewReplica()
 	for i := range 10_000 {
@@ -106,8 +106,8 @@
 	must.Len(t, 1, r.Since(0).Rows)
 }
 
-// A sender that doesn't order its rows must not make a receiver that pulls on
-// miss some of them.
+// Guards against missed rows: if a sender's rows aren't ordered by revision, a
+// replica that pulls from the receiver must still get all of them.
 func TestUnorderedRowsAreOrdered(t *testing.T) {
 	r := NewReplica()
 	c := storage.Changes{Revision: 9, Rows: []storage.Row{workspaceRow(8), workspaceRow(3), workspaceRow(5)}}
@@ -119,8 +119,8 @@
 	must.Eq(t, []storage.Revision{6, 9}, got)
 }
 
-// Two answers to overlapping questions arrive crossed. A row in the later one
-// that is older than what is known must not take its place.
+// Responses to overlapping reads can arrive out of order. A row in newer changes
+// that is older than the replica's must not replace it.
 func TestOlderRowInNewerChangesIsDropped(t *testing.T) {
 	r := NewReplica()
 	old, current := workspaceRow(1), workspaceRow(1)
@@ -132,7 +132,7 @@
 	must.Eq(t, storage.Revision(5), row.Revision)
 }
 
-// Whatever changes in a service's row, the routes in use are those of the row.
+// The route index must match the service's row after every kind of change.
 func TestRoutesFollowTheServices(t *testing.T) {
 	yes, no := true, false
 	r := NewReplica()
--- a/config/replication_test.go
+++ b/config/replication_test.go
@@ -13,7 +13,7 @@
 	"foxtailspoke/storage"
 )
 
-// TestMain fixes the seed and the number of the random histories; the flags
+// TestMain sets the default seed and number of random histories. The flags
 // -rapid.seed and -rapid.checks override them.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20260302")
@@ -21,11 +21,10 @@
 	os.Exit(m.Run())
 }
 
-// A caller keeps using a withdrawn key at an instance that was cut off while
-// it was withdrawn. The instance catches up from a relay that started after
-// the withdrawal and read the whole table, which shows no trace of the key.
-// The relay must not pass on only what it knows to have changed: the
-// instance would call itself up to date and keep the key for ever.
+// Guards against an instance that keeps a withdrawn API key indefinitely. The
+// instance is partitioned during the withdrawal and catches up from a relay that
+// started later: the relay read the whole table, which has no tombstone for the
+// key. The relay must send the whole table instead of an incremental update.
 func TestRelayThatReadTheWholeTableForwardsDeletions(t *testing.T) {
 	store := tables.New()
 	h := HashKey("fsk_test")
@@ -41,9 +40,9 @@
 	must.False(t, ok)
 }
 
-// Instances read the table or pull from each other in any order, some start
-// anew, and tombstones are pruned. Whoever has reached a revision must have
-// exactly the rows that the table had at that revision.
+// Replicas read the table or pull from each other in random order, restart, and
+// prune tombstones. A replica at a revision must have exactly the rows that the
+// table had at that revision.
 func TestReplicationIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := tables.New()
@@ -72,7 +71,7 @@
 				to, from := replicas[drawReplica(t, "to")], replicas[drawReplica(t, "from")]
 				c := from.Since(to.Revision())
 				for _, row := range c.Rows {
-					must.True(t, c.Full || row.Revision > to.Revision(), must.Sprint("nothing is sent that was known"))
+					must.True(t, c.Full || row.Revision > to.Revision(), must.Sprint("sent a row that the receiver already had"))
 				}
 				to.Apply(c)
 			},
--- a/config/routeindex.go
+++ b/config/routeindex.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// routeIndex finds the longest prefix of a path. Prefixes end with a slash,
-// so only the path's own prefixes that do have to be looked up: the time
-// depends on the path's depth and not on the number of routes.
+// routeIndex finds the route with the longest prefix of a path. Route prefixes
+// end with a slash, so only the prefixes of the path that end with one are
+// looked up: the cost depends on the depth of the path, not on the number of
+// routes.
 type routeIndex struct {
 	byPrefix map[string]routeEntry
 	// maxSlashes is the greatest number of slashes in a prefix. It bounds the
-	// work that a hostile path of many slashes can cause.
+	// number of lookups for malicious paths with many slashes.
 	maxSlashes int
 }
 
@@ -21,10 +22,10 @@
 	service string
 }
 
-// newRouteIndex indexes the routes of all services. Lists with a prefix
-// twice aren't accepted; should there be one, the service whose name is first
-// gets it at every instance alike. A prefix that doesn't end with a slash
-// isn't accepted either, and routes nothing.
+// newRouteIndex indexes the routes of all services. Validation of the lists
+// rejects duplicate prefixes; if there is one nevertheless, the service whose
+// name sorts first gets it, so that all instances agree. Prefixes without a
+// trailing slash are rejected by validation too, and are ignored here.
 func newRouteIndex(services map[string]Service) routeIndex {
 	index := routeIndex{byPrefix: map[string]routeEntry{}}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
@@ -43,7 +44,7 @@
 	x.maxSlashes = max(x.maxSlashes, strings.Count(route.Prefix, "/"))
 }
 
-// longestPrefix returns the entry with the longest prefix of path.
+// longestPrefix returns the entry with the longest prefix of path, if any.
 func (x *routeIndex) longestPrefix(path string) (routeEntry, bool) {
 	var best routeEntry
 	found := false
@@ -61,7 +62,7 @@
 	return best, found
 }
 
-// equal compares what two routes say.
+// equal reports whether two routes are the same. Idempotent is compared by value.
 func (r Route) equal(o Route) bool {
 	if r.Prefix != o.Prefix || (r.Idempotent == nil) != (o.Idempotent == nil) {
 		return false
--- a/config/rowkey.go
+++ b/config/rowkey.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Row keys are kept packed: the hash in the key of a key's row, which is 64
-// hex digits, takes 32 bytes. At 55,000 keys that is 1.7 MB.
+// Row keys are packed in memory: the hash in the row key of an API key, 64 hex
+// digits, is stored as 32 bytes. This saves 1.7 MB for 55,000 API keys.
 const (
-	// hashTag begins the packed key of a key's row; the hash follows.
+	// hashTag marks the packed row key of an API key; the hash follows.
 	hashTag = "\x00"
-	// escapeTag begins a packed key that would otherwise look packed.
+	// escapeTag precedes a row key that begins with one of the tags itself.
 	escapeTag = "\x01"
 )
 
@@ -33,8 +33,9 @@
 	return strings.TrimPrefix(packed, escapeTag)
 }
 
-// parseHash returns the hash of a key's row in the one spelling that is
-// written. Another spelling is another row, and no key's.
+// parseHash returns the hash in the row key of an API key. Only the canonical
+// spelling in lower-case hex is accepted; any other spelling is a different row
+// that belongs to no API key.
 func parseHash(key string) (KeyHash, bool) {
 	digits, ok := strings.CutPrefix(key, APIKeyPrefix)
 	var h KeyHash
--- a/config/rowstore.go
+++ b/config/rowstore.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	// maxTombstones bounds the deleted rows that are remembered. Beyond it
-	// the older half is forgotten.
+	// maxTombstones bounds the number of tombstones. When it is exceeded, only
+	// the newest half of this number is kept.
 	maxTombstones = 4096
-	// minSuperseded is how many superseded records are always tolerated.
+	// minSuperseded is the number of superseded records that the log may hold
+	// regardless of the number of rows before it is compacted.
 	minSuperseded = 64
 )
 
-// record is one row. It doesn't change once it is in the store.
+// record is one row. Its key, value and revision are immutable once it is in
+// the store; only its marks change.
 type record struct {
 	// data is the packed row key followed by the row's value.
 	data string
-	// refOrAttempt is what the row's kind needs kept beside it: the decoded plan of
-	// a workspace, the decoded workspace of a key, else the attempt.
+	// refOrAttempt is the decoded plan name of a workspace, the decoded
+	// workspace name of an API key, or otherwise the attempt that wrote the row.
 	refOrAttempt string
 	revision     storage.Revision
 	keyLen       uint32
 	deleted      bool
-	// hasRef tells that note holds a decoded reference.
+	// hasRef reports that note holds a decoded reference.
 	hasRef bool
-	// superseded records are only in the log, until it is compacted.
+	// superseded records stay in the log until it is compacted, but not in byKey.
 	superseded bool
-	// inSnapshot marks the records that the whole table has, while it is taken.
+	// inSnapshot marks the records found in the snapshot that is being applied.
 	inSnapshot bool
 }
 
@@ -48,16 +50,16 @@
 	return row
 }
 
-// rowStore has the rows by key and by revision.
+// rowStore indexes the rows by key and by revision.
 type rowStore struct {
 	byKey map[string]*record
-	// log has the records by ascending revision, so that what changed after
-	// a revision is found without looking at every row.
+	// log has the records by ascending revision, so that changes after a
+	// revision are found without a scan of all rows.
 	log        []*record
 	superseded int
 	tombstones int
-	// historyStart is the revision from which on the store remembers every
-	// change, deletions included. What was deleted before left no trace.
+	// historyStart is the revision from which on the store has every change,
+	// including deletions. Tombstones of earlier deletions may be missing.
 	historyStart storage.Revision
 }
 
@@ -65,10 +67,10 @@
 	return &rowStore{byKey: map[string]*record{}}
 }
 
-// get returns a row's record by its packed key; nil if it isn't known.
+// get returns the record for a packed key, which may be a tombstone, or nil.
 func (s *rowStore) get(packed string) *record { return s.byKey[packed] }
 
-// present returns a record that isn't a tombstone, or nil.
+// present returns the record for a packed key unless it is a tombstone, or nil.
 func (s *rowStore) present(packed string) *record {
 	if rec := s.byKey[packed]; rec != nil && !rec.deleted {
 		return rec
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// put replaces a row's record.
+// put adds a record and supersedes the previous one of the same row.
 func (s *rowStore) put(rec *record) {
 	if old := s.byKey[rec.key()]; old != nil {
 		old.superseded = true
@@ -84,7 +86,8 @@
 		if old.deleted {
 			s.tombstones--
 		}
-		// The map would keep the old record's key, and with it its data.
+		// The key is a substring of the record's data. Without this, the map
+		// would keep the old key string and thereby the old data in memory.
 		delete(s.byKey, old.key())
 	}
 	s.byKey[rec.key()] = rec
@@ -97,8 +100,8 @@
 	}
 }
 
-// insert keeps the log ordered. Changes come by ascending revision, so the
-// record nearly always goes to the end.
+// insert adds a record to the log in order of revision. Changes usually arrive
+// by ascending revision, so the record is nearly always appended.
 func (s *rowStore) insert(rec *record) {
 	at := len(s.log)
 	if at > 0 && s.log[at-1].revision > rec.revision {
@@ -107,7 +110,7 @@
 	s.log = slices.Insert(s.log, at, rec)
 }
 
-// indexAfter returns the position of the first record above a revision.
+// indexAfter returns the log index of the first record above a revision.
 func (s *rowStore) indexAfter(r storage.Revision) int {
 	return sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > r })
 }
@@ -117,8 +120,8 @@
 	s.superseded = 0
 }
 
-// since returns the rows that changed after a revision, by ascending
-// revision. Without tombstones, it returns the whole table.
+// since returns the rows that changed after a revision, by ascending revision.
+// Tombstones are included only if requested.
 func (s *rowStore) since(r storage.Revision, tombstones bool) []storage.Row {
 	var rows []storage.Row
 	for _, rec := range s.log[s.indexAfter(r):] {
@@ -130,8 +133,8 @@
 	return rows
 }
 
-// takeAbsentFromSnapshot returns the present records that aren't marked, and takes all
-// marks away.
+// takeAbsentFromSnapshot returns the present records that aren't marked as
+// being in the snapshot, and clears all marks.
 func (s *rowStore) takeAbsentFromSnapshot() []*record {
 	var unmarked []*record
 	for _, rec := range s.log {
@@ -143,9 +146,9 @@
 	return unmarked
 }
 
-// pruneTombstones forgets all but the newest tombstones. Whoever asks for changes since
-// before a forgotten one gets the whole table instead, so that a row which
-// was deleted in between can't live on with it.
+// pruneTombstones removes all but the newest tombstones. A replica that asks for
+// changes since a revision before a removed one gets the whole table instead, so
+// that it can't retain a row that was deleted in between.
 func (s *rowStore) pruneTombstones(keep int) {
 	for _, rec := range s.log {
 		if s.tombstones <= keep {
