--- a/node/worst_test.go
+++ b/node/failures_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestWorstServedWorkspace(t *testing.T) {
-	f := newFares()
+	f := newWorkspaceFailures()
 	note := func(workspace string, rule decision.Rule, times int) {
 		for range times {
-			f.note(time.Second, decision.Record{Workspace: workspace, Rule: rule})
+			f.record(time.Second, decision.Record{Workspace: workspace, Rule: rule})
 		}
 	}
 	note("well", decision.RuleServed, 30)
@@ -24,7 +24,7 @@
 	note("rare", decision.RuleNoServer, 5) // too few to judge
 	worst, ok := f.worst(time.Second)
 	must.True(t, ok)
-	must.Eq(t, Fare{Workspace: "ill", Failed: 0.25}, worst)
-	f.forget(2 * time.Hour)
-	must.MapEmpty(t, f.by)
+	must.Eq(t, WorkspaceFailures{Workspace: "ill", FailedRatio: 0.25}, worst)
+	f.evictIdle(2 * time.Hour)
+	must.MapEmpty(t, f.counts)
 }
--- a/node/shards.go
+++ b/node/shards.go
@@ -63,13 +63,13 @@
 
 func newShards(count int) shards {
 	s := shards{
-		held:     map[string]*heldShard{},
-		seen:     map[string]seenRow{},
-		line:     map[string]int{},
-		limits:   map[string][]config.Limit{},
-		wantedAt: map[string]time.Duration{},
-		right:    map[string]basis{},
-		nextGrantCheck:     never,
+		held:           map[string]*heldShard{},
+		seen:           map[string]seenRow{},
+		line:           map[string]int{},
+		limits:         map[string][]config.Limit{},
+		wantedAt:       map[string]time.Duration{},
+		right:          map[string]basis{},
+		nextGrantCheck: never,
 	}
 	for i := range count {
 		s.names = append(s.names, itoa(uint64(i)))
@@ -116,7 +116,7 @@
 	}
 	held.revision = row.Revision
 	n.emitMemberEffects(n.member.Require(n.now, row.Revision))
-	n.settleShard(name, held, n.freshUntil)
+	n.settleShard(name, held, n.confirmedUntil)
 }
 
 // holderRow returns a shard's row for asking its holders. Until a new row is
--- a/node/status.go
+++ b/node/status.go
@@ -32,9 +32,9 @@
 
 // WorstWorkspace returns the workspace that fares worst here; false if none was here
 // often enough to tell.
-func (n *Node) WorstWorkspace(now time.Duration) (Fare, bool) {
+func (n *Node) WorstWorkspace(now time.Duration) (WorkspaceFailures, bool) {
 	n.now = max(n.now, now)
-	return n.fares.worst(n.now)
+	return n.workspaceFailures.worst(n.now)
 }
 
 // ServiceStatus is one service as this instance sees it.
@@ -120,8 +120,8 @@
 }
 
 func (n *Node) refusalStatus() []RateRefusals {
-	list := make([]RateRefusals, 0, len(n.refused))
-	for b, count := range n.refused {
+	list := make([]RateRefusals, 0, len(n.rateRefusals))
+	for b, count := range n.rateRefusals {
 		limit, _ := n.replica.Limit(b.Workspace, b.Service)
 		shard := n.replica.Shard(quota.ShardOf(b.Workspace, n.settings.Shards))
 		list = append(list, RateRefusals{
