--- a/config/example_test.go
+++ b/config/example_test.go
@@ -11,9 +11,9 @@
 // control table, and never goes back to an older revision.
 func ExampleReplica() {
 	key := config.HashKey("fsk_example")
-	given := storage.Row{Key: config.APIKeyPrefix + key.String(), Value: []byte(`{"workspace":"cebu-boatyard"}`), Revision: 1}
+	issued := storage.Row{Key: config.APIKeyPrefix + key.String(), Value: []byte(`{"workspace":"cebu-boatyard"}`), Revision: 1}
 	rows := []storage.Row{
-		given,
+		issued,
 		{Key: config.WorkspacePrefix + "cebu-boatyard", Value: []byte(`{"plan":"bench"}`), Revision: 1},
 		{Key: config.PlanPrefix + "bench", Value: []byte(`{"services":{"catalogue":{"rate":20,"burst":40}}}`), Revision: 1},
 		{Key: config.ServicePrefix + "catalogue", Value: []byte(`{"floor":2,"timeout":"2s","routes":[{"prefix":"/catalogue/"}]}`), Revision: 1},
@@ -25,7 +25,7 @@
 	limit, allowed := r.Limit(workspace.Name, service)
 	fmt.Println(workspace.Name, known, service, routed, limit.Rate, allowed)
 
-	withdrawn := storage.Row{Key: given.Key, Deleted: true, Revision: 2}
+	withdrawn := storage.Row{Key: issued.Key, Deleted: true, Revision: 2}
 	fmt.Println(r.Apply(storage.Changes{Revision: 2, Rows: []storage.Row{withdrawn}}))
 	fmt.Println(r.Apply(storage.Changes{Revision: 1, Rows: rows}))
 	_, known = r.WorkspaceByKey(key)
--- a/config/replica_test.go
+++ b/config/replica_test.go
@@ -16,16 +16,16 @@
 // withdrawn at revision 5; a relay's response at revision 4 arrives after that.
 func TestReplicaDropsOlderChanges(t *testing.T) {
 	h := HashKey("fsk_test")
-	given := storage.Row{Key: APIKeyPrefix + h.String(), Value: []byte(`{"workspace":"a"}`), Revision: 4}
-	withdrawn := storage.Row{Key: given.Key, Revision: 5, Deleted: true}
+	issued := storage.Row{Key: APIKeyPrefix + h.String(), Value: []byte(`{"workspace":"a"}`), Revision: 4}
+	withdrawn := storage.Row{Key: issued.Key, Revision: 5, Deleted: true}
 	w := storage.Row{Key: WorkspacePrefix + "a", Value: []byte(`{"plan":"p"}`), Revision: 3}
 
 	r := NewReplica()
-	must.True(t, r.Apply(storage.Changes{Revision: 4, Rows: []storage.Row{w, given}}))
+	must.True(t, r.Apply(storage.Changes{Revision: 4, Rows: []storage.Row{w, issued}}))
 	_, ok := r.WorkspaceByKey(h)
 	must.True(t, ok)
 	must.True(t, r.Apply(storage.Changes{Revision: 5, Rows: []storage.Row{withdrawn}}))
-	must.False(t, r.Apply(storage.Changes{Revision: 4, Rows: []storage.Row{w, given}}))
+	must.False(t, r.Apply(storage.Changes{Revision: 4, Rows: []storage.Row{w, issued}}))
 	_, ok = r.WorkspaceByKey(h)
 	must.False(t, ok)
 	must.Eq(t, storage.Revision(5), r.Revision())
--- a/config/rowstore.go
+++ b/config/rowstore.go
@@ -28,7 +28,7 @@
 	revision     storage.Revision
 	keyLen       uint32
 	deleted      bool
-	// hasRef reports that note holds a decoded reference.
+	// hasRef reports that refOrAttempt holds a decoded reference.
 	hasRef bool
 	// superseded records stay in the log until it is compacted, but not in byKey.
 	superseded bool
