--- a/config/rows.go
+++ b/config/rowstore.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// maxTombstones bounds the deleted rows that are remembered. Beyond it
-	// the older half is forgotten.
+	// maxTombstones bounds the number of tombstones. When it is exceeded, only
+	// the newest half of this number is kept.
 	maxTombstones = 4096
-	// minSuperseded is how many superseded records are always tolerated.
+	// minSuperseded is the number of superseded records that the log may hold
+	// regardless of the number of rows before it is compacted.
 	minSuperseded = 64
 )
 
-// record is one row. It doesn't change once it is in the store.
+// record is one row. Its key, value and revision are immutable once it is in
+// the store; only its marks change.
 type record struct {
 	// data is the packed row key followed by the row's value.
 	data string
-	// note is what the row's kind needs kept beside it: the decoded plan of
-	// a workspace, the decoded workspace of a key, else the attempt.
-	note     string
-	revision storage.Revision
-	keyLen   uint32
-	deleted  bool
-	// valid tells that note holds a decoded reference.
-	valid bool
-	// superseded records are only in the log, until it is compacted.
+	// refOrAttempt is the decoded plan name of a workspace, the decoded
+	// workspace name of an API key, or otherwise the attempt that wrote the row.
+	refOrAttempt string
+	revision     storage.Revision
+	keyLen       uint32
+	deleted      bool
+	// hasRef reports that refOrAttempt holds a decoded reference.
+	hasRef bool
+	// superseded records stay in the log until it is compacted, but not in byKey.
 	superseded bool
-	// inWhole marks the records that the whole table has, while it is taken.
-	inWhole bool
+	// inSnapshot marks the records found in the snapshot that is being applied.
+	inSnapshot bool
 }
 
 func (r *record) key() string   { return r.data[:r.keyLen] }
@@ -39,8 +41,8 @@
 
 func (r *record) row() storage.Row {
 	row := storage.Row{Key: unpackKey(r.key()), Revision: r.revision, Deleted: r.deleted}
-	if !r.valid {
-		row.Attempt = r.note
+	if !r.hasRef {
+		row.Attempt = r.refOrAttempt
 	}
 	if !r.deleted {
 		row.Value = []byte(r.value())
@@ -48,27 +50,27 @@
 	return row
 }
 
-// rowStore has the rows by key and by revision.
+// rowStore indexes the rows by key and by revision.
 type rowStore struct {
 	byKey map[string]*record
-	// log has the records by ascending revision, so that what changed after
-	// a revision is found without looking at every row.
+	// log has the records by ascending revision, so that changes after a
+	// revision are found without a scan of all rows.
 	log        []*record
 	superseded int
 	tombstones int
-	// complete is the revision from which on the store remembers every
-	// change, deletions included. What was deleted before left no trace.
-	complete storage.Revision
+	// historyStart is the revision from which on the store has every change,
+	// including deletions. Tombstones of earlier deletions may be missing.
+	historyStart storage.Revision
 }
 
 func newRowStore() *rowStore {
 	return &rowStore{byKey: map[string]*record{}}
 }
 
-// get returns a row's record by its packed key; nil if it isn't known.
+// get returns the record for a packed key, which may be a tombstone, or nil.
 func (s *rowStore) get(packed string) *record { return s.byKey[packed] }
 
-// present returns a record that isn't a tombstone, or nil.
+// present returns the record for a packed key unless it is a tombstone, or nil.
 func (s *rowStore) present(packed string) *record {
 	if rec := s.byKey[packed]; rec != nil && !rec.deleted {
 		return rec
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// put replaces a row's record.
+// put adds a record and supersedes the previous one of the same row.
 func (s *rowStore) put(rec *record) {
 	if old := s.byKey[rec.key()]; old != nil {
 		old.superseded = true
@@ -84,7 +86,8 @@
 		if old.deleted {
 			s.tombstones--
 		}
-		// The map would keep the old record's key, and with it its data.
+		// The key is a substring of the record's data. Without this, the map
+		// would keep the old key string and thereby the old data in memory.
 		delete(s.byKey, old.key())
 	}
 	s.byKey[rec.key()] = rec
@@ -97,18 +100,18 @@
 	}
 }
 
-// insert keeps the log ordered. Changes come by ascending revision, so the
-// record nearly always goes to the end.
+// insert adds a record to the log in order of revision. Changes usually arrive
+// by ascending revision, so the record is nearly always appended.
 func (s *rowStore) insert(rec *record) {
 	at := len(s.log)
 	if at > 0 && s.log[at-1].revision > rec.revision {
-		at = s.after(rec.revision)
+		at = s.indexAfter(rec.revision)
 	}
 	s.log = slices.Insert(s.log, at, rec)
 }
 
-// after returns the position of the first record above a revision.
-func (s *rowStore) after(r storage.Revision) int {
+// indexAfter returns the log index of the first record above a revision.
+func (s *rowStore) indexAfter(r storage.Revision) int {
 	return sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > r })
 }
 
@@ -117,11 +120,11 @@
 	s.superseded = 0
 }
 
-// since returns the rows that changed after a revision, by ascending
-// revision. Without tombstones, it returns the whole table.
+// since returns the rows that changed after a revision, by ascending revision.
+// Tombstones are included only if requested.
 func (s *rowStore) since(r storage.Revision, tombstones bool) []storage.Row {
 	var rows []storage.Row
-	for _, rec := range s.log[s.after(r):] {
+	for _, rec := range s.log[s.indexAfter(r):] {
 		if rec.superseded || (rec.deleted && !tombstones) {
 			continue
 		}
@@ -130,23 +133,23 @@
 	return rows
 }
 
-// takeUnmarked returns the present records that aren't marked, and takes all
-// marks away.
-func (s *rowStore) takeUnmarked() []*record {
+// takeAbsentFromSnapshot returns the present records that aren't marked as
+// being in the snapshot, and clears all marks.
+func (s *rowStore) takeAbsentFromSnapshot() []*record {
 	var unmarked []*record
 	for _, rec := range s.log {
-		if !rec.superseded && !rec.deleted && !rec.inWhole {
+		if !rec.superseded && !rec.deleted && !rec.inSnapshot {
 			unmarked = append(unmarked, rec)
 		}
-		rec.inWhole = false
+		rec.inSnapshot = false
 	}
 	return unmarked
 }
 
-// prune forgets all but the newest tombstones. Whoever asks for changes since
-// before a forgotten one gets the whole table instead, so that a row which
-// was deleted in between can't live on with it.
-func (s *rowStore) prune(keep int) {
+// pruneTombstones removes all but the newest tombstones. A replica that asks for
+// changes since a revision before a removed one gets the whole table instead, so
+// that it can't retain a row that was deleted in between.
+func (s *rowStore) pruneTombstones(keep int) {
 	for _, rec := range s.log {
 		if s.tombstones <= keep {
 			break
@@ -158,7 +161,7 @@
 		rec.superseded = true
 		s.superseded++
 		s.tombstones--
-		s.complete = max(s.complete, rec.revision)
+		s.historyStart = max(s.historyStart, rec.revision)
 	}
 	s.compact()
 }
