--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -253,13 +253,13 @@
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return health.NotRun
-	case platform.NotRun(a.Status, a.Header) && a.Status == http.StatusServiceUnavailable:
+	case platform.NotExecuted(a.Status, a.Header) && a.Status == http.StatusServiceUnavailable:
 		return health.Shed
-	case platform.NotRun(a.Status, a.Header):
+	case platform.NotExecuted(a.Status, a.Header):
 		return health.NotRun
 	case a.Status >= http.StatusInternalServerError:
 		return health.ServerError
-	case a.Status < http.StatusMultipleChoices && a.Header.Get(platform.HeaderProof) == "":
+	case a.Status < http.StatusMultipleChoices && a.Header.Get(platform.HeaderResponseSeal) == "":
 		// A successful response without a signature does not come from a backend
 		// server.
 		return health.Mismatch
@@ -285,7 +285,7 @@
 // logAttempt logs the expected and the actual outcome of an attempt. Successful
 // attempts are covered by the log line of their request.
 func (e *Edge) logAttempt(c *call, a *attempt, now time.Duration) {
-	if a.result == health.OK || !e.budget.Take(now, 1) {
+	if a.result == health.OK || !e.budget.Allow(now, 1) {
 		return
 	}
 	attrs := []slog.Attr{
--- a/edge/directory.go
+++ b/edge/directory.go
@@ -18,7 +18,7 @@
 // nearest returns the ready instances of the caller's data centre. If there are
 // fewer than minLocalAddresses it adds those of all other data centres, which come
 // last because traffic between data centres is slower and costs more.
-func (d directory) nearest(q platform.Question) []string {
+func (d directory) nearest(q platform.ResolveRequest) []string {
 	near := d.ready[q.DataCentre]
 	if len(near) >= minLocalAddresses {
 		return near
@@ -29,7 +29,7 @@
 // inRegions is nearest for a host whose routes are restricted to regions. Request
 // bodies may only be sent to instances in these regions or in the caller's own
 // region, so other instances are returned only if there are none in either.
-func (d directory) inRegions(q platform.Question, regions []string) []string {
+func (d directory) inRegions(q platform.ResolveRequest, regions []string) []string {
 	region := q.Region
 	if region == "" {
 		region = d.topology[q.DataCentre]
--- a/edge/directory_test.go
+++ b/edge/directory_test.go
@@ -18,7 +18,7 @@
 		}
 		return m
 	}
-	from := platform.Question{DataCentre: "a1", Region: "a"}
+	from := platform.ResolveRequest{DataCentre: "a1", Region: "a"}
 	for _, tc := range []struct {
 		name  string
 		ready map[string][]string
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -50,7 +50,7 @@
 	settingsFile string
 	log          *slog.Logger
 	logWriter    *logging.Writer
-	budget       *logging.Budget
+	budget       *logging.RateLimiter
 	clock        clock.Clock
 	store        *platform.Store
 	pool         *upstream.Pool
@@ -186,7 +186,7 @@
 		settingsFile:  file,
 		logWriter:     lines,
 		log:           slog.New(slog.NewJSONHandler(lines, nil)).With(slog.String("instance", s.Name)),
-		budget:        logging.NewBudget(s.Log.LinesPerSecond),
+		budget:        logging.NewRateLimiter(s.Log.LinesPerSecond),
 		clock:         clock.New(),
 		store:         platform.NewStore(s.Store.Address),
 		pool:          upstream.NewPool(),
--- a/edge/entries.go
+++ b/edge/entries.go
@@ -135,7 +135,7 @@
 	entry, err := platform.DecodeServer(r.Key, r.Value)
 	if err != nil {
 		// An entry that can't be decoded names no server.
-		if e.budget.Take(now, routineLogShare) {
+		if e.budget.Allow(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", r.Key), slog.Any("error", err))
 		}
 		return s.serverList.Remove(r.Key, now, now)
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -128,7 +128,7 @@
 	if rule == RuleServed {
 		weight = routineLogShare
 	}
-	if !e.budget.Take(now, weight) {
+	if !e.budget.Allow(now, weight) {
 		return
 	}
 	attrs := []slog.Attr{
@@ -162,7 +162,7 @@
 // logDroppedLines logs the number of dropped log lines if it has changed.
 func (e *Edge) logDroppedLines(now time.Duration) {
 	s := &e.state
-	count := e.budget.LeftOut() + e.logWriter.Dropped()
+	count := e.budget.Suppressed() + e.logWriter.Dropped()
 	if count == s.loggedDroppedLines || now-s.droppedLinesLoggedAt < droppedLinesLogInterval {
 		return
 	}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -29,7 +29,7 @@
 	limit, named, err := platform.ServerLimit(a.answer.Header)
 	switch {
 	case err != nil:
-		if e.budget.Take(now, routineLogShare) {
+		if e.budget.Allow(now, routineLogShare) {
 			event.EntryIgnored.Log(e.log, slog.String("server", a.choice.Server.ID), slog.Any("error", err))
 		}
 		return nil
@@ -37,7 +37,7 @@
 		milli := milliPerSecond(limit)
 		e.setLimit(hash, *milli, now)
 		return milli
-	case a.result == health.OK && a.answer.Header.Get(platform.HeaderProof) == "":
+	case a.result == health.OK && a.answer.Header.Get(platform.HeaderResponseSeal) == "":
 		// An unsigned error may not come from the server itself, so it does not end
 		// the limit.
 		return e.knownLimit(hash)
@@ -95,7 +95,7 @@
 }
 
 func (e *Edge) logLimit(server uint32, limit, before slog.Attr, now time.Duration) {
-	if entry, known := e.state.placer.Server(server); known && e.budget.Take(now, routineLogShare) {
+	if entry, known := e.state.placer.Server(server); known && e.budget.Allow(now, routineLogShare) {
 		event.ServerLimited.Log(e.log, slog.String("server", entry.ID), slog.String("service", entry.Service), limit, before)
 	}
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -52,7 +52,7 @@
 	m.gauge("store_calls_total", "Calls of the platform's store.", func() float64 { return float64(e.store.Calls()) })
 	m.gauge("server_connections_total", "Connections opened to backend servers.", func() float64 { return float64(e.pool.ConnectionsOpened()) })
 	m.gauge("log_lines_left_out_total", "Log lines that the bound or a full buffer kept back.", func() float64 {
-		return float64(e.budget.LeftOut() + e.logWriter.Dropped())
+		return float64(e.budget.Suppressed() + e.logWriter.Dropped())
 	})
 	m.gauge("configuration_age_seconds", "Age of the proof that the configuration in force is the newest.", e.locked(func() float64 {
 		return e.configAge(e.now()).Seconds()
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -52,7 +52,7 @@
 
 // logRelayChange logs a change of the relay that this instance sends to.
 func (e *Edge) logRelayChange(before uint32, now time.Duration) {
-	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Take(now, routineLogShare) {
+	if after := e.state.messenger.Hub().Relay(); after != before && e.budget.Allow(now, routineLogShare) {
 		event.RelayChanged.Log(e.log, slog.String("before", addrPort(before, 0).Addr().String()),
 			slog.String("relay", addrPort(after, 0).Addr().String()))
 	}
@@ -160,7 +160,7 @@
 	defer e.mu.Unlock()
 	now := e.now()
 	t, err := e.state.messenger.Receive(ipv4Number(from.Addr()), b, now)
-	if err != nil && e.budget.Take(now, routineLogShare) {
+	if err != nil && e.budget.Allow(now, routineLogShare) {
 		event.PeerMessageFailed.Log(e.log, slog.String("peer", from.String()), slog.Any("error", err))
 	}
 	e.handlePeersReturned(t.NewlyAlive)
--- a/edge/poll.go
+++ b/edge/poll.go
@@ -218,7 +218,7 @@
 // logStaleRead logs a read that is older than the local copy.
 func (e *Edge) logStaleRead(t evidence.Table, at replica.Position, now time.Duration) {
 	known, ok := e.replicaOf(t).Position()
-	if ok && at.Before(known) && e.budget.Take(now, routineLogShare) {
+	if ok && at.Before(known) && e.budget.Allow(now, routineLogShare) {
 		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
 			slog.Uint64("era", at.Era), slog.Uint64("known_era", known.Era))
@@ -279,7 +279,7 @@
 }
 
 func (e *Edge) logStoreError(p tableRead, now time.Duration) {
-	if e.budget.Take(now, routineLogShare) {
+	if e.budget.Allow(now, routineLogShare) {
 		event.StoreCallFailed.Log(e.log, slog.String("table", tableNames[p.table]),
 			slog.Duration("took", now-p.asked), slog.Any("error", p.err))
 	}
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -135,7 +135,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	q := platform.DecodeQuestion(r)
+	q := platform.DecodeResolveRequest(r)
 	e.mu.Lock()
 	addresses := e.addressesFor(q)
 	e.mu.Unlock()
@@ -150,7 +150,7 @@
 }
 
 // addressesFor returns the addresses of ready instances for a caller.
-func (e *Edge) addressesFor(q platform.Question) []string {
+func (e *Edge) addressesFor(q platform.ResolveRequest) []string {
 	ready := make(map[string][]string)
 	add := func(id uint32, dc string) {
 		ready[dc] = append(ready[dc], addrPort(id, e.callerPort).String())
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Budget bounds how many lines a second one kind of event may write.
-type Budget struct {
+// RateLimiter bounds how many lines a second one kind of event may write.
+type RateLimiter struct {
 	mu     sync.Mutex
 	most   int
 	second int64
@@ -96,13 +96,13 @@
 	left   uint64
 }
 
-// NewBudget returns a budget of so many lines a second.
-func NewBudget(most int) *Budget { return &Budget{most: most} }
+// NewRateLimiter returns a budget of so many lines a second.
+func NewRateLimiter(most int) *RateLimiter { return &RateLimiter{most: most} }
 
-// Take reports whether a line may be written at a moment; weight of the
+// Allow reports whether a line may be written at a moment; weight of the
 // budget it may use, so that half leaves the other half to more important
 // lines.
-func (b *Budget) Take(now time.Duration, weight float64) bool {
+func (b *RateLimiter) Allow(now time.Duration, weight float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := int64(now / time.Second); s != b.second {
@@ -117,8 +117,8 @@
 	return true
 }
 
-// LeftOut is how many lines the budget kept back.
-func (b *Budget) LeftOut() uint64 {
+// Suppressed is how many lines the budget kept back.
+func (b *RateLimiter) Suppressed() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -52,21 +52,21 @@
 }
 
 func TestBudgetKeepsRoomForWhatMatters(t *testing.T) {
-	b := logging.NewBudget(10)
+	b := logging.NewRateLimiter(10)
 	usual := 0
 	for range 20 {
-		if b.Take(time.Second, 0.5) {
+		if b.Allow(time.Second, 0.5) {
 			usual++
 		}
 	}
 	must.Eq(t, 5, usual)
 	failures := 0
 	for range 20 {
-		if b.Take(time.Second, 1) {
+		if b.Allow(time.Second, 1) {
 			failures++
 		}
 	}
 	must.Eq(t, 5, failures)
-	must.Eq(t, 30, b.LeftOut())
-	must.True(t, b.Take(2*time.Second, 0.5))
+	must.Eq(t, 30, b.Suppressed())
+	must.True(t, b.Allow(2*time.Second, 0.5))
 }
