--- a/entry/attempt/header.go
+++ b/entry/attempt/header.go
@@ -38,7 +38,7 @@
 		deleteAll(out, keyHeaders)
 	}
 	for name := range out {
-		if strings.HasPrefix(name, wire.OwnHeaders) {
+		if strings.HasPrefix(name, wire.HeaderPrefix) {
 			delete(out, name)
 		}
 	}
@@ -54,7 +54,7 @@
 	kept := from.Clone()
 	deleteHopByHop(kept)
 	for name, values := range kept {
-		if !strings.HasPrefix(name, wire.OwnHeaders) {
+		if !strings.HasPrefix(name, wire.HeaderPrefix) {
 			to[name] = values
 		}
 	}
--- a/entry/tree.go
+++ b/entry/tree.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	server.OnRefused(func(address string) {
+	server.OnHandshakeFailure(func(address string) {
 		event.HandshakeFailed.Log(e.log, slog.String("address", address))
 	})
 	operatorAPI, err := operators.New(e.self.ID, token, e.loop, e.records, e.metrics.Handler())
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -21,9 +21,9 @@
 // method is the only method of the protocol.
 const method = "Peer.Call"
 
-// ErrNoAnswer reports that a call ended without a reply. The other side may
+// ErrNoReply reports that a call ended without a reply. The other side may
 // have acted on the request all the same.
-var ErrNoAnswer = errors.New("peer: no answer")
+var ErrNoReply = errors.New("peer: no answer")
 
 // Envelope wraps a message with its sender.
 type Envelope struct {
@@ -71,7 +71,7 @@
 	}
 	client, err := l.connect(ctx, c, address)
 	if err != nil {
-		return nil, errors.Mark(err, ErrNoAnswer)
+		return nil, errors.Mark(err, ErrNoReply)
 	}
 	var reply Envelope
 	call := client.Go(method, &Envelope{From: c.self, Body: body}, &reply, make(chan *rpc.Call, 1))
@@ -84,10 +84,10 @@
 		if !errors.As(call.Error, &refused) {
 			l.drop(client)
 		}
-		return nil, errors.Mark(call.Error, ErrNoAnswer)
+		return nil, errors.Mark(call.Error, ErrNoReply)
 	case <-ctx.Done():
 		l.drop(client)
-		return nil, errors.Mark(ctx.Err(), ErrNoAnswer)
+		return nil, errors.Mark(ctx.Err(), ErrNoReply)
 	}
 }
 
@@ -138,7 +138,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.done {
-		return nil, errors.Mark(net.ErrClosed, ErrNoAnswer)
+		return nil, errors.Mark(net.ErrClosed, ErrNoReply)
 	}
 	l, ok := c.conns[address]
 	if !ok {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -28,7 +28,7 @@
 	s, err := NewServer([]byte(secret), 10, time.Second, handle)
 	must.NoError(t, err)
 	refused := make(chan string, 10)
-	s.OnRefused(func(address string) { refused <- address })
+	s.OnHandshakeFailure(func(address string) { refused <- address })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,7 +68,7 @@
 	c := NewClient("a", []byte("other"), time.Second)
 	defer c.Close()
 	_, err := c.Call(context.Background(), address, ping{})
-	must.True(t, errors.Is(err, ErrNoAnswer))
+	must.True(t, errors.Is(err, ErrNoReply))
 	must.StrContains(t, <-refused, "127.0.0.1:")
 }
 
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err := c.Call(ctx, address, ping{})
-	must.True(t, errors.Is(err, ErrNoAnswer))
+	must.True(t, errors.Is(err, ErrNoReply))
 	_, err = c.Call(context.Background(), address, ping{N: 7})
 	must.NoError(t, err)
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -57,9 +57,9 @@
 	return s, nil
 }
 
-// OnRefused sets who hears of connections from somebody who doesn't know the
+// OnHandshakeFailure sets who hears of connections from somebody who doesn't know the
 // secret. To be called before Serve.
-func (s *Server) OnRefused(f func(address string)) { s.refused = f }
+func (s *Server) OnHandshakeFailure(f func(address string)) { s.refused = f }
 
 // Serve accepts connections until ctx ends, then closes all of them.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
--- a/storage/client/client.go
+++ b/storage/client/client.go
@@ -21,8 +21,8 @@
 const (
 	DefaultTimeout     = 2 * time.Second
 	DefaultDialTimeout = time.Second
-	DefaultConnections = 32
-	DefaultMaxAnswer   = 64 << 20
+	DefaultMaxConnections = 32
+	DefaultMaxResponseBytes   = 64 << 20
 )
 
 const (
@@ -37,11 +37,11 @@
 	Timeout time.Duration
 	// DialTimeout bounds making a connection, within Timeout.
 	DialTimeout time.Duration
-	// Connections bounds the connections to the platform, in use or idle.
-	Connections int
-	// MaxAnswer bounds an answer's body, in bytes. A longer one counts as
+	// MaxConnections bounds the connections to the platform, in use or idle.
+	MaxConnections int
+	// MaxResponseBytes bounds an answer's body, in bytes. A longer one counts as
 	// no answer.
-	MaxAnswer int64
+	MaxResponseBytes int64
 }
 
 // Client is one process's access to the platform. It is safe for concurrent
@@ -64,7 +64,7 @@
 	s = s.withDefaults()
 	transport := newTransport(s)
 	httpClient := &http.Client{
-		Transport:     limitedTransport{next: transport, maxAnswer: s.MaxAnswer},
+		Transport:     limitedTransport{next: transport, maxAnswer: s.MaxResponseBytes},
 		CheckRedirect: stayHere,
 	}
 	api, err := oas.NewClient(baseURL, oas.WithClient(httpClient))
@@ -90,11 +90,11 @@
 	if s.DialTimeout <= 0 {
 		s.DialTimeout = DefaultDialTimeout
 	}
-	if s.Connections <= 0 {
-		s.Connections = DefaultConnections
+	if s.MaxConnections <= 0 {
+		s.MaxConnections = DefaultMaxConnections
 	}
-	if s.MaxAnswer <= 0 {
-		s.MaxAnswer = DefaultMaxAnswer
+	if s.MaxResponseBytes <= 0 {
+		s.MaxResponseBytes = DefaultMaxResponseBytes
 	}
 	return s
 }
@@ -109,9 +109,9 @@
 	dialer := &net.Dialer{Timeout: s.DialTimeout, KeepAlive: keepAliveInterval}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        s.Connections,
-		MaxIdleConnsPerHost: s.Connections,
-		MaxConnsPerHost:     s.Connections,
+		MaxIdleConns:        s.MaxConnections,
+		MaxIdleConnsPerHost: s.MaxConnections,
+		MaxConnsPerHost:     s.MaxConnections,
 		IdleConnTimeout:     idleTimeout,
 	}
 }
--- a/storage/client/client_test.go
+++ b/storage/client/client_test.go
@@ -212,7 +212,7 @@
 }
 
 func TestObjectsOverHTTP(t *testing.T) {
-	_, c := start(t, standin.PlatformOptions{}, client.Settings{MaxAnswer: 1000})
+	_, c := start(t, standin.PlatformOptions{}, client.Settings{MaxResponseBytes: 1000})
 	o := c.Objects()
 	_, err := o.Get(t.Context(), "trace/1")
 	must.ErrorIs(t, err, client.ErrNotFound)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -27,9 +27,9 @@
 	// it is about to stop and will take nothing new.
 	HeaderLeaving = "Foxtailspoke-Leaving"
 
-	// OwnHeaders is the common prefix of the headers above. What a caller
+	// HeaderPrefix is the common prefix of the headers above. What a caller
 	// sends under it is dropped.
-	OwnHeaders = "Foxtailspoke-"
+	HeaderPrefix = "Foxtailspoke-"
 )
 
 // Values of HeaderOutcome that backend servers use.
