--- a/node/message.go
+++ b/node/message.go
@@ -8,7 +8,8 @@
 	"foxtailspoke/quota"
 )
 
-// PeerRequest is a call from one entry instance to another; one field is set.
+// PeerRequest is a call from one entry instance to another. Exactly one field
+// is set.
 type PeerRequest struct {
 	Member *membership.Request
 	Ask    *quota.Ask
@@ -17,14 +18,15 @@
 	Settlement *quota.Settlement
 }
 
-// PeerReply answers a PeerRequest; the same field is set.
+// PeerReply answers a PeerRequest. The field that corresponds to the request's
+// field is set.
 type PeerReply struct {
 	Member   *membership.Reply
 	Transfer *quota.Transfer
 	Advice   *Advice
 }
 
-// Advice is a collector's answer to a report.
+// Advice is a collector's answer to a health report.
 type Advice struct {
 	Service  string
 	Suspects []health.Suspect
@@ -38,27 +40,27 @@
 func memberRequest(r any) PeerRequest {
 	request, ok := r.(membership.Request)
 	if !ok {
-		panic("node: membership call without a request")
+		panic("node: membership call without a membership.Request")
 	}
 	return PeerRequest{Member: &request}
 }
 
 func (n *Node) handleCall(e Called) {
-	reply, ok := n.answerCall(e)
+	reply, ok := n.replyTo(e)
 	n.emit(ReplyCall{Token: e.Token, Reply: reply, OK: ok})
 }
 
-func (n *Node) answerCall(e Called) (PeerReply, bool) {
+func (n *Node) replyTo(e Called) (PeerReply, bool) {
 	switch {
 	case e.Request.Member != nil:
 		reply := n.member.Handle(n.now, e.From, *e.Request.Member)
 		n.applyUpdates()
 		return PeerReply{Member: &reply}, true
 	case e.Request.Ask != nil:
-		transfer, ok := n.give(*e.Request.Ask)
+		transfer, ok := n.handleTokenAsk(*e.Request.Ask)
 		return PeerReply{Transfer: &transfer}, ok
 	case e.Request.Settlement != nil:
-		n.settle(*e.Request.Settlement)
+		n.handleSettlement(*e.Request.Settlement)
 		return PeerReply{}, true
 	case e.Request.Report != nil:
 		suspects := n.collector.Accept(n.now, e.From, *e.Request.Report)
@@ -84,13 +86,13 @@
 		n.emitMemberEffects(n.member.CallDone(n.now, p.id, reply, answered))
 		n.applyUpdates()
 	case ownerTokens:
-		n.asked(p.subject, p.id, e.Reply.Transfer, e.OK)
+		n.handleTokenReply(p.subject, p.id, e.Reply.Transfer, e.OK)
 	case ownerSettlement:
 	case ownerReport:
 		if e.OK && e.Reply.Advice != nil {
 			n.observer.ApplyAdvice(n.now, e.Reply.Advice.Service, e.Reply.Advice.Suspects)
 		}
 	default:
-		panic("node: call of a part that makes none")
+		panic("node: call ended for a component that makes no calls")
 	}
 }
--- a/node/tokens.go
+++ b/node/tokens.go
@@ -11,52 +11,53 @@
 	"foxtailspoke/storage"
 )
 
-// acquireTokens counts the request against its workspace's limit, out of this
-// instance's own parts or by asking the other holders.
+// acquireTokens counts the request against its workspace's limit, using this
+// instance's own parts or tokens from the other holders.
 func (n *Node) acquireTokens(r *request) {
 	r.search = quota.NewSearch(r.bucket(), quota.Token)
-	n.searchTokens(r)
+	n.continueTokenSearch(r)
 }
 
-func (n *Node) searchTokens(r *request) {
-	row := n.holderRow(n.shardOf(r))
+func (n *Node) continueTokenSearch(r *request) {
+	row := n.rowWithFormerHolders(n.shardOf(r))
 	step := n.holder.Next(n.now, r.search, row, r.limit)
-	n.settleTokens()
-	n.balanceTokens(row, r.bucket(), r.limit)
+	n.sendSettlements()
+	n.rebalanceTokens(row, r.bucket(), r.limit)
 	switch {
 	case step.Admitted:
 		n.startFirstAttempt(r)
 	case step.To != "":
-		n.ask(step.To, step.Ask, r.arrived.Request)
+		n.askForTokens(step.To, step.Ask, r.arrived.Request)
 	default:
-		n.refuseForRate(r, step.RetryAfter)
+		n.refuseRateExceeded(r, step.RetryAfter)
 	}
 }
 
-// ask asks a holder for tokens, for a request or, without one, to even out
-// the holders' levels.
-func (n *Node) ask(to string, a quota.Ask, request string) {
+// askForTokens asks a holder for tokens, either for a request or, if request is
+// empty, to balance the holders' levels.
+func (n *Node) askForTokens(to string, a quota.Ask, request string) {
 	p := pendingEffect{owner: ownerTokens, id: a.ID, subject: request}
 	n.emit(n.trackEffect(p, effect.Call{To: to, Request: PeerRequest{Ask: &a}}))
 }
 
-func (n *Node) balanceTokens(row config.Shard, b quota.Bucket, l config.Limit) {
+func (n *Node) rebalanceTokens(row config.Shard, b quota.Bucket, l config.Limit) {
 	if to, ask, ok := n.holder.Rebalance(n.now, row, b, l); ok {
-		n.ask(to, ask, "")
+		n.askForTokens(to, ask, "")
 	}
 }
 
-// settleTokens tells givers that what they gave is used. Nothing depends on
-// their answer.
-func (n *Node) settleTokens() {
+// sendSettlements tells the instances that transferred tokens here that those
+// are used. Nothing depends on the reply.
+func (n *Node) sendSettlements() {
 	for _, s := range n.holder.DrainSettlements() {
 		n.emit(n.trackEffect(pendingEffect{owner: ownerSettlement}, effect.Call{To: s.To, Request: PeerRequest{Settlement: &s}}))
 	}
 }
 
-// asked takes the end of an ask. The request may have ended meanwhile; what
-// was given is kept as far as it fits.
-func (n *Node) asked(id string, ask uint64, t *quota.Transfer, ok bool) {
+// handleTokenReply handles the result of a token request. The caller's request
+// may have ended meanwhile; the transferred tokens are kept up to the bucket's
+// capacity.
+func (n *Node) handleTokenReply(id string, ask uint64, t *quota.Transfer, ok bool) {
 	answered := ok && t != nil
 	if answered {
 		limit, _ := n.replica.Limit(t.Bucket.Workspace, t.Bucket.Service)
@@ -66,7 +67,7 @@
 	}
 	r, waiting := n.requests[id]
 	if !waiting {
-		n.settleTokens()
+		n.sendSettlements()
 		return
 	}
 	if !answered {
@@ -76,13 +77,13 @@
 		n.refuse(r, rule, 0)
 		return
 	}
-	n.searchTokens(r)
+	n.continueTokenSearch(r)
 }
 
-func (n *Node) refuseForRate(r *request, retryAfter time.Duration) {
+func (n *Node) refuseRateExceeded(r *request, retryAfter time.Duration) {
 	rule := decision.RuleRateExceeded
 	switch {
-	case n.unheld(n.shardOf(r)):
+	case n.hasNoHolders(n.shardOf(r)):
 		rule = decision.RulePeerUnreachable
 		r.figures.Detail = "no instance holds them yet"
 	case r.unansweredAsks > 0:
@@ -92,18 +93,18 @@
 	n.refuse(r, rule, retryAfter)
 }
 
-// unheld says whether nobody may use any part of a shard's limits by now: its
-// first row isn't written or isn't in force. Its workspaces have used nothing
-// up then, and must not be told that they have.
-func (n *Node) unheld(name string) bool {
+// hasNoHolders reports whether no instance may use any part of a shard's limits
+// yet, because its first row isn't written or isn't in force. Its workspaces
+// have used no tokens then, and must not be refused as over their rate.
+func (n *Node) hasNoHolders(name string) bool {
 	seen := n.shards.seen[name]
 	return len(seen.row.Holders) == 0 || (len(seen.former.Holders) == 0 && n.now < seen.formerUntil)
 }
 
-// give answers another instance's ask out of the own parts. An instance
-// whose configuration isn't confirmed gives nothing: its parts may be
-// somebody else's by now.
-func (n *Node) give(a quota.Ask) (quota.Transfer, bool) {
+// handleTokenAsk answers another instance's request for tokens from this
+// instance's own parts. An instance whose configuration isn't confirmed gives
+// none, because its parts may have been assigned to another instance.
+func (n *Node) handleTokenAsk(a quota.Ask) (quota.Transfer, bool) {
 	if n.member.Confirmation(n.now).State == membership.CutOff {
 		return quota.Transfer{}, false
 	}
@@ -113,12 +114,13 @@
 	}
 	t := n.holder.HandleAsk(n.now, limit, a)
 	shard := quota.ShardOf(a.Bucket.Workspace, n.settings.Shards)
-	n.balanceTokens(n.holderRow(shard), a.Bucket, limit)
+	n.rebalanceTokens(n.rowWithFormerHolders(shard), a.Bucket, limit)
 	return t, true
 }
 
-// settle takes another instance's word that what it was given is used.
-func (n *Node) settle(s quota.Settlement) {
+// handleSettlement records that another instance has used the tokens that it
+// was given.
+func (n *Node) handleSettlement(s quota.Settlement) {
 	if limit, ok := n.replica.Limit(s.Bucket.Workspace, s.Bucket.Service); ok {
 		n.holder.HandleSettlement(n.now, limit, s)
 	}
@@ -128,8 +130,8 @@
 	return quota.ShardOf(r.workspace.Name, n.settings.Shards)
 }
 
-// txn returns a transaction on one row of the control table, conditional on
-// the row as the replica has it.
+// txn returns a transaction that writes one row of the control table, on the
+// condition that the row still has the revision known to the replica.
 func (n *Node) txn(key string, value []byte) storage.Txn {
 	n.lastTxn++
 	row, _ := n.replica.Row(key)
