--- a/edge/attempts.go
+++ b/edge/attempts.go
@@ -270,7 +270,7 @@
 // upstreamRequest builds the request to send to the chosen server.
 func (e *Edge) upstreamRequest(c *call, choice placement.Choice) upstream.Request {
 	h := c.header.Clone()
-	h.Set(platform.HeaderExpect, choice.Server.ID)
+	h.Set(platform.HeaderExpectInstance, choice.Server.ID)
 	h.Set(platform.HeaderDeadline, platform.FormatDeadline(c.deadline-e.now()))
 	if c.workspace != nil {
 		h.Set(platform.HeaderWorkspace, c.workspace.Name)
--- a/edge/call.go
+++ b/edge/call.go
@@ -153,7 +153,7 @@
 	if c.configAge > s.bounds.MaxKeyAge {
 		return &refusal{http.StatusServiceUnavailable, RuleConfigTooOld, retryAfterShort}
 	}
-	c.workspace = s.table.WorkspaceByKey(platform.Key(h.Get(platform.HeaderKey)))
+	c.workspace = s.table.WorkspaceByKey(platform.APIKey(h.Get(platform.HeaderAuthorization)))
 	if c.workspace == nil {
 		return &refusal{status: http.StatusUnauthorized, rule: RuleUnknownKey}
 	}
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -59,7 +59,7 @@
 func upstreamHeader(h http.Header) http.Header {
 	out := withoutHopByHop(h)
 	for _, name := range []string{
-		platform.HeaderKey, platform.HeaderWorkspace, platform.HeaderExpect, platform.HeaderDeadline,
+		platform.HeaderAuthorization, platform.HeaderWorkspace, platform.HeaderExpectInstance, platform.HeaderDeadline,
 	} {
 		out.Del(name)
 	}
