--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -81,14 +81,14 @@
 			f.step(i, e)
 		}
 	}
-	f.after(hop, func() {
-		if f.platformDown || !f.open(i.name, "table") {
+	f.after(linkDelay, func() {
+		if f.platformDown || !f.reachable(i.name, "table") {
 			return
 		}
 		e := call()
-		if f.open("table", i.name) {
-			f.after(hop, func() { end(e) })
+		if f.reachable("table", i.name) {
+			f.after(linkDelay, func() { end(e) })
 		}
 	})
-	f.after(readTime, func() { end(failed) })
+	f.after(readTimeout, func() { end(failed) })
 }
--- a/node/shardwriter.go
+++ b/node/shard_writer.go
@@ -11,21 +11,21 @@
 	"foxtailspoke/storage"
 )
 
-// rankShardWriters finds the shards that this instance is in line for.
+// rankShardWriters determines the shards that this instance is a writer of.
 func (n *Node) rankShardWriters() {
-	n.shards.limited = 0
-	clear(n.shards.line)
+	n.shards.limitsVersion = 0
+	clear(n.shards.writerRank)
 	entries := n.member.Directory().Entries()
 	for _, name := range n.shards.names {
-		if place, ok := n.place(name, entries); ok {
-			n.shards.line[name] = place
+		if rank, ok := n.writerRankOf(name, entries); ok {
+			n.shards.writerRank[name] = rank
 		}
 	}
 }
 
-// place counts the live instances before this one by rendezvous hash, and
-// stops as soon as there are enough of them.
-func (n *Node) place(name string, entries []storage.Instance) (int, bool) {
+// writerRankOf returns the number of live instances ranked before this one for a
+// shard by rendezvous hash, and whether this one is among the shard's writers.
+func (n *Node) writerRankOf(name string, entries []storage.Instance) (int, bool) {
 	key := "shard-writer/" + name
 	before := 0
 	listed := false
@@ -37,64 +37,64 @@
 		if membership.TopRanked(key, []string{e.ID, n.settings.Self.ID}) == e.ID {
 			before++
 		}
-		if before >= inLine {
+		if before >= writersPerShard {
 			return 0, false
 		}
 	}
 	return before, listed
 }
 
-// writeStaleShard writes at most one row that should be different.
+// writeStaleShard writes at most one shard row that is out of date.
 func (n *Node) writeStaleShard() {
 	if n.member.Confirmation(n.now).State != membership.ConfirmedByTable || n.shards.writing || n.now < n.shards.writeAt {
 		return
 	}
-	n.shards.more = false
+	n.shards.mayHaveMore = false
 	var candidates []quota.Candidate
 	for _, name := range n.shards.names {
-		place, ok := n.shards.line[name]
-		if !ok || n.shards.right[name] == n.basis(name) {
+		rank, ok := n.shards.writerRank[name]
+		if !ok || n.shards.upToDate[name] == n.planInputs(name) {
 			continue
 		}
 		if candidates == nil {
 			candidates = n.candidates()
 		}
-		if n.planShard(name, place, candidates) {
+		if n.writeShardIfStale(name, rank, candidates) {
 			return
 		}
 	}
 }
 
-// basis is all that the plan for a shard depends on. A row that was found
-// right isn't planned again on the same basis: ranking 2,000 candidates for
-// it four times a second would take half a percent of a core.
-type basis struct {
+// planInputs is everything that the plan for a shard depends on. A row that
+// needed no change isn't planned again for the same inputs: ranking 2,000
+// candidates four times a second would take 0.5 % of a core.
+type planInputs struct {
 	row     storage.Revision
 	list    uint64
 	lists   uint64
 	leaving bool
 }
 
-func (n *Node) basis(name string) basis {
+func (n *Node) planInputs(name string) planInputs {
 	row, _ := n.replica.Row(shardKey(name))
-	return basis{row: row.Revision, list: n.followedListVersion, lists: n.replica.ListsVersion().Version, leaving: n.leaving}
+	return planInputs{row: row.Revision, list: n.followedListVersion, lists: n.replica.ListsVersion().Version, leaving: n.leaving}
 }
 
-func (n *Node) planShard(name string, place int, candidates []quota.Candidate) bool {
+func (n *Node) writeShardIfStale(name string, rank int, candidates []quota.Candidate) bool {
 	row, _ := n.replica.Row(shardKey(name))
 	holders := quota.HolderCount(n.shardLimits(name), n.settings.MaxHolders)
 	next, changed := quota.Assign(name, n.replica.Shard(name), candidates, holders, uint64(row.Revision))
 	if !changed {
-		delete(n.shards.wantedAt, name)
-		n.shards.right[name] = n.basis(name)
+		delete(n.shards.staleSince, name)
+		n.shards.upToDate[name] = n.planInputs(name)
 		return false
 	}
-	since, known := n.shards.wantedAt[name]
+	since, known := n.shards.staleSince[name]
 	if !known {
-		n.shards.wantedAt[name] = n.now
+		n.shards.staleSince[name] = n.now
 		since = n.now
 	}
-	if n.now < since+time.Duration(place)*n.settings.ShardStagger {
+	if n.now < since+time.Duration(rank)*n.settings.ShardStagger {
 		return false
 	}
 	value, err := json.Marshal(next)
@@ -107,8 +107,9 @@
 	return true
 }
 
-// shardWritten takes the end of a write. Whatever it was, the row is what the
-// replica says when it comes by; a write whose answer was lost shows there.
+// shardWritten handles the result of a shard write. Whatever the result, the row
+// is taken from the replica, so a committed write whose answer was lost is seen
+// when the replica is updated.
 func (n *Node) shardWritten(name string, r storage.WriteResult) {
 	n.shards.writing = false
 	n.shards.writeAt = n.now + n.settings.ShardWriteGap
@@ -116,13 +117,13 @@
 		n.shards.writeAt = n.now + n.member.Settings().PollEvery
 		return
 	}
-	n.shards.more = true
-	delete(n.shards.wantedAt, name)
+	n.shards.mayHaveMore = true
+	delete(n.shards.staleSince, name)
 	n.emit(Noted{Note: NoteShardWritten, Subject: name})
 	n.emitMemberEffects(n.member.Require(n.now, r.Revisions[storage.Control]))
 }
 
-// candidates lists the instances that may hold parts.
+// candidates returns the instances that may hold parts.
 func (n *Node) candidates() []quota.Candidate {
 	entries := n.member.Directory().Entries()
 	list := make([]quota.Candidate, 0, len(entries))
@@ -135,24 +136,24 @@
 	return list
 }
 
-// shardLimits returns the limits of a shard's workspaces under the lists in
-// force here.
+// shardLimits returns the limits of a shard's workspaces under the lists that
+// this instance uses.
 func (n *Node) shardLimits(name string) []config.Limit {
-	if version := n.replica.ListsVersion().Version; version != n.shards.limited {
-		n.shards.limited = version
+	if version := n.replica.ListsVersion().Version; version != n.shards.limitsVersion {
+		n.shards.limitsVersion = version
 		n.indexLimits()
 	}
 	return n.shards.limits[name]
 }
 
-// indexLimits collects the limits of the shards that this instance writes.
-// It goes once through all workspaces, and not through all services for each.
+// indexLimits collects the limits of the shards that this instance writes. It
+// makes one pass over all workspaces and reads the services of each plan once.
 func (n *Node) indexLimits() {
 	clear(n.shards.limits)
 	plans := map[string][]config.Limit{}
 	for w := range n.replica.Workspaces() {
 		shard := quota.ShardOf(w.Name, n.settings.Shards)
-		if _, ok := n.shards.line[shard]; !ok {
+		if _, ok := n.shards.writerRank[shard]; !ok {
 			continue
 		}
 		limits, known := plans[w.Plan]
