--- a/entry/disconnect_test.go
+++ b/entry/disconnect_test.go
@@ -224,12 +224,12 @@
 // after the stop timeout, not after the service's timeout of a minute, and the
 // waiting caller must get the outcome unknown.
 func TestStopIsBoundedByTimeout(t *testing.T) {
-	hangs := make(chan struct{}, 8)
+	started := make(chan struct{}, 8)
 	env := newEnvironment(t, options{
 		adjust: func(s *settings.Settings) { s.Stop.Timeout = config.Duration(300 * time.Millisecond) },
 		own: func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost {
-				hangs <- struct{}{}
+				started <- struct{}{}
 				<-r.Context().Done()
 			}
 			w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
@@ -237,21 +237,21 @@
 	})
 	e := env.entries[0]
 	eventually(t, "the own service is known", func() bool { return env.get(e, "/own/", env.full).status == http.StatusOK })
-	gone := env.dial(e)
-	_, err := fmt.Fprintf(gone, "POST /own/ HTTP/1.1\r\nHost: x\r\nIdempotency-Key: mine\r\nAuthorization: Bearer %s\r\nContent-Length: 0\r\n\r\n", env.full)
+	disconnected := env.dial(e)
+	_, err := fmt.Fprintf(disconnected, "POST /own/ HTTP/1.1\r\nHost: x\r\nIdempotency-Key: mine\r\nAuthorization: Bearer %s\r\nContent-Length: 0\r\n\r\n", env.full)
 	must.NoError(t, err)
-	<-hangs
-	_ = gone.Close()
-	waits := make(chan reply, 1)
-	go func() { waits <- env.call(e, http.MethodPost, "/own/", env.full, nil, nil) }()
-	<-hangs
+	<-started
+	_ = disconnected.Close()
+	waiting := make(chan reply, 1)
+	go func() { waiting <- env.call(e, http.MethodPost, "/own/", env.full, nil, nil) }()
+	<-started
 	env.stops[0]()
 	select {
 	case <-env.ends[0]:
 	case <-time.After(waitTimeout):
 		t.Error("Run did not return in time")
 	}
-	r := <-waits
+	r := <-waiting
 	must.NoError(t, r.err)
 	must.Eq(t, "unknown", r.header.Get(wire.HeaderOutcome))
 	must.StrContains(t, env.log.text(), `"cut":2`)
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -57,7 +57,8 @@
 	// WriteTimeout is how long a caller may read nothing of its answer before
 	// the connection is closed. Default "30s".
 	WriteTimeout config.Duration `json:"writeTimeout"`
-	// IdleTimeout is how long a connection without a request stays open. Default "90s".
+	// IdleTimeout is how long a connection without a request stays open.
+	// Default "90s".
 	IdleTimeout config.Duration `json:"idleTimeout"`
 }
 
@@ -92,7 +93,8 @@
 	URL string `json:"url"`
 	// AnnounceEvery is the interval between announcements. It must be well
 	// below the time after which the platform lists a silent instance as
-	// ended. With 2,000 instances "10s" makes 200 announcements per second. Default "10s".
+	// ended. With 2,000 instances "10s" makes 200 announcements per second.
+	// Default "10s".
 	AnnounceEvery config.Duration `json:"announceEvery"`
 	// RecordsEvery is the interval between writes of decision records.
 	// Default "60s".
@@ -101,7 +103,8 @@
 
 // Fleet holds the settings that must be the same on every instance.
 type Fleet struct {
-	// Shards is the number of workspace shards. Default 64; 1024 for 2,000 instances.
+	// Shards is the number of workspace shards. Default 64; use 1024 for 2,000
+	// instances.
 	Shards int `json:"shards"`
 	// MaxConfigAge is the maximum age of the confirmation that the
 	// configuration is the newest. A change is in force everywhere slightly
