--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,9 +1,9 @@
-// Package logging writes structured lines without ever holding up the work
-// that they tell of.
+// Package logging provides a non-blocking log writer and a rate limiter for log
+// lines.
 //
-// Lines are gathered in a buffer of bounded size and written by a goroutine of
-// its own, several in one call. While the reader of the output stands still,
-// the buffer fills and further lines are dropped and counted.
+// Lines are collected in a buffer of bounded size and written in batches by a
+// separate goroutine. While the output blocks, the buffer fills up and further
+// lines are dropped and counted.
 package logging
 
 import (
@@ -14,14 +14,14 @@
 )
 
 const (
-	// flushEvery is how long a line may wait for others to be written with.
-	flushEvery = 200 * time.Millisecond
-	// maxBuffered bounds the bytes that wait, some seconds of lines at the
-	// usual bound of 150 a second.
-	maxBuffered = 256 << 10
+	// flushInterval is how long a line may wait to be batched with later ones.
+	flushInterval = 200 * time.Millisecond
+	// maxBufferedBytes bounds the buffer. It holds several seconds of lines at
+	// the usual limit of 150 lines per second.
+	maxBufferedBytes = 256 << 10
 )
 
-// Writer gathers lines for out. It is safe for concurrent use.
+// Writer buffers lines for an output. It is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
 	mu      sync.Mutex
@@ -30,17 +30,17 @@
 	wake    chan struct{}
 }
 
-// NewWriter returns a writer; Serve does the writing.
+// NewWriter returns a Writer for out. Lines are written while Serve runs.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: out, wake: make(chan struct{}, 1)}
 }
 
-// Write takes in a line. It never blocks and never fails; a line that doesn't
-// fit is dropped and counted.
+// Write buffers a line. It neither waits for the output nor returns an error; a
+// line that does not fit into the buffer is dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.buffer)+len(line) > maxBuffered {
+	if len(w.buffer)+len(line) > maxBufferedBytes {
 		w.dropped++
 		return len(line), nil
 	}
@@ -52,14 +52,14 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines didn't fit.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Serve writes until the context ends.
+// Serve writes buffered lines until ctx is done, then flushes the rest.
 func (w *Writer) Serve(ctx context.Context) error {
 	for {
 		select {
@@ -69,14 +69,15 @@
 			return ctx.Err()
 		}
 		select {
-		case <-time.After(flushEvery):
+		case <-time.After(flushInterval):
 		case <-ctx.Done():
 		}
 		w.Flush()
 	}
 }
 
-// Flush writes what waits. An output that fails has nobody left to be told.
+// Flush writes the buffered lines. Write errors are ignored, as there is no other
+// output to report them to.
 func (w *Writer) Flush() {
 	w.mu.Lock()
 	b := w.buffer
@@ -87,39 +88,39 @@
 	}
 }
 
-// RateLimiter bounds how many lines a second one kind of event may write.
+// RateLimiter limits the log lines per second. It is safe for concurrent use.
 type RateLimiter struct {
-	mu     sync.Mutex
-	most   int
-	second int64
-	used   int
-	left   uint64
+	mu           sync.Mutex
+	maxPerSecond int
+	second       int64
+	used         int
+	suppressed   uint64
 }
 
-// NewRateLimiter returns a budget of so many lines a second.
-func NewRateLimiter(most int) *RateLimiter { return &RateLimiter{most: most} }
+// NewRateLimiter returns a limiter of maxPerSecond lines per second.
+func NewRateLimiter(maxPerSecond int) *RateLimiter { return &RateLimiter{maxPerSecond: maxPerSecond} }
 
-// Allow reports whether a line may be written at a moment; weight of the
-// budget it may use, so that half leaves the other half to more important
-// lines.
-func (b *RateLimiter) Allow(now time.Duration, weight float64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := int64(now / time.Second); s != b.second {
-		b.second = s
-		b.used = 0
+// Allow reports whether a line may be written at time now. The line may use only
+// the given share of the limit: a share of 0.5 reserves the other half for more
+// important lines.
+func (l *RateLimiter) Allow(now time.Duration, share float64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s := int64(now / time.Second); s != l.second {
+		l.second = s
+		l.used = 0
 	}
-	if float64(b.used) >= float64(b.most)*weight {
-		b.left++
+	if float64(l.used) >= float64(l.maxPerSecond)*share {
+		l.suppressed++
 		return false
 	}
-	b.used++
+	l.used++
 	return true
 }
 
-// Suppressed is how many lines the budget kept back.
-func (b *RateLimiter) Suppressed() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.left
+// Suppressed returns the number of lines that Allow has rejected.
+func (l *RateLimiter) Suppressed() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.suppressed
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -12,18 +12,18 @@
 	"foxtailspoke/logging"
 )
 
-// stuck is an output whose reader stands still.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
-// Whoever collects the logs stands still. Requests must go on as before; what
-// doesn't fit is dropped and counted.
-func TestLinesNeverHoldUpWork(t *testing.T) {
-	out := stuck{make(chan struct{})}
+// The log collector may stop reading, which blocks the output. Writers must not
+// block; lines that do not fit into the buffer are dropped and counted.
+func TestWriteDoesNotBlock(t *testing.T) {
+	out := blockedWriter{make(chan struct{})}
 	w := logging.NewWriter(out)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
@@ -42,7 +42,7 @@
 	must.ErrorIs(t, <-done, context.Canceled)
 }
 
-func TestLinesAreWrittenAtTheEnd(t *testing.T) {
+func TestFlushWritesBufferedLines(t *testing.T) {
 	var out bytes.Buffer
 	w := logging.NewWriter(&out)
 	_, _ = w.Write([]byte("one\n"))
@@ -51,22 +51,22 @@
 	must.Eq(t, "one\ntwo\n", out.String())
 }
 
-func TestBudgetKeepsRoomForWhatMatters(t *testing.T) {
-	b := logging.NewRateLimiter(10)
-	usual := 0
+func TestRateLimiterReservesShare(t *testing.T) {
+	l := logging.NewRateLimiter(10)
+	routine := 0
 	for range 20 {
-		if b.Allow(time.Second, 0.5) {
-			usual++
+		if l.Allow(time.Second, 0.5) {
+			routine++
 		}
 	}
-	must.Eq(t, 5, usual)
+	must.Eq(t, 5, routine)
 	failures := 0
 	for range 20 {
-		if b.Allow(time.Second, 1) {
+		if l.Allow(time.Second, 1) {
 			failures++
 		}
 	}
 	must.Eq(t, 5, failures)
-	must.Eq(t, 30, b.Suppressed())
-	must.True(t, b.Allow(2*time.Second, 0.5))
+	must.Eq(t, 30, l.Suppressed())
+	must.True(t, l.Allow(2*time.Second, 0.5))
 }
