--- a/entry/attempt/attempt.go
+++ b/entry/attempt/attempt.go
@@ -1,12 +1,12 @@
-// Package attempt sends one request to one backend server and tells how it
-// ended: whether the answer is whole and belongs to this attempt, and, if
-// there is none, whether the request can have run.
+// Package attempt sends one request to one backend server and classifies the
+// result: whether the response is complete and belongs to this attempt and, if
+// there is no response, whether the request can have been executed.
 //
-// net/http's Transport by itself sends some requests a second time when a
-// kept connection turns out to be dead. For a request that isn't idempotent
-// that is only right when no byte was written, so requests leave here without
-// the headers that make Transport believe they are idempotent, and the bytes
-// written to the connection are counted.
+// The Transport of net/http retries some requests by itself when a kept-alive
+// connection turns out to be closed. For a request that is not idempotent this
+// is safe only if no byte was written. Requests are therefore sent without the
+// headers that make Transport treat them as idempotent, and the bytes written to
+// the connection are counted.
 package attempt
 
 import (
@@ -23,140 +23,145 @@
 	"foxtailspoke/wire"
 )
 
-// Result is how an attempt ended.
+// Result classifies how an attempt ended.
 type Result int
 
 const (
-	// Answered means a whole answer of this attempt, or the beginning of one
-	// that is too large to hold.
+	// Answered means that a complete response to this attempt was received, or
+	// the beginning of one that is too large to buffer.
 	Answered Result = iota
-	// ConnectFailed means that no connection came about.
+	// ConnectFailed means that no connection could be established.
 	ConnectFailed
 	// Unwritten means that the connection failed before a byte was written.
 	Unwritten
-	// TimedOut means that the answer didn't come in time.
+	// TimedOut means that the response did not arrive within the timeout.
 	TimedOut
 	// ConnectionLost means that the connection failed after a byte was written.
 	ConnectionLost
-	// Incomplete means that the answer ended early.
+	// Incomplete means that the response was truncated.
 	Incomplete
-	// Mismatched means that the answer carried another attempt's id or none.
+	// Mismatched means that the response carried the id of another attempt,
+	// several ids or none.
 	Mismatched
-	// Refused means that the backend server said that it didn't run it.
+	// Refused means that the backend server reported that it did not execute the
+	// request.
 	Refused
-	// Cancelled means that the instance itself gave the attempt up.
+	// Cancelled means that the instance cancelled the attempt.
 	Cancelled
-	// Expired means that nothing was written because Valid said no.
+	// Expired means that nothing was written because Request.Valid returned
+	// false.
 	Expired
-	// BodyFailed means that the request's own body ended early or was too
-	// long, so that the backend server can't be blamed.
+	// BodyFailed means that the request body was truncated or too long. This is
+	// not a fault of the backend server.
 	BodyFailed
 )
 
-// Request is what one attempt sends.
+// Request describes one attempt.
 type Request struct {
-	// Attempt is the attempt's id.
+	// Attempt is the id of the attempt.
 	Attempt string
-	// Address of the backend server or entry instance, "ip:port".
+	// Address is the address of the backend server or entry instance, as
+	// "ip:port".
 	Address string
-	// Method and URI (path with query) are the caller's.
+	// Method and URI (path with query) are those of the caller's request.
 	Method, URI string
-	// Header is the caller's; hop-by-hop headers, the key and idempotency
-	// headers are left out.
+	// Header holds the headers of the caller's request. Hop-by-hop, API key and
+	// idempotency headers are not forwarded.
 	Header http.Header
 	Body   *Body
-	// Workspace that the request runs for.
+	// Workspace is the workspace that the request is executed for.
 	Workspace string
 	// Operation is the caller's idempotency key, or empty.
 	Operation string
-	// Timeout bounds the attempt from its start to the end of its answer,
-	// also of the part that is passed on as it comes.
+	// Timeout bounds the time until the buffered part of the response has been
+	// received. Each later read of Outcome.Rest is bounded by the same duration.
 	Timeout time.Duration
-	// Valid is asked right before the first byte is written; if it says no,
-	// nothing is. A process that is frozen between its decision and the
-	// sending would otherwise send a request when it wakes, for a key that was
-	// withdrawn long before. Nil means always.
+	// Valid is called immediately before the first byte is written; if it
+	// returns false, nothing is written. Without it, a process that is suspended
+	// between the decision and the write would send the request on resuming,
+	// possibly long after the API key was revoked. Nil means always valid.
 	Valid func() bool
-	// Forward passes the request on to another entry instance as the caller
-	// sent it, with its key.
+	// Forward sends the request to another entry instance as the caller sent it,
+	// with its API key.
 	Forward bool
 }
 
-// Outcome is how an attempt ended, with its answer if there is one.
+// Outcome is the result of an attempt, with the response if there is one.
 type Outcome struct {
 	Result Result
 	Status int
 	Header http.Header
-	// Body is the whole answer, or its beginning if Rest isn't nil.
+	// Body is the entire response body, or its beginning if Rest is not nil.
 	Body []byte
-	// Rest is what follows Body. It must be closed.
+	// Rest reads the part of the response body after Body. It must be closed.
 	Rest io.ReadCloser
-	// Length is the declared length of the whole answer, or -1.
+	// Length is the declared length of the entire response body, or -1.
 	Length int64
-	// RetryAfter is what the backend server asked for; 0 if nothing.
+	// RetryAfter is the delay that the backend server requested, or 0.
 	RetryAfter time.Duration
-	// Leaving says that the backend server refused because it is about to
-	// stop.
+	// Leaving means that the backend server refused the request because it is
+	// shutting down.
 	Leaving bool
-	// Latency is the time to the answer's header, or to the failure.
+	// Latency is the time until the response header was received or the attempt
+	// failed.
 	Latency time.Duration
 	Err     error
 }
 
-// ProvedNotRun tells whether the request is proved not to have run.
+// ProvedNotRun reports whether it is certain that the request was not executed.
 func (o Outcome) ProvedNotRun() bool {
 	return o.Result == ConnectFailed || o.Result == Unwritten || o.Result == Refused || o.Result == Expired
 }
 
-// Sender sends attempts over kept connections.
+// Sender sends attempts over kept-alive connections.
 type Sender struct {
 	transport *http.Transport
-	// hold is how many bytes of an answer are held before the first goes to
-	// the caller.
-	hold int64
+	// maxBufferedBytes is how much of a response body is buffered before its
+	// first byte is relayed to the caller.
+	maxBufferedBytes int64
 }
 
-// Send carries out one attempt. It returns when the answer is held, or has
-// filled the bound, or has failed, or ctx has ended.
+// Send executes one attempt. It returns when the response is complete, its
+// buffered part has reached the limit, the attempt has failed or ctx is done.
 func (s *Sender) Send(ctx context.Context, r Request) Outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(r.Timeout, func() { cancel(errTimeout) })
-	watch := &watch{valid: r.Valid}
+	tracker := &connTracker{valid: r.Valid}
 	start := time.Now()
-	answer, err := s.roundTrip(httptrace.WithClientTrace(ctx, watch.trace()), r)
+	resp, err := s.roundTrip(httptrace.WithClientTrace(ctx, tracker.clientTrace()), r)
 	if err != nil {
-		o := failed(ctx, err, watch)
+		o := classifyFailure(ctx, err, tracker)
 		if r.Body.Failed() && o.Result != Unwritten && o.Result != ConnectFailed {
 			o.Result = BodyFailed
 		}
-		end(timer, cancel)
+		release(timer, cancel)
 		o.Latency = time.Since(start)
 		return o
 	}
 	latency := time.Since(start)
-	o := s.receive(ctx, r, answer)
+	o := s.readResponse(ctx, r, resp)
 	o.Latency = latency
 	if o.Rest == nil {
-		end(timer, cancel)
+		release(timer, cancel)
 		return o
 	}
 	timer.Stop()
-	o.Rest = &stream{ReadCloser: o.Rest, timer: timer, silence: r.Timeout, cancel: cancel}
+	o.Rest = &remainder{ReadCloser: o.Rest, timer: timer, idleTimeout: r.Timeout, cancel: cancel}
 	return o
 }
 
-// errTimeout tells an attempt's own timeout from a cancellation.
+// errTimeout distinguishes the attempt's own timeout from a cancellation.
 var errTimeout = errors.New("attempt: timed out")
 
 func (s *Sender) roundTrip(ctx context.Context, r Request) (*http.Response, error) {
-	out, err := outgoing(ctx, r)
+	out, err := newHTTPRequest(ctx, r)
 	if err != nil {
 		return nil, err
 	}
 	return s.transport.RoundTrip(out)
 }
 
-func outgoing(ctx context.Context, r Request) (*http.Request, error) {
+func newHTTPRequest(ctx context.Context, r Request) (*http.Request, error) {
 	body, err := r.Body.Open()
 	if err != nil {
 		return nil, err
@@ -184,15 +189,15 @@
 	return out, nil
 }
 
-// failed classifies a round trip that brought no answer.
-func failed(ctx context.Context, err error, w *watch) Outcome {
+// classifyFailure classifies a round trip that returned no response.
+func classifyFailure(ctx context.Context, err error, t *connTracker) Outcome {
 	o := Outcome{Err: err, Result: ConnectionLost}
 	switch {
-	case w.expired.Load() && !w.wrote():
+	case t.expired.Load() && !t.wrote():
 		o.Result = Expired
-	case !w.connected():
+	case !t.connected():
 		o.Result = ConnectFailed
-	case !w.wrote():
+	case !t.wrote():
 		o.Result = Unwritten
 	case errors.Is(context.Cause(ctx), errTimeout):
 		o.Result = TimedOut
@@ -202,27 +207,27 @@
 	return o
 }
 
-func (s *Sender) receive(ctx context.Context, r Request, answer *http.Response) Outcome {
+func (s *Sender) readResponse(ctx context.Context, r Request, resp *http.Response) Outcome {
 	o := Outcome{
-		Status:     answer.StatusCode,
-		Header:     answer.Header,
-		Length:     answer.ContentLength,
-		RetryAfter: retryAfter(answer.Header),
+		Status:     resp.StatusCode,
+		Header:     resp.Header,
+		Length:     resp.ContentLength,
+		RetryAfter: retryAfter(resp.Header),
 	}
-	if echo := answer.Header.Values(wire.HeaderAttempt); len(echo) != 1 || echo[0] != r.Attempt {
-		_ = answer.Body.Close()
+	if ids := resp.Header.Values(wire.HeaderAttempt); len(ids) != 1 || ids[0] != r.Attempt {
+		_ = resp.Body.Close()
 		o.Result = Mismatched
 		return o
 	}
-	if unbounded(answer) {
-		_ = answer.Body.Close()
+	if closeDelimited(resp) {
+		_ = resp.Body.Close()
 		o.Result = Incomplete
 		return o
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, s.hold+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, s.maxBufferedBytes+1))
 	o.Body = body
 	if err != nil {
-		_ = answer.Body.Close()
+		_ = resp.Body.Close()
 		o.Err = err
 		o.Result = Incomplete
 		if errors.Is(context.Cause(ctx), errTimeout) {
@@ -230,11 +235,11 @@
 		}
 		return o
 	}
-	if int64(len(body)) > s.hold {
-		o.Rest = answer.Body
+	if int64(len(body)) > s.maxBufferedBytes {
+		o.Rest = resp.Body
 		return o
 	}
-	_ = answer.Body.Close()
+	_ = resp.Body.Close()
 	if o.Header.Get(wire.HeaderOutcome) == wire.OutcomeNotRun {
 		o.Result = Refused
 		o.Leaving = o.Header.Get(wire.HeaderLeaving) != ""
@@ -242,10 +247,10 @@
 	return o
 }
 
-// unbounded tells whether only the connection's end marks the body's end. A
-// half answer looks whole then, and would reach the caller as one.
-func unbounded(answer *http.Response) bool {
-	return answer.ContentLength < 0 && len(answer.TransferEncoding) == 0
+// closeDelimited reports whether the body is delimited only by the close of the
+// connection. A truncated body could not be told from a complete one then.
+func closeDelimited(resp *http.Response) bool {
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
 func retryAfter(h http.Header) time.Duration {
@@ -256,29 +261,29 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// stream is the rest of an answer. The timeout bounds each wait for more of it
-// and not the whole: otherwise a large answer to a caller with a slow line
-// would be cut in the middle.
-type stream struct {
+// remainder is the part of a response body that is not buffered. The timeout
+// bounds each read and not the whole transfer; otherwise a large response to a
+// caller on a slow link would be truncated.
+type remainder struct {
 	io.ReadCloser
-	timer   *time.Timer
-	silence time.Duration
-	cancel  context.CancelCauseFunc
+	timer       *time.Timer
+	idleTimeout time.Duration
+	cancel      context.CancelCauseFunc
 }
 
-func (s *stream) Read(p []byte) (int, error) {
-	s.timer.Reset(s.silence)
+func (s *remainder) Read(p []byte) (int, error) {
+	s.timer.Reset(s.idleTimeout)
 	defer s.timer.Stop()
 	return s.ReadCloser.Read(p)
 }
 
-func (s *stream) Close() error {
+func (s *remainder) Close() error {
 	err := s.ReadCloser.Close()
-	end(s.timer, s.cancel)
+	release(s.timer, s.cancel)
 	return err
 }
 
-func end(timer *time.Timer, cancel context.CancelCauseFunc) {
+func release(timer *time.Timer, cancel context.CancelCauseFunc) {
 	timer.Stop()
 	cancel(nil)
 }
--- a/entry/attempt/attempt_test.go
+++ b/entry/attempt/attempt_test.go
@@ -18,13 +18,13 @@
 	"foxtailspoke/wire"
 )
 
-func sender(t *testing.T) *Sender {
+func newTestSender(t *testing.T) *Sender {
 	s := NewSender(Settings{MaxBufferedBytes: 1 << 10, ConnectTimeout: time.Second, IdleTimeout: time.Second, ConnectionsPerServer: 4})
 	t.Cleanup(s.Close)
 	return s
 }
 
-func request(address, method, body string) Request {
+func newTestRequest(address, method, body string) Request {
 	b, err := ReadBody(strings.NewReader(body), int64(len(body)), 1<<10)
 	if err != nil {
 		panic(err)
@@ -43,9 +43,9 @@
 	}
 }
 
-// raw serves one connection after another by script: each reads one request's
-// header and then writes what the script says.
-func raw(t *testing.T, script func(n int32, conn net.Conn, head string)) (string, *atomic.Int32) {
+// startRawServer listens on a local port and calls script with the header of
+// each request. It counts the requests.
+func startRawServer(t *testing.T, script func(n int32, conn net.Conn, header string)) (string, *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -66,106 +66,107 @@
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
 	for {
-		var head strings.Builder
+		var header strings.Builder
 		for {
 			line, err := r.ReadString('\n')
 			if err != nil {
 				return
 			}
-			head.WriteString(line)
+			header.WriteString(line)
 			if line == "\r\n" {
 				break
 			}
 		}
-		script(requests.Add(1), conn, head.String())
+		script(requests.Add(1), conn, header.String())
 	}
 }
 
-func TestEndings(t *testing.T) {
+func TestResults(t *testing.T) {
 	cases := []struct {
-		name, answer string
-		want         Result
+		name, response string
+		want           Result
 	}{
-		{"whole", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", Answered},
-		{"another's answer", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a0\r\nContent-Length: 2\r\n\r\nok", Mismatched},
-		{"no echo", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Mismatched},
-		{"two echoes", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nFoxtailspoke-Attempt: a0\r\nContent-Length: 2\r\n\r\nok", Mismatched},
-		{"half", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 9\r\n\r\nok", Incomplete},
-		{"half chunk", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok", Incomplete},
-		{"end not told", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nConnection: close\r\n\r\nok", Incomplete},
+		{"complete", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", Answered},
+		{"id of another attempt", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a0\r\nContent-Length: 2\r\n\r\nok", Mismatched},
+		{"no attempt id", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Mismatched},
+		{"two attempt ids", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nFoxtailspoke-Attempt: a0\r\nContent-Length: 2\r\n\r\nok", Mismatched},
+		{"truncated body", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 9\r\n\r\nok", Incomplete},
+		{"truncated chunk", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok", Incomplete},
+		{"delimited by close", "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nConnection: close\r\n\r\nok", Incomplete},
 		{"refused", "HTTP/1.1 503 Busy\r\nFoxtailspoke-Attempt: a1\r\nFoxtailspoke-Outcome: not-run\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", Refused},
-		{"closed at once", "", ConnectionLost},
+		{"closed without response", "", ConnectionLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			address, _ := raw(t, func(_ int32, conn net.Conn, _ string) {
-				_, _ = io.WriteString(conn, c.answer)
+			address, _ := startRawServer(t, func(_ int32, conn net.Conn, _ string) {
+				_, _ = io.WriteString(conn, c.response)
 				_ = conn.Close()
 			})
-			o := sender(t).Send(context.Background(), request(address, http.MethodPost, "x"))
+			o := newTestSender(t).Send(context.Background(), newTestRequest(address, http.MethodPost, "x"))
 			must.Eq(t, c.want, o.Result, must.Sprint(o.Err))
 			must.Eq(t, c.want == Refused, o.ProvedNotRun())
 		})
 	}
 }
 
-// The backend server accepts an order on a kept connection, reads it, and the
-// connection dies. http.Transport would send an order without a body again by
-// itself because of its Idempotency-Key, and the server would run it twice.
-func TestOrderOnDeadKeptConnectionIsSentOnce(t *testing.T) {
-	address, requests := raw(t, func(n int32, conn net.Conn, _ string) {
+// Guards against a duplicate execution: the backend server reads a request on a
+// kept-alive connection and closes it without a response. Because of the
+// Idempotency-Key, http.Transport would resend a request without a body by
+// itself.
+func TestRequestOnClosedKeepAliveConnectionIsSentOnce(t *testing.T) {
+	address, requests := startRawServer(t, func(n int32, conn net.Conn, _ string) {
 		if n == 1 {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
 		_ = conn.Close()
 	})
-	s := sender(t)
-	must.Eq(t, Answered, s.Send(context.Background(), request(address, http.MethodPost, "")).Result)
-	o := s.Send(context.Background(), request(address, http.MethodPost, ""))
+	s := newTestSender(t)
+	must.Eq(t, Answered, s.Send(context.Background(), newTestRequest(address, http.MethodPost, "")).Result)
+	o := s.Send(context.Background(), newTestRequest(address, http.MethodPost, ""))
 	must.Eq(t, ConnectionLost, o.Result)
 	must.False(t, o.ProvedNotRun())
 	must.Eq(t, 2, requests.Load())
 }
 
-func TestKeyAndConnectionHeadersStayHere(t *testing.T) {
-	heads := make(chan string, 2)
-	address, _ := raw(t, func(_ int32, conn net.Conn, head string) {
-		heads <- head
+func TestKeyAndHopByHopHeadersAreNotForwarded(t *testing.T) {
+	headers := make(chan string, 2)
+	address, _ := startRawServer(t, func(_ int32, conn net.Conn, header string) {
+		headers <- header
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\nFoxtailspoke-Attempt: a1\r\n\r\n")
 	})
-	s := sender(t)
-	s.Send(context.Background(), request(address, http.MethodPost, ""))
-	head := <-heads
-	for _, gone := range []string{"fsk_secret", "Idempotency-Key", "X-Hop", "Forged", "User-Agent"} {
-		must.StrNotContains(t, head, gone)
+	s := newTestSender(t)
+	s.Send(context.Background(), newTestRequest(address, http.MethodPost, ""))
+	header := <-headers
+	for _, removed := range []string{"fsk_secret", "Idempotency-Key", "X-Hop", "Forged", "User-Agent"} {
+		must.StrNotContains(t, header, removed)
 	}
 	for _, kept := range []string{"POST /orders/1?x=1 ", "X-Kept: 1", "Foxtailspoke-Workspace: w", "Foxtailspoke-Operation: op1"} {
-		must.StrContains(t, head, kept)
+		must.StrContains(t, header, kept)
 	}
-	forward := request(address, http.MethodPost, "")
+	forward := newTestRequest(address, http.MethodPost, "")
 	forward.Forward = true
 	s.Send(context.Background(), forward)
-	must.StrContains(t, <-heads, "fsk_secret")
+	must.StrContains(t, <-headers, "fsk_secret")
 }
 
-// The process is frozen after its decision to send an order, on a new or on a
-// kept connection, and wakes when the caller's key has long been withdrawn.
-// Nothing is written, which proves the order not run.
+// Guards against sending a request after its API key was revoked: the process is
+// suspended after the decision to send, on a new or a kept-alive connection.
+// Nothing must be written on resuming, which proves the request not executed.
 func TestExpiredDecisionWritesNothing(t *testing.T) {
-	address, requests := raw(t, func(_ int32, conn net.Conn, _ string) {
+	address, requests := startRawServer(t, func(_ int32, conn net.Conn, _ string) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nFoxtailspoke-Attempt: a1\r\nContent-Length: 0\r\n\r\n")
 	})
-	s := sender(t)
+	s := newTestSender(t)
 	for _, body := range []string{"x", ""} {
-		r := request(address, http.MethodPost, body)
+		r := newTestRequest(address, http.MethodPost, body)
 		r.Valid = func() bool { return false }
 		o := s.Send(context.Background(), r)
 		must.Eq(t, Expired, o.Result, must.Sprint(o.Err))
 		must.True(t, o.ProvedNotRun())
 		must.Eq(t, 0, requests.Load())
 	}
-	r := request(address, http.MethodPost, "")
+	r := newTestRequest(address, http.MethodPost, "")
 	r.Valid = func() bool { return true }
 	must.Eq(t, Answered, s.Send(context.Background(), r).Result)
 	r.Valid = func() bool { return false }
@@ -173,46 +174,46 @@
 	must.Eq(t, 1, requests.Load())
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, l.Close())
-	o := sender(t).Send(context.Background(), request(l.Addr().String(), http.MethodPost, "x"))
+	o := newTestSender(t).Send(context.Background(), newTestRequest(l.Addr().String(), http.MethodPost, "x"))
 	must.Eq(t, ConnectFailed, o.Result)
 	must.True(t, o.ProvedNotRun())
 }
 
-// The backend server takes the order and never answers. The caller learns at
-// the timeout that the outcome is unknown; a caller that hangs up ends the
-// attempt sooner, and that is no evidence against the server.
-func TestTimeoutAndCancelAreToldApart(t *testing.T) {
+// The backend server receives the request and does not respond. A timeout leaves
+// the outcome unknown; a cancellation after the caller disconnected must be
+// classified differently because it is no evidence against the backend server.
+func TestTimeoutIsDistinguishedFromCancellation(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	arrived := make(chan struct{}, 2)
-	address, _ := raw(t, func(int32, net.Conn, string) {
+	address, _ := startRawServer(t, func(int32, net.Conn, string) {
 		arrived <- struct{}{}
 		<-release
 	})
-	r := request(address, http.MethodPost, "x")
+	r := newTestRequest(address, http.MethodPost, "x")
 	r.Timeout = 30 * time.Millisecond
-	must.Eq(t, TimedOut, sender(t).Send(context.Background(), r).Result)
+	must.Eq(t, TimedOut, newTestSender(t).Send(context.Background(), r).Result)
 	<-arrived
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-arrived
 		cancel()
 	}()
-	must.Eq(t, Cancelled, sender(t).Send(ctx, request(address, http.MethodPost, "x")).Result)
+	must.Eq(t, Cancelled, newTestSender(t).Send(ctx, newTestRequest(address, http.MethodPost, "x")).Result)
 }
 
-func TestLargeAnswerStreamsAndBreaksVisibly(t *testing.T) {
+func TestTruncatedStreamedResponseReturnsError(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 		w.Header().Set("Content-Length", "5000")
 		_, _ = w.Write(make([]byte, 4000))
 	}))
 	defer server.Close()
-	o := sender(t).Send(context.Background(), request(server.Listener.Addr().String(), http.MethodGet, ""))
+	o := newTestSender(t).Send(context.Background(), newTestRequest(server.Listener.Addr().String(), http.MethodGet, ""))
 	must.Eq(t, Answered, o.Result)
 	must.NotNil(t, o.Rest)
 	_, err := io.ReadAll(o.Rest)
@@ -220,10 +221,9 @@
 	must.NoError(t, o.Rest.Close())
 }
 
-// A large answer takes longer in all than the request's timeout, which bounds
-// the time to its beginning. It must arrive whole. One that stalls for as long
-// as the timeout breaks off.
-func TestTimeoutBoundsSilenceOfAStream(t *testing.T) {
+// A streamed response may take longer in total than the timeout and must arrive
+// complete. A response that stalls for the timeout must be aborted.
+func TestTimeoutBoundsStallOfStreamedResponse(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"steady": 60 * time.Millisecond, "stalled": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			released := make(chan struct{})
@@ -241,9 +241,9 @@
 			}))
 			defer server.Close()
 			defer close(released)
-			r := request(server.Listener.Addr().String(), http.MethodGet, "")
+			r := newTestRequest(server.Listener.Addr().String(), http.MethodGet, "")
 			r.Timeout = 300 * time.Millisecond
-			o := sender(t).Send(context.Background(), r)
+			o := newTestSender(t).Send(context.Background(), r)
 			must.NotNil(t, o.Rest)
 			rest, err := io.ReadAll(o.Rest)
 			must.NoError(t, o.Rest.Close())
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestStreamedBodyGoesOutOnce(t *testing.T) {
+func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	large := strings.Repeat("p", 5000)
 	b, err := ReadBody(strings.NewReader(large), int64(len(large)), 1000)
 	must.NoError(t, err)
--- a/entry/attempt/header.go
+++ b/entry/attempt/header.go
@@ -7,31 +7,30 @@
 	"foxtailspoke/wire"
 )
 
-// hopByHop lists the headers that belong to one connection (RFC 9110,
-// section 7.6.1).
+// hopByHop lists the hop-by-hop headers (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// keyHeaders lists the headers in which callers present keys.
+// keyHeaders lists the headers in which callers send API keys.
 var keyHeaders = []string{"Authorization", "Cookie", "X-Api-Key"}
 
-// replayHeaders lists the headers that make http.Transport send a request a
-// second time by itself. With one of them a POST without a body would be
-// repeated after its bytes were written; the backend server would run it
-// twice. wire.HeaderOperation takes their place.
+// replayHeaders lists the headers that make http.Transport retry a request by
+// itself. With one of them, a POST without a body would be resent after its
+// bytes were written, and the backend server would execute it twice.
+// wire.HeaderOperation replaces them.
 var replayHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// forwardedHeader returns the caller's headers as they may go on. The key
-// goes on only to another entry instance.
+// forwardedHeader returns the headers of a caller's request that are forwarded.
+// The API key is forwarded only to another entry instance.
 func forwardedHeader(h http.Header, toEntry bool) http.Header {
 	out := h.Clone()
 	if out == nil {
 		out = http.Header{}
 	}
 	deleteHopByHop(out)
-	// The caller was told to go on here already.
+	// This instance has already answered the caller's expectation.
 	out.Del("Expect")
 	deleteAll(out, replayHeaders)
 	if !toEntry {
@@ -48,21 +47,21 @@
 	return out
 }
 
-// CopyResponseHeader copies a backend server's headers into the caller's answer,
-// without those of the connection and of the protocol between the two.
+// CopyResponseHeader copies the headers of a backend server's response into the
+// response to the caller, without hop-by-hop headers and those of the protocol
+// between entry instance and backend server.
 func CopyResponseHeader(to, from http.Header) {
-	kept := from.Clone()
-	deleteHopByHop(kept)
-	for name, values := range kept {
+	headers := from.Clone()
+	deleteHopByHop(headers)
+	for name, values := range headers {
 		if !strings.HasPrefix(name, wire.OwnHeaders) {
 			to[name] = values
 		}
 	}
 }
 
-// deleteHopByHop removes the headers of one connection, and those that
-// Connection lists as such. Passed on, they would tell the next connection
-// what was meant for this one.
+// deleteHopByHop removes the hop-by-hop headers and those that Connection lists,
+// since they apply to a single connection only.
 func deleteHopByHop(h http.Header) {
 	for _, listed := range h.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
--- a/entry/attempt/transport.go
+++ b/entry/attempt/transport.go
@@ -12,24 +12,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings of a Sender.
+// Settings configures a Sender.
 type Settings struct {
-	// MaxBufferedBytes is how many bytes of an answer are held before the first
-	// goes to the caller. Default 1 MiB.
+	// MaxBufferedBytes is how much of a response body is buffered before its
+	// first byte is relayed to the caller. Default 1 MiB.
 	MaxBufferedBytes int64
-	// ConnectTimeout bounds the making of a connection. Default 250 ms.
+	// ConnectTimeout bounds the time to establish a connection. Default 250 ms.
 	ConnectTimeout time.Duration
-	// IdleTimeout closes connections that carry nothing. Default 30 s.
+	// IdleTimeout is how long an idle connection is kept open. Default 30 s.
 	IdleTimeout time.Duration
-	// ConnectionsPerServer bounds the connections to one address. Default 16.
+	// ConnectionsPerServer is the maximum number of connections to one address.
+	// Default 16.
 	ConnectionsPerServer int
 }
 
-// NewSender returns a Sender.
 func NewSender(s Settings) *Sender {
 	dialer := net.Dialer{Timeout: s.ConnectTimeout}
 	return &Sender{
-		hold: s.MaxBufferedBytes,
+		maxBufferedBytes: s.MaxBufferedBytes,
 		transport: &http.Transport{
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dialer.DialContext(ctx, network, address)
@@ -49,78 +49,82 @@
 // Close closes the idle connections.
 func (s *Sender) Close() { s.transport.CloseIdleConnections() }
 
-// countingConn counts the bytes handed to the operating system. A byte counts
-// before it is written, so that "none" is never wrong.
+// countingConn counts the bytes passed to the operating system. Bytes are
+// counted before they are written, so a count of zero proves that nothing was
+// sent.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
-	// gate is asked before the first byte of a request is written.
-	gate atomic.Pointer[func() bool]
+	// beforeWrite is called before the first byte of a request is written; if it
+	// returns false, the write fails.
+	beforeWrite atomic.Pointer[func() bool]
 }
 
 func (c *countingConn) Write(p []byte) (int, error) {
-	if gate := c.gate.Swap(nil); gate != nil && !(*gate)() {
+	if gate := c.beforeWrite.Swap(nil); gate != nil && !(*gate)() {
 		return 0, errExpired
 	}
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// watch observes which connection a round trip used, and what it wrote.
-type watch struct {
-	mu     sync.Mutex
-	conn   *countingConn
-	before int64
-	// unseen means that the connection's bytes can't be counted.
-	unseen bool
-	// valid says whether the decision to send still holds.
+// connTracker records which connection a round trip used and whether it wrote to
+// it.
+type connTracker struct {
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
+	// untracked means that the written bytes cannot be counted.
+	untracked bool
+	// valid reports whether the decision to send is still valid.
 	valid func() bool
-	// expired says that it didn't when the first byte was due.
+	// expired means that the decision was no longer valid when the first byte
+	// was to be written.
 	expired atomic.Bool
 }
 
-// errExpired keeps a request from being written.
-var errExpired = errors.New("attempt: the decision to send it is too old")
+// errExpired aborts the write of a request whose decision is no longer valid.
+var errExpired = errors.New("attempt: decision to send is no longer valid")
 
-// check is the gate of a connection for this round trip.
-func (w *watch) check() bool {
-	if w.valid() {
+// checkValid is the beforeWrite function of the connection for this round trip.
+func (t *connTracker) checkValid() bool {
+	if t.valid() {
 		return true
 	}
-	w.expired.Store(true)
+	t.expired.Store(true)
 	return false
 }
 
-func (w *watch) trace() *httptrace.ClientTrace {
+func (t *connTracker) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if w.conn != nil && w.conn.written.Load() > w.before {
-			w.unseen = true
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		if t.conn != nil && t.conn.written.Load() > t.writtenBefore {
+			t.untracked = true
 		}
 		conn, ok := info.Conn.(*countingConn)
 		if !ok {
-			w.unseen = true
+			t.untracked = true
 			return
 		}
-		w.conn = conn
-		w.before = conn.written.Load()
-		if w.valid != nil {
-			check := w.check
-			conn.gate.Store(&check)
+		t.conn = conn
+		t.writtenBefore = conn.written.Load()
+		if t.valid != nil {
+			check := t.checkValid
+			conn.beforeWrite.Store(&check)
 		}
 	}}
 }
 
-func (w *watch) connected() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.conn != nil || w.unseen
+func (t *connTracker) connected() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.conn != nil || t.untracked
 }
 
-// wrote tells whether a byte of the request may have left.
-func (w *watch) wrote() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.unseen || (w.conn != nil && w.conn.written.Load() > w.before)
+// wrote reports whether a byte of the request may have been sent.
+func (t *connTracker) wrote() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.untracked || (t.conn != nil && t.conn.written.Load() > t.writtenBefore)
 }
--- a/entry/callers/api.go
+++ b/entry/callers/api.go
@@ -14,33 +14,34 @@
 	"foxtailspoke/node"
 )
 
-// api implements the generated interfaces.
+// api implements the generated server interfaces.
 type api struct{ c *Service }
 
 func newAPI(c *Service) (http.Handler, error) {
 	a := api{c}
 	server, err := oas.NewServer(a, a)
-	return server, errors.Wrap(err, "callers: API")
+	return server, errors.Wrap(err, "callers: create API server")
 }
 
-// refusal is the node's refusal as an error of the generated code.
+// refusal is a refused request as an error for the generated server.
 type refusal struct{ answer }
 
 // Error implements error.
 func (r refusal) Error() string { return string(r.answer.refusal.Rule) }
 
-type keyContext struct{}
+type keyContextKey struct{}
 
-// HandleKey implements oas.SecurityHandler. The node decides about the key.
+// HandleKey implements oas.SecurityHandler. It only hashes the key; the node
+// validates it.
 func (a api) HandleKey(ctx context.Context, _ oas.OperationName, k oas.Key) (context.Context, error) {
-	return context.WithValue(ctx, keyContext{}, config.HashKey(k.Token)), nil
+	return context.WithValue(ctx, keyContextKey{}, config.HashKey(k.Token)), nil
 }
 
 // Locate implements oas.Handler.
 func (a api) Locate(ctx context.Context, p oas.LocateParams) (*oas.Located, error) {
-	key, has := ctx.Value(keyContext{}).(config.KeyHash)
+	key, has := ctx.Value(keyContextKey{}).(config.KeyHash)
 	at := time.Now()
-	x := newExchange(decision.NewRequestID(a.c.instance, at, a.c.number.Add(1)), nil, nil)
+	x := newExchange(decision.NewRequestID(a.c.instance, at, a.c.requestNumber.Add(1)), nil, nil)
 	a.c.add(x)
 	defer a.c.remove(x, "")
 	a.c.loop.Submit(node.LocateAsked{Request: x.id, At: at, Key: key, HasKey: has, Operations: p.Operations.Or(0)})
--- a/entry/callers/body.go
+++ b/entry/callers/body.go
@@ -13,7 +13,7 @@
 	"foxtailspoke/entry/attempt"
 )
 
-// readBody holds the beginning of the body, within the bounds.
+// readBody buffers the beginning of the request body, within the size limits.
 func (c *Service) readBody(w http.ResponseWriter, r *http.Request) (*attempt.Body, error) {
 	if r.ContentLength > c.settings.MaxBodyBytes {
 		return nil, errTooLarge
@@ -21,31 +21,31 @@
 	return attempt.ReadBody(http.MaxBytesReader(w, r.Body, c.settings.MaxBodyBytes), r.ContentLength, c.settings.MaxBufferedBytes)
 }
 
-// refuseBody answers a request whose body can't be read.
+// refuseBody refuses a request whose body cannot be read.
 func (c *Service) refuseBody(w http.ResponseWriter, r *http.Request, id string, err error) {
-	record := c.malformed(r, id, "its body didn't arrive whole")
-	var tooMuch *http.MaxBytesError
-	if errors.Is(err, errTooLarge) || errors.As(err, &tooMuch) {
+	record := c.malformedRecord(r, id, "its body didn't arrive whole")
+	var maxBytesErr *http.MaxBytesError
+	if errors.Is(err, errTooLarge) || errors.As(err, &maxBytesErr) {
 		record.Rule = decision.RuleTooLarge
 		record.Figures = decision.Figures{Size: max(r.ContentLength, 0), MaxSize: c.settings.MaxBodyBytes}
 	}
-	c.refuseHere(w, r, record)
+	c.refuseLocally(w, r, record)
 }
 
-// refuseHere answers a request that the node doesn't hear of.
-func (c *Service) refuseHere(w http.ResponseWriter, r *http.Request, record decision.Record) {
+// refuseLocally refuses a request without submitting it to the node.
+func (c *Service) refuseLocally(w http.ResponseWriter, r *http.Request, record decision.Record) {
 	c.metrics.Answered(record.Outcome, record.Rule)
 	c.record(record)
 	c.writeRefusal(w, r, record, nil)
 }
 
-// refuseMalformed answers a request that can't be served whoever sends it.
-func (c *Service) refuseMalformed(w http.ResponseWriter, r *http.Request, why string) {
-	id := decision.NewRequestID(c.instance, time.Now(), c.number.Add(1))
-	c.refuseHere(w, r, c.malformed(r, id, why))
+// refuseMalformed refuses a request that is invalid for every caller.
+func (c *Service) refuseMalformed(w http.ResponseWriter, r *http.Request, reason string) {
+	id := decision.NewRequestID(c.instance, time.Now(), c.requestNumber.Add(1))
+	c.refuseLocally(w, r, c.malformedRecord(r, id, reason))
 }
 
-func (c *Service) malformed(r *http.Request, id, why string) decision.Record {
+func (c *Service) malformedRecord(r *http.Request, id, reason string) decision.Record {
 	return decision.Record{
 		Request:  id,
 		At:       time.Now(),
@@ -53,13 +53,13 @@
 		Method:   r.Method,
 		Outcome:  decision.NotRun,
 		Rule:     decision.RuleBadRequest,
-		Figures:  decision.Figures{Detail: why},
+		Figures:  decision.Figures{Detail: reason},
 	}
 }
 
-// digest identifies what a repeat under the same idempotency key must have
-// in common with the first request: method, path, query, length and the part
-// of the body that is held.
+// digest hashes what a retry under the same idempotency key must have in common
+// with the first request: method, path, query, body length and the buffered part
+// of the body.
 func digest(r *http.Request, b *attempt.Body) claim.Digest {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.URL.RequestURI()} {
--- a/entry/callers/callers.go
+++ b/entry/callers/callers.go
@@ -1,7 +1,7 @@
-// Package callers serves callers: the generated API that tells them which
-// addresses to use, and a plain handler for the requests themselves, whose
-// paths are free and whose bodies are streamed. OpenAPI can't describe those,
-// so that handler stands beside the generated server.
+// Package callers serves callers: the generated API that returns the addresses
+// to use, and a plain HTTP handler for the requests themselves. Their paths are
+// arbitrary and their bodies are streamed, which OpenAPI cannot describe, so
+// that handler is separate from the generated server.
 package callers
 
 import (
@@ -23,26 +23,29 @@
 	"foxtailspoke/wire"
 )
 
-// ownPrefix begins the paths that aren't passed on.
-const ownPrefix = "/-/"
+// reservedPrefix is the prefix of the paths that are not forwarded to backend
+// servers.
+const reservedPrefix = "/-/"
 
-// Submitter takes events for the node.
+// Submitter queues events for the node.
 type Submitter interface{ Submit(node.Event) }
 
-// Settings of the service for callers.
+// Settings configures a Service.
 type Settings struct {
-	// MaxBufferedBytes of a request's body are held, so that it can be sent again
-	// when an attempt was proved not run.
+	// MaxBufferedBytes is how much of a request body is buffered, so that the
+	// request can be sent again if an attempt is proved not to have been
+	// executed.
 	MaxBufferedBytes int64
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// WriteTimeout is how long a caller may take nothing of its answer.
+	// WriteTimeout is how long a write to a caller may block.
 	WriteTimeout time.Duration
-	// MaxStoredAnswerBytes bounds the answer kept for repeats of an operation.
+	// MaxStoredAnswerBytes is the maximum size of a response that is stored for
+	// retries of an operation.
 	MaxStoredAnswerBytes int
 }
 
-// Service serves callers' requests.
+// Service serves the requests of callers.
 type Service struct {
 	instance string
 	settings Settings
@@ -53,45 +56,46 @@
 	record   func(decision.Record)
 	api      http.Handler
 
-	number atomic.Uint64
-	mu     sync.Mutex
-	open   map[string]*exchange
-	// cancels gives up attempts that are under way.
+	requestNumber atomic.Uint64
+	mu            sync.Mutex
+	exchanges     map[string]*exchange
+	// cancels holds the cancel functions of the running attempts by attempt id.
 	cancels map[string]context.CancelFunc
 	now     func() time.Duration
 	wg      sync.WaitGroup
 }
 
-// Readiness tells whether the instance accepts requests, and if not, by which
+// Readiness reports whether the instance accepts requests and, if not, by which
 // rule it refuses them.
 type Readiness func() (decision.Rule, bool)
 
-// Metrics counts what callers see. Its methods must not block.
+// Metrics counts responses and attempts. Its methods must not block.
 type Metrics interface {
-	// Answered counts an answer.
+	// Answered counts a response.
 	Answered(outcome decision.Outcome, rule decision.Rule)
-	// Added takes the time that the instance added to an answer: from arrival
-	// to its first byte, less the time of the attempt that brought it.
+	// Added records the latency that the instance added to a response: from
+	// arrival to the first byte, less the latency of the attempt that returned
+	// it.
 	Added(time.Duration)
-	// Attempt counts an attempt that has ended, by the server's service.
+	// Attempt counts a finished attempt by the service of its backend server.
 	Attempt(service, result string)
 }
 
 // New returns the service of an instance. Record takes the records of requests
-// that are refused before the node hears of them; it must not block. Now is the
-// node's clock.
+// that are refused before they reach the node; it must not block. Now is the
+// clock of the node.
 func New(instance string, s Settings, loop Submitter, sender *attempt.Sender, m Metrics, ready Readiness, record func(decision.Record), now func() time.Duration) (*Service, error) {
 	c := &Service{
-		instance: instance,
-		settings: s,
-		loop:     loop,
-		sender:   sender,
-		metrics:  m,
-		ready:    ready,
-		record:   record,
-		now:      now,
-		open:     map[string]*exchange{},
-		cancels:  map[string]context.CancelFunc{},
+		instance:  instance,
+		settings:  s,
+		loop:      loop,
+		sender:    sender,
+		metrics:   m,
+		ready:     ready,
+		record:    record,
+		now:       now,
+		exchanges: map[string]*exchange{},
+		cancels:   map[string]context.CancelFunc{},
 	}
 	api, err := newAPI(c)
 	c.api = api
@@ -100,29 +104,30 @@
 
 // ServeHTTP implements http.Handler.
 func (c *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The deadline of the connection's last answer would still stand.
+	// The write deadline of the previous response on the connection would
+	// otherwise still apply.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
-	if why := notUnderstood(r); why != "" {
-		c.refuseMalformed(w, r, why)
+	if reason := rejectReason(r); reason != "" {
+		c.refuseMalformed(w, r, reason)
 		return
 	}
-	if strings.HasPrefix(r.URL.Path, ownPrefix) {
+	if strings.HasPrefix(r.URL.Path, reservedPrefix) {
 		c.api.ServeHTTP(w, r)
 		return
 	}
 	c.serve(w, r)
 }
 
-// InFlight returns how many requests have no answer yet.
+// InFlight returns the number of requests that have not been answered.
 func (c *Service) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open)
+	return len(c.exchanges)
 }
 
-// Drain waits for the attempts under way. When ctx ends it gives up those
-// that are left and returns their number: an operation with a key runs to its
-// end though its caller has gone, and that end may be an hour away.
+// Drain waits for the running attempts. When ctx is done it cancels the
+// remaining ones and returns their number: an operation with a key runs to
+// completion even if its caller has disconnected, which may take an hour.
 func (c *Service) Drain(ctx context.Context) (cut int) {
 	done := make(chan struct{})
 	go func() {
@@ -150,12 +155,12 @@
 
 func (c *Service) serve(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	id := decision.NewRequestID(c.instance, start, c.number.Add(1))
+	id := decision.NewRequestID(c.instance, start, c.requestNumber.Add(1))
 	key, has := presentedKey(r)
 	body := attempt.NoBody()
 	var err error
 	if has {
-		// Without a key the request is refused: its body needn't be held.
+		// A request without a key is refused, so its body is not buffered.
 		body, err = c.readBody(w, r)
 	}
 	if err != nil {
@@ -176,11 +181,12 @@
 		Digest:    digest(r, body),
 		Forwarded: r.Header.Get(wire.HeaderForwarded) != "",
 	})
-	passedOn := c.await(w, r, x, start)
-	c.remove(x, passedOn)
+	relayed := c.await(w, r, x, start)
+	c.remove(x, relayed)
 }
 
-// await writes the node's answer. It returns the attempt that was passed on.
+// await writes the response that the node decided on. It returns the id of the
+// attempt whose response was relayed, or an empty string.
 func (c *Service) await(w http.ResponseWriter, r *http.Request, x *exchange, start time.Time) string {
 	select {
 	case a := <-x.answers:
@@ -195,14 +201,14 @@
 func (c *Service) add(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open[x.id] = x
+	c.exchanges[x.id] = x
 }
 
-func (c *Service) remove(x *exchange, passedOn string) {
+func (c *Service) remove(x *exchange, relayed string) {
 	c.mu.Lock()
-	delete(c.open, x.id)
+	delete(c.exchanges, x.id)
 	c.mu.Unlock()
-	for _, id := range x.finish(passedOn) {
+	for _, id := range x.finish(relayed) {
 		c.loop.Submit(node.StreamEnded{Attempt: id})
 	}
 }
@@ -210,10 +216,10 @@
 func (c *Service) exchange(id string) *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open[id]
+	return c.exchanges[id]
 }
 
-// StartAttempt carries out StartAttempt. It doesn't block.
+// StartAttempt executes the effect node.StartAttempt. It does not block.
 func (c *Service) StartAttempt(e node.StartAttempt) {
 	x := c.exchange(e.Request)
 	if x == nil {
@@ -236,7 +242,7 @@
 	})
 }
 
-// CancelAttempt carries out CancelAttempt.
+// CancelAttempt executes the effect node.CancelAttempt.
 func (c *Service) CancelAttempt(e node.CancelAttempt) {
 	c.mu.Lock()
 	cancel := c.cancels[e.Attempt]
@@ -262,8 +268,8 @@
 	}
 }
 
-// ended reports an attempt. An answer that nobody waits for any more, because
-// the caller has gone, counts as cut off.
+// ended reports a finished attempt to the node. A streamed response whose caller
+// has disconnected is reported as truncated.
 func (c *Service) ended(x *exchange, e node.StartAttempt, o attempt.Outcome) {
 	event := node.AttemptEnded{
 		Attempt:    e.Attempt,
@@ -279,14 +285,15 @@
 		event.Answer = &claim.Answer{Status: o.Status, ContentType: o.Header.Get("Content-Type"), Body: o.Body}
 	}
 	c.metrics.Attempt(e.Server.Service, event.Result.String())
-	kept := x.keep(e.Attempt, o)
+	kept := x.addOutcome(e.Attempt, o)
 	c.loop.Submit(event)
 	if !kept && event.Streaming {
 		c.loop.Submit(node.StreamEnded{Attempt: e.Attempt})
 	}
 }
 
-// Answer carries out Relay, Refuse, Repeat and Located. It doesn't block.
+// Answer executes the effects Relay, Refuse, Repeat and Located. It does not
+// block.
 func (c *Service) Answer(e node.Effect) {
 	switch e := e.(type) {
 	case node.Relay:
@@ -306,7 +313,7 @@
 	}
 }
 
-// presentedKey returns the hash of the key that came with a request.
+// presentedKey returns the hash of the API key of a request.
 func presentedKey(r *http.Request) (config.KeyHash, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -316,7 +323,7 @@
 }
 
 // operationOf returns the caller's idempotency key. Another entry instance
-// passes it on under another name; see package attempt.
+// forwards it in a different header; see package attempt.
 func operationOf(r *http.Request) string {
 	if forwarded := r.Header.Get(wire.HeaderOperation); forwarded != "" && r.Header.Get(wire.HeaderForwarded) != "" {
 		return forwarded
@@ -324,7 +331,7 @@
 	return r.Header.Get("Idempotency-Key")
 }
 
-// HealthResult translates an attempt's ending for package health.
+// HealthResult converts the result of an attempt for package health.
 func HealthResult(o attempt.Outcome) health.Result {
 	switch o.Result {
 	case attempt.Answered:
@@ -352,8 +359,8 @@
 	}
 }
 
-// details says in plain words how an attempt failed.
-var details = map[attempt.Result]string{
+// failureDetails describes to people how an attempt failed.
+var failureDetails = map[attempt.Result]string{
 	attempt.ConnectFailed:  "no connection could be made",
 	attempt.Expired:        "the instance stood still before it could be sent",
 	attempt.Unwritten:      "the connection failed before anything was sent",
@@ -365,7 +372,7 @@
 	attempt.Refused:        "the backend server had no room",
 }
 
-func detail(o attempt.Outcome) string { return details[o.Result] }
+func detail(o attempt.Outcome) string { return failureDetails[o.Result] }
 
-// errTooLarge reports a body beyond MaxBodyBytes.
-var errTooLarge = errors.New("callers: body too large")
+// errTooLarge means that a request body exceeds MaxBodyBytes.
+var errTooLarge = errors.New("callers: request body too large")
--- a/entry/callers/exchange.go
+++ b/entry/callers/exchange.go
@@ -10,22 +10,23 @@
 	"foxtailspoke/node"
 )
 
-// exchange is one caller's request while its handler runs.
+// exchange is the state of one request while its handler runs.
 type exchange struct {
 	id   string
 	http *http.Request
 	body *attempt.Body
-	// answers gets at most one answer.
+	// answers receives at most one value.
 	answers chan answer
 
 	mu sync.Mutex
-	// over is set when the handler has returned or is about to.
-	over bool
-	// outcomes are the attempts that ended with an answer.
+	// finished is set when the handler has returned or is about to return.
+	finished bool
+	// outcomes holds the finished attempts by id.
 	outcomes map[string]attempt.Outcome
 }
 
-// answer is what the node decided; one of outcome, refusal and stored is set.
+// answer is the decision of the node; exactly one of outcome, refusal, stored
+// and located is set.
 type answer struct {
 	attempt   string
 	outcome   *attempt.Outcome
@@ -46,12 +47,12 @@
 	}
 }
 
-// keep holds an attempt's outcome until the node has decided. It returns
-// false if nobody waits for it any more; its answer is then closed.
-func (x *exchange) keep(id string, o attempt.Outcome) bool {
+// addOutcome stores the outcome of an attempt until the node has decided. If the
+// exchange has finished, it closes the response and returns false.
+func (x *exchange) addOutcome(id string, o attempt.Outcome) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.over {
+	if !x.finished {
 		x.outcomes[id] = o
 		return true
 	}
@@ -59,11 +60,11 @@
 	return false
 }
 
-// deliver gives the handler its answer.
+// deliver passes the answer to the handler.
 func (x *exchange) deliver(a answer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over {
+	if x.finished {
 		return
 	}
 	if a.attempt != "" {
@@ -79,19 +80,19 @@
 	}
 }
 
-// finish ends the exchange and returns the attempts whose answers were
-// streaming and now are cut off, except the one that the handler passed on.
-func (x *exchange) finish(passedOn string) []string {
+// finish ends the exchange and returns the attempts whose streamed responses it
+// aborted, which excludes the one that the handler relayed.
+func (x *exchange) finish(relayed string) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.over = true
+	x.finished = true
 	var cut []string
 	for id, o := range x.outcomes {
 		if o.Rest == nil {
 			continue
 		}
 		closeRest(o)
-		if id != passedOn {
+		if id != relayed {
 			cut = append(cut, id)
 		}
 	}
--- a/entry/callers/path.go
+++ b/entry/callers/path.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// notUnderstood says in a few words why a request's target can't be served,
-// or is empty.
+// rejectReason describes why the target of a request is not accepted, or returns
+// an empty string.
 //
-// Servers differ in how they read dot segments, empty segments, escaped
-// slashes and path parameters: /catalogue/..%2Forders/1 belongs to the
-// catalogue by its beginning, and to the orders at a backend server that
-// unescapes and cleans it. A workspace could so reach what its plan doesn't
-// have. Only paths that all of them read alike are passed on.
-func notUnderstood(r *http.Request) string {
+// Servers interpret dot segments, empty segments, escaped slashes and path
+// parameters differently: /catalogue/..%2Forders/1 matches the prefix of the
+// catalogue, but names the orders at a backend server that unescapes and cleans
+// it. A workspace could thus reach services that are not in its plan. Only paths
+// that all servers interpret alike are forwarded.
+func rejectReason(r *http.Request) string {
 	if r.Method == http.MethodConnect {
 		return "CONNECT isn't served"
 	}
@@ -25,7 +25,7 @@
 	if strings.Contains(path, `\`) || strings.ContainsFunc(path, isControl) {
 		return "its path holds a backslash or a control character"
 	}
-	if escapes(r.URL.EscapedPath(), "%2f", "%5c") || escapes(path, "%2e", "%2f", "%5c", "%25") {
+	if containsEscape(r.URL.EscapedPath(), "%2f", "%5c") || containsEscape(path, "%2e", "%2f", "%5c", "%25") {
 		return "its path holds an escaped slash, or is escaped twice"
 	}
 	segments := strings.Split(path[1:], "/")
@@ -41,8 +41,9 @@
 	return ""
 }
 
-// escapes tells whether a path holds one of the escapes, in either case.
-func escapes(path string, found ...string) bool {
+// containsEscape reports whether a path contains one of the escapes, ignoring
+// case.
+func containsEscape(path string, found ...string) bool {
 	path = strings.ToLower(path)
 	return slices.ContainsFunc(found, func(e string) bool { return strings.Contains(path, e) })
 }
--- a/entry/callers/write.go
+++ b/entry/callers/write.go
@@ -14,10 +14,10 @@
 	"foxtailspoke/wire"
 )
 
-// problemType is the media type of RFC 9457.
+// problemType is the media type of problem details (RFC 9457).
 const problemType = "application/problem+json"
 
-// write gives the caller the node's answer.
+// write sends the response that the node decided on.
 func (c *Service) write(w http.ResponseWriter, r *http.Request, x *exchange, a answer, start time.Time) {
 	switch {
 	case a.refusal != nil:
@@ -29,7 +29,7 @@
 	case a.stored != nil:
 		c.metrics.Answered(decision.RanBefore, decision.RuleServed)
 		c.metrics.Added(time.Since(start))
-		c.head(w, r, x.id, decision.RanBefore)
+		c.setResponseHeaders(w, r, x.id, decision.RanBefore)
 		w.Header().Set("Content-Type", a.stored.ContentType)
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.stored.Body)))
 		w.WriteHeader(a.stored.Status)
@@ -41,8 +41,9 @@
 	}
 }
 
-// head sets the headers that every answer of this instance carries.
-func (c *Service) head(w http.ResponseWriter, r *http.Request, id string, o decision.Outcome) {
+// setResponseHeaders sets the write deadline and the headers that every response
+// of this instance carries.
+func (c *Service) setResponseHeaders(w http.ResponseWriter, r *http.Request, id string, o decision.Outcome) {
 	h := w.Header()
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(c.settings.WriteTimeout))
 	h.Set(wire.HeaderRequest, id)
@@ -52,17 +53,18 @@
 	}
 }
 
-// relay passes a backend server's answer on, or another entry instance's.
+// relay sends the response of a backend server or of another entry instance to
+// the caller.
 func (c *Service) relay(w http.ResponseWriter, r *http.Request, x *exchange, a answer) {
 	o := *a.outcome
 	attempt.CopyResponseHeader(w.Header(), o.Header)
-	c.head(w, r, x.id, decision.Served)
+	c.setResponseHeaders(w, r, x.id, decision.Served)
 	if a.forwarded {
 		w.Header().Set(wire.HeaderOutcome, o.Header.Get(wire.HeaderOutcome))
 		w.Header().Set(wire.HeaderRequest, o.Header.Get(wire.HeaderRequest))
 	}
 	w.WriteHeader(o.Status)
-	to := patient{w: w, timeout: c.settings.WriteTimeout}
+	to := callerWriter{w: w, timeout: c.settings.WriteTimeout}
 	_, err := to.Write(o.Body)
 	if o.Rest == nil {
 		return
@@ -71,41 +73,42 @@
 		_, err = io.Copy(&to, o.Rest)
 	}
 	if to.failed {
-		// The caller has gone or reads nothing. Told only that the answer was
-		// cut, the node would hold it against the backend server.
+		// The caller has disconnected or does not read. StreamEnded alone would
+		// make the node count the truncated response against the backend server.
 		c.loop.Submit(node.RequestGone{Request: x.id})
 	}
 	c.loop.Submit(node.StreamEnded{Attempt: a.attempt, Whole: err == nil})
 	if err != nil {
-		// Ending the handler normally would make a cut answer look whole to
-		// a caller that got it in chunks. This closes the connection instead.
+		// Returning normally would make a truncated chunked response look
+		// complete to the caller. Aborting the handler closes the connection
+		// instead.
 		closeRest(o)
 		c.remove(x, a.attempt)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// patient writes to a caller and gives up when nothing was taken for the
-// timeout. A caller that stops reading would otherwise keep its exchange and
-// the connection to the backend server for as long as it likes.
-type patient struct {
+// callerWriter writes to a caller and fails if a write blocks for the timeout.
+// Otherwise a caller that stops reading would keep its exchange and the
+// connection to the backend server open indefinitely.
+type callerWriter struct {
 	w       http.ResponseWriter
 	timeout time.Duration
-	// failed says that the caller didn't take what was written.
+	// failed means that a write to the caller failed.
 	failed bool
 }
 
 // Write implements io.Writer.
-func (p *patient) Write(b []byte) (int, error) {
+func (p *callerWriter) Write(b []byte) (int, error) {
 	_ = http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(p.timeout))
 	n, err := p.w.Write(b)
 	p.failed = p.failed || err != nil
 	return n, err
 }
 
-// writeRefusal answers with problem details.
+// writeRefusal responds with problem details.
 func (c *Service) writeRefusal(w http.ResponseWriter, r *http.Request, record decision.Record, addresses []string) {
-	c.head(w, r, record.Request, record.Outcome)
+	c.setResponseHeaders(w, r, record.Request, record.Outcome)
 	p := problem(record, addresses)
 	if s, ok := p.RetryAfterSeconds.Get(); ok {
 		w.Header().Set("Retry-After", strconv.Itoa(s))
@@ -139,7 +142,7 @@
 	return p
 }
 
-// wholeSeconds rounds up: a caller that comes back too early is refused again.
+// wholeSeconds rounds up: a caller that retries too early is refused again.
 func wholeSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/entry/clock/clock.go
+++ b/entry/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock reads the instance's monotonic clock.
+// Package clock provides the monotonic clock of an instance.
 package clock
 
 import (
@@ -7,17 +7,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock counts from the moment it was made.
+// Clock measures the time since its creation.
 //
-// It reads CLOCK_BOOTTIME, not the CLOCK_MONOTONIC behind time.Now: the
-// latter stands still while the machine is suspended. An instance would wake
-// and take its old proofs for fresh ones.
+// It reads CLOCK_BOOTTIME rather than the CLOCK_MONOTONIC behind time.Now, which
+// stops while the machine is suspended. An instance would otherwise treat
+// expired confirmations as fresh after resuming.
 type Clock struct{ start time.Duration }
 
-// New returns a clock that reads 0 now.
+// New returns a clock that starts at 0.
 func New() Clock { return Clock{start: read()} }
 
-// Now returns the time since the clock was made.
+// Now returns the time since the clock was created.
 func (c Clock) Now() time.Duration { return read() - c.start }
 
 func read() time.Duration {
--- a/entry/loop/loop.go
+++ b/entry/loop/loop.go
@@ -1,9 +1,8 @@
-// Package loop drives a node: one goroutine takes events one after the
-// other, steps the node with the time at which it takes them, and hands the
-// effects on.
+// Package loop runs a node on a single goroutine: it takes events in order,
+// steps the node with the current time and dispatches the resulting effects.
 //
-// One serial step of some microseconds is all that an instance's decisions
-// cost, and it makes them repeatable: a Recorder sees exactly what the node
+// A step takes a few microseconds. Processing events serially makes the
+// decisions of an instance reproducible: a Recorder sees exactly what the node
 // saw.
 package loop
 
@@ -15,51 +14,56 @@
 	"foxtailspoke/node"
 )
 
-// queue is how many events may wait. Whoever submits beyond that waits.
-const queue = 1024
+// queueSize is the capacity of the event queue. Submit blocks while the queue is
+// full.
+const queueSize = 1024
 
-// longestSleep bounds the sleep of an idle loop.
-const longestSleep = time.Second
+// maxSleep bounds the wait of an idle loop.
+const maxSleep = time.Second
 
-// Dispatcher carries out effects. It is called on the loop's goroutine: it
-// must not block and must not call Submit or Do.
+// Dispatcher executes effects. It is called on the goroutine of the loop and
+// must not block or call Submit or Do.
 type Dispatcher interface {
 	Dispatch(n *node.Node, e node.Effect)
 }
 
-// Recorder sees every step, for replay. It is called on the loop's goroutine.
+// Recorder records every step for replay. It is called on the goroutine of the
+// loop.
 type Recorder interface {
-	// Record takes an event with its effects, which are valid during the call.
+	// Record takes an event and its effects, which are valid only during the
+	// call.
 	Record(now time.Duration, e node.Event, effects []node.Effect)
-	// RecordExternalChange says that the node was changed by something else than an event.
+	// RecordExternalChange records that the node was changed by something other
+	// than an event.
 	RecordExternalChange(now time.Duration)
 }
 
-// Loop owns a node. No one else may touch it.
+// Loop owns a node, which must not be used from outside the goroutine of the
+// loop.
 type Loop struct {
-	node     *node.Node
-	clock    clock.Clock
-	dispatch Dispatcher
-	recorder Recorder
-	events   chan node.Event
-	calls    chan func(*node.Node, time.Duration)
-	done     chan struct{}
+	node       *node.Node
+	clock      clock.Clock
+	dispatcher Dispatcher
+	recorder   Recorder
+	events     chan node.Event
+	calls      chan func(*node.Node, time.Duration)
+	done       chan struct{}
 }
 
-// New returns a loop that isn't running. The recorder may be nil.
+// New returns a loop that is not running. The recorder may be nil.
 func New(n *node.Node, c clock.Clock, d Dispatcher, r Recorder) *Loop {
 	return &Loop{
-		node:     n,
-		clock:    c,
-		dispatch: d,
-		recorder: r,
-		events:   make(chan node.Event, queue),
-		calls:    make(chan func(*node.Node, time.Duration)),
-		done:     make(chan struct{}),
+		node:       n,
+		clock:      c,
+		dispatcher: d,
+		recorder:   r,
+		events:     make(chan node.Event, queueSize),
+		calls:      make(chan func(*node.Node, time.Duration)),
+		done:       make(chan struct{}),
 	}
 }
 
-// Submit hands in an event. After the loop has ended it does nothing.
+// Submit queues an event. It does nothing after the loop has ended.
 func (l *Loop) Submit(e node.Event) {
 	select {
 	case l.events <- e:
@@ -67,8 +71,8 @@
 	}
 }
 
-// Do runs f on the loop's goroutine and waits for its end. It returns false
-// if the loop has ended.
+// Do runs f on the goroutine of the loop and waits for it to return. It returns
+// false if the loop has ended.
 func (l *Loop) Do(f func(n *node.Node, now time.Duration)) bool {
 	finished := make(chan struct{})
 	call := func(n *node.Node, now time.Duration) {
@@ -84,18 +88,18 @@
 	return true
 }
 
-// DoAndDispatch runs f like Do and carries out the effects that it returns.
+// DoAndDispatch runs f like Do and dispatches the effects that it returns.
 func (l *Loop) DoAndDispatch(f func(n *node.Node, now time.Duration) []node.Effect) bool {
 	return l.Do(func(n *node.Node, now time.Duration) {
 		effects := f(n, now)
 		if l.recorder != nil {
 			l.recorder.RecordExternalChange(now)
 		}
-		l.carryOut(effects)
+		l.dispatchAll(effects)
 	})
 }
 
-// Run steps the node until ctx ends. It runs once.
+// Run processes events until ctx is done. It must be called at most once.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -110,14 +114,14 @@
 			f(l.node, l.clock.Now())
 		case <-timer.C:
 		}
-		l.wake()
-		timer.Reset(min(max(l.node.NextWake()-l.clock.Now(), 0), longestSleep))
+		l.stepIfDue()
+		timer.Reset(min(max(l.node.NextWake()-l.clock.Now(), 0), maxSleep))
 	}
 }
 
-// wake steps the node if its time has come. It is asked after every event:
-// under load, events alone would keep the timer from being looked at.
-func (l *Loop) wake() {
+// stepIfDue steps the node if its wake time has passed. It is called after every
+// event because under load the select may keep choosing events over the timer.
+func (l *Loop) stepIfDue() {
 	if l.node.NextWake() <= l.clock.Now() {
 		l.step(node.Wake{})
 	}
@@ -129,11 +133,11 @@
 	if l.recorder != nil {
 		l.recorder.Record(now, e, effects)
 	}
-	l.carryOut(effects)
+	l.dispatchAll(effects)
 }
 
-func (l *Loop) carryOut(effects []node.Effect) {
+func (l *Loop) dispatchAll(effects []node.Effect) {
 	for _, e := range effects {
-		l.dispatch.Dispatch(l.node, e)
+		l.dispatcher.Dispatch(l.node, e)
 	}
 }
--- a/entry/trace/replay.go
+++ b/entry/trace/replay.go
@@ -10,54 +10,54 @@
 	"foxtailspoke/node"
 )
 
-// ReplayResult is how far a replay went.
+// ReplayResult describes how far a replay went.
 type ReplayResult struct {
-	// Steps had the same effects as in the trace.
+	// Steps is the number of steps whose effects matched the trace.
 	Steps int
-	// ExternalChange says that the replay ended where something else than an event
-	// changed the node.
+	// ExternalChange means that the replay ended at a change of the node by
+	// something other than an event.
 	ExternalChange bool
 }
 
-// ErrMismatch reports a step whose effects aren't those of the trace.
-var ErrMismatch = errors.New("trace: the replay differs")
+// ErrMismatch means that the effects of a step differ from those in the trace.
+var ErrMismatch = errors.New("trace: replayed effects differ from the recorded effects")
 
-// Replay gives a fresh node the trace's events at the trace's times and
-// compares the effects. Seen is called for every step and may be nil; it is
-// where a test states what should have been decided.
+// Replay steps a new node with the events and times of the trace and compares
+// the effects. Seen is called for every step and may be nil; tests use it to
+// check the decisions.
 func Replay(r io.Reader, seen func(now time.Duration, e node.Event, effects []node.Effect)) (ReplayResult, error) {
-	var done ReplayResult
+	var result ReplayResult
 	decoder := gob.NewDecoder(r)
 	var h Header
 	if err := decoder.Decode(&h); err != nil {
-		return done, errors.Wrap(err, "trace: header")
+		return result, errors.Wrap(err, "trace: read header")
 	}
 	if h.Format != Format {
-		return done, errors.Newf("trace: format %d, this program reads %d", h.Format, Format)
+		return result, errors.Newf("trace: unsupported format %d, want %d", h.Format, Format)
 	}
 	n := node.New(h.Settings)
 	for {
 		var s Step
 		switch err := decoder.Decode(&s); {
 		case errors.Is(err, io.EOF):
-			return done, nil
+			return result, nil
 		case err != nil:
-			return done, errors.Wrapf(err, "trace: step %d", done.Steps)
+			return result, errors.Wrapf(err, "trace: read step %d", result.Steps)
 		case s.Outside:
-			done.ExternalChange = true
-			return done, nil
+			result.ExternalChange = true
+			return result, nil
 		}
 		e := s.Event
 		if e == nil {
-			e = bare[s.Kind]
+			e = fieldlessEvents[s.Kind]
 		}
 		effects := n.Step(s.Now, e)
 		if seen != nil {
 			seen(s.Now, e, effects)
 		}
 		if digest(effects) != s.Effects {
-			return done, errors.Wrapf(ErrMismatch, "step %d at %v (%s)", done.Steps, s.Now, s.Kind)
+			return result, errors.Wrapf(ErrMismatch, "step %d at %v (%s)", result.Steps, s.Now, s.Kind)
 		}
-		done.Steps++
+		result.Steps++
 	}
 }
--- a/entry/trace/trace.go
+++ b/entry/trace/trace.go
@@ -1,12 +1,12 @@
-// Package trace records what a node saw and decided, and replays it.
+// Package trace records the events and effects of a node and replays them.
 //
-// A node's decisions depend on its settings, on the events and on the times at
-// which it took them, and on nothing else. So a trace of an instance that did
-// something odd replays in a test, step by step, with the same effects.
+// The decisions of a node depend only on its settings, the events and the times
+// at which they are processed. A trace of an instance with unexpected behaviour
+// can therefore be replayed in a test, step by step, with the same effects.
 //
-// A trace holds the hashes of keys, operation keys and kept answers, and the
-// secret by which the instance signed operation keys until it ended. Treat the
-// file like a secret.
+// A trace contains the hashes of API keys, operation keys, stored responses and
+// the secret with which the instance signed operation keys until it ended.
+// Protect the file like a secret.
 package trace
 
 import (
@@ -22,31 +22,31 @@
 	"foxtailspoke/node"
 )
 
-// Format is the number of the layout that this package writes.
+// Format is the version of the file format that this package writes.
 const Format = 1
 
-// Header begins a trace.
+// Header is the first record of a trace.
 type Header struct {
 	Format   int
 	Settings node.Settings
 }
 
-// Step is one event and what followed from it.
+// Step is one event and its effects.
 type Step struct {
 	Now time.Duration
-	// Kind names the event's type. Wake and LeaveRequested are their kind
-	// alone: gob can't encode a type without fields.
+	// Kind is the type name of the event. Wake and LeaveRequested are stored by
+	// their kind alone because gob cannot encode a type without fields.
 	Kind  string
 	Event node.Event
-	// Effects is a hash of the effects in their order.
+	// Effects is a hash of the effects in order.
 	Effects uint64
-	// Outside says that something else than an event changed the node, and
-	// that no replay is exact from here on.
+	// Outside means that something other than an event changed the node, so the
+	// steps after it cannot be replayed exactly.
 	Outside bool
 }
 
-// bare are the events without fields, by their kind.
-var bare = map[string]node.Event{
+// fieldlessEvents holds the events without fields by their kind.
+var fieldlessEvents = map[string]node.Event{
 	kindOf(node.Wake{}):           node.Wake{},
 	kindOf(node.LeaveRequested{}): node.LeaveRequested{},
 }
@@ -71,21 +71,21 @@
 	}
 }
 
-// Recorder writes a trace. It implements loop.Recorder and isn't safe for use
-// by several goroutines at once.
+// Recorder writes a trace. It implements loop.Recorder and is not safe for
+// concurrent use.
 type Recorder struct {
-	to      *bounded
+	to      *limitedWriter
 	encoder *gob.Encoder
 	err     error
 }
 
-// NewRecorder begins a trace of at most limit bytes. What comes beyond is left
-// out; a trace is useful from its beginning only.
+// NewRecorder begins a trace of at most limit bytes. Recording stops at the
+// limit: a trace can only be replayed from its beginning.
 func NewRecorder(w io.Writer, limit int64, s node.Settings) (*Recorder, error) {
-	to := &bounded{w: w, left: limit}
+	to := &limitedWriter{w: w, remaining: limit}
 	r := &Recorder{to: to, encoder: gob.NewEncoder(to)}
 	if err := r.encoder.Encode(Header{Format: Format, Settings: s}); err != nil {
-		return nil, errors.Wrap(err, "trace: header")
+		return nil, errors.Wrap(err, "trace: write header")
 	}
 	return r, nil
 }
@@ -93,7 +93,7 @@
 // Record implements loop.Recorder.
 func (r *Recorder) Record(now time.Duration, e node.Event, effects []node.Effect) {
 	s := Step{Now: now, Kind: kindOf(e), Event: e, Effects: digest(effects)}
-	if _, ok := bare[s.Kind]; ok {
+	if _, ok := fieldlessEvents[s.Kind]; ok {
 		s.Event = nil
 	}
 	r.write(s)
@@ -102,7 +102,7 @@
 // RecordExternalChange implements loop.Recorder.
 func (r *Recorder) RecordExternalChange(now time.Duration) { r.write(Step{Now: now, Outside: true}) }
 
-// Err returns why the trace ended early, or nil.
+// Err returns the error that ended the trace early, or nil.
 func (r *Recorder) Err() error { return r.err }
 
 func (r *Recorder) write(s Step) {
@@ -111,28 +111,29 @@
 	}
 }
 
-// errFull reports that the trace has reached its limit.
-var errFull = errors.New("trace: limit reached")
+// errFull means that the size limit of the trace has been reached.
+var errFull = errors.New("trace: size limit reached")
 
-// bounded passes on whole writes until the limit. The encoder writes each step
-// in one piece, so a trace ends between two steps.
-type bounded struct {
-	w    io.Writer
-	left int64
+// limitedWriter passes on writes until the limit and never a part of one. The
+// encoder writes each step in a single call, so a trace always ends between two
+// steps.
+type limitedWriter struct {
+	w         io.Writer
+	remaining int64
 }
 
 // Write implements io.Writer.
-func (b *bounded) Write(p []byte) (int, error) {
-	if int64(len(p)) > b.left {
-		b.left = 0
+func (b *limitedWriter) Write(p []byte) (int, error) {
+	if int64(len(p)) > b.remaining {
+		b.remaining = 0
 		return 0, errFull
 	}
-	b.left -= int64(len(p))
+	b.remaining -= int64(len(p))
 	return b.w.Write(p)
 }
 
-// digest hashes effects by their JSON, which has no addresses in it and whose
-// maps are in order.
+// digest hashes the effects by their JSON encoding, which contains no pointers
+// and sorts maps by key.
 func digest(effects []node.Effect) uint64 {
 	h := fnv.New64a()
 	for _, e := range effects {
