--- a/entry/attempt/transport.go
+++ b/entry/attempt/transport.go
@@ -61,7 +61,7 @@
 }
 
 func (c *countingConn) Write(p []byte) (int, error) {
-	if gate := c.beforeWrite.Swap(nil); gate != nil && !(*gate)() {
+	if allowed := c.beforeWrite.Swap(nil); allowed != nil && !(*allowed)() {
 		return 0, errExpired
 	}
 	c.written.Add(int64(len(p)))
--- a/entry/callers/api.go
+++ b/entry/callers/api.go
@@ -39,12 +39,12 @@
 
 // Locate implements oas.Handler.
 func (a api) Locate(ctx context.Context, p oas.LocateParams) (*oas.Located, error) {
-	key, has := ctx.Value(keyContextKey{}).(config.KeyHash)
+	key, hasKey := ctx.Value(keyContextKey{}).(config.KeyHash)
 	at := time.Now()
 	x := newExchange(decision.NewRequestID(a.c.instance, at, a.c.requestNumber.Add(1)), nil, nil)
 	a.c.add(x)
 	defer a.c.remove(x, "")
-	a.c.loop.Submit(node.LocateAsked{Request: x.id, At: at, Key: key, HasKey: has, Operations: p.Operations.Or(0)})
+	a.c.loop.Submit(node.LocateAsked{Request: x.id, At: at, Key: key, HasKey: hasKey, Operations: p.Operations.Or(0)})
 	select {
 	case answer := <-x.answers:
 		if answer.refusal != nil {
--- a/entry/callers/body.go
+++ b/entry/callers/body.go
@@ -67,7 +67,7 @@
 		h.Write([]byte(part))
 	}
 	h.Write(binary.AppendVarint(nil, b.Length()))
-	held := b.Digest()
-	h.Write(held[:])
+	bodyHash := b.Digest()
+	h.Write(bodyHash[:])
 	return claim.Digest(h.Sum(nil))
 }
--- a/entry/callers/callers.go
+++ b/entry/callers/callers.go
@@ -127,8 +127,8 @@
 
 // Drain waits for the running attempts. When ctx is done it cancels the
 // remaining ones and returns their number: an operation with a key runs to
-// completion even if its caller has disconnected, which may take an hour.
-func (c *Service) Drain(ctx context.Context) (cut int) {
+// completion even if its caller hasKey disconnected, which may take an hour.
+func (c *Service) Drain(ctx context.Context) (cancelled int) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -139,9 +139,9 @@
 		return 0
 	case <-ctx.Done():
 	}
-	cut = c.cancelAll()
+	cancelled = c.cancelAll()
 	<-done
-	return cut
+	return cancelled
 }
 
 func (c *Service) cancelAll() int {
@@ -156,10 +156,10 @@
 func (c *Service) serve(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	id := decision.NewRequestID(c.instance, start, c.requestNumber.Add(1))
-	key, has := presentedKey(r)
+	key, hasKey := bearerKey(r)
 	body := attempt.NoBody()
 	var err error
-	if has {
+	if hasKey {
 		// A request without a key is refused, so its body is not buffered.
 		body, err = c.readBody(w, r)
 	}
@@ -173,7 +173,7 @@
 		Request:   id,
 		At:        start,
 		Key:       key,
-		HasKey:    has,
+		HasKey:    hasKey,
 		Method:    r.Method,
 		Path:      r.URL.Path,
 		Held:      body.Buffered(),
@@ -269,7 +269,7 @@
 }
 
 // ended reports a finished attempt to the node. A streamed response whose caller
-// has disconnected is reported as truncated.
+// hasKey disconnected is reported as truncated.
 func (c *Service) ended(x *exchange, e node.StartAttempt, o attempt.Outcome) {
 	event := node.AttemptEnded{
 		Attempt:    e.Attempt,
@@ -313,8 +313,8 @@
 	}
 }
 
-// presentedKey returns the hash of the API key of a request.
-func presentedKey(r *http.Request) (config.KeyHash, bool) {
+// bearerKey returns the hash of the API key of a request.
+func bearerKey(r *http.Request) (config.KeyHash, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return config.KeyHash{}, false
--- a/entry/callers/exchange.go
+++ b/entry/callers/exchange.go
@@ -86,18 +86,18 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.finished = true
-	var cut []string
+	var aborted []string
 	for id, o := range x.outcomes {
 		if o.Rest == nil {
 			continue
 		}
 		closeRest(o)
 		if id != relayed {
-			cut = append(cut, id)
+			aborted = append(aborted, id)
 		}
 	}
 	clear(x.outcomes)
-	return cut
+	return aborted
 }
 
 func closeRest(o attempt.Outcome) {
--- a/entry/callers/write.go
+++ b/entry/callers/write.go
@@ -99,10 +99,10 @@
 }
 
 // Write implements io.Writer.
-func (p *callerWriter) Write(b []byte) (int, error) {
-	_ = http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(p.timeout))
-	n, err := p.w.Write(b)
-	p.failed = p.failed || err != nil
+func (cw *callerWriter) Write(b []byte) (int, error) {
+	_ = http.NewResponseController(cw.w).SetWriteDeadline(time.Now().Add(cw.timeout))
+	n, err := cw.w.Write(b)
+	cw.failed = cw.failed || err != nil
 	return n, err
 }
 
