--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -11,9 +11,9 @@
 	"foxtailspoke/storage"
 )
 
-// sizes are the three sizes of the slopes in docs/CAPACITY.md; the last is
-// the target size.
-var sizes = []int{5_000, 20_000, 55_000}
+// workspaceCounts are the table sizes from which docs/CAPACITY.md derives the
+// memory per row; the last is the target size.
+var workspaceCounts = []int{5_000, 20_000, 55_000}
 
 func workspaceRow(i int) storage.Row {
 	return row(fmt.Sprintf("%sworkspace-%06d", WorkspacePrefix, i), Workspace{Plan: fmt.Sprintf("plan-%02d", i%40)}, i)
@@ -24,7 +24,8 @@
 	return row(APIKeyPrefix+h.String(), APIKey{Workspace: fmt.Sprintf("workspace-%06d", i), Label: fmt.Sprintf("till-%d", i%5)}, i)
 }
 
-// serviceRow has 20 routes, near the 11,000 routes of 560 services.
+// serviceRow returns a service with 20 routes, so that 560 services have about the
+// target of 11,000 routes.
 func serviceRow(i int) storage.Row {
 	s := Service{Floor: 20, Timeout: Duration(2e9)}
 	for n := range 20 {
@@ -38,7 +39,7 @@
 	return storage.Row{Key: key, Value: value, Revision: storage.Revision(i + 1), Attempt: fmt.Sprintf("8c5e0d4a-0000-4000-8000-%012d", i)}
 }
 
-func rowsOf(n int, f func(int) storage.Row) storage.Changes {
+func fullTable(n int, f func(int) storage.Row) storage.Changes {
 	c := storage.Changes{Revision: storage.Revision(n + 1), Full: true}
 	for i := range n {
 		c.Rows = append(c.Rows, f(i))
@@ -46,7 +47,7 @@
 	return c
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -54,26 +55,26 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkReplicaBytes reports the memory that a row takes in a replica.
+// BenchmarkReplicaBytes reports the memory per row in a replica.
 // Run it with -benchtime 1x.
 func BenchmarkReplicaBytes(b *testing.B) {
 	for _, kind := range []struct {
-		name  string
-		row   func(int) storage.Row
-		of    int
-		sizes []int
+		name   string
+		row    func(int) storage.Row
+		perRow int
+		sizes  []int
 	}{
-		{"workspace", workspaceRow, 1, sizes},
-		{"key", keyRow, 1, sizes},
+		{"workspace", workspaceRow, 1, workspaceCounts},
+		{"key", keyRow, 1, workspaceCounts},
 		{"route", serviceRow, 20, []int{50, 200, 560}},
 	} {
 		for _, n := range kind.sizes {
-			b.Run(fmt.Sprintf("%s/%d", kind.name, n*kind.of), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", kind.name, n*kind.perRow), func(b *testing.B) {
 				for range b.N {
-					before := heap()
+					before := heapBytes()
 					r := NewReplica()
-					must.True(b, r.Apply(rowsOf(n, kind.row)))
-					b.ReportMetric(float64(heap()-before)/float64(n*kind.of), "B/"+kind.name)
+					must.True(b, r.Apply(fullTable(n, kind.row)))
+					b.ReportMetric(float64(heapBytes()-before)/float64(n*kind.perRow), "B/"+kind.name)
 					runtime.KeepAlive(r)
 				}
 			})
@@ -81,8 +82,8 @@
 	}
 }
 
-// targetReplica has the target size: 55,000 workspaces with a key each and
-// 11,200 routes.
+// targetReplica returns a replica of the target size: 55,000 workspaces with an
+// API key each and 11,200 routes.
 func targetReplica(tb testing.TB) *Replica {
 	tb.Helper()
 	r := NewReplica()
@@ -98,10 +99,10 @@
 }
 
 func BenchmarkTargetSize(b *testing.B) {
-	before := heap()
+	before := heapBytes()
 	r := targetReplica(b)
 	b.Run("bytes", func(b *testing.B) {
-		b.ReportMetric(float64(heap()-before)/(1<<20), "MB")
+		b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MB")
 	})
 	b.Run("route", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
--- a/node/locate.go
+++ b/node/locate.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/quota"
 )
 
-// locate answers which addresses a caller should use.
-func (n *Node) locate(e LocateAsked) {
+// handleLocate answers a caller's query for the entry addresses to use.
+func (n *Node) handleLocate(e LocateAsked) {
 	r := &request{arrived: RequestArrived{Request: e.Request, At: e.At}, arrivedAt: n.now}
 	rule, workspace := n.authenticate(e.Key, e.HasKey, &r.figures)
 	if rule != "" {
@@ -29,10 +29,12 @@
 	n.emit(located)
 }
 
-// addresses names the instances for a workspace, best first: those that hold
-// parts of its limits, then others by rendezvous hash. A workspace that
-// floods therefore meets few instances, and always the same.
-func (n *Node) addresses(workspace string, self bool) []string {
+// addresses returns the addresses of the entry instances for a workspace, in
+// order of preference: those that hold parts of its limits, then others by
+// rendezvous hash. This confines the load of an overactive workspace to a small
+// and stable set of instances. The own address is left out if includeSelf is
+// false or the instance is leaving.
+func (n *Node) addresses(workspace string, includeSelf bool) []string {
 	shard := quota.ShardOf(workspace, n.settings.Shards)
 	ids := n.liveHolders(shard)
 	for _, id := range n.member.Directory().HolderCandidates("locate/"+workspace, n.settings.LocateAddresses) {
@@ -49,7 +51,7 @@
 	var addresses []string
 	for _, id := range ids {
 		own := id == n.settings.Self.ID
-		if own && (!self || n.leaving) {
+		if own && (!includeSelf || n.leaving) {
 			continue
 		}
 		if i, ok := n.member.Directory().Instance(id); ok {
@@ -59,7 +61,8 @@
 	return addresses[:min(len(addresses), n.settings.LocateAddresses)]
 }
 
-// liveHolders returns the live liveHolders of a shard, most parts first.
+// liveHolders returns the live holders of a shard, those with the most
+// parts first.
 func (n *Node) liveHolders(shard string) []string {
 	live := n.entryIDs()
 	ids := quota.AskOrder(n.replica.Shard(shard), "")
@@ -75,8 +78,8 @@
 	return ids
 }
 
-// Serving says whether the instance accepts requests; if not, by which rule
-// it refuses them.
+// Serving reports whether the instance accepts requests and, if not, the rule
+// under which it refuses them.
 func (n *Node) Serving(now time.Duration) (decision.Rule, bool) {
 	n.now = max(n.now, now)
 	switch {
