--- a/entry/attempt/attempt.go
+++ b/entry/attempt/attempt.go
@@ -65,8 +65,8 @@
 	Address string
 	// Method and URI (path with query) are those of the caller's request.
 	Method, URI string
-	// Header holds the headers of the caller's request. Hop-by-hop, API key and
-	// idempotency headers are not forwarded.
+	// Header holds the headers of the caller's request. Hop-by-hop and
+	// idempotency headers are not sent, API key headers only if Forward is set.
 	Header http.Header
 	Body   *Body
 	// Workspace is the workspace that the request is executed for.
--- a/entry/callers/callers.go
+++ b/entry/callers/callers.go
@@ -127,7 +127,7 @@
 
 // Drain waits for the running attempts. When ctx is done it cancels the
 // remaining ones and returns their number: an operation with a key runs to
-// completion even if its caller hasKey disconnected, which may take an hour.
+// completion even if its caller has disconnected, which may take an hour.
 func (c *Service) Drain(ctx context.Context) (cancelled int) {
 	done := make(chan struct{})
 	go func() {
@@ -269,7 +269,7 @@
 }
 
 // ended reports a finished attempt to the node. A streamed response whose caller
-// hasKey disconnected is reported as truncated.
+// has disconnected is reported as truncated.
 func (c *Service) ended(x *exchange, e node.StartAttempt, o attempt.Outcome) {
 	event := node.AttemptEnded{
 		Attempt:    e.Attempt,
--- a/entry/trace/trace.go
+++ b/entry/trace/trace.go
@@ -4,9 +4,9 @@
 // at which they are processed. A trace of an instance with unexpected behaviour
 // can therefore be replayed in a test, step by step, with the same effects.
 //
-// A trace contains the hashes of API keys, operation keys, stored responses and
-// the secret with which the instance signed operation keys until it ended.
-// Protect the file like a secret.
+// A trace contains hashes of API keys, operation keys, stored responses, and the
+// secret with which the instance signed operation keys until it ended. Protect
+// the file like a secret.
 package trace
 
 import (
