--- a/entry/attempt/header.go
+++ b/entry/attempt/header.go
@@ -37,7 +37,7 @@
 		deleteAll(out, keyHeaders)
 	}
 	for name := range out {
-		if strings.HasPrefix(name, wire.OwnHeaders) {
+		if strings.HasPrefix(name, wire.HeaderPrefix) {
 			delete(out, name)
 		}
 	}
@@ -54,7 +54,7 @@
 	headers := from.Clone()
 	deleteHopByHop(headers)
 	for name, values := range headers {
-		if !strings.HasPrefix(name, wire.OwnHeaders) {
+		if !strings.HasPrefix(name, wire.HeaderPrefix) {
 			to[name] = values
 		}
 	}
