--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,10 +1,11 @@
-// Package entry is the daemon as a library: a supervisor tree that drives one
-// node and connects it with callers, backend servers, other entry instances,
-// the platform and operators.
+// Package entry implements the entry daemon as a library: a supervisor tree
+// that drives one node and connects it with callers, backend servers, other
+// entry instances, the platform and operators.
 //
-// Each folder below is one child of the tree or one of its tools. The loop is
-// the only child that isn't restarted: if its node breaks an invariant, the
-// process ends and the platform replaces the instance.
+// Each subpackage implements one child of the tree or a component that
+// children use. The event loop is the only child that isn't restarted after a
+// panic: if its node violates an invariant, the process exits and the platform
+// replaces the instance.
 package entry
 
 import (
@@ -45,45 +46,47 @@
 	callTimeout = 250 * time.Millisecond
 	// platformTimeout bounds a call to the platform.
 	platformTimeout = time.Second
-	// peerIdle closes connections to instances that weren't called lately.
-	peerIdle = time.Minute
-	// keptAnswer bounds the answer that is kept for repeats, in bytes.
-	keptAnswer = 64 << 10
-	// connectTimeout bounds the making of a connection to a backend server.
+	// peerIdleTimeout is how long an unused connection to another instance
+	// stays open.
+	peerIdleTimeout = time.Minute
+	// maxStoredAnswerBytes bounds the answer stored for repeated requests.
+	maxStoredAnswerBytes = 64 << 10
+	// connectTimeout bounds connecting to a backend server.
 	connectTimeout = 250 * time.Millisecond
-	// serverIdle closes unused connections to backend servers.
-	serverIdle = 30 * time.Second
-	// connectionsPerServer bounds the connections to one backend server.
+	// serverIdleTimeout is how long an unused connection to a backend server
+	// stays open.
+	serverIdleTimeout = 30 * time.Second
+	// connectionsPerServer limits the connections to one backend server.
 	connectionsPerServer = 64
 )
 
-// Entry is one instance.
+// Entry is one entry instance.
 type Entry struct {
 	settings settings.Settings
 	log      *slog.Logger
 	self     storage.Instance
 
-	client  *client.Client
-	peers   *peer.Client
-	loop    *loop.Loop
-	sender  *attempt.Sender
-	callers *callers.Service
-	records *records.Writer
-	metrics *metrics.Metrics
-	ports   ports
-	driver  *driver
-	tree    *suture.Supervisor
+	client    *client.Client
+	peers     *peer.Client
+	loop      *loop.Loop
+	sender    *attempt.Sender
+	callers   *callers.Service
+	records   *records.Writer
+	metrics   *metrics.Metrics
+	listeners listeners
+	driver    *driver
+	tree      *suture.Supervisor
 
 	callerServer *http.Server
 	leaving      atomic.Bool
-	// traceFile is nil without a trace.
+	// traceFile is nil if tracing is disabled.
 	traceFile *os.File
 }
 
-// ports are the listeners, bound before anything is announced.
-type ports struct{ callers, peers, operators net.Listener }
+// listeners are bound before the instance is announced.
+type listeners struct{ callers, peers, operators net.Listener }
 
-// New binds the addresses and builds the instance. Run starts it.
+// New binds the listeners and builds the instance. Run starts it.
 func New(s settings.Settings, log *slog.Logger) (*Entry, error) {
 	secret, err := settings.ReadSecret(s.Peers.SecretFile)
 	if err != nil {
@@ -97,39 +100,39 @@
 	if err := e.bind(); err != nil {
 		return nil, err
 	}
-	e.self = e.describe()
+	e.self = e.newInstance()
 	if e.client, err = client.New(s.Platform.URL, client.Settings{Timeout: platformTimeout}); err != nil {
 		return nil, err
 	}
 	return e, e.build(secret, token)
 }
 
-// Addresses returns where the instance listens, for scripts and tests.
+// Addresses returns the instance's description with its advertised addresses.
 func (e *Entry) Addresses() storage.Instance { return e.self }
 
 func (e *Entry) bind() error {
 	var err error
-	if e.ports.callers, err = net.Listen("tcp", e.settings.Callers.Listen); err != nil {
+	if e.listeners.callers, err = net.Listen("tcp", e.settings.Callers.Listen); err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
-	if e.ports.peers, err = net.Listen("tcp", e.settings.Peers.Listen); err != nil {
+	if e.listeners.peers, err = net.Listen("tcp", e.settings.Peers.Listen); err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
-	if e.ports.operators, err = net.Listen("tcp", e.settings.Operators.Listen); err != nil {
+	if e.listeners.operators, err = net.Listen("tcp", e.settings.Operators.Listen); err != nil {
 		return errors.Wrap(err, "listen for operators")
 	}
 	return nil
 }
 
-func (e *Entry) describe() storage.Instance {
+func (e *Entry) newInstance() storage.Instance {
 	return storage.Instance{
 		ID:              uuid.NewString(),
 		Kind:            storage.Entry,
 		DataCentre:      e.settings.DataCentre,
 		Region:          e.settings.Region,
-		Address:         advertised(e.settings.Callers.Advertise, e.ports.callers),
-		PeerAddress:     advertised(e.settings.Peers.Advertise, e.ports.peers),
-		OperatorAddress: advertised(e.settings.Operators.Advertise, e.ports.operators),
+		Address:         advertised(e.settings.Callers.Advertise, e.listeners.callers),
+		PeerAddress:     advertised(e.settings.Peers.Advertise, e.listeners.peers),
+		OperatorAddress: advertised(e.settings.Operators.Advertise, e.listeners.operators),
 		State:           storage.Live,
 	}
 }
@@ -143,7 +146,7 @@
 
 func (e *Entry) build(secret, token []byte) error {
 	nodeSettings := e.nodeSettings()
-	recorder, err := e.record(nodeSettings)
+	recorder, err := e.startTrace(nodeSettings)
 	if err != nil {
 		return err
 	}
@@ -157,14 +160,14 @@
 	e.sender = attempt.NewSender(attempt.Settings{
 		MaxBufferedBytes:     e.settings.Callers.MaxBufferedBytes,
 		ConnectTimeout:       connectTimeout,
-		IdleTimeout:          serverIdle,
+		IdleTimeout:          serverIdleTimeout,
 		ConnectionsPerServer: connectionsPerServer,
 	})
 	e.callers, err = callers.New(e.self.ID, callers.Settings{
 		MaxBufferedBytes:     e.settings.Callers.MaxBufferedBytes,
 		MaxBodyBytes:         e.settings.Callers.MaxBodyBytes,
 		WriteTimeout:         time.Duration(e.settings.Callers.WriteTimeout),
-		MaxStoredAnswerBytes: keptAnswer,
+		MaxStoredAnswerBytes: maxStoredAnswerBytes,
 	}, e.loop, e.sender, e.metrics, e.ready, e.records.Add, monotonic.Now)
 	if err != nil {
 		return err
@@ -175,11 +178,12 @@
 	e.driver.peers = peers.New(e.peers, e.loop, callTimeout)
 	e.driver.probes = newProber(e.sender, e.loop)
 	e.exportGauges()
-	return e.plant(secret, token)
+	return e.buildTree(secret, token)
 }
 
-// record begins the trace, if the settings ask for one.
-func (e *Entry) record(s node.Settings) (loop.Recorder, error) {
+// startTrace opens the trace file and returns its recorder, or nil if tracing
+// is disabled.
+func (e *Entry) startTrace(s node.Settings) (loop.Recorder, error) {
 	if e.settings.Trace.File == "" {
 		return nil, nil
 	}
@@ -191,7 +195,7 @@
 	return trace.NewRecorder(f, e.settings.Trace.MaxBytes, s)
 }
 
-// nodeSettings translates the settings of the process for the node.
+// nodeSettings derives the node's settings from those of the process.
 func (e *Entry) nodeSettings() node.Settings {
 	s := node.DefaultSettings()
 	s.Self = e.self
@@ -215,8 +219,9 @@
 	return rule, ready
 }
 
-// Run serves until ctx ends, then stops as planned: it cuts no request. The
-// error is nil after a planned stop.
+// Run serves until ctx is done and then performs a planned stop, which waits
+// for requests in progress up to the stop timeout. The error is nil after a
+// planned stop.
 func (e *Entry) Run(ctx context.Context) error {
 	treeCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -235,7 +240,7 @@
 	select {
 	case <-ended:
 		e.close()
-		return errors.Wrap(treeErr, "entry: a part that can't be restarted has ended")
+		return errors.Wrap(treeErr, "entry: supervisor tree terminated")
 	case <-ctx.Done():
 	}
 	e.stop(ended)
@@ -245,7 +250,8 @@
 	return nil
 }
 
-// close ends what outlives the tree: connections to others, and the trace.
+// close releases resources that outlive the tree: client connections and the
+// trace file.
 func (e *Entry) close() {
 	e.peers.Close()
 	e.sender.Close()
--- a/entry/tree.go
+++ b/entry/supervisor.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// greeting bounds a peer's handshake.
-	greeting = time.Second
-	// maxOperatorConnections bounds the connections of operators.
+	// handshakeTimeout bounds the handshake of an incoming peer connection.
+	handshakeTimeout = time.Second
+	// maxOperatorConnections limits the connections to the operator address.
 	maxOperatorConnections = 64
 )
 
-// plant puts the children into the tree.
-func (e *Entry) plant(secret, token []byte) error {
+// buildTree creates the supervisor tree and adds its children.
+func (e *Entry) buildTree(secret, token []byte) error {
 	e.tree = suture.New("entry", suture.Spec{EventHook: e.logFailure, Timeout: 5 * time.Second})
-	server, err := peer.NewServer(secret, e.settings.Peers.MaxConnections, greeting, e.driver.peers.Handle)
+	server, err := peer.NewServer(secret, e.settings.Peers.MaxConnections, handshakeTimeout, e.driver.peers.Handle)
 	if err != nil {
 		return err
 	}
@@ -42,22 +42,22 @@
 	}
 	e.callerServer = e.httpServer(e.callers)
 	e.tree.Add(child{"loop", e.serveLoop})
-	e.tree.Add(child{"peers", func(ctx context.Context) error { return server.Serve(ctx, e.ports.peers) }})
+	e.tree.Add(child{"peers", func(ctx context.Context) error { return server.Serve(ctx, e.listeners.peers) }})
 	e.tree.Add(child{"callers", func(ctx context.Context) error {
-		l := netutil.LimitListener(e.ports.callers, e.settings.Callers.MaxConnections)
+		l := netutil.LimitListener(e.listeners.callers, e.settings.Callers.MaxConnections)
 		return serveHTTP(ctx, e.callerServer, l)
 	}})
 	e.tree.Add(child{"operators", func(ctx context.Context) error {
-		l := netutil.LimitListener(e.ports.operators, maxOperatorConnections)
+		l := netutil.LimitListener(e.listeners.operators, maxOperatorConnections)
 		return serveHTTP(ctx, e.httpServer(operatorAPI), l)
 	}})
 	e.tree.Add(child{"announcer", e.announce})
 	e.tree.Add(child{"records", e.records.Serve})
-	e.tree.Add(child{"sweeper", e.sweep})
+	e.tree.Add(child{"sweeper", e.closeIdlePeers})
 	return nil
 }
 
-// child is a named part of the tree.
+// child is a named service of the tree.
 type child struct {
 	name  string
 	serve func(context.Context) error
@@ -66,11 +66,11 @@
 // Serve implements suture.Service.
 func (c child) Serve(ctx context.Context) error { return c.serve(ctx) }
 
-// String names the child in logs.
+// String returns the name used in logs.
 func (c child) String() string { return c.name }
 
-// serveLoop runs the node. A panic of the node is a broken invariant: what
-// it would decide next can't be trusted, so the process stops.
+// serveLoop runs the event loop. A panic means that the node violated an
+// invariant: its further decisions can't be trusted, so the tree terminates.
 func (e *Entry) serveLoop(ctx context.Context) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -105,28 +105,28 @@
 	return err
 }
 
-// announce tells the platform again and again that the instance runs.
+// announce announces the instance to the platform periodically.
 func (e *Entry) announce(ctx context.Context) error {
 	for {
-		pause := time.Duration(e.settings.Platform.AnnounceEvery)
+		delay := time.Duration(e.settings.Platform.AnnounceEvery)
 		switch err := e.client.Announce(ctx, e.announced()); {
 		case errors.Is(err, client.ErrEnded):
 			return suture.ErrTerminateSupervisorTree
 		case err != nil:
-			pause = min(pause, announceRetry)
+			delay = min(delay, announceRetryInterval)
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// announceRetry is the pause after an announcement without an answer. Waiting
-// for the next regular one could let the platform take a working instance for
+// announceRetryInterval is the delay after a failed announcement. If only the
+// regular interval were used, the platform could list a running instance as
 // ended.
-const announceRetry = time.Second
+const announceRetryInterval = time.Second
 
 func (e *Entry) announced() storage.Instance {
 	self := e.self
@@ -136,14 +136,14 @@
 	return self
 }
 
-// sweep closes connections to instances that aren't called any more.
-func (e *Entry) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(peerIdle)
+// closeIdlePeers periodically closes idle connections to other instances.
+func (e *Entry) closeIdlePeers(ctx context.Context) error {
+	ticker := time.NewTicker(peerIdleTimeout)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			e.peers.CloseIdle(peerIdle)
+			e.peers.CloseIdle(peerIdleTimeout)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -155,7 +155,7 @@
 	event.ChildFailed.Log(e.log, slog.String("error", ev.String()), slog.Any("type", attrs["type"]))
 }
 
-// exportGauges adds the figures that are read from the parts on demand.
+// exportGauges registers the metrics that are read on each scrape.
 func (e *Entry) exportGauges() {
 	e.metrics.Counter("platform_reads_total", "Reads of the platform's table and list.", func() float64 {
 		reads, _ := e.driver.store.Counts()
