--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -35,10 +35,11 @@
 	Name string
 	// A and B are the means.
 	A, B float64
-	// Difference is the mean of B less A, HalfWidth the half-width of its
-	// interval of confidence at 95%.
-	Difference, HalfWidth float64
-	HigherIsBetter        bool
+	// Difference is the mean of B minus A.
+	Difference float64
+	// HalfWidth is half the width of the 95% confidence interval of Difference.
+	HalfWidth      float64 `json:"Within"`
+	HigherIsBetter bool    `json:"MoreIsBetter"`
 }
 
 // Verdict tells which policy is better, as far as the interval tells.
