--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -61,7 +61,7 @@
 	stat := "7 (a (b) c) S 1 7 7 0 -1 4194304 1 0 0 0 150 50 0 0 20 0 9 0 100 1000000 300 18446744073709551615"
 	u, err := parseUsage([]byte(stat))
 	must.NoError(t, err)
-	must.Eq(t, 2*time.Second, u.processor)
+	must.Eq(t, 2*time.Second, u.cpuTime)
 	must.Eq(t, 300*int64(os.Getpagesize()), u.resident)
 	_, err = parseUsage([]byte("7 (a) S 1"))
 	must.Error(t, err)
--- a/internal/measure/pair.go
+++ b/internal/measure/pair.go
@@ -56,16 +56,16 @@
 }
 
 const (
-	// maxUnderWay bounds the requests that wait for an answer, each way.
-	maxUnderWay = 1000
+	// maxInFlight bounds the requests that wait for an answer, each way.
+	maxInFlight = 1000
 	// Range of the histograms, in microseconds, and their precision.
 	lowest, highest, digits = 1, 10_000_000, 3
 	// warmUpServed is how many requests in a row must be served to begin.
 	warmUpServed = 200
 )
 
-// way collects what became of the requests of one way.
-type way struct {
+// route collects what became of the requests of one route.
+type route struct {
 	target *Target
 	slots  chan struct{}
 
@@ -74,10 +74,10 @@
 	count     Count
 }
 
-func newWay(t *Target) *way {
-	return &way{
+func newRoute(t *Target) *route {
+	return &route{
 		target:    t,
-		slots:     make(chan struct{}, maxUnderWay),
+		slots:     make(chan struct{}, maxInFlight),
 		latencies: hdrhistogram.New(lowest, highest, digits),
 	}
 }
@@ -113,7 +113,7 @@
 // Run sends requests at a rate, both ways at the same moments, whether or not
 // earlier ones were answered (an open loop).
 func (p Pair) Run(ctx context.Context, rate int, during time.Duration) (Step, error) {
-	direct, through := newWay(p.Direct), newWay(p.Through)
+	direct, through := newRoute(p.Direct), newRoute(p.Through)
 	lateness := hdrhistogram.New(lowest, highest, digits)
 	before, err := usageOf(p.PID)
 	if err != nil {
@@ -155,12 +155,12 @@
 	}
 	step.Added = step.Through.minus(step.Direct)
 	if n := through.count.Served + through.count.Refused; n > 0 {
-		step.CPUPerRequest = (after.processor - before.processor).Seconds() * 1e6 / float64(n)
+		step.CPUPerRequest = (after.cpuTime - before.cpuTime).Seconds() * 1e6 / float64(n)
 	}
 	return step, ctx.Err()
 }
 
-func (w *way) start(ctx context.Context, wg *sync.WaitGroup, number int) {
+func (w *route) start(ctx context.Context, wg *sync.WaitGroup, number int) {
 	select {
 	case w.slots <- struct{}{}:
 	default:
@@ -174,11 +174,11 @@
 		err := w.target.send(ctx, number)
 		took := time.Since(begin)
 		<-w.slots
-		w.note(took, err)
+		w.record(took, err)
 	})
 }
 
-func (w *way) note(took time.Duration, err error) {
+func (w *route) record(took time.Duration, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
--- a/internal/measure/usage.go
+++ b/internal/measure/usage.go
@@ -13,8 +13,8 @@
 
 // usage is what a process has used so far.
 type usage struct {
-	processor time.Duration
-	resident  int64
+	cpuTime  time.Duration
+	resident int64
 }
 
 const (
@@ -50,7 +50,7 @@
 		numbers[i] = n
 	}
 	return usage{
-		processor: time.Duration(numbers[0]+numbers[1]) * clockTick,
-		resident:  numbers[2] * int64(os.Getpagesize()),
+		cpuTime:  time.Duration(numbers[0]+numbers[1]) * clockTick,
+		resident: numbers[2] * int64(os.Getpagesize()),
 	}, nil
 }
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -13,31 +13,31 @@
 // maxAttempts is how many servers a request may be sent to.
 const maxAttempts = 3
 
-// mostReturns is how often a caller that was refused comes back.
-const mostReturns = 3
+// maxResubmissions is how often a caller that was refused comes back.
+const maxResubmissions = 3
 
 // caller is a caller's request, from its first try to its end.
 type caller struct {
-	world     *world
+	world     *simulation
 	service   int
 	kind      RequestKind
 	workspace int
 	// work and honest are drawn beforehand, the same for every policy.
-	work   time.Duration
-	honest bool
-	rng    *rand.Rand
+	work            time.Duration
+	obeysRetryAfter bool
+	rng             *rand.Rand
 
 	// first is when it was asked for first, sent when this try was sent.
-	first, sent time.Duration
-	deadline    time.Duration
-	returns     int
-
-	instance   *instance
-	tried      []string
-	running    []*attempt
-	mayHaveRun bool
-	ownError   bool
-	over       bool
+	first, sent   time.Duration
+	deadline      time.Duration
+	resubmissions int
+
+	instance       *instance
+	tried          []string
+	running        []*attempt
+	mayHaveRun     bool
+	unrelatedError bool
+	finished       bool
 }
 
 // attempt is one try at one server.
@@ -48,10 +48,10 @@
 	job    *job
 }
 
-func newCaller(w *world, service int, k RequestKind, rng *rand.Rand, number uint64) *caller {
+func newCaller(w *simulation, service int, k RequestKind, rng *rand.Rand, number uint64) *caller {
 	c := &caller{world: w, service: service, kind: k, rng: rand.New(rand.NewPCG(w.seed, 1_000_000+number)), first: -1}
 	c.work = logNormal(rng, k.ServiceTime, k.Spread)
-	c.honest = rng.Float64() < w.deployment.RetryAfterCompliance
+	c.obeysRetryAfter = rng.Float64() < w.deployment.RetryAfterCompliance
 	x := rng.Float64()
 	for i, ws := range w.deployment.Workspaces {
 		c.workspace = i
@@ -62,19 +62,19 @@
 	return c
 }
 
-// ask sends the request to an instance, for the first time or again.
-func (c *caller) ask() {
+// submit sends the request to an instance, for the first time or again.
+func (c *caller) submit() {
 	w := c.world
 	if c.first < 0 {
 		c.first = w.now
 		c.deadline = w.now + c.kind.Timeout
 	}
 	c.sent = w.now
-	c.tried, c.running, c.mayHaveRun, c.over = nil, nil, false, false
+	c.tried, c.running, c.mayHaveRun, c.finished = nil, nil, false, false
 	c.instance = w.instances[c.rng.IntN(len(w.instances))]
 	choice, ok := c.instance.choose(c)
 	if !ok {
-		c.refused(comeBackSoon)
+		c.refused(minRetryAfter)
 		return
 	}
 	if ok, wait := placement.Admit(choice, placement.Request{Remaining: c.deadline - w.now}, 1, c.instance.rng.Float64()); !ok {
@@ -84,31 +84,31 @@
 	}
 	if ok, wait := c.instance.usage.Take(uint32(c.workspace), w.now); !ok {
 		w.tally.overRate(c)
-		c.refused(wait + time.Duration(c.instance.rng.Float64()*float64(comeBackSoon)))
+		c.refused(wait + time.Duration(c.instance.rng.Float64()*float64(minRetryAfter)))
 		return
 	}
 	sent := c.sent
-	w.after(c.deadline-w.now, func() { c.timeout(sent) })
-	c.begin(choice)
-	c.watch(sent)
+	w.schedule(c.deadline-w.now, func() { c.timeout(sent) })
+	c.startAttempt(choice)
+	c.scheduleHedge(sent)
 }
 
-// watch hedges the request when its answer is late.
-func (c *caller) watch(sent time.Duration) {
-	c.world.after(retry.LateThreshold(c.instance.workOf(c.kind)), func() {
-		if c.over || c.sent != sent || len(c.running) != 1 {
+// scheduleHedge hedges the request when its answer is late.
+func (c *caller) scheduleHedge(sent time.Duration) {
+	c.world.schedule(retry.LateThreshold(c.instance.serviceTime(c.kind)), func() {
+		if c.finished || c.sent != sent || len(c.running) != 1 {
 			return
 		}
 		c.instance.late(c.running[0])
 		if c.instance.mayHedge(c) {
 			if choice, ok := c.instance.choose(c); ok {
-				c.begin(choice)
+				c.startAttempt(choice)
 			}
 		}
 	})
 }
 
-func (c *caller) begin(choice placement.Choice) {
+func (c *caller) startAttempt(choice placement.Choice) {
 	w := c.world
 	var v *server
 	for _, s := range w.services[c.service].servers {
@@ -123,8 +123,8 @@
 	c.tried = append(c.tried, choice.Server.ID)
 	c.running = append(c.running, a)
 	c.instance.started(c, v, len(c.tried))
-	if c.instance.cut[v.hash] && w.deployment.Partition.holds(w.now) {
-		v.finish(a.job, connectFor, health.ConnectFailed)
+	if c.instance.partitioned[v.hash] && w.deployment.Partition.contains(w.now) {
+		v.finish(a.job, connectTimeout, health.ConnectFailed)
 		return
 	}
 	v.arrive(a.job)
@@ -139,7 +139,7 @@
 
 // ended decides what follows an attempt's end.
 func (c *caller) ended(a *attempt, r health.Result, sent time.Duration) {
-	if c.over || c.sent != sent {
+	if c.finished || c.sent != sent {
 		return
 	}
 	for i, x := range c.running {
@@ -150,17 +150,17 @@
 	}
 	if r == health.OK {
 		c.instance.ended(c, a, r, evidence.RequestServed)
-		c.settle()
+		c.cancelAttempts()
 		c.world.tally.served(c)
 		return
 	}
 	mayHaveRun := c.mayHaveRun
 	c.mayHaveRun = c.mayHaveRun || !r.ProvedNotRun()
-	c.ownError = r == health.ServerError && !a.server.ill(c.world.now)
+	c.unrelatedError = r == health.ServerError && !a.server.faulty(c.world.now)
 	state := c.state(r, len(c.running))
 	state.MayHaveRun = mayHaveRun
 	state.HadFreeSlot = !a.choice.MustQueue()
-	d := retry.Decide(c.world.now, state, c.instance.repeats[c.service].Budget(bound, c.world.now))
+	d := retry.Decide(c.world.now, state, c.instance.retryBudgets[c.service].Budget(retryLimit, c.world.now))
 	switch d.Action {
 	case retry.Wait:
 		c.instance.ended(c, a, r, evidence.RequestPending)
@@ -168,14 +168,14 @@
 	case retry.Retry:
 		c.instance.ended(c, a, r, evidence.RequestPending)
 		if choice, ok := c.instance.choose(c); ok {
-			c.begin(choice)
+			c.startAttempt(choice)
 			return
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
 		c.instance.ended(c, a, r, evidence.RequestUnserved)
 	}
 	if c.mayHaveRun {
-		c.over = true
+		c.finished = true
 		c.world.tally.failed(c)
 		return
 	}
@@ -184,7 +184,7 @@
 
 // timeout ends the request at its deadline.
 func (c *caller) timeout(sent time.Duration) {
-	if c.over || c.sent != sent {
+	if c.finished || c.sent != sent {
 		return
 	}
 	for _, a := range c.running {
@@ -192,13 +192,13 @@
 		a.server.cancel(a.job)
 	}
 	c.running = nil
-	c.over = true
+	c.finished = true
 	c.world.tally.failed(c)
 }
 
-// settle cancels the attempts that nobody waits for any more.
-func (c *caller) settle() {
-	c.over = true
+// cancelAttempts cancels the attempts that nobody waits for any more.
+func (c *caller) cancelAttempts() {
+	c.finished = true
 	for _, a := range c.running {
 		c.instance.ended(c, a, health.Cancelled, evidence.RequestPending)
 		a.server.cancel(a.job)
@@ -209,16 +209,16 @@
 // refused has the caller come back when it was told to, at most after a third
 // of the time that it has left. Some come back at once.
 func (c *caller) refused(after time.Duration) {
-	c.over = true
+	c.finished = true
 	left := c.deadline - c.world.now
-	if c.returns >= mostReturns || left <= 0 {
+	if c.resubmissions >= maxResubmissions || left <= 0 {
 		c.world.tally.refused(c)
 		return
 	}
-	c.returns++
+	c.resubmissions++
 	wait := min(after, left/3)
-	if !c.honest {
-		wait = quick
+	if !c.obeysRetryAfter {
+		wait = immediateLatency
 	}
-	c.world.after(wait, c.ask)
+	c.world.schedule(wait, c.submit)
 }
--- a/lab/ranges.go
+++ b/lab/deployment.go
@@ -13,12 +13,12 @@
 // uniform draws evenly.
 func (r Range) uniform(rng *rand.Rand) float64 { return r.Low + rng.Float64()*(r.High-r.Low) }
 
-// scaled draws evenly on a logarithmic scale, for figures that span tenfolds.
-func (r Range) scaled(rng *rand.Rand) float64 {
+// logUniform draws evenly on a logarithmic scale, for figures that span tenfolds.
+func (r Range) logUniform(rng *rand.Rand) float64 {
 	return r.Low * math.Pow(r.High/r.Low, rng.Float64())
 }
 
-func (r Range) whole(rng *rand.Rand) int { return int(math.Round(r.uniform(rng))) }
+func (r Range) uniformInt(rng *rand.Rand) int { return int(math.Round(r.uniform(rng))) }
 
 // Ranges are what deployments are drawn from. They are wide, so that nobody can
 // fit a policy to one deployment.
@@ -119,7 +119,7 @@
 // Window is a span of time.
 type Window struct{ From, To time.Duration }
 
-func (w Window) holds(t time.Duration) bool { return t >= w.From && t < w.To }
+func (w Window) contains(t time.Duration) bool { return t >= w.From && t < w.To }
 
 // Workspace has a rate and burst, and a share of all requests.
 type Workspace struct {
@@ -164,8 +164,8 @@
 // Draw draws a deployment.
 func (r Ranges) Draw(rng *rand.Rand) Deployment {
 	d := Deployment{
-		Instances: r.Instances.whole(rng), DataCentres: r.DataCentres.whole(rng),
-		MessageDelay:   time.Duration(r.MessageDelayMS.scaled(rng) * float64(time.Millisecond)),
+		Instances: r.Instances.uniformInt(rng), DataCentres: r.DataCentres.uniformInt(rng),
+		MessageDelay:   time.Duration(r.MessageDelayMS.logUniform(rng) * float64(time.Millisecond)),
 		MessageLoss:    r.MessageLoss.uniform(rng),
 		PartitionShare: r.PartitionShare.uniform(rng), Partition: window(rng),
 		BurstFactor: r.BurstFactor.uniform(rng), BurstWindow: window(rng),
@@ -175,7 +175,7 @@
 		d.RestartAt = time.Duration((8 + 14*rng.Float64()) * float64(time.Second))
 	}
 	total := 0.0
-	for range r.Services.whole(rng) {
+	for range r.Services.uniformInt(rng) {
 		s := r.service(rng)
 		for _, k := range s.Kinds {
 			total += k.RequestsPerSecond
@@ -194,11 +194,11 @@
 
 func (r Ranges) service(rng *rand.Rand) Service {
 	s := Service{
-		Servers: r.Servers.whole(rng), Slots: r.Slots.whole(rng), Queue: r.Queue.whole(rng),
+		Servers: r.Servers.uniformInt(rng), Slots: r.Slots.uniformInt(rng), Queue: r.Queue.uniformInt(rng),
 		ErrorShare: r.ErrorShare.uniform(rng),
 		Faults: Faults{
-			Share: r.FaultShare.scaled(rng), FailureShare: r.FaultFailureShare.uniform(rng), Mode: Mode(rng.IntN(int(modes))),
-			MeanDuration: time.Duration(r.FaultSeconds.scaled(rng) * float64(time.Second)),
+			Share: r.FaultShare.logUniform(rng), FailureShare: r.FaultFailureShare.uniform(rng), Mode: Mode(rng.IntN(int(modes))),
+			MeanDuration: time.Duration(r.FaultSeconds.logUniform(rng) * float64(time.Second)),
 		},
 	}
 	if rng.Float64() < 0.25 {
@@ -222,17 +222,17 @@
 		}
 		kind := r.kind(rng, k.repeatable)
 		kind.RequestsPerSecond = busy * k.share / kind.ServiceTime.Seconds()
-		kind.slowTo(mostPerSecond)
+		kind.limitRate(maxRequestsPerSecond)
 		s.Kinds = append(s.Kinds, kind)
 	}
 	return s
 }
 
-// mostPerSecond bounds the requests of a kind, so that a play takes a tenth of a
+// maxRequestsPerSecond bounds the requests of a kind, so that a play takes a tenth of a
 // second. Above that its work takes longer instead, at the same use of slots.
-const mostPerSecond = 60
+const maxRequestsPerSecond = 60
 
-func (k *RequestKind) slowTo(most float64) {
+func (k *RequestKind) limitRate(most float64) {
 	if k.RequestsPerSecond <= most {
 		return
 	}
@@ -242,7 +242,7 @@
 }
 
 func (r Ranges) kind(rng *rand.Rand, repeatable bool) RequestKind {
-	work := r.ServiceTimeMS.scaled(rng) * float64(time.Millisecond)
+	work := r.ServiceTimeMS.logUniform(rng) * float64(time.Millisecond)
 	aim := work * r.LatencyTargetFactor.uniform(rng)
 	return RequestKind{
 		Idempotent: repeatable, ServiceTime: time.Duration(work), Spread: r.Spread.uniform(rng),
@@ -252,7 +252,7 @@
 
 // workspaces share the load unevenly; the first asks for more than its rate.
 func (r Ranges) workspaces(rng *rand.Rand, perSecond float64) []Workspace {
-	all := make([]Workspace, r.Workspaces.whole(rng))
+	all := make([]Workspace, r.Workspaces.uniformInt(rng))
 	sum := 0.0
 	for i := range all {
 		all[i].Share = 0.2 + rng.Float64()
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	// repeatRatio and repeatSlack bound repeats as on the users' platform.
-	repeatRatio = 0.2
-	repeatSlack = 60
-	// comeBackSoon is the least time that callers are told.
-	comeBackSoon = 500 * time.Millisecond
+	// retryRatio and repeatSlack bound repeats as on the users' platform.
+	retryRatio = 0.2
+	retrySlack = 60
+	// minRetryAfter is the least time that callers are told.
+	minRetryAfter = 500 * time.Millisecond
 	// smoothing is the weight of a request in its kind's usual time, and
 	// firstWork the share of the aim taken before any was measured.
-	smoothing = 0.08
-	firstWork = 0.3
+	smoothing               = 0.08
+	initialServiceTimeShare = 0.3
 )
 
 // instance is one instance: the product's decisions, and what it was told.
 type instance struct {
-	world      *world
-	number     uint32
-	dataCentre string
-	placer     *placement.Placer
-	usage      *usage.Counters
-	repeats    []*retry.FleetBudget
-	work       map[RequestKind]time.Duration
-	own        map[uint32]int
-	cut        map[uint32]bool
-	rng        *rand.Rand
+	world        *simulation
+	number       uint32
+	dataCentre   string
+	placer       *placement.Placer
+	usage        *usage.Counters
+	retryBudgets []*retry.FleetBudget
+	work         map[RequestKind]time.Duration
+	own          map[uint32]int
+	partitioned  map[uint32]bool
+	rng          *rand.Rand
 }
 
-func newInstance(w *world, number int) *instance {
+func newInstance(w *simulation, number int) *instance {
 	i := &instance{
 		world: w, number: uint32(number + 1), dataCentre: dataCentre(number % w.deployment.DataCentres),
 		placer: placement.NewWithout(w.off), usage: usage.NewCounters(),
-		work: make(map[RequestKind]time.Duration), own: make(map[uint32]int), cut: make(map[uint32]bool),
-		rng: rand.New(rand.NewPCG(w.decisions.Uint64(), uint64(number))),
+		work: make(map[RequestKind]time.Duration), own: make(map[uint32]int), partitioned: make(map[uint32]bool),
+		rng: rand.New(rand.NewPCG(w.policyRNG.Uint64(), uint64(number))),
 	}
 	paths := rand.New(rand.NewPCG(w.seed, uint64(50_000+number)))
 	for _, s := range w.services {
-		i.repeats = append(i.repeats, retry.NewFleetBudget(comeBackSoon, i.rng))
+		i.retryBudgets = append(i.retryBudgets, retry.NewFleetBudget(minRetryAfter, i.rng))
 		for _, v := range s.servers {
 			i.placer.Apply(discovery.Change{Server: v.entry, New: true}, w.now)
-			i.cut[v.hash] = paths.Float64() < w.deployment.PartitionShare
+			i.partitioned[v.hash] = paths.Float64() < w.deployment.PartitionShare
 		}
 	}
 	for n, ws := range w.deployment.Workspaces {
@@ -60,11 +60,11 @@
 	return i
 }
 
-// tell has the others hear of something, each unless the message is lost.
-func (i *instance) tell(hear func(other *instance)) {
+// broadcast has the others hear of something, each unless the message is lost.
+func (i *instance) broadcast(hear func(other *instance)) {
 	w := i.world
 	heard := w.instances
-	w.after(w.deployment.MessageDelay, func() {
+	w.schedule(w.deployment.MessageDelay, func() {
 		for _, other := range heard {
 			if other != i && i.rng.Float64() >= w.deployment.MessageLoss {
 				hear(other)
@@ -82,11 +82,11 @@
 // started takes in and tells that an attempt has begun.
 func (i *instance) started(c *caller, v *server, number int) {
 	i.outstanding(v, 1)
-	i.repeats[c.service].Count(number > 1, i.world.now)
+	i.retryBudgets[c.service].Count(number > 1, i.world.now)
 	n, admitted := i.own[v.hash], i.usage.AdmittedTotal(uint32(c.workspace))
-	i.tell(func(o *instance) {
+	i.broadcast(func(o *instance) {
 		o.placer.SetOutstanding(v.hash, i.number, n, o.world.now)
-		o.repeats[c.service].Count(number > 1, o.world.now)
+		o.retryBudgets[c.service].Count(number > 1, o.world.now)
 		o.usage.ApplyReport(usage.Report{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
 	})
 }
@@ -94,7 +94,7 @@
 // ended takes in and tells how an attempt ended.
 func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.RequestOutcome) {
 	i.outstanding(a.server, -1)
-	work := i.workOf(c.kind)
+	work := i.serviceTime(c.kind)
 	took := i.world.now - a.start
 	if r == health.OK {
 		if a.choice.Outstanding >= a.choice.Server.Slots {
@@ -111,7 +111,7 @@
 	}
 	learn(i, true)
 	n := i.own[a.server.hash]
-	i.tell(func(o *instance) {
+	i.broadcast(func(o *instance) {
 		o.placer.SetOutstanding(a.server.hash, i.number, n, o.world.now)
 		learn(o, false)
 	})
@@ -120,25 +120,25 @@
 // late takes in and tells that an attempt takes longer than it should.
 func (i *instance) late(a *attempt) {
 	i.placer.RecordResult(a.server.hash, health.Late, true, 0, 0, i.world.now)
-	i.tell(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.world.now) })
+	i.broadcast(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.world.now) })
 }
 
-func (i *instance) workOf(k RequestKind) time.Duration {
+func (i *instance) serviceTime(k RequestKind) time.Duration {
 	if w, ok := i.work[k]; ok {
 		return w
 	}
-	return time.Duration(firstWork * float64(k.LatencyTarget))
+	return time.Duration(initialServiceTimeShare * float64(k.LatencyTarget))
 }
 
-var bound = retry.Limit{Ratio: repeatRatio, Slack: repeatSlack, Coverage: 1}
+var retryLimit = retry.Limit{Ratio: retryRatio, Slack: retrySlack, Coverage: 1}
 
 // choose places a request.
 func (i *instance) choose(c *caller) (placement.Choice, bool) {
 	now := i.world.now
 	r := placement.Request{
 		Service: i.world.services[c.service].name, Retryable: c.kind.Idempotent,
-		RetryBudgetAmple: c.kind.Idempotent && i.repeats[c.service].MayProbe(bound, now),
-		LatencyTarget:    c.kind.LatencyTarget - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.workOf(c.kind),
+		RetryBudgetAmple: c.kind.Idempotent && i.retryBudgets[c.service].MayProbe(retryLimit, now),
+		LatencyTarget:    c.kind.LatencyTarget - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.serviceTime(c.kind),
 		SizeKB: 5, DataCentre: i.dataCentre, TriedServers: c.tried,
 	}
 	choice, ok := i.placer.Choose(r, now, i.rng.Float64)
@@ -152,5 +152,5 @@
 	if !c.kind.Idempotent || !i.world.off.Enabled(mechanism.Hedge) {
 		return false
 	}
-	return retry.DecideHedge(i.world.now, c.state(health.Late, 1), i.repeats[c.service].Budget(bound, i.world.now)).Action == retry.Hedge
+	return retry.DecideHedge(i.world.now, c.state(health.Late, 1), i.retryBudgets[c.service].Budget(retryLimit, i.world.now)).Action == retry.Hedge
 }
--- a/lab/measures.go
+++ b/lab/measures.go
@@ -27,8 +27,8 @@
 	FailuresPerFault float64
 }
 
-// lateWorth is what a late answer is worth to its caller.
-const lateWorth = 0.3
+// lateCredit is what a late answer is worth to its caller.
+const lateCredit = 0.3
 
 // MeasureNames of the measures, in the order of Values.
 var MeasureNames = []string{
@@ -48,7 +48,7 @@
 // share counts what was owed and what of it was served.
 type share struct{ owed, served int }
 
-func (s share) of() float64 {
+func (s share) ratio() float64 {
 	if s.owed == 0 {
 		return 1
 	}
@@ -62,25 +62,25 @@
 	orders, ordersLost             int
 	workspaces                     []share
 	windows                        map[int]share
-	// over counts the refusals over the rate, by workspace.
-	over map[int]int
+	// overRateCounts counts the refusals overRateCounts the rate, by workspace.
+	overRateCounts map[int]int
 	// healthy counts looks at healthy servers, idle those that found them idle.
 	healthy, idle int
-	// spells counts those that cost a request, failures these requests.
-	spells, failures int
+	// faults counts those that cost a request, failures these requests.
+	faults, failures int
 }
 
 func newTally(d Deployment) tally {
 	return tally{
-		workspaces: make([]share, len(d.Workspaces)), windows: make(map[int]share), over: make(map[int]int),
+		workspaces: make([]share, len(d.Workspaces)), windows: make(map[int]share), overRateCounts: make(map[int]int),
 	}
 }
 
 // window is the span over which the worst seconds are sought.
 const windowLength = 2 * time.Second
 
-// least is how many requests a workspace or a window needs to be compared.
-const least = 10
+// minRequests is how many requests a workspace or a window needs to be compared.
+const minRequests = 10
 
 // count takes in a request that has ended.
 func (t *tally) count(c *caller, served bool) {
@@ -112,7 +112,7 @@
 	t.answered++
 	if c.world.now-c.first > c.kind.LatencyTarget {
 		t.late++
-		t.credit += lateWorth
+		t.credit += lateCredit
 		return
 	}
 	t.credit++
@@ -122,16 +122,16 @@
 // error is nobody's fault, but isn't an answer either.
 func (t *tally) failed(c *caller) {
 	t.count(c, false)
-	if c.first >= WarmUp && !c.kind.Idempotent && !c.ownError {
+	if c.first >= WarmUp && !c.kind.Idempotent && !c.unrelatedError {
 		t.ordersLost++
 	}
 }
 
 func (t *tally) refused(c *caller) {
-	if t.over[c.workspace] > 0 && c.workspace == 0 {
+	if t.overRateCounts[c.workspace] > 0 && c.workspace == 0 {
 		// The hot workspace asks for more than its rate; what is refused of
 		// that isn't owed.
-		t.over[c.workspace]--
+		t.overRateCounts[c.workspace]--
 		return
 	}
 	t.count(c, false)
@@ -141,7 +141,7 @@
 }
 
 // overRate notes a refusal over the rate.
-func (t *tally) overRate(c *caller) { t.over[c.workspace]++ }
+func (t *tally) overRate(c *caller) { t.overRateCounts[c.workspace]++ }
 
 func (t *tally) measures() Measures {
 	m := Measures{WorstWorkspace: 1, WorstWindow: 1}
@@ -157,20 +157,20 @@
 		m.OrdersLost = float64(t.ordersLost) / float64(t.orders)
 	}
 	for i, s := range t.workspaces {
-		if i > 0 && s.owed >= least {
-			m.WorstWorkspace = min(m.WorstWorkspace, s.of())
+		if i > 0 && s.owed >= minRequests {
+			m.WorstWorkspace = min(m.WorstWorkspace, s.ratio())
 		}
 	}
 	for _, s := range t.windows {
-		if s.owed >= least {
-			m.WorstWindow = min(m.WorstWindow, s.of())
+		if s.owed >= minRequests {
+			m.WorstWindow = min(m.WorstWindow, s.ratio())
 		}
 	}
 	if t.healthy > 0 {
 		m.Idle = float64(t.idle) / float64(t.healthy)
 	}
-	if t.spells > 0 {
-		m.FailuresPerFault = float64(t.failures) / float64(t.spells)
+	if t.faults > 0 {
+		m.FailuresPerFault = float64(t.failures) / float64(t.faults)
 	}
 	return m
 }
--- a/lab/server.go
+++ b/lab/server.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// quick is the time of an answer that takes no work.
-	quick = 3 * time.Millisecond
-	// connectFor is how long an instance tries to connect.
-	connectFor = 300 * time.Millisecond
+	// immediateLatency is the time of an answer that takes no work.
+	immediateLatency = 3 * time.Millisecond
+	// connectTimeout is how long an instance tries to connect.
+	connectTimeout = 300 * time.Millisecond
 )
 
 // service is the servers of a service.
 type service struct {
-	world   *world
+	world   *simulation
 	plan    Service
 	name    string
 	servers []*server
@@ -33,17 +33,17 @@
 	speed   float64
 	busy    int
 	queue   []*job
-	// spells holds the ends of good and bad times by turns, drawn beforehand.
-	spells      []spell
+	// periods holds the ends of good and bad times by turns, drawn beforehand.
+	periods     []period
 	lastArrival time.Duration
-	// charged is the end of the last spell that cost a request.
-	charged time.Duration
-	rng     *rand.Rand
+	// lastFailurePeriod is the end of the last spell that cost a request.
+	lastFailurePeriod time.Duration
+	rng               *rand.Rand
 }
 
-type spell struct {
-	until time.Duration
-	ill   bool
+type period struct {
+	until  time.Duration
+	faulty bool
 }
 
 // job is an attempt at a server.
@@ -54,12 +54,12 @@
 	// deadline is when the instance's time for it is up.
 	deadline time.Duration
 	// done is told once how it ended.
-	done  func(health.Result)
-	ended bool
-	runs  bool
+	done      func(health.Result)
+	ended     bool
+	holdsSlot bool
 }
 
-func newService(w *world, number int, plan Service) *service {
+func newService(w *simulation, number int, plan Service) *service {
 	s := &service{world: w, plan: plan, name: string(rune('a' + number))}
 	for i := range plan.Servers {
 		id := s.name + "-" + string(rune('A'+i))
@@ -71,7 +71,7 @@
 				DataCentre: dataCentre(i % w.deployment.DataCentres),
 			},
 		}
-		v.drawSpells(plan.Faults)
+		v.drawPeriods(plan.Faults)
 		s.servers = append(s.servers, v)
 	}
 	return s
@@ -79,9 +79,9 @@
 
 func dataCentre(n int) string { return string(rune('p' + n)) }
 
-// drawSpells draws good and bad times so that the share of the bad ones is as
+// drawPeriods draws good and bad times so that the share of the bad ones is as
 // planned.
-func (v *server) drawSpells(s Faults) {
+func (v *server) drawPeriods(s Faults) {
 	well := float64(s.MeanDuration) * (1 - s.Share) / s.Share
 	ill := v.rng.Float64() < s.Share
 	for t := time.Duration(0); t < SimulationLength; ill = !ill {
@@ -90,30 +90,30 @@
 			mean = float64(s.MeanDuration)
 		}
 		t += time.Duration(v.rng.ExpFloat64() * mean)
-		v.spells = append(v.spells, spell{t, ill})
+		v.periods = append(v.periods, period{t, ill})
 	}
 }
 
-func (v *server) ill(now time.Duration) bool { return v.spell(now).ill }
+func (v *server) faulty(now time.Duration) bool { return v.periodAt(now).faulty }
 
-func (v *server) spell(now time.Duration) spell {
-	for _, s := range v.spells {
+func (v *server) periodAt(now time.Duration) period {
+	for _, s := range v.periods {
 		if now < s.until {
 			return s
 		}
 	}
-	return spell{}
+	return period{}
 }
 
-// charge counts a failure against the spell that caused it.
-func (v *server) charge() {
+// countFailure counts a failure against the spell that caused it.
+func (v *server) countFailure() {
 	w := v.service.world
 	if w.now < WarmUp {
 		return
 	}
-	if s := v.spell(w.now); s.until != v.charged {
-		v.charged = s.until
-		w.tally.spells++
+	if s := v.periodAt(w.now); s.until != v.lastFailurePeriod {
+		v.lastFailurePeriod = s.until
+		w.tally.faults++
 	}
 	w.tally.failures++
 }
@@ -123,11 +123,11 @@
 	w, p := v.service.world, v.service.plan
 	v.lastArrival = w.now
 	switch {
-	case p.ShedWindow.holds(w.now) && v.rng.Float64() < p.ShedShare, v.busy >= p.Slots && len(v.queue) >= p.Queue:
-		v.finish(j, quick, health.Shed)
+	case p.ShedWindow.contains(w.now) && v.rng.Float64() < p.ShedShare, v.busy >= p.Slots && len(v.queue) >= p.Queue:
+		v.finish(j, immediateLatency, health.Shed)
 		return
-	case v.ill(w.now) && v.rng.Float64() < p.Faults.FailureShare:
-		v.charge()
+	case v.faulty(w.now) && v.rng.Float64() < p.Faults.FailureShare:
+		v.countFailure()
 		v.fail(j, p.Faults.Mode)
 		return
 	}
@@ -138,20 +138,20 @@
 func (v *server) fail(j *job, mode Mode) {
 	switch mode {
 	case Reset:
-		v.finish(j, quick, health.Incomplete)
+		v.finish(j, immediateLatency, health.Incomplete)
 	case Error:
-		v.finish(j, quick, health.ServerError)
+		v.finish(j, immediateLatency, health.ServerError)
 	case Slow:
 		j.work *= 5
 		v.enqueue(j)
 	case Truncate:
-		v.service.world.after(j.work, func() { v.end(j, health.Incomplete) })
+		v.service.world.schedule(j.work, func() { v.end(j, health.Incomplete) })
 	case Hang, LoseAnswer:
 		// The slot is taken until the instance gives up, or the work is done.
 		v.busy++
-		j.runs = true
+		j.holdsSlot = true
 		if mode == LoseAnswer {
-			v.service.world.after(j.work, func() { v.release(j) })
+			v.service.world.schedule(j.work, func() { v.release(j) })
 		}
 	case Blackhole, modes:
 	}
@@ -167,13 +167,13 @@
 
 func (v *server) run(j *job) {
 	v.busy++
-	j.runs = true
+	j.holdsSlot = true
 	took := time.Duration(float64(j.work) * v.speed)
 	result := health.OK
 	if v.rng.Float64() < v.service.plan.ErrorShare {
 		result = health.ServerError
 	}
-	v.service.world.after(took, func() {
+	v.service.world.schedule(took, func() {
 		v.release(j)
 		v.end(j, result)
 	})
@@ -181,10 +181,10 @@
 
 // release frees an attempt's slot, once.
 func (v *server) release(j *job) {
-	if !j.runs {
+	if !j.holdsSlot {
 		return
 	}
-	j.runs = false
+	j.holdsSlot = false
 	v.busy--
 	for len(v.queue) > 0 && v.busy < v.service.plan.Slots {
 		next := v.queue[0]
@@ -202,7 +202,7 @@
 }
 
 func (v *server) finish(j *job, after time.Duration, r health.Result) {
-	v.service.world.after(after, func() { v.end(j, r) })
+	v.service.world.schedule(after, func() { v.end(j, r) })
 }
 
 func (v *server) end(j *job, r health.Result) {
--- a/lab/world.go
+++ b/lab/simulation.go
@@ -45,41 +45,41 @@
 	return x
 }
 
-// world is one play.
-type world struct {
+// simulation is one play.
+type simulation struct {
 	deployment Deployment
 	off        mechanism.Disabled
 	now        time.Duration
 	events     events
 	order      uint64
-	// nature draws what happens whatever the policy does, decisions what the
+	// environmentRNG draws what happens whatever the policy does, policyRNG what the
 	// policy draws.
-	nature, decisions *rand.Rand
-	seed              uint64
-	services          []*service
-	instances         []*instance
-	tally             tally
-	// asked numbers the callers' requests.
-	asked uint64
+	environmentRNG, policyRNG *rand.Rand
+	seed                      uint64
+	services                  []*service
+	instances                 []*instance
+	tally                     tally
+	// requestCount numbers the callers' requests.
+	requestCount uint64
 }
 
 // Simulate plays a deployment with a policy. The seed fixes arrivals, spells and
 // chance.
 func Simulate(d Deployment, off mechanism.Disabled, seed uint64) Measures {
-	w := &world{
+	w := &simulation{
 		deployment: d, off: off, seed: seed,
-		nature: rand.New(rand.NewPCG(seed, 1)), decisions: rand.New(rand.NewPCG(seed, 2)),
+		environmentRNG: rand.New(rand.NewPCG(seed, 1)), policyRNG: rand.New(rand.NewPCG(seed, 2)),
 	}
 	for i, s := range d.Services {
 		w.services = append(w.services, newService(w, i, s))
 	}
 	w.tally = newTally(d)
 	w.startInstances()
-	w.arrivals()
+	w.scheduleArrivals()
 	if d.RestartAt > 0 {
-		w.after(d.RestartAt, w.startInstances)
+		w.schedule(d.RestartAt, w.startInstances)
 	}
-	w.after(WarmUp, w.look)
+	w.schedule(WarmUp, w.sampleIdle)
 	for len(w.events) > 0 && w.events[0].at <= SimulationLength {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -88,57 +88,57 @@
 	return w.tally.measures()
 }
 
-func (w *world) startInstances() {
+func (w *simulation) startInstances() {
 	w.instances = nil
 	for i := range w.deployment.Instances {
 		w.instances = append(w.instances, newInstance(w, i))
 	}
 }
 
-// after has something done later.
-func (w *world) after(d time.Duration, do func()) {
+// schedule has something done later.
+func (w *simulation) schedule(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{w.now + d, w.order, do})
 }
 
-// arrivals plans all callers' first requests, which no policy changes.
-func (w *world) arrivals() {
+// scheduleArrivals plans all callers' first requests, which no policy changes.
+func (w *simulation) scheduleArrivals() {
 	for si, s := range w.deployment.Services {
 		for ki, k := range s.Kinds {
 			rng := rand.New(rand.NewPCG(w.seed, uint64(100+10*si+ki)))
 			for t := time.Duration(0); t < SimulationLength; {
 				perSecond := k.RequestsPerSecond
-				if w.deployment.BurstWindow.holds(t) {
+				if w.deployment.BurstWindow.contains(t) {
 					perSecond *= w.deployment.BurstFactor
 				}
 				t += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
-				w.asked++
-				c := newCaller(w, si, k, rng, w.asked)
-				w.after(t, c.ask)
+				w.requestCount++
+				c := newCaller(w, si, k, rng, w.requestCount)
+				w.schedule(t, c.submit)
 			}
 		}
 	}
 }
 
-// look measures, ten times a second, which healthy servers lie idle.
-func (w *world) look() {
+// sampleIdle measures, ten times a second, which healthy servers lie idle.
+func (w *simulation) sampleIdle() {
 	for _, s := range w.services {
 		for _, v := range s.servers {
-			if v.ill(w.now) {
+			if v.faulty(w.now) {
 				continue
 			}
 			w.tally.healthy++
-			if w.now-v.lastArrival > idleAfter {
+			if w.now-v.lastArrival > idleThreshold {
 				w.tally.idle++
 			}
 		}
 	}
-	w.after(100*time.Millisecond, w.look)
+	w.schedule(100*time.Millisecond, w.sampleIdle)
 }
 
-// idleAfter is the time without a request from which a healthy server counts
+// idleThreshold is the time without a request from which a healthy server counts
 // as left out.
-const idleAfter = 2 * time.Second
+const idleThreshold = 2 * time.Second
 
 // logNormal draws around a mean with a deviation as a share of it.
 func logNormal(rng *rand.Rand, mean time.Duration, spread float64) time.Duration {
