--- a/internal/labcommand/command.go
+++ b/internal/labcommand/command.go
@@ -1,4 +1,4 @@
-// Package labcommand is the command line of the lab.
+// Package labcommand implements the foxtailspoke-lab command.
 package labcommand
 
 import (
@@ -21,8 +21,8 @@
 	exitUsage  = 2
 )
 
-const help = `Plays drawn deployments in simulated time with two policies and prints the
-paired difference of each measure with its interval at 95%.
+const help = `Simulates random deployments with two policies and prints the paired difference
+of each measure with its 95% confidence interval.
 
 Example:
   foxtailspoke-lab --draws 1000 --b-without probe
@@ -31,12 +31,12 @@
 
 type options struct {
 	Settings string   `long:"settings" description:"settings file, JSON with comments"`
-	Draws    int      `long:"draws" description:"deployments to play (default 200)"`
-	Seed     uint64   `long:"seed" description:"seed of the draws (default 1)"`
-	Without  []string `long:"b-without" description:"mechanism that policy B lacks; may be repeated"`
-	Plot     string   `long:"plot" description:"file for the plot (.png, .svg)"`
+	Draws    int      `long:"draws" description:"number of deployments to simulate (default 200)"`
+	Seed     uint64   `long:"seed" description:"random seed (default 1)"`
+	Without  []string `long:"b-without" description:"mechanism to disable in policy B; may be repeated"`
+	Plot     string   `long:"plot" description:"output file for the plot (.png, .svg)"`
 	JSON     bool     `long:"json" description:"write the result as JSON"`
-	Ablate   bool     `long:"ablate" description:"switch off each mechanism by itself, and print what it is worth"`
+	Ablate   bool     `long:"ablate" description:"disable each mechanism in turn and print how the measures change"`
 }
 
 // Run runs the command and returns its exit status.
@@ -75,7 +75,7 @@
 	return exitDone
 }
 
-// settings are those of the file, with what the command line says instead.
+// settings returns those of the settings file, overridden by the command line.
 func (o options) settings() (lab.Settings, error) {
 	s := lab.Settings{Draws: 200, Seed: 1}
 	if o.Settings != "" {
@@ -109,22 +109,23 @@
 	if o.JSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		return errors.Wrap(e.Encode(result.Measures), "result")
+		return errors.Wrap(e.Encode(result.Measures), "write result")
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	// The writer keeps its first error until Flush.
+	// The writer keeps its first error until Flush, which returns it.
 	_, _ = fmt.Fprintf(t, "%d draws, seed %d; A without %s, B without %s\n", x.Draws, x.Seed, x.A, x.B)
 	_, _ = fmt.Fprintln(t, "measure\tA\tB\tB less A\twithin\tbetter")
 	for _, c := range result.Measures {
 		_, _ = fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.Name, c.A, c.B, c.Difference, c.HalfWidth, c.Verdict())
 	}
-	return errors.Wrap(t.Flush(), "result")
+	return errors.Wrap(t.Flush(), "write result")
 }
 
-// ablate compares the whole policy with one that lacks a mechanism, for each.
+// ablate compares the full policy with one that lacks a single mechanism, for each
+// mechanism.
 func ablate(x lab.Experiment, w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintf(t, "%d draws, seed %d; what is lost without each mechanism (* outside the interval)\n", x.Draws, x.Seed)
+	_, _ = fmt.Fprintf(t, "%d draws, seed %d; change of each measure without the mechanism (* significant at 95%%)\n", x.Draws, x.Seed)
 	_, _ = fmt.Fprint(t, "mechanism")
 	for _, name := range lab.MeasureNames {
 		_, _ = fmt.Fprintf(t, "\t%s", name)
@@ -142,5 +143,5 @@
 		}
 		_, _ = fmt.Fprintln(t)
 	}
-	return errors.Wrap(t.Flush(), "result")
+	return errors.Wrap(t.Flush(), "write result")
 }
--- a/internal/labcommand/command_test.go
+++ b/internal/labcommand/command_test.go
@@ -16,7 +16,7 @@
 	return status, out.String(), err.String()
 }
 
-func TestPoliciesAreCompared(t *testing.T) {
+func TestCompare(t *testing.T) {
 	status, out, _ := run("--draws", "4", "--b-without", "keep", "--json")
 	must.Zero(t, status)
 	var measures []lab.Comparison
@@ -30,7 +30,7 @@
 	must.StrContains(t, out, "B without probe")
 }
 
-func TestFaultsOfTheCommandLineAreNamed(t *testing.T) {
+func TestCommandLineErrors(t *testing.T) {
 	status, _, errs := run("--b-without", "nothing-such")
 	must.Eq(t, exitUsage, status)
 	must.StrContains(t, errs, "nothing-such")
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -21,8 +21,8 @@
 	return NewTarget([]string{strings.TrimPrefix(s.URL, "http://")}, "/lookup", nil)
 }
 
-// The way through takes 30 ms longer and refuses every tenth request. The
-// refusals must not count as fast answers.
+// The proxied route takes 30 ms longer and refuses every tenth request. Refusals must
+// not count as fast answers.
 func TestRun(t *testing.T) {
 	number := 0
 	p := Pair{
--- a/internal/measure/pair.go
+++ b/internal/measure/pair.go
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Pair is the two ways that are compared.
+// Pair holds the two routes whose latencies are compared.
 type Pair struct {
 	Direct, Through *Target
-	// PID is the process whose processor time is read; 0 for none.
+	// PID is the process whose CPU time and memory are measured; 0 for none.
 	PID int
 }
 
@@ -23,48 +23,47 @@
 	P999 int64 `json:"p999us"`
 }
 
-// Count of requests by how they ended.
+// Count counts requests by outcome.
 type Count struct {
 	Served  int64 `json:"served"`
 	Refused int64 `json:"refused"`
-	// Failed requests had no whole answer.
+	// Failed requests got no complete answer.
 	Failed int64 `json:"failed"`
-	// Skipped requests weren't sent: too many were under way.
+	// Skipped requests were not sent because too many were in flight.
 	Skipped int64 `json:"skipped"`
 }
 
 // Step is the measurement at one rate.
 type Step struct {
-	// Rate is in requests a second, each way.
+	// Rate is in requests per second on each route.
 	Rate    int       `json:"rate"`
 	Seconds float64   `json:"seconds"`
 	Direct  Quantiles `json:"direct"`
 	Through Quantiles `json:"through"`
-	// Added is the difference of the quantiles, which isn't the quantile of
-	// the differences.
+	// Added is the difference of the quantiles, not the quantile of the differences.
 	Added        Quantiles `json:"added"`
 	DirectCount  Count     `json:"directCount"`
 	ThroughCount Count     `json:"throughCount"`
-	// SendDelay is how long after its time a request was sent. It shows
-	// whether the machine kept up with the rate; no latency contains it.
+	// SendDelay is how long after its scheduled time a request was sent. It shows
+	// whether the load generator kept up with the rate; latencies exclude it.
 	SendDelay Quantiles `json:"sentLate"`
-	// CPUPerRequest is the process's time per request through it, in microseconds; 0
-	// if it wasn't read.
+	// CPUPerRequest is the process's CPU time per request, in microseconds; 0 if it was
+	// not measured.
 	CPUPerRequest float64 `json:"cpuUsPerRequest"`
-	// ResidentBytes is the process's resident memory afterwards, in bytes.
+	// ResidentBytes is the process's resident memory after the step.
 	ResidentBytes int64 `json:"residentBytes"`
 }
 
 const (
-	// maxInFlight bounds the requests that wait for an answer, each way.
+	// maxInFlight limits the concurrent requests on each route.
 	maxInFlight = 1000
-	// Range of the histograms, in microseconds, and their precision.
+	// Range of the histograms in microseconds, and their significant digits.
 	lowest, highest, digits = 1, 10_000_000, 3
-	// warmUpServed is how many requests in a row must be served to begin.
+	// warmUpServed is the number of consecutive served requests that ends the warm-up.
 	warmUpServed = 200
 )
 
-// route collects what became of the requests of one route.
+// route collects the results of the requests on one route.
 type route struct {
 	target *Target
 	slots  chan struct{}
@@ -82,21 +81,21 @@
 	}
 }
 
-// Close closes the connections.
+// Close closes idle connections.
 func (p Pair) Close() {
 	p.Direct.http.CloseIdleConnections()
 	p.Through.http.CloseIdleConnections()
 }
 
-// WarmUp sends requests one after the other until enough in a row are served
-// both ways, so that connections are made and buckets have filled.
+// WarmUp sends requests one at a time until warmUpServed in a row are served on both
+// routes, so that connections are open and token buckets are filled.
 func (p Pair) WarmUp(ctx context.Context, atMost time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, atMost)
 	defer cancel()
 	var last error
 	for served, number := 0, 0; served < warmUpServed; number++ {
 		if ctx.Err() != nil {
-			return errors.Wrapf(errors.CombineErrors(last, ctx.Err()), "measure: not served after %s", atMost)
+			return errors.Wrapf(errors.CombineErrors(last, ctx.Err()), "measure: warm-up not finished after %s", atMost)
 		}
 		err := errors.CombineErrors(p.Direct.send(ctx, number), p.Through.send(ctx, number))
 		if err == nil {
@@ -110,8 +109,8 @@
 	return nil
 }
 
-// Run sends requests at a rate, both ways at the same moments, whether or not
-// earlier ones were answered (an open loop).
+// Run sends requests at a fixed rate on both routes at the same times, whether or
+// not earlier ones have been answered (an open loop).
 func (p Pair) Run(ctx context.Context, rate int, during time.Duration) (Step, error) {
 	direct, through := newRoute(p.Direct), newRoute(p.Through)
 	lateness := hdrhistogram.New(lowest, highest, digits)
@@ -129,7 +128,7 @@
 			break
 		}
 		_ = lateness.RecordValue(micros(time.Since(due)))
-		// Which of the two goes first alternates, so that neither gains.
+		// The route that goes first alternates, so that neither gains.
 		first, second := direct, through
 		if number%2 == 1 {
 			first, second = through, direct
@@ -192,7 +191,7 @@
 	}
 }
 
-// micros rounds up to a microsecond within the histograms' range.
+// micros rounds up to microseconds and clamps to the range of the histograms.
 func micros(d time.Duration) int64 {
 	return min(max(int64((d+time.Microsecond-1)/time.Microsecond), lowest), highest)
 }
--- a/internal/measure/target.go
+++ b/internal/measure/target.go
@@ -1,5 +1,5 @@
-// Package measure times requests at a steady rate: straight to a server and
-// through an entry instance, in the same run.
+// Package measure compares the latency of requests sent at a fixed rate directly to a
+// backend server and through an entry instance, in the same run.
 package measure
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Target is where requests go, in turn to each of its addresses.
+// Target sends requests to a set of addresses in turn.
 type Target struct {
 	urls   []string
 	header http.Header
@@ -20,12 +20,12 @@
 
 const (
 	requestTimeout = 5 * time.Second
-	// idleConnections are kept, so that the rate makes no connections anew.
+	// idleConnections are kept open, so that steady load opens no new connections.
 	idleConnections = 512
 	outcomeHeader   = "Foxtailspoke-Outcome"
 )
 
-// NewTarget returns a target of GET requests with these headers.
+// NewTarget returns a target for GET requests to a path with these headers.
 func NewTarget(addresses []string, path string, header http.Header) *Target {
 	t := &Target{
 		header: header,
@@ -40,23 +40,24 @@
 	return t
 }
 
-// errRefused is an answer that isn't the backend server's.
-var errRefused = errors.New("measure: refused")
+// errRefused marks an answer that didn't come from the backend server or had another
+// status than 200.
+var errRefused = errors.New("measure: request refused")
 
-// send sends one request and reads its answer whole.
+// send sends one request and reads its complete answer.
 func (t *Target) send(ctx context.Context, number int) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, t.urls[number%len(t.urls)], nil)
 	if err != nil {
-		return errors.Wrap(err, "measure: request")
+		return errors.Wrap(err, "measure: create request")
 	}
 	r.Header = t.header.Clone()
 	response, err := t.http.Do(r)
 	if err != nil {
-		return errors.Wrap(err, "measure: send")
+		return errors.Wrap(err, "measure: send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return errors.Wrap(err, "measure: answer")
+		return errors.Wrap(err, "measure: read answer")
 	}
 	outcome := response.Header.Get(outcomeHeader)
 	if response.StatusCode != http.StatusOK || (outcome != "" && outcome != "served") {
--- a/internal/measure/usage.go
+++ b/internal/measure/usage.go
@@ -11,27 +11,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// usage is what a process has used so far.
+// usage is the CPU time and resident memory of a process.
 type usage struct {
 	cpuTime  time.Duration
 	resident int64
 }
 
 const (
-	// clockTick is the unit of processor times in /proc on Linux.
+	// clockTick is the unit of CPU times in /proc on Linux.
 	clockTick = 10 * time.Millisecond
-	// Places in /proc/PID/stat behind the command, which is in parentheses.
+	// Indices of fields in /proc/PID/stat after the command name, which is in parentheses.
 	userTicks, systemTicks, residentPages = 11, 12, 21
 )
 
-// usageOf reads a process's usage from Linux's /proc; nothing for process 0.
+// usageOf reads a process's usage from /proc on Linux; it is zero for PID 0.
 func usageOf(pid int) (usage, error) {
 	if pid == 0 {
 		return usage{}, nil
 	}
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return usage{}, errors.Wrap(err, "measure: processor time")
+		return usage{}, errors.Wrap(err, "measure: read process statistics")
 	}
 	return parseUsage(data)
 }
@@ -39,13 +39,13 @@
 func parseUsage(stat []byte) (usage, error) {
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= residentPages {
-		return usage{}, errors.Newf("measure: %d fields of a process", len(fields))
+		return usage{}, errors.Newf("measure: process statistics have %d fields after the command name, expected at least %d", len(fields), residentPages+1)
 	}
 	var numbers [3]int64
 	for i, place := range []int{userTicks, systemTicks, residentPages} {
 		n, err := strconv.ParseInt(fields[place], 10, 64)
 		if err != nil {
-			return usage{}, errors.Wrap(err, "measure: processor time")
+			return usage{}, errors.Wrapf(err, "measure: field %d of process statistics", place)
 		}
 		numbers[i] = n
 	}
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -10,24 +10,25 @@
 	"foxtailspoke/retry"
 )
 
-// maxAttempts is how many servers a request may be sent to.
+// maxAttempts is the number of servers that a request may be sent to.
 const maxAttempts = 3
 
-// maxResubmissions is how often a caller that was refused comes back.
+// maxResubmissions is how often a caller submits a refused request again.
 const maxResubmissions = 3
 
-// caller is a caller's request, from its first try to its end.
+// caller is one request of a caller, including its resubmissions.
 type caller struct {
 	world     *simulation
 	service   int
 	kind      RequestKind
 	workspace int
-	// work and honest are drawn beforehand, the same for every policy.
+	// work and obeysRetryAfter are drawn in advance, the same for every policy.
 	work            time.Duration
 	obeysRetryAfter bool
 	rng             *rand.Rand
 
-	// first is when it was asked for first, sent when this try was sent.
+	// first is when the request was first submitted, sent when it was last
+	// submitted.
 	first, sent   time.Duration
 	deadline      time.Duration
 	resubmissions int
@@ -40,7 +41,7 @@
 	finished       bool
 }
 
-// attempt is one try at one server.
+// attempt is one attempt at one server.
 type attempt struct {
 	choice placement.Choice
 	server *server
@@ -62,7 +63,7 @@
 	return c
 }
 
-// submit sends the request to an instance, for the first time or again.
+// submit sends the request to a random instance, for the first time or again.
 func (c *caller) submit() {
 	w := c.world
 	if c.first < 0 {
@@ -93,7 +94,8 @@
 	c.scheduleHedge(sent)
 }
 
-// scheduleHedge hedges the request when its answer is late.
+// scheduleHedge reports the attempt as late, and hedges the request if allowed,
+// when the answer is late.
 func (c *caller) scheduleHedge(sent time.Duration) {
 	c.world.schedule(retry.LateThreshold(c.instance.serviceTime(c.kind)), func() {
 		if c.finished || c.sent != sent || len(c.running) != 1 {
@@ -137,7 +139,8 @@
 	}
 }
 
-// ended decides what follows an attempt's end.
+// ended handles the result of an attempt: it delivers the answer, retries or
+// fails the request.
 func (c *caller) ended(a *attempt, r health.Result, sent time.Duration) {
 	if c.finished || c.sent != sent {
 		return
@@ -182,7 +185,7 @@
 	c.refused(d.RetryAfter)
 }
 
-// timeout ends the request at its deadline.
+// timeout fails the request at its deadline.
 func (c *caller) timeout(sent time.Duration) {
 	if c.finished || c.sent != sent {
 		return
@@ -196,7 +199,7 @@
 	c.world.tally.failed(c)
 }
 
-// cancelAttempts cancels the attempts that nobody waits for any more.
+// cancelAttempts finishes the request and cancels its remaining attempts.
 func (c *caller) cancelAttempts() {
 	c.finished = true
 	for _, a := range c.running {
@@ -206,8 +209,9 @@
 	c.running = nil
 }
 
-// refused has the caller come back when it was told to, at most after a third
-// of the time that it has left. Some come back at once.
+// refused schedules the resubmission of a refused request: after the time that the
+// caller was told, but at most a third of the time left until its deadline. Callers
+// that ignore Retry-After resubmit at once.
 func (c *caller) refused(after time.Duration) {
 	c.finished = true
 	left := c.deadline - c.world.now
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -7,60 +7,65 @@
 	"time"
 )
 
-// Range is what a figure is drawn from.
+// Range is the range that a parameter is drawn from.
 type Range struct{ Low, High float64 }
 
-// uniform draws evenly.
+// uniform draws from the uniform distribution.
 func (r Range) uniform(rng *rand.Rand) float64 { return r.Low + rng.Float64()*(r.High-r.Low) }
 
-// logUniform draws evenly on a logarithmic scale, for figures that span tenfolds.
+// logUniform draws uniformly on a logarithmic scale, for ranges that span orders of
+// magnitude.
 func (r Range) logUniform(rng *rand.Rand) float64 {
 	return r.Low * math.Pow(r.High/r.Low, rng.Float64())
 }
 
 func (r Range) uniformInt(rng *rand.Rand) int { return int(math.Round(r.uniform(rng))) }
 
-// Ranges are what deployments are drawn from. They are wide, so that nobody can
-// fit a policy to one deployment.
+// Ranges are the ranges that deployments are drawn from. They are wide to keep
+// policies from being tuned to one deployment.
 type Ranges struct {
 	Instances, DataCentres, Services, Workspaces Range
-	// Servers of a service, with Slots and a Queue each.
+	// Servers is the number of servers of a service, Slots and Queue the slots and the
+	// queue length of each.
 	Servers, Slots, Queue Range
-	// Slowdown is how much slower than the fastest a service's slowest server is.
+	// Slowdown is how many times longer a service's slowest server takes than its
+	// fastest.
 	Slowdown Range
 	// Utilization is the share of a service's slots that requests keep busy.
 	Utilization Range
-	// ServiceTimeMS is the mean of a kind's work, Spread its deviation, as a share of
-	// the mean.
+	// ServiceTimeMS is the mean service time of a kind of request, Spread its standard
+	// deviation as a share of the mean.
 	ServiceTimeMS, Spread Range
-	// LatencyTargetFactor is a kind's aim in means of its work, TimeoutFactor the route's timeout in
-	// aims.
+	// LatencyTargetFactor is the latency target as a multiple of the mean service time,
+	// TimeoutFactor the timeout as a multiple of the latency target.
 	LatencyTargetFactor, TimeoutFactor Range
-	// IdempotentShare is the share of a service's requests that can be repeated.
+	// IdempotentShare is the share of a service's requests that are idempotent.
 	IdempotentShare Range
-	// ErrorShare is the share of requests that healthy servers answer with a
-	// failure.
+	// ErrorShare is the share of requests that healthy servers answer with an error.
 	ErrorShare Range
-	// FaultShare of the servers is in a spell at any time, each FaultSeconds long,
-	// in which FaultFailureShare of the requests fail.
+	// FaultShare of the servers are faulty at any time, for FaultSeconds on average;
+	// FaultFailureShare of the requests fail during a fault.
 	FaultShare, FaultSeconds, FaultFailureShare Range
-	// ShedShare of the requests is refused whatever the load, in a window of
-	// some seconds, at some services.
+	// ShedShare of the requests is shed regardless of load, in a window of some
+	// seconds, at some services.
 	ShedShare Range
-	// MessageDelayMS is the delay of a message between instances, MessageLoss the
-	// share that is lost.
+	// MessageDelayMS is the delay of a message between instances, MessageLoss the share
+	// of messages that are lost.
 	MessageDelayMS, MessageLoss Range
-	// PartitionShare of the paths between instances and servers is cut for a while.
+	// PartitionShare is the share of paths between instances and servers that are
+	// partitioned in a window.
 	PartitionShare Range
-	// BurstFactor is how many times the usual load comes in a window of seconds.
+	// BurstFactor is the load in a window of some seconds as a multiple of the usual
+	// load.
 	BurstFactor Range
-	// HotWorkspaceFactor is how many times its rate the hottest workspace asks for.
+	// HotWorkspaceFactor is the load of the hot workspace as a multiple of its rate
+	// limit.
 	HotWorkspaceFactor Range
-	// RetryAfterCompliance is the share of callers that keep to Retry-After.
+	// RetryAfterCompliance is the share of callers that obey Retry-After.
 	RetryAfterCompliance Range
 }
 
-// Wide are the ranges of all experiments.
+// Wide is the default set of ranges.
 var Wide = Ranges{
 	Instances: Range{6, 48}, DataCentres: Range{1, 4}, Services: Range{1, 3}, Workspaces: Range{4, 12},
 	Servers: Range{4, 20}, Slots: Range{2, 8}, Queue: Range{4, 16}, Slowdown: Range{1, 2.5},
@@ -71,24 +76,25 @@
 	PartitionShare: Range{0, 0.3}, BurstFactor: Range{1, 2}, HotWorkspaceFactor: Range{1, 6}, RetryAfterCompliance: Range{0.5, 1},
 }
 
-// Mode is how servers fail in spells.
+// Mode is how requests fail at a faulty server.
 type Mode int
 
-// The modes.
+// Failure modes.
 const (
-	// Reset breaks the connection at once.
+	// Reset closes the connection at once.
 	Reset Mode = iota
-	// Hang takes a slot and never answers.
+	// Hang occupies a slot and never answers.
 	Hang
-	// Error answers at once with a failure.
+	// Error answers at once with a server error.
 	Error
-	// Slow takes five times as long.
+	// Slow takes five times the service time.
 	Slow
-	// Truncate breaks the answer off after the work.
+	// Truncate closes the connection in the middle of the answer, after the service
+	// time.
 	Truncate
-	// Blackhole takes no slot and never answers.
+	// Blackhole occupies no slot and never answers.
 	Blackhole
-	// LoseAnswer runs the request and loses its answer.
+	// LoseAnswer executes the request but never answers.
 	LoseAnswer
 	modes
 )
@@ -98,55 +104,55 @@
 // String returns the mode's name.
 func (m Mode) String() string { return modeNames[m] }
 
-// Deployment is what an experiment plays.
+// Deployment is the fleet, load and faults of one run.
 type Deployment struct {
 	Instances, DataCentres int
 	Services               []Service
 	Workspaces             []Workspace
 	MessageDelay           time.Duration
 	MessageLoss            float64
-	// PartitionShare of the paths is cut in the window Cut.
+	// PartitionShare of the paths is partitioned in the window Partition.
 	PartitionShare float64
 	Partition      Window
-	// BurstFactor times the usual load comes in the window Bursts.
+	// The load is BurstFactor times the usual load in the window BurstWindow.
 	BurstFactor float64
 	BurstWindow Window
-	// RestartAt is when all instances lose what they know; 0 if never.
+	// RestartAt is when all instances restart and lose their state; 0 means never.
 	RestartAt            time.Duration
 	RetryAfterCompliance float64
 }
 
-// Window is a span of time.
+// Window is the time span from From up to, but not including, To.
 type Window struct{ From, To time.Duration }
 
 func (w Window) contains(t time.Duration) bool { return t >= w.From && t < w.To }
 
-// Workspace has a rate and burst, and a share of all requests.
+// Workspace has a rate limit with a burst, and a share of all requests.
 type Workspace struct {
 	Rate, Burst, Share float64
 }
 
-// Service is a group of servers and the kinds of requests that it gets.
+// Service is a group of backend servers and the kinds of requests that it receives.
 type Service struct {
 	Servers, Slots, Queue int
-	// Slowdowns are the servers' times against the fastest.
+	// Slowdowns are the servers' service times relative to the fastest server.
 	Slowdowns  []float64
 	ErrorShare float64
 	Faults     Faults
-	// ShedShare of the requests is refused in the window Shed.
+	// ShedShare of the requests is shed in ShedWindow.
 	ShedShare  float64
 	ShedWindow Window
 	Kinds      []RequestKind
 }
 
-// Faults are times in which a server fails.
+// Faults describes the periods in which a service's servers are faulty.
 type Faults struct {
 	Share, FailureShare float64
 	MeanDuration        time.Duration
 	Mode                Mode
 }
 
-// RequestKind is a kind of request.
+// RequestKind is a kind of request with its rate and timing.
 type RequestKind struct {
 	Idempotent             bool
 	RequestsPerSecond      float64
@@ -155,7 +161,8 @@
 	LatencyTarget, Timeout time.Duration
 }
 
-// SimulationLength of a play, of which the first WarmUp seconds don't count.
+// SimulationLength is the simulated time of a run; requests that arrive within
+// WarmUp don't count.
 const (
 	SimulationLength = 30 * time.Second
 	WarmUp           = 3 * time.Second
@@ -186,7 +193,7 @@
 	return d
 }
 
-// window draws a span of 3 to 8 seconds in the middle of the play.
+// window draws a window of 3 to 8 s that starts 5 to 20 s into the run.
 func window(rng *rand.Rand) Window {
 	from := time.Duration((5 + 15*rng.Float64()) * float64(time.Second))
 	return Window{from, from + time.Duration((3+5*rng.Float64())*float64(time.Second))}
@@ -211,16 +218,16 @@
 		s.Slowdowns = append(s.Slowdowns, x)
 		speed += 1 / x
 	}
-	lookups := r.IdempotentShare.uniform(rng)
+	idempotentShare := r.IdempotentShare.uniform(rng)
 	busy := r.Utilization.uniform(rng) * speed * float64(s.Slots)
 	for _, k := range []struct {
-		repeatable bool
+		idempotent bool
 		share      float64
-	}{{true, lookups}, {false, 1 - lookups}} {
+	}{{true, idempotentShare}, {false, 1 - idempotentShare}} {
 		if k.share < 0.01 {
 			continue
 		}
-		kind := r.kind(rng, k.repeatable)
+		kind := r.kind(rng, k.idempotent)
 		kind.RequestsPerSecond = busy * k.share / kind.ServiceTime.Seconds()
 		kind.limitRate(maxRequestsPerSecond)
 		s.Kinds = append(s.Kinds, kind)
@@ -228,8 +235,8 @@
 	return s
 }
 
-// maxRequestsPerSecond bounds the requests of a kind, so that a play takes a tenth of a
-// second. Above that its work takes longer instead, at the same use of slots.
+// maxRequestsPerSecond limits the rate of a kind of request, so that a run takes about
+// 0.1 s. Above it the service time grows instead, at the same utilization.
 const maxRequestsPerSecond = 60
 
 func (k *RequestKind) limitRate(most float64) {
@@ -241,16 +248,16 @@
 	k.ServiceTime, k.LatencyTarget, k.Timeout, k.RequestsPerSecond = longer(k.ServiceTime), longer(k.LatencyTarget), longer(k.Timeout), most
 }
 
-func (r Ranges) kind(rng *rand.Rand, repeatable bool) RequestKind {
-	work := r.ServiceTimeMS.logUniform(rng) * float64(time.Millisecond)
-	aim := work * r.LatencyTargetFactor.uniform(rng)
+func (r Ranges) kind(rng *rand.Rand, idempotent bool) RequestKind {
+	serviceTime := r.ServiceTimeMS.logUniform(rng) * float64(time.Millisecond)
+	latencyTarget := serviceTime * r.LatencyTargetFactor.uniform(rng)
 	return RequestKind{
-		Idempotent: repeatable, ServiceTime: time.Duration(work), Spread: r.Spread.uniform(rng),
-		LatencyTarget: time.Duration(aim), Timeout: time.Duration(aim * r.TimeoutFactor.uniform(rng)),
+		Idempotent: idempotent, ServiceTime: time.Duration(serviceTime), Spread: r.Spread.uniform(rng),
+		LatencyTarget: time.Duration(latencyTarget), Timeout: time.Duration(latencyTarget * r.TimeoutFactor.uniform(rng)),
 	}
 }
 
-// workspaces share the load unevenly; the first asks for more than its rate.
+// workspaces distributes the load unevenly; the first workspace exceeds its rate limit.
 func (r Ranges) workspaces(rng *rand.Rand, perSecond float64) []Workspace {
 	all := make([]Workspace, r.Workspaces.uniformInt(rng))
 	sum := 0.0
@@ -269,11 +276,11 @@
 	return all
 }
 
-// String tells the deployment in a line.
+// String describes the deployment in one line.
 func (d Deployment) String() string {
 	s := fmt.Sprintf("%d instances in %d data centres, %s between them", d.Instances, d.DataCentres, d.MessageDelay.Round(time.Millisecond/10))
 	for _, v := range d.Services {
-		s += fmt.Sprintf("; %d servers with %d slots, %.0f%% in spells of %s, %.0f%% fail by %s",
+		s += fmt.Sprintf("; %d servers with %d slots, %.0f%% faulty for %s on average, %.0f%% of requests fail with mode %s",
 			v.Servers, v.Slots, 100*v.Faults.Share, v.Faults.MeanDuration.Round(time.Second/10), 100*v.Faults.FailureShare, v.Faults.Mode)
 	}
 	return s
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -12,25 +12,25 @@
 	"foxtailspoke/mechanism"
 )
 
-// Experiment compares two policies on the same draws.
+// Experiment compares two policies on the same deployments.
 type Experiment struct {
-	// Draws is how many deployments are played, Seed what they are drawn by.
+	// Draws is the number of deployments, Seed the seed that they are drawn with.
 	Draws int
 	Seed  uint64
-	// A and B are the policies, by what is off.
+	// A and B are the mechanisms that each policy disables.
 	A, B mechanism.Disabled
-	// Draw draws a deployment; Wide.Draw unless set.
+	// Draw draws a deployment; nil means Wide.Draw.
 	Draw func(*rand.Rand) Deployment
 }
 
-// Outcome is what an experiment found.
+// Outcome is the result of an experiment.
 type Outcome struct {
 	Measures []Comparison
-	// Differences of each draw, B less A, by measure.
+	// Differences holds B minus A of each deployment, by measure.
 	Differences [][]float64
 }
 
-// Comparison is one measure of both policies over all draws.
+// Comparison is one measure of both policies over all deployments.
 type Comparison struct {
 	Name string
 	// A and B are the means.
@@ -42,7 +42,8 @@
 	HigherIsBetter bool    `json:"MoreIsBetter"`
 }
 
-// Verdict tells which policy is better, as far as the interval tells.
+// Verdict names the better policy, or "same" if the confidence interval of the
+// difference contains zero.
 func (c Comparison) Verdict() string {
 	switch {
 	case math.Abs(c.Difference) <= c.HalfWidth:
@@ -54,8 +55,8 @@
 	}
 }
 
-// Run plays all draws, as many at a time as there are processors. The same
-// settings give the same figures.
+// Run simulates all deployments, GOMAXPROCS of them at a time. The same settings
+// give the same figures.
 func (x Experiment) Run() Outcome {
 	draw := x.Draw
 	if draw == nil {
@@ -100,7 +101,7 @@
 	return o
 }
 
-// halfWidth of the mean's interval of confidence at 95%.
+// halfWidth returns half the width of the 95% confidence interval of the mean.
 func halfWidth(x []float64) float64 {
 	n := float64(len(x))
 	if n < 2 {
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// retryRatio and repeatSlack bound repeats as on the users' platform.
+	// retryRatio and retrySlack are the retry budget of the users' platform.
 	retryRatio = 0.2
 	retrySlack = 60
-	// minRetryAfter is the least time that callers are told.
+	// minRetryAfter is the shortest Retry-After that callers get.
 	minRetryAfter = 500 * time.Millisecond
-	// smoothing is the weight of a request in its kind's usual time, and
-	// firstWork the share of the aim taken before any was measured.
+	// serviceTimeSmoothing is the weight of a request in the moving average of its
+	// kind's service time; initialServiceTimeShare is the share of the latency target
+	// that is assumed before the first measurement.
 	smoothing               = 0.08
 	initialServiceTimeShare = 0.3
 )
 
-// instance is one instance: the product's decisions, and what it was told.
+// instance is one entry instance: the product's decisions and the state that it
+// has learned from its own requests and from other instances.
 type instance struct {
 	world        *simulation
 	number       uint32
@@ -60,26 +62,28 @@
 	return i
 }
 
-// broadcast has the others hear of something, each unless the message is lost.
-func (i *instance) broadcast(hear func(other *instance)) {
+// broadcast delivers an update to the other instances after the message delay,
+// each unless the message is lost.
+func (i *instance) broadcast(apply func(other *instance)) {
 	w := i.world
-	heard := w.instances
+	receivers := w.instances
 	w.schedule(w.deployment.MessageDelay, func() {
-		for _, other := range heard {
+		for _, other := range receivers {
 			if other != i && i.rng.Float64() >= w.deployment.MessageLoss {
-				hear(other)
+				apply(other)
 			}
 		}
 	})
 }
 
-// outstanding changes the own work at a server and tells it.
+// addOutstanding changes the number of this instance's outstanding requests at a
+// server.
 func (i *instance) outstanding(v *server, change int) {
 	i.own[v.hash] += change
 	i.placer.SetOutstanding(v.hash, 0, i.own[v.hash], i.world.now)
 }
 
-// started takes in and tells that an attempt has begun.
+// started records the start of an attempt and reports it to the other instances.
 func (i *instance) started(c *caller, v *server, number int) {
 	i.outstanding(v, 1)
 	i.retryBudgets[c.service].Count(number > 1, i.world.now)
@@ -91,7 +95,7 @@
 	})
 }
 
-// ended takes in and tells how an attempt ended.
+// ended records the result of an attempt and reports it to the other instances.
 func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.RequestOutcome) {
 	i.outstanding(a.server, -1)
 	work := i.serviceTime(c.kind)
@@ -103,21 +107,21 @@
 			i.work[c.kind] = work + time.Duration(smoothing*float64(took-work))
 		}
 	}
-	learn := func(o *instance, own bool) {
+	record := func(o *instance, own bool) {
 		o.placer.RecordResult(a.server.hash, r, own, took, work, o.world.now)
 		if final != evidence.RequestPending {
 			o.placer.RecordServerOutcome(a.server.hash, final == evidence.RequestServed, o.world.now)
 		}
 	}
-	learn(i, true)
+	record(i, true)
 	n := i.own[a.server.hash]
 	i.broadcast(func(o *instance) {
 		o.placer.SetOutstanding(a.server.hash, i.number, n, o.world.now)
-		learn(o, false)
+		record(o, false)
 	})
 }
 
-// late takes in and tells that an attempt takes longer than it should.
+// late records that an attempt is late and reports it to the other instances.
 func (i *instance) late(a *attempt) {
 	i.placer.RecordResult(a.server.hash, health.Late, true, 0, 0, i.world.now)
 	i.broadcast(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.world.now) })
@@ -132,7 +136,7 @@
 
 var retryLimit = retry.Limit{Ratio: retryRatio, Slack: retrySlack, Coverage: 1}
 
-// choose places a request.
+// choose selects a server for a request and records that the request is sent.
 func (i *instance) choose(c *caller) (placement.Choice, bool) {
 	now := i.world.now
 	r := placement.Request{
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -12,9 +12,9 @@
 	"foxtailspoke/mechanism"
 )
 
-// The same seed must give the same figures, or a paired difference would be
-// chance.
-func TestSameSeedSameFigures(t *testing.T) {
+// A run must be reproducible from its seed; otherwise paired differences would
+// contain random variation.
+func TestSameSeedGivesSameResults(t *testing.T) {
 	x := lab.Experiment{Draws: 6, Seed: 3}
 	one, two := x.Run(), x.Run()
 	must.Eq(t, one.Measures, two.Measures)
@@ -24,7 +24,7 @@
 	}
 }
 
-// simple is a deployment of one service without any trouble.
+// simple returns a deployment of one service without faults.
 func simple() lab.Deployment {
 	d := lab.Wide.Draw(rand.New(rand.NewPCG(1, 1)))
 	d.Instances, d.MessageLoss, d.PartitionShare, d.BurstFactor, d.RestartAt, d.RetryAfterCompliance = 6, 0, 0, 1, 0, 1
@@ -45,23 +45,23 @@
 	return d
 }
 
-func TestWithoutTroubleAllIsServedInTime(t *testing.T) {
+func TestAllServedInTimeWithoutFaults(t *testing.T) {
 	m := lab.Simulate(simple(), mechanism.Disabled{}, 1)
 	must.Greater(t, 0.999, m.Credit)
 	must.Zero(t, m.OrdersLost)
 	must.Zero(t, m.Refused)
 }
 
-// What is known of the extremes holds in the model as well: spells cost
-// requests, a policy that doesn't avoid servers in spells loses more, and a
-// service asked for twice what its slots take refuses.
-func TestKnownExtremes(t *testing.T) {
-	ill := simple()
-	ill.Services[0].Faults = lab.Faults{Share: 0.3, FailureShare: 0.8, MeanDuration: 9e9, Mode: lab.Reset}
-	clever := lab.Simulate(ill, mechanism.Disabled{}, 1)
-	simpler := lab.Simulate(ill, mechanism.Disable(mechanism.FailurePrediction, mechanism.KeepInUse, mechanism.Probe), 1)
-	must.Positive(t, clever.OrdersLost)
-	must.Greater(t, 4*clever.OrdersLost, simpler.OrdersLost)
+// The model must show known effects: faults cost requests, a policy that does not
+// avoid faulty servers loses more of them, and a service at twice its capacity
+// refuses requests.
+func TestKnownEffects(t *testing.T) {
+	faulty := simple()
+	faulty.Services[0].Faults = lab.Faults{Share: 0.3, FailureShare: 0.8, MeanDuration: 9e9, Mode: lab.Reset}
+	complete := lab.Simulate(faulty, mechanism.Disabled{}, 1)
+	reduced := lab.Simulate(faulty, mechanism.Disable(mechanism.FailurePrediction, mechanism.KeepInUse, mechanism.Probe), 1)
+	must.Positive(t, complete.OrdersLost)
+	must.Greater(t, 4*complete.OrdersLost, reduced.OrdersLost)
 
 	full := simple()
 	for i := range full.Services[0].Kinds {
@@ -71,8 +71,9 @@
 	must.Between(t, 0.3, m.Unserved, 0.8)
 }
 
-// Half of the draws are compared with themselves plus a known difference.
-func TestVerdictNeedsMoreThanChance(t *testing.T) {
+// Differences within the confidence interval must not favour a policy; larger ones
+// must follow the direction of the measure.
+func TestVerdictRequiresSignificance(t *testing.T) {
 	c := lab.Comparison{Difference: 0.01, HalfWidth: 0.02, HigherIsBetter: true}
 	must.Eq(t, "same", c.Verdict())
 	c.HalfWidth = 0.005
@@ -81,7 +82,7 @@
 	must.Eq(t, "A", c.Verdict())
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestSettingsValidation(t *testing.T) {
 	load := func(text string) error {
 		file := filepath.Join(t.TempDir(), "s.jsonc")
 		must.NoError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -104,7 +105,7 @@
 	}
 }
 
-func TestPlotIsWritten(t *testing.T) {
+func TestPlot(t *testing.T) {
 	x := lab.Experiment{Draws: 4, Seed: 3, B: mechanism.Disable(mechanism.KeepInUse)}
 	file := filepath.Join(t.TempDir(), "difference.svg")
 	must.NoError(t, x.Run().Plot(file))
--- a/lab/measures.go
+++ b/lab/measures.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// Measures are what callers felt in one play.
+// Measures are the results of one run as callers see them.
 type Measures struct {
-	// Credit is what the answers were worth against all in time; a late one
-	// is worth lateWorth.
+	// Credit is the value of the answers as a share of the value if all were in
+	// time; a late answer counts lateCredit.
 	Credit float64
-	// Unserved is the share of owed requests without an answer.
+	// Unserved is the share of counted requests without an answer.
 	Unserved float64
-	// OrdersLost is the share of orders that failed, the servers' own errors
-	// apart.
+	// OrdersLost is the share of orders (requests that aren't idempotent) that failed,
+	// apart from errors of healthy servers.
 	OrdersLost float64
-	// Late is the share of answers after the aim.
+	// Late is the share of counted requests answered after the latency target.
 	Late float64
-	// Refused is the share of owed requests that were refused for good.
+	// Refused is the share of counted requests whose last submission was refused.
 	Refused float64
-	// WorstWorkspace and WorstWindow are the smallest shares served of a
-	// workspace and of two seconds.
+	// WorstWorkspace and WorstWindow are the smallest shares of requests served in any
+	// workspace and in any window of windowLength.
 	WorstWorkspace, WorstWindow float64
-	// Idle is the share of time that healthy servers got no request, the
-	// false ejections.
+	// Idle is the share of samples of healthy servers that had no request for
+	// idleThreshold, as an indicator of false ejections.
 	Idle float64
-	// FailuresPerFault is the number of requests that a server's spell cost, for each
-	// spell that any request met: a measure of detection.
+	// FailuresPerFault is the mean number of failed requests per faulty period that
+	// caused any; it measures how fast faults are detected.
 	FailuresPerFault float64
 }
 
-// lateCredit is what a late answer is worth to its caller.
+// lateCredit is the credit of a late answer; an answer in time has 1.
 const lateCredit = 0.3
 
-// MeasureNames of the measures, in the order of Values.
+// MeasureNames are the names of the measures, in the order of Values.
 var MeasureNames = []string{
 	"credit", "unserved", "orders lost", "late", "refused", "worst workspace", "worst seconds", "idle healthy", "failures a spell",
 }
 
-// HigherIsBetter says for each measure whether more of it is better.
+// HigherIsBetter says for each measure whether a higher value is better.
 var HigherIsBetter = []bool{true, false, false, false, false, true, true, false, false}
 
-// Values are the measures in the order of Names.
+// Values returns the measures in the order of MeasureNames.
 func (m Measures) Values() []float64 {
 	return []float64{
 		m.Credit, m.Unserved, m.OrdersLost, m.Late, m.Refused, m.WorstWorkspace, m.WorstWindow, m.Idle, m.FailuresPerFault,
 	}
 }
 
-// share counts what was owed and what of it was served.
+// share counts the requests that had to be served and those that were.
 type share struct{ owed, served int }
 
 func (s share) ratio() float64 {
@@ -55,18 +55,20 @@
 	return float64(s.served) / float64(s.owed)
 }
 
-// tally gathers the outcomes of a play.
+// tally accumulates the outcomes of one run.
 type tally struct {
 	owed, answered, late, refusals int
 	credit                         float64
 	orders, ordersLost             int
 	workspaces                     []share
 	windows                        map[int]share
-	// overRateCounts counts the refusals overRateCounts the rate, by workspace.
+	// overRateCounts counts the refusals over the rate limit, by workspace.
 	overRateCounts map[int]int
-	// healthy counts looks at healthy servers, idle those that found them idle.
+	// healthy counts samples of healthy servers, idle those in which the server was
+	// idle.
 	healthy, idle int
-	// faults counts those that cost a request, failures these requests.
+	// faults counts the faulty periods that failed any request, failures the failed
+	// requests.
 	faults, failures int
 }
 
@@ -76,13 +78,14 @@
 	}
 }
 
-// window is the span over which the worst seconds are sought.
+// windowLength is the length of the windows that WorstWindow is computed over.
 const windowLength = 2 * time.Second
 
-// minRequests is how many requests a workspace or a window needs to be compared.
+// minRequests is the number of requests below which a workspace or a window is left
+// out of the worst case.
 const minRequests = 10
 
-// count takes in a request that has ended.
+// count counts a finished request.
 func (t *tally) count(c *caller, served bool) {
 	if c.first < WarmUp {
 		return
@@ -118,8 +121,8 @@
 	t.credit++
 }
 
-// failed takes in a request that ended without an answer. A healthy server's own
-// error is nobody's fault, but isn't an answer either.
+// failed counts a request that ended without an answer. An error of a healthy server
+// is not counted as a lost order, but the request is not served either.
 func (t *tally) failed(c *caller) {
 	t.count(c, false)
 	if c.first >= WarmUp && !c.kind.Idempotent && !c.unrelatedError {
@@ -129,8 +132,8 @@
 
 func (t *tally) refused(c *caller) {
 	if t.overRateCounts[c.workspace] > 0 && c.workspace == 0 {
-		// The hot workspace asks for more than its rate; what is refused of
-		// that isn't owed.
+		// Workspace 0 exceeds its rate limit; requests refused for that
+		// don't have to be served.
 		t.overRateCounts[c.workspace]--
 		return
 	}
@@ -140,7 +143,7 @@
 	}
 }
 
-// overRate notes a refusal over the rate.
+// overRate records a refusal over the rate limit.
 func (t *tally) overRate(c *caller) { t.overRateCounts[c.workspace]++ }
 
 func (t *tally) measures() Measures {
--- a/lab/server.go
+++ b/lab/server.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// immediateLatency is the time of an answer that takes no work.
+	// immediateLatency is the response time of an answer that needs no processing.
 	immediateLatency = 3 * time.Millisecond
-	// connectTimeout is how long an instance tries to connect.
+	// connectTimeout is the time after which a connection attempt fails.
 	connectTimeout = 300 * time.Millisecond
 )
 
-// service is the servers of a service.
+// service is a service with its backend servers.
 type service struct {
 	world   *simulation
 	plan    Service
@@ -33,10 +33,11 @@
 	speed   float64
 	busy    int
 	queue   []*job
-	// periods holds the ends of good and bad times by turns, drawn beforehand.
+	// periods holds alternating healthy and faulty periods, drawn in advance.
 	periods     []period
 	lastArrival time.Duration
-	// lastFailurePeriod is the end of the last spell that cost a request.
+	// lastFailurePeriod is the end of the last faulty period that a failed request
+	// was counted for.
 	lastFailurePeriod time.Duration
 	rng               *rand.Rand
 }
@@ -46,14 +47,14 @@
 	faulty bool
 }
 
-// job is an attempt at a server.
+// job is an attempt as its server sees it.
 type job struct {
 	kind RequestKind
-	// work is what a server of usual speed takes for it.
+	// work is its service time at a slowdown of 1.
 	work time.Duration
-	// deadline is when the instance's time for it is up.
+	// deadline is when the instance gives up on it.
 	deadline time.Duration
-	// done is told once how it ended.
+	// done is called once, with the result.
 	done      func(health.Result)
 	ended     bool
 	holdsSlot bool
@@ -79,18 +80,18 @@
 
 func dataCentre(n int) string { return string(rune('p' + n)) }
 
-// drawPeriods draws good and bad times so that the share of the bad ones is as
-// planned.
+// drawPeriods draws healthy and faulty periods so that the expected share of
+// faulty time is as configured.
 func (v *server) drawPeriods(s Faults) {
-	well := float64(s.MeanDuration) * (1 - s.Share) / s.Share
-	ill := v.rng.Float64() < s.Share
-	for t := time.Duration(0); t < SimulationLength; ill = !ill {
-		mean := well
-		if ill {
+	healthyMean := float64(s.MeanDuration) * (1 - s.Share) / s.Share
+	faulty := v.rng.Float64() < s.Share
+	for t := time.Duration(0); t < SimulationLength; faulty = !faulty {
+		mean := healthyMean
+		if faulty {
 			mean = float64(s.MeanDuration)
 		}
 		t += time.Duration(v.rng.ExpFloat64() * mean)
-		v.periods = append(v.periods, period{t, ill})
+		v.periods = append(v.periods, period{t, faulty})
 	}
 }
 
@@ -105,7 +106,8 @@
 	return period{}
 }
 
-// countFailure counts a failure against the spell that caused it.
+// countFailure counts a failed request, and the faulty period at its first failed
+// request.
 func (v *server) countFailure() {
 	w := v.service.world
 	if w.now < WarmUp {
@@ -118,7 +120,7 @@
 	w.tally.failures++
 }
 
-// arrive takes in an attempt.
+// arrive runs or queues an attempt, or sheds or fails it.
 func (v *server) arrive(j *job) {
 	w, p := v.service.world, v.service.plan
 	v.lastArrival = w.now
@@ -134,7 +136,7 @@
 	v.enqueue(j)
 }
 
-// fail has an attempt fail as servers do in a spell.
+// fail makes an attempt fail in the given mode.
 func (v *server) fail(j *job, mode Mode) {
 	switch mode {
 	case Reset:
@@ -147,7 +149,8 @@
 	case Truncate:
 		v.service.world.schedule(j.work, func() { v.end(j, health.Incomplete) })
 	case Hang, LoseAnswer:
-		// The slot is taken until the instance gives up, or the work is done.
+		// The slot stays taken until the instance cancels the attempt or, for
+		// LoseAnswer, until the work is done.
 		v.busy++
 		j.holdsSlot = true
 		if mode == LoseAnswer {
@@ -179,7 +182,7 @@
 	})
 }
 
-// release frees an attempt's slot, once.
+// release frees an attempt's slot, if it holds one, and starts queued attempts.
 func (v *server) release(j *job) {
 	if !j.holdsSlot {
 		return
@@ -195,7 +198,7 @@
 	}
 }
 
-// cancel takes in that the instance has given an attempt up.
+// cancel ends an attempt that the instance has given up.
 func (v *server) cancel(j *job) {
 	j.ended = true
 	v.release(j)
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -1,17 +1,18 @@
-// Package lab plays fleets in simulated time, to compare two policies on the
-// same draws.
+// Package lab simulates fleets in virtual time, to compare two policies on the
+// same random deployments.
 //
-// Idea: a deployment is drawn from wide ranges (Wide). Its instances run the
-// decisions of the product (placement, retry, usage) and hear of each other
-// through messages that are delayed, lost and cut; backend servers have slots,
-// queues, speeds, spells and refusals; callers have aims, leave at their
-// timeout and come back when told to. The same seed draws the same deployment,
-// the same arrivals and the same spells for every policy, so that the paired
-// difference shows small effects that one run hides.
+// A deployment is drawn from wide ranges (Wide). Its instances run the product's
+// placement, retry and usage decisions and exchange messages that are delayed,
+// lost or cut off by a partition. Backend servers have slots, queues, different
+// speeds and periods of faults, and shed load. Callers have latency targets, give
+// up at their timeout and retry after the time that they are told. A seed
+// determines the deployment, the arrivals and the faults for every policy, so the
+// paired difference shows small effects that are lost in the variation of single
+// runs.
 //
-// What it leaves out: the network's bandwidth, processors, the platform's
-// store, changes of the configuration and of the list of servers. See
-// docs/CUSTOMER.md for where its figures part from real plays.
+// Not modelled: network bandwidth, processors, the platform's store, and changes
+// of the configuration or of the list of servers. docs/CUSTOMER.md describes where
+// the figures differ from those of real runs.
 package lab
 
 import (
@@ -23,7 +24,7 @@
 	"foxtailspoke/mechanism"
 )
 
-// event is something that happens at a time.
+// event is a function to be run at a simulated time.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -45,15 +46,15 @@
 	return x
 }
 
-// simulation is one play.
+// simulation is the state of one run.
 type simulation struct {
 	deployment Deployment
 	off        mechanism.Disabled
 	now        time.Duration
 	events     events
 	order      uint64
-	// environmentRNG draws what happens whatever the policy does, policyRNG what the
-	// policy draws.
+	// environmentRNG drives what does not depend on the policy, policyRNG the
+	// policy's own random choices.
 	environmentRNG, policyRNG *rand.Rand
 	seed                      uint64
 	services                  []*service
@@ -63,8 +64,8 @@
 	requestCount uint64
 }
 
-// Simulate plays a deployment with a policy. The seed fixes arrivals, spells and
-// chance.
+// Simulate runs a deployment with the mechanisms in off disabled. The seed
+// determines the arrivals, the faults and all random choices.
 func Simulate(d Deployment, off mechanism.Disabled, seed uint64) Measures {
 	w := &simulation{
 		deployment: d, off: off, seed: seed,
@@ -95,13 +96,14 @@
 	}
 }
 
-// schedule has something done later.
+// schedule runs a function after a delay in simulated time.
 func (w *simulation) schedule(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{w.now + d, w.order, do})
 }
 
-// scheduleArrivals plans all callers' first requests, which no policy changes.
+// scheduleArrivals schedules the first attempts of all callers, which are the
+// same for every policy.
 func (w *simulation) scheduleArrivals() {
 	for si, s := range w.deployment.Services {
 		for ki, k := range s.Kinds {
@@ -120,7 +122,8 @@
 	}
 }
 
-// sampleIdle measures, ten times a second, which healthy servers lie idle.
+// sampleIdle counts, every 100 ms, the healthy servers and those of them that
+// are idle.
 func (w *simulation) sampleIdle() {
 	for _, s := range w.services {
 		for _, v := range s.servers {
@@ -136,11 +139,12 @@
 	w.schedule(100*time.Millisecond, w.sampleIdle)
 }
 
-// idleThreshold is the time without a request from which a healthy server counts
-// as left out.
+// idleThreshold is the time without a request after which a healthy server
+// counts as idle.
 const idleThreshold = 2 * time.Second
 
-// logNormal draws around a mean with a deviation as a share of it.
+// logNormal draws from a log-normal distribution with a mean and a coefficient
+// of variation.
 func logNormal(rng *rand.Rand, mean time.Duration, spread float64) time.Duration {
 	variance := math.Log1p(spread * spread)
 	return time.Duration(float64(mean) * math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2))
