--- a/lab/caller.go
+++ b/lab/caller.go
@@ -18,12 +18,12 @@
 
 // caller is one request of a caller, including its resubmissions.
 type caller struct {
-	world     *simulation
+	sim       *simulation
 	service   int
 	kind      RequestKind
 	workspace int
-	// work and obeysRetryAfter are drawn in advance, the same for every policy.
-	work            time.Duration
+	// serviceTime and obeysRetryAfter are drawn in advance, the same for every policy.
+	serviceTime     time.Duration
 	obeysRetryAfter bool
 	rng             *rand.Rand
 
@@ -50,8 +50,8 @@
 }
 
 func newCaller(w *simulation, service int, k RequestKind, rng *rand.Rand, number uint64) *caller {
-	c := &caller{world: w, service: service, kind: k, rng: rand.New(rand.NewPCG(w.seed, 1_000_000+number)), first: -1}
-	c.work = logNormal(rng, k.ServiceTime, k.Spread)
+	c := &caller{sim: w, service: service, kind: k, rng: rand.New(rand.NewPCG(w.seed, 1_000_000+number)), first: -1}
+	c.serviceTime = logNormal(rng, k.ServiceTime, k.Spread)
 	c.obeysRetryAfter = rng.Float64() < w.deployment.RetryAfterCompliance
 	x := rng.Float64()
 	for i, ws := range w.deployment.Workspaces {
@@ -65,7 +65,7 @@
 
 // submit sends the request to a random instance, for the first time or again.
 func (c *caller) submit() {
-	w := c.world
+	w := c.sim
 	if c.first < 0 {
 		c.first = w.now
 		c.deadline = w.now + c.kind.Timeout
@@ -97,11 +97,11 @@
 // scheduleHedge reports the attempt as late, and hedges the request if allowed,
 // when the answer is late.
 func (c *caller) scheduleHedge(sent time.Duration) {
-	c.world.schedule(retry.LateThreshold(c.instance.serviceTime(c.kind)), func() {
+	c.sim.schedule(retry.LateThreshold(c.instance.serviceTime(c.kind)), func() {
 		if c.finished || c.sent != sent || len(c.running) != 1 {
 			return
 		}
-		c.instance.late(c.running[0])
+		c.instance.attemptLate(c.running[0])
 		if c.instance.mayHedge(c) {
 			if choice, ok := c.instance.choose(c); ok {
 				c.startAttempt(choice)
@@ -111,7 +111,7 @@
 }
 
 func (c *caller) startAttempt(choice placement.Choice) {
-	w := c.world
+	w := c.sim
 	var v *server
 	for _, s := range w.services[c.service].servers {
 		if s.entry.ID == choice.Server.ID {
@@ -119,12 +119,12 @@
 		}
 	}
 	a := &attempt{choice: choice, server: v, start: w.now}
-	a.job = &job{kind: c.kind, work: c.work, deadline: c.deadline}
+	a.job = &job{kind: c.kind, serviceTime: c.serviceTime, deadline: c.deadline}
 	sent := c.sent
-	a.job.done = func(r health.Result) { c.ended(a, r, sent) }
+	a.job.done = func(r health.Result) { c.attemptEnded(a, r, sent) }
 	c.tried = append(c.tried, choice.Server.ID)
 	c.running = append(c.running, a)
-	c.instance.started(c, v, len(c.tried))
+	c.instance.attemptStarted(c, v, len(c.tried))
 	if c.instance.partitioned[v.hash] && w.deployment.Partition.contains(w.now) {
 		v.finish(a.job, connectTimeout, health.ConnectFailed)
 		return
@@ -139,9 +139,9 @@
 	}
 }
 
-// ended handles the result of an attempt: it delivers the answer, retries or
+// attemptEnded handles the result of an attempt: it delivers the answer, retries or
 // fails the request.
-func (c *caller) ended(a *attempt, r health.Result, sent time.Duration) {
+func (c *caller) attemptEnded(a *attempt, r health.Result, sent time.Duration) {
 	if c.finished || c.sent != sent {
 		return
 	}
@@ -152,34 +152,34 @@
 		}
 	}
 	if r == health.OK {
-		c.instance.ended(c, a, r, evidence.RequestServed)
+		c.instance.attemptEnded(c, a, r, evidence.RequestServed)
 		c.cancelAttempts()
-		c.world.tally.served(c)
+		c.sim.tally.served(c)
 		return
 	}
 	mayHaveRun := c.mayHaveRun
 	c.mayHaveRun = c.mayHaveRun || !r.ProvedNotRun()
-	c.unrelatedError = r == health.ServerError && !a.server.faulty(c.world.now)
+	c.unrelatedError = r == health.ServerError && !a.server.faulty(c.sim.now)
 	state := c.state(r, len(c.running))
 	state.MayHaveRun = mayHaveRun
 	state.HadFreeSlot = !a.choice.MustQueue()
-	d := retry.Decide(c.world.now, state, c.instance.retryBudgets[c.service].Budget(retryLimit, c.world.now))
+	d := retry.Decide(c.sim.now, state, c.instance.retryBudgets[c.service].Budget(retryLimit, c.sim.now))
 	switch d.Action {
 	case retry.Wait:
-		c.instance.ended(c, a, r, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, r, evidence.RequestPending)
 		return
 	case retry.Retry:
-		c.instance.ended(c, a, r, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, r, evidence.RequestPending)
 		if choice, ok := c.instance.choose(c); ok {
 			c.startAttempt(choice)
 			return
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		c.instance.ended(c, a, r, evidence.RequestUnserved)
+		c.instance.attemptEnded(c, a, r, evidence.RequestUnserved)
 	}
 	if c.mayHaveRun {
 		c.finished = true
-		c.world.tally.failed(c)
+		c.sim.tally.failed(c)
 		return
 	}
 	c.refused(d.RetryAfter)
@@ -191,19 +191,19 @@
 		return
 	}
 	for _, a := range c.running {
-		c.instance.ended(c, a, health.Timeout, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, health.Timeout, evidence.RequestPending)
 		a.server.cancel(a.job)
 	}
 	c.running = nil
 	c.finished = true
-	c.world.tally.failed(c)
+	c.sim.tally.failed(c)
 }
 
 // cancelAttempts finishes the request and cancels its remaining attempts.
 func (c *caller) cancelAttempts() {
 	c.finished = true
 	for _, a := range c.running {
-		c.instance.ended(c, a, health.Cancelled, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, health.Cancelled, evidence.RequestPending)
 		a.server.cancel(a.job)
 	}
 	c.running = nil
@@ -214,9 +214,9 @@
 // that ignore Retry-After resubmit at once.
 func (c *caller) refused(after time.Duration) {
 	c.finished = true
-	left := c.deadline - c.world.now
+	left := c.deadline - c.sim.now
 	if c.resubmissions >= maxResubmissions || left <= 0 {
-		c.world.tally.refused(c)
+		c.sim.tally.refused(c)
 		return
 	}
 	c.resubmissions++
@@ -224,5 +224,5 @@
 	if !c.obeysRetryAfter {
 		wait = immediateLatency
 	}
-	c.world.schedule(wait, c.submit)
+	c.sim.schedule(wait, c.submit)
 }
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -22,30 +22,30 @@
 	// serviceTimeSmoothing is the weight of a request in the moving average of its
 	// kind's service time; initialServiceTimeShare is the share of the latency target
 	// that is assumed before the first measurement.
-	smoothing               = 0.08
+	serviceTimeSmoothing    = 0.08
 	initialServiceTimeShare = 0.3
 )
 
 // instance is one entry instance: the product's decisions and the state that it
 // has learned from its own requests and from other instances.
 type instance struct {
-	world        *simulation
+	sim          *simulation
 	number       uint32
 	dataCentre   string
 	placer       *placement.Placer
 	usage        *usage.Counters
 	retryBudgets []*retry.FleetBudget
-	work         map[RequestKind]time.Duration
-	own          map[uint32]int
+	serviceTimes map[RequestKind]time.Duration
+	outstanding  map[uint32]int
 	partitioned  map[uint32]bool
 	rng          *rand.Rand
 }
 
 func newInstance(w *simulation, number int) *instance {
 	i := &instance{
-		world: w, number: uint32(number + 1), dataCentre: dataCentre(number % w.deployment.DataCentres),
+		sim: w, number: uint32(number + 1), dataCentre: dataCentre(number % w.deployment.DataCentres),
 		placer: placement.NewWithout(w.off), usage: usage.NewCounters(),
-		work: make(map[RequestKind]time.Duration), own: make(map[uint32]int), partitioned: make(map[uint32]bool),
+		serviceTimes: make(map[RequestKind]time.Duration), outstanding: make(map[uint32]int), partitioned: make(map[uint32]bool),
 		rng: rand.New(rand.NewPCG(w.policyRNG.Uint64(), uint64(number))),
 	}
 	paths := rand.New(rand.NewPCG(w.seed, uint64(50_000+number)))
@@ -65,7 +65,7 @@
 // broadcast delivers an update to the other instances after the message delay,
 // each unless the message is lost.
 func (i *instance) broadcast(apply func(other *instance)) {
-	w := i.world
+	w := i.sim
 	receivers := w.instances
 	w.schedule(w.deployment.MessageDelay, func() {
 		for _, other := range receivers {
@@ -78,57 +78,58 @@
 
 // addOutstanding changes the number of this instance's outstanding requests at a
 // server.
-func (i *instance) outstanding(v *server, change int) {
-	i.own[v.hash] += change
-	i.placer.SetOutstanding(v.hash, 0, i.own[v.hash], i.world.now)
+func (i *instance) addOutstanding(v *server, change int) {
+	i.outstanding[v.hash] += change
+	i.placer.SetOutstanding(v.hash, 0, i.outstanding[v.hash], i.sim.now)
 }
 
-// started records the start of an attempt and reports it to the other instances.
-func (i *instance) started(c *caller, v *server, number int) {
-	i.outstanding(v, 1)
-	i.retryBudgets[c.service].Count(number > 1, i.world.now)
-	n, admitted := i.own[v.hash], i.usage.AdmittedTotal(uint32(c.workspace))
+// attemptStarted records the start of an attempt and reports it to the other instances.
+func (i *instance) attemptStarted(c *caller, v *server, number int) {
+	i.addOutstanding(v, 1)
+	i.retryBudgets[c.service].Count(number > 1, i.sim.now)
+	n, admitted := i.outstanding[v.hash], i.usage.AdmittedTotal(uint32(c.workspace))
 	i.broadcast(func(o *instance) {
-		o.placer.SetOutstanding(v.hash, i.number, n, o.world.now)
-		o.retryBudgets[c.service].Count(number > 1, o.world.now)
-		o.usage.ApplyReport(usage.Report{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.world.now)
+		o.placer.SetOutstanding(v.hash, i.number, n, o.sim.now)
+		o.retryBudgets[c.service].Count(number > 1, o.sim.now)
+		o.usage.ApplyReport(usage.Report{Workspace: uint32(c.workspace), Instance: i.number, Epoch: 1, Count: admitted}, o.sim.now)
 	})
 }
 
-// ended records the result of an attempt and reports it to the other instances.
-func (i *instance) ended(c *caller, a *attempt, r health.Result, final evidence.RequestOutcome) {
-	i.outstanding(a.server, -1)
-	work := i.serviceTime(c.kind)
-	took := i.world.now - a.start
+// attemptEnded records the result of an attempt and reports it to the other instances.
+func (i *instance) attemptEnded(c *caller, a *attempt, r health.Result, final evidence.RequestOutcome) {
+	i.addOutstanding(a.server, -1)
+	expected := i.serviceTime(c.kind)
+	took := i.sim.now - a.start
 	if r == health.OK {
 		if a.choice.Outstanding >= a.choice.Server.Slots {
 			took = 0
 		} else {
-			i.work[c.kind] = work + time.Duration(smoothing*float64(took-work))
+			i.serviceTimes[c.kind] = expected + time.Duration(serviceTimeSmoothing*float64(took-expected))
 		}
 	}
 	record := func(o *instance, own bool) {
-		o.placer.RecordResult(a.server.hash, r, own, took, work, o.world.now)
+		o.placer.RecordResult(a.server.hash, r, own, took, expected, o.sim.now)
 		if final != evidence.RequestPending {
-			o.placer.RecordServerOutcome(a.server.hash, final == evidence.RequestServed, o.world.now)
+			o.placer.RecordServerOutcome(a.server.hash, final == evidence.RequestServed, o.sim.now)
 		}
 	}
 	record(i, true)
-	n := i.own[a.server.hash]
+	n := i.outstanding[a.server.hash]
 	i.broadcast(func(o *instance) {
-		o.placer.SetOutstanding(a.server.hash, i.number, n, o.world.now)
+		o.placer.SetOutstanding(a.server.hash, i.number, n, o.sim.now)
 		record(o, false)
 	})
 }
 
-// late records that an attempt is late and reports it to the other instances.
-func (i *instance) late(a *attempt) {
-	i.placer.RecordResult(a.server.hash, health.Late, true, 0, 0, i.world.now)
-	i.broadcast(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.world.now) })
+// attemptLate records that an attempt is late and reports it to the other instances.
+func (i *instance) attemptLate(a *attempt) {
+	i.placer.RecordResult(a.server.hash, health.Late, true, 0, 0, i.sim.now)
+	i.broadcast(func(o *instance) { o.placer.RecordResult(a.server.hash, health.Late, false, 0, 0, o.sim.now) })
 }
 
+// serviceTime returns the estimated service time of a kind of request.
 func (i *instance) serviceTime(k RequestKind) time.Duration {
-	if w, ok := i.work[k]; ok {
+	if w, ok := i.serviceTimes[k]; ok {
 		return w
 	}
 	return time.Duration(initialServiceTimeShare * float64(k.LatencyTarget))
@@ -138,9 +139,9 @@
 
 // choose selects a server for a request and records that the request is sent.
 func (i *instance) choose(c *caller) (placement.Choice, bool) {
-	now := i.world.now
+	now := i.sim.now
 	r := placement.Request{
-		Service: i.world.services[c.service].name, Retryable: c.kind.Idempotent,
+		Service: i.sim.services[c.service].name, Retryable: c.kind.Idempotent,
 		RetryBudgetAmple: c.kind.Idempotent && i.retryBudgets[c.service].MayProbe(retryLimit, now),
 		LatencyTarget:    c.kind.LatencyTarget - (now - c.sent), Remaining: c.deadline - now, ServiceTime: i.serviceTime(c.kind),
 		SizeKB: 5, DataCentre: i.dataCentre, TriedServers: c.tried,
@@ -153,8 +154,8 @@
 }
 
 func (i *instance) mayHedge(c *caller) bool {
-	if !c.kind.Idempotent || !i.world.off.Enabled(mechanism.Hedge) {
+	if !c.kind.Idempotent || !i.sim.off.Enabled(mechanism.Hedge) {
 		return false
 	}
-	return retry.DecideHedge(i.world.now, c.state(health.Late, 1), i.retryBudgets[c.service].Budget(retryLimit, i.world.now)).Action == retry.Hedge
+	return retry.DecideHedge(i.sim.now, c.state(health.Late, 1), i.retryBudgets[c.service].Budget(retryLimit, i.sim.now)).Action == retry.Hedge
 }
--- a/lab/measures.go
+++ b/lab/measures.go
@@ -46,22 +46,22 @@
 }
 
 // share counts the requests that had to be served and those that were.
-type share struct{ owed, served int }
+type share struct{ total, served int }
 
 func (s share) ratio() float64 {
-	if s.owed == 0 {
+	if s.total == 0 {
 		return 1
 	}
-	return float64(s.served) / float64(s.owed)
+	return float64(s.served) / float64(s.total)
 }
 
 // tally accumulates the outcomes of one run.
 type tally struct {
-	owed, answered, late, refusals int
-	credit                         float64
-	orders, ordersLost             int
-	workspaces                     []share
-	windows                        map[int]share
+	total, answered, late, refusals int
+	credit                          float64
+	orders, ordersLost              int
+	workspaces                      []share
+	windows                         map[int]share
 	// overRateCounts counts the refusals over the rate limit, by workspace.
 	overRateCounts map[int]int
 	// healthy counts samples of healthy servers, idle those in which the server was
@@ -90,7 +90,7 @@
 	if c.first < WarmUp {
 		return
 	}
-	t.owed++
+	t.total++
 	if !c.kind.Idempotent {
 		t.orders++
 	}
@@ -99,10 +99,10 @@
 		n = 1
 	}
 	ws := &t.workspaces[c.workspace]
-	ws.owed++
+	ws.total++
 	ws.served += n
 	w := t.windows[int(c.first/windowLength)]
-	w.owed++
+	w.total++
 	w.served += n
 	t.windows[int(c.first/windowLength)] = w
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	t.answered++
-	if c.world.now-c.first > c.kind.LatencyTarget {
+	if c.sim.now-c.first > c.kind.LatencyTarget {
 		t.late++
 		t.credit += lateCredit
 		return
@@ -148,24 +148,24 @@
 
 func (t *tally) measures() Measures {
 	m := Measures{WorstWorkspace: 1, WorstWindow: 1}
-	if t.owed == 0 {
+	if t.total == 0 {
 		return m
 	}
-	owed := float64(t.owed)
-	m.Credit = t.credit / owed
-	m.Unserved = 1 - float64(t.answered)/owed
-	m.Late = float64(t.late) / owed
-	m.Refused = float64(t.refusals) / owed
+	total := float64(t.total)
+	m.Credit = t.credit / total
+	m.Unserved = 1 - float64(t.answered)/total
+	m.Late = float64(t.late) / total
+	m.Refused = float64(t.refusals) / total
 	if t.orders > 0 {
 		m.OrdersLost = float64(t.ordersLost) / float64(t.orders)
 	}
 	for i, s := range t.workspaces {
-		if i > 0 && s.owed >= minRequests {
+		if i > 0 && s.total >= minRequests {
 			m.WorstWorkspace = min(m.WorstWorkspace, s.ratio())
 		}
 	}
 	for _, s := range t.windows {
-		if s.owed >= minRequests {
+		if s.total >= minRequests {
 			m.WorstWindow = min(m.WorstWindow, s.ratio())
 		}
 	}
--- a/lab/server.go
+++ b/lab/server.go
@@ -18,7 +18,7 @@
 
 // service is a service with its backend servers.
 type service struct {
-	world   *simulation
+	sim     *simulation
 	plan    Service
 	name    string
 	servers []*server
@@ -26,13 +26,13 @@
 
 // server is a simulated backend server.
 type server struct {
-	service *service
-	entry   discovery.Server
-	hash    uint32
-	number  int
-	speed   float64
-	busy    int
-	queue   []*job
+	service  *service
+	entry    discovery.Server
+	hash     uint32
+	number   int
+	slowdown float64
+	busy     int
+	queue    []*job
 	// periods holds alternating healthy and faulty periods, drawn in advance.
 	periods     []period
 	lastArrival time.Duration
@@ -50,8 +50,8 @@
 // job is an attempt as its server sees it.
 type job struct {
 	kind RequestKind
-	// work is its service time at a slowdown of 1.
-	work time.Duration
+	// serviceTime is the service time on a server with a slowdown of 1.
+	serviceTime time.Duration
 	// deadline is when the instance gives up on it.
 	deadline time.Duration
 	// done is called once, with the result.
@@ -61,11 +61,11 @@
 }
 
 func newService(w *simulation, number int, plan Service) *service {
-	s := &service{world: w, plan: plan, name: string(rune('a' + number))}
+	s := &service{sim: w, plan: plan, name: string(rune('a' + number))}
 	for i := range plan.Servers {
 		id := s.name + "-" + string(rune('A'+i))
 		v := &server{
-			service: s, number: i, speed: plan.Slowdowns[i], hash: placement.Hash(id), lastArrival: -time.Hour,
+			service: s, number: i, slowdown: plan.Slowdowns[i], hash: placement.Hash(id), lastArrival: -time.Hour,
 			rng: rand.New(rand.NewPCG(w.seed, uint64(1000*(number+1)+i))),
 			entry: discovery.Server{
 				ID: id, Service: s.name, Address: id, Slots: plan.Slots,
@@ -109,7 +109,7 @@
 // countFailure counts a failed request, and the faulty period at its first failed
 // request.
 func (v *server) countFailure() {
-	w := v.service.world
+	w := v.service.sim
 	if w.now < WarmUp {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // arrive runs or queues an attempt, or sheds or fails it.
 func (v *server) arrive(j *job) {
-	w, p := v.service.world, v.service.plan
+	w, p := v.service.sim, v.service.plan
 	v.lastArrival = w.now
 	switch {
 	case p.ShedWindow.contains(w.now) && v.rng.Float64() < p.ShedShare, v.busy >= p.Slots && len(v.queue) >= p.Queue:
@@ -144,17 +144,17 @@
 	case Error:
 		v.finish(j, immediateLatency, health.ServerError)
 	case Slow:
-		j.work *= 5
+		j.serviceTime *= 5
 		v.enqueue(j)
 	case Truncate:
-		v.service.world.schedule(j.work, func() { v.end(j, health.Incomplete) })
+		v.service.sim.schedule(j.serviceTime, func() { v.end(j, health.Incomplete) })
 	case Hang, LoseAnswer:
 		// The slot stays taken until the instance cancels the attempt or, for
 		// LoseAnswer, until the work is done.
 		v.busy++
 		j.holdsSlot = true
 		if mode == LoseAnswer {
-			v.service.world.schedule(j.work, func() { v.release(j) })
+			v.service.sim.schedule(j.serviceTime, func() { v.release(j) })
 		}
 	case Blackhole, modes:
 	}
@@ -171,12 +171,12 @@
 func (v *server) run(j *job) {
 	v.busy++
 	j.holdsSlot = true
-	took := time.Duration(float64(j.work) * v.speed)
+	took := time.Duration(float64(j.serviceTime) * v.slowdown)
 	result := health.OK
 	if v.rng.Float64() < v.service.plan.ErrorShare {
 		result = health.ServerError
 	}
-	v.service.world.schedule(took, func() {
+	v.service.sim.schedule(took, func() {
 		v.release(j)
 		v.end(j, result)
 	})
@@ -205,7 +205,7 @@
 }
 
 func (v *server) finish(j *job, after time.Duration, r health.Result) {
-	v.service.world.schedule(after, func() { v.end(j, r) })
+	v.service.sim.schedule(after, func() { v.end(j, r) })
 }
 
 func (v *server) end(j *job, r health.Result) {
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -26,16 +26,16 @@
 
 // event is a function to be run at a simulated time.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	do       func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].order < e[j].order)
+	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].sequence < e[j].sequence)
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -52,7 +52,7 @@
 	off        mechanism.Disabled
 	now        time.Duration
 	events     events
-	order      uint64
+	sequence   uint64
 	// environmentRNG drives what does not depend on the policy, policyRNG the
 	// policy's own random choices.
 	environmentRNG, policyRNG *rand.Rand
@@ -98,8 +98,8 @@
 
 // schedule runs a function after a delay in simulated time.
 func (w *simulation) schedule(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + d, w.order, do})
+	w.sequence++
+	heap.Push(&w.events, event{w.now + d, w.sequence, do})
 }
 
 // scheduleArrivals schedules the first attempts of all callers, which are the
