--- a/node/shards.go
+++ b/node/shards.go
@@ -12,31 +12,33 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// inLine is how many instances try to write a shard's row, one after the
-// other, when the one before doesn't.
-const inLine = 2
+// writersPerShard is how many instances may write a shard's row. Each waits for
+// the one ranked before it and writes only if that one doesn't.
+const writersPerShard = 2
 
-// shards is what the node does about the rows of shards: use what it holds,
-// and write the rows that it is in line for.
+// shards is the state of the node's work on shard rows: using the parts that it
+// holds, and writing the rows that it is a writer of.
 type shards struct {
 	names []string
 	held  map[string]*heldShard
 	seen  map[string]seenRow
-	// line has the shards that this instance writes, with its place.
-	line map[string]int
-	// limits of the workspaces, by shard; for the lists with this version.
-	limits  map[string][]config.Limit
-	limited uint64
-	// right has the basis on which a shard's row was found right.
-	right map[string]basis
-	// wantedAt is since when a shard's row should be written.
-	wantedAt map[string]time.Duration
-	writing  bool
-	// writeAt is when the next write may be sent; more says that there may
-	// be one to send.
-	writeAt time.Duration
-	more    bool
-	// nextGrantCheck is when to look again at the entries that aren't in force.
+	// writerRank maps each shard that this instance writes to its rank among the
+	// shard's writers.
+	writerRank map[string]int
+	// limits are the workspaces' limits by shard, as of the lists with version
+	// limitsVersion.
+	limits        map[string][]config.Limit
+	limitsVersion uint64
+	// upToDate has the inputs for which a shard's row was found to need no change.
+	upToDate map[string]planInputs
+	// staleSince is when a shard's row was first found to need a write.
+	staleSince map[string]time.Duration
+	writing    bool
+	// writeAt is the earliest time of the next write; mayHaveMore reports whether
+	// another row may need one.
+	writeAt     time.Duration
+	mayHaveMore bool
+	// nextGrantCheck is when to check again the entries that aren't in force yet.
 	nextGrantCheck time.Duration
 }
 
@@ -44,8 +46,8 @@
 type seenRow struct {
 	revision storage.Revision
 	row      config.Shard
-	// former is the row before, whose holders may still use their parts
-	// until formerUntil.
+	// former is the previous row. Its holders may use their parts until
+	// formerUntil.
 	former      config.Shard
 	formerUntil time.Duration
 }
@@ -53,22 +55,22 @@
 // heldShard is a shard whose row names this instance.
 type heldShard struct {
 	revision storage.Revision
-	// granted has the entries that came in force, by their Since.
-	granted map[uint64]bool
-	waiting bool
+	// granted has the entries that have come into force, keyed by Since.
+	granted       map[uint64]bool
+	grantsPending bool
 }
 
-// settleEvery is how often entries that wait for being in force are looked at.
-const settleEvery = 50 * time.Millisecond
+// grantCheckInterval is how often entries that aren't in force yet are checked.
+const grantCheckInterval = 50 * time.Millisecond
 
 func newShards(count int) shards {
 	s := shards{
 		held:           map[string]*heldShard{},
 		seen:           map[string]seenRow{},
-		line:           map[string]int{},
+		writerRank:     map[string]int{},
 		limits:         map[string][]config.Limit{},
-		wantedAt:       map[string]time.Duration{},
-		right:          map[string]basis{},
+		staleSince:     map[string]time.Duration{},
+		upToDate:       map[string]planInputs{},
 		nextGrantCheck: never,
 	}
 	for i := range count {
@@ -77,16 +79,16 @@
 	return s
 }
 
-// nextWrite returns when to look for the next row to write, after one that
-// was written.
+// nextWrite returns when to look for the next row to write after a committed
+// write, or never.
 func (s *shards) nextWrite() time.Duration {
-	if s.writing || !s.more {
+	if s.writing || !s.mayHaveMore {
 		return never
 	}
 	return s.writeAt
 }
 
-// refreshShards follows the rows after a new revision.
+// refreshShards applies the shard rows of a new table revision.
 func (n *Node) refreshShards() {
 	for _, name := range n.shards.names {
 		n.refreshShard(name)
@@ -116,13 +118,13 @@
 	}
 	held.revision = row.Revision
 	n.emitMemberEffects(n.member.Require(n.now, row.Revision))
-	n.settleShard(name, held, n.confirmedUntil)
+	n.applyGrants(name, held, n.confirmedUntil)
 }
 
-// holderRow returns a shard's row for asking its holders. Until a new row is
-// in force it names the former holders as well: they may still use their
-// parts, and the new ones may not yet.
-func (n *Node) holderRow(name string) config.Shard {
+// rowWithFormerHolders returns a shard's row for asking its holders for tokens.
+// Until a new row is in force it includes the former holders: they may still
+// use their parts, and the new holders may not yet.
+func (n *Node) rowWithFormerHolders(name string) config.Shard {
 	seen := n.shards.seen[name]
 	if n.now >= seen.formerUntil {
 		return seen.row
@@ -130,14 +132,14 @@
 	return quota.WithPreviousHolders(seen.row, seen.former)
 }
 
-// settleShard hands the holder the entries of a row that are in force. Parts
+// applyGrants passes the entries of a row that are in force to the holder. Parts
 // that the row takes away count until lostUntil.
 //
-// An entry counts as in force when the row that it was read from is. The
-// entry's own Since is older than the write that made it: if that were
-// enough, two instances could use the same parts for the time in which the
-// former holder hasn't heard of the write.
-func (n *Node) settleShard(name string, held *heldShard, lostUntil time.Duration) {
+// An entry is in force when the row that it was read from is. The entry's own
+// Since isn't sufficient, because it is older than the write that created the
+// entry: two instances could use the same parts until the former holder learns
+// of that write.
+func (n *Node) applyGrants(name string, held *heldShard, lostUntil time.Duration) {
 	row := n.replica.Shard(name)
 	rowInForce := n.member.InForce(n.now, held.revision)
 	inForce := func(since uint64) bool { return held.granted[since] || rowInForce }
@@ -148,9 +150,9 @@
 		held.granted[g.Since] = true
 	}
 	pending := quota.EntryRevisions(row, n.settings.Self.ID)
-	held.waiting = len(grants) < len(pending)
-	if held.waiting {
-		n.shards.nextGrantCheck = min(n.shards.nextGrantCheck, n.now+settleEvery)
+	held.grantsPending = len(grants) < len(pending)
+	if held.grantsPending {
+		n.shards.nextGrantCheck = min(n.shards.nextGrantCheck, n.now+grantCheckInterval)
 	}
 	if len(pending) == 0 {
 		delete(n.shards.held, name)
@@ -163,8 +165,8 @@
 	}
 	n.shards.nextGrantCheck = never
 	for _, name := range n.shards.names {
-		if held := n.shards.held[name]; held != nil && held.waiting {
-			n.settleShard(name, held, n.now)
+		if held := n.shards.held[name]; held != nil && held.grantsPending {
+			n.applyGrants(name, held, n.now)
 		}
 	}
 }
--- a/node/timers.go
+++ b/node/timers.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// timers are things to do later, soonest first.
+// timers is a queue of functions to run later, ordered by time.
 type timers struct {
-	list timerList
-	made uint64
+	list         timerList
+	lastSequence uint64
 }
 
 type timer struct {
 	at time.Duration
-	// number keeps timers of the same time in the order of their making.
-	number uint64
-	do     func()
+	// sequence orders timers with the same time by creation.
+	sequence uint64
+	run      func()
 }
 
-func (t *timers) add(at time.Duration, do func()) {
-	t.made++
-	heap.Push(&t.list, timer{at: at, number: t.made, do: do})
+func (t *timers) add(at time.Duration, run func()) {
+	t.lastSequence++
+	heap.Push(&t.list, timer{at: at, sequence: t.lastSequence, run: run})
 }
 
 func (t *timers) nextTime() (time.Duration, bool) {
@@ -30,12 +30,12 @@
 	return t.list[0].at, true
 }
 
-// popDue removes and returns the first thing to do whose time has come.
+// popDue removes and returns the first function whose time has come.
 func (t *timers) popDue(now time.Duration) (func(), bool) {
 	if at, ok := t.nextTime(); !ok || at > now {
 		return nil, false
 	}
-	return heap.Pop(&t.list).(timer).do, true
+	return heap.Pop(&t.list).(timer).run, true
 }
 
 type timerList []timer
@@ -43,7 +43,7 @@
 func (l timerList) Len() int { return len(l) }
 
 func (l timerList) Less(i, j int) bool {
-	return l[i].at < l[j].at || (l[i].at == l[j].at && l[i].number < l[j].number)
+	return l[i].at < l[j].at || (l[i].at == l[j].at && l[i].sequence < l[j].sequence)
 }
 func (l timerList) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 func (l *timerList) Push(x any)   { *l = append(*l, x.(timer)) }
@@ -56,10 +56,10 @@
 
 func (n *Node) runTimers() {
 	for {
-		do, ok := n.timers.popDue(n.now)
+		run, ok := n.timers.popDue(n.now)
 		if !ok {
 			return
 		}
-		do()
+		run()
 	}
 }
