--- a/internal/labcommand/command.go
+++ b/internal/labcommand/command.go
@@ -116,7 +116,7 @@
 	_, _ = fmt.Fprintf(t, "%d draws, seed %d; A without %s, B without %s\n", x.Draws, x.Seed, x.A, x.B)
 	_, _ = fmt.Fprintln(t, "measure\tA\tB\tB less A\twithin\tbetter")
 	for _, c := range result.Measures {
-		_, _ = fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.Name, c.A, c.B, c.Difference, c.HalfWidth, c.Verdict())
+		_, _ = fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.Name, c.A, c.B, c.Difference, c.Within, c.Verdict())
 	}
 	return errors.Wrap(t.Flush(), "write result")
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -35,20 +35,19 @@
 	Name string
 	// A and B are the means.
 	A, B float64
-	// Difference is the mean of B minus A.
-	Difference float64
-	// HalfWidth is half the width of the 95% confidence interval of Difference.
-	HalfWidth      float64 `json:"Within"`
-	HigherIsBetter bool    `json:"MoreIsBetter"`
+	// Difference is the mean of B minus A, Within half the width of its 95%
+	// confidence interval.
+	Difference, Within float64
+	MoreIsBetter       bool
 }
 
 // Verdict names the better policy, or "same" if the confidence interval of the
 // difference contains zero.
 func (c Comparison) Verdict() string {
 	switch {
-	case math.Abs(c.Difference) <= c.HalfWidth:
+	case math.Abs(c.Difference) <= c.Within:
 		return "same"
-	case (c.Difference > 0) == c.HigherIsBetter:
+	case (c.Difference > 0) == c.MoreIsBetter:
 		return "B"
 	default:
 		return "A"
@@ -86,7 +85,7 @@
 func compare(a, b [][]float64) Outcome {
 	var o Outcome
 	for m, name := range MeasureNames {
-		c := Comparison{Name: name, HigherIsBetter: HigherIsBetter[m]}
+		c := Comparison{Name: name, MoreIsBetter: HigherIsBetter[m]}
 		var differences []float64
 		for n := range a {
 			c.A += a[n][m] / float64(len(a))
@@ -94,7 +93,7 @@
 			differences = append(differences, b[n][m]-a[n][m])
 		}
 		c.Difference = stat.Mean(differences, nil)
-		c.HalfWidth = halfWidth(differences)
+		c.Within = halfWidth(differences)
 		o.Measures = append(o.Measures, c)
 		o.Differences = append(o.Differences, differences)
 	}
