--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -21,7 +21,7 @@
 	return NewTarget([]string{strings.TrimPrefix(s.URL, "http://")}, "/lookup", nil)
 }
 
-// The proxied route takes 30 ms longer and refuses every tenth request. Refusals must
+// The route through the entry takes 30 ms longer and refuses every tenth request. Refusals must
 // not count as fast answers.
 func TestRun(t *testing.T) {
 	number := 0
