--- a/lab/caller.go
+++ b/lab/caller.go
@@ -10,37 +10,38 @@
 	"foxtailspoke/retry"
 )
 
-// maxAttempts is how many servers a request may be sent to.
+// maxAttempts is the number of servers that a request may be sent to.
 const maxAttempts = 3
 
-// mostReturns is how often a caller that was refused comes back.
-const mostReturns = 3
+// maxResubmissions is how often a caller submits a refused request again.
+const maxResubmissions = 3
 
-// caller is a caller's request, from its first try to its end.
+// caller is one request of a caller, including its resubmissions.
 type caller struct {
-	world     *world
+	sim       *simulation
 	service   int
 	kind      RequestKind
 	workspace int
-	// work and honest are drawn beforehand, the same for every policy.
-	work   time.Duration
-	honest bool
-	rng    *rand.Rand
-
-	// first is when it was asked for first, sent when this try was sent.
-	first, sent time.Duration
-	deadline    time.Duration
-	returns     int
-
-	instance   *instance
-	tried      []string
-	running    []*attempt
-	mayHaveRun bool
-	ownError   bool
-	over       bool
+	// serviceTime and obeysRetryAfter are drawn in advance, the same for every policy.
+	serviceTime     time.Duration
+	obeysRetryAfter bool
+	rng             *rand.Rand
+
+	// first is when the request was first submitted, sent when it was last
+	// submitted.
+	first, sent   time.Duration
+	deadline      time.Duration
+	resubmissions int
+
+	instance       *instance
+	tried          []string
+	running        []*attempt
+	mayHaveRun     bool
+	unrelatedError bool
+	finished       bool
 }
 
-// attempt is one try at one server.
+// attempt is one attempt at one server.
 type attempt struct {
 	choice placement.Choice
 	server *server
@@ -48,10 +49,10 @@
 	job    *job
 }
 
-func newCaller(w *world, service int, k RequestKind, rng *rand.Rand, number uint64) *caller {
-	c := &caller{world: w, service: service, kind: k, rng: rand.New(rand.NewPCG(w.seed, 1_000_000+number)), first: -1}
-	c.work = logNormal(rng, k.ServiceTime, k.Spread)
-	c.honest = rng.Float64() < w.deployment.RetryAfterCompliance
+func newCaller(w *simulation, service int, k RequestKind, rng *rand.Rand, number uint64) *caller {
+	c := &caller{sim: w, service: service, kind: k, rng: rand.New(rand.NewPCG(w.seed, 1_000_000+number)), first: -1}
+	c.serviceTime = logNormal(rng, k.ServiceTime, k.Spread)
+	c.obeysRetryAfter = rng.Float64() < w.deployment.RetryAfterCompliance
 	x := rng.Float64()
 	for i, ws := range w.deployment.Workspaces {
 		c.workspace = i
@@ -62,19 +63,19 @@
 	return c
 }
 
-// ask sends the request to an instance, for the first time or again.
-func (c *caller) ask() {
-	w := c.world
+// submit sends the request to a random instance, for the first time or again.
+func (c *caller) submit() {
+	w := c.sim
 	if c.first < 0 {
 		c.first = w.now
 		c.deadline = w.now + c.kind.Timeout
 	}
 	c.sent = w.now
-	c.tried, c.running, c.mayHaveRun, c.over = nil, nil, false, false
+	c.tried, c.running, c.mayHaveRun, c.finished = nil, nil, false, false
 	c.instance = w.instances[c.rng.IntN(len(w.instances))]
 	choice, ok := c.instance.choose(c)
 	if !ok {
-		c.refused(comeBackSoon)
+		c.refused(minRetryAfter)
 		return
 	}
 	if ok, wait := placement.Admit(choice, placement.Request{Remaining: c.deadline - w.now}, 1, c.instance.rng.Float64()); !ok {
@@ -84,32 +85,33 @@
 	}
 	if ok, wait := c.instance.usage.Take(uint32(c.workspace), w.now); !ok {
 		w.tally.overRate(c)
-		c.refused(wait + time.Duration(c.instance.rng.Float64()*float64(comeBackSoon)))
+		c.refused(wait + time.Duration(c.instance.rng.Float64()*float64(minRetryAfter)))
 		return
 	}
 	sent := c.sent
-	w.after(c.deadline-w.now, func() { c.timeout(sent) })
-	c.begin(choice)
-	c.watch(sent)
+	w.schedule(c.deadline-w.now, func() { c.timeout(sent) })
+	c.startAttempt(choice)
+	c.scheduleHedge(sent)
 }
 
-// watch hedges the request when its answer is late.
-func (c *caller) watch(sent time.Duration) {
-	c.world.after(retry.LateThreshold(c.instance.workOf(c.kind)), func() {
-		if c.over || c.sent != sent || len(c.running) != 1 {
+// scheduleHedge reports the attempt as late, and hedges the request if allowed,
+// when the answer is late.
+func (c *caller) scheduleHedge(sent time.Duration) {
+	c.sim.schedule(retry.LateThreshold(c.instance.serviceTime(c.kind)), func() {
+		if c.finished || c.sent != sent || len(c.running) != 1 {
 			return
 		}
-		c.instance.late(c.running[0])
+		c.instance.attemptLate(c.running[0])
 		if c.instance.mayHedge(c) {
 			if choice, ok := c.instance.choose(c); ok {
-				c.begin(choice)
+				c.startAttempt(choice)
 			}
 		}
 	})
 }
 
-func (c *caller) begin(choice placement.Choice) {
-	w := c.world
+func (c *caller) startAttempt(choice placement.Choice) {
+	w := c.sim
 	var v *server
 	for _, s := range w.services[c.service].servers {
 		if s.entry.ID == choice.Server.ID {
@@ -117,14 +119,14 @@
 		}
 	}
 	a := &attempt{choice: choice, server: v, start: w.now}
-	a.job = &job{kind: c.kind, work: c.work, deadline: c.deadline}
+	a.job = &job{kind: c.kind, serviceTime: c.serviceTime, deadline: c.deadline}
 	sent := c.sent
-	a.job.done = func(r health.Result) { c.ended(a, r, sent) }
+	a.job.done = func(r health.Result) { c.attemptEnded(a, r, sent) }
 	c.tried = append(c.tried, choice.Server.ID)
 	c.running = append(c.running, a)
-	c.instance.started(c, v, len(c.tried))
-	if c.instance.cut[v.hash] && w.deployment.Partition.holds(w.now) {
-		v.finish(a.job, connectFor, health.ConnectFailed)
+	c.instance.attemptStarted(c, v, len(c.tried))
+	if c.instance.partitioned[v.hash] && w.deployment.Partition.contains(w.now) {
+		v.finish(a.job, connectTimeout, health.ConnectFailed)
 		return
 	}
 	v.arrive(a.job)
@@ -137,9 +139,10 @@
 	}
 }
 
-// ended decides what follows an attempt's end.
-func (c *caller) ended(a *attempt, r health.Result, sent time.Duration) {
-	if c.over || c.sent != sent {
+// attemptEnded handles the result of an attempt: it delivers the answer, retries or
+// fails the request.
+func (c *caller) attemptEnded(a *attempt, r health.Result, sent time.Duration) {
+	if c.finished || c.sent != sent {
 		return
 	}
 	for i, x := range c.running {
@@ -149,76 +152,77 @@
 		}
 	}
 	if r == health.OK {
-		c.instance.ended(c, a, r, evidence.RequestServed)
-		c.settle()
-		c.world.tally.served(c)
+		c.instance.attemptEnded(c, a, r, evidence.RequestServed)
+		c.cancelAttempts()
+		c.sim.tally.served(c)
 		return
 	}
 	mayHaveRun := c.mayHaveRun
 	c.mayHaveRun = c.mayHaveRun || !r.ProvedNotRun()
-	c.ownError = r == health.ServerError && !a.server.ill(c.world.now)
+	c.unrelatedError = r == health.ServerError && !a.server.faulty(c.sim.now)
 	state := c.state(r, len(c.running))
 	state.MayHaveRun = mayHaveRun
 	state.HadFreeSlot = !a.choice.MustQueue()
-	d := retry.Decide(c.world.now, state, c.instance.repeats[c.service].Budget(bound, c.world.now))
+	d := retry.Decide(c.sim.now, state, c.instance.retryBudgets[c.service].Budget(retryLimit, c.sim.now))
 	switch d.Action {
 	case retry.Wait:
-		c.instance.ended(c, a, r, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, r, evidence.RequestPending)
 		return
 	case retry.Retry:
-		c.instance.ended(c, a, r, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, r, evidence.RequestPending)
 		if choice, ok := c.instance.choose(c); ok {
-			c.begin(choice)
+			c.startAttempt(choice)
 			return
 		}
 	case retry.Deliver, retry.GiveUp, retry.Hedge:
-		c.instance.ended(c, a, r, evidence.RequestUnserved)
+		c.instance.attemptEnded(c, a, r, evidence.RequestUnserved)
 	}
 	if c.mayHaveRun {
-		c.over = true
-		c.world.tally.failed(c)
+		c.finished = true
+		c.sim.tally.failed(c)
 		return
 	}
 	c.refused(d.RetryAfter)
 }
 
-// timeout ends the request at its deadline.
+// timeout fails the request at its deadline.
 func (c *caller) timeout(sent time.Duration) {
-	if c.over || c.sent != sent {
+	if c.finished || c.sent != sent {
 		return
 	}
 	for _, a := range c.running {
-		c.instance.ended(c, a, health.Timeout, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, health.Timeout, evidence.RequestPending)
 		a.server.cancel(a.job)
 	}
 	c.running = nil
-	c.over = true
-	c.world.tally.failed(c)
+	c.finished = true
+	c.sim.tally.failed(c)
 }
 
-// settle cancels the attempts that nobody waits for any more.
-func (c *caller) settle() {
-	c.over = true
+// cancelAttempts finishes the request and cancels its remaining attempts.
+func (c *caller) cancelAttempts() {
+	c.finished = true
 	for _, a := range c.running {
-		c.instance.ended(c, a, health.Cancelled, evidence.RequestPending)
+		c.instance.attemptEnded(c, a, health.Cancelled, evidence.RequestPending)
 		a.server.cancel(a.job)
 	}
 	c.running = nil
 }
 
-// refused has the caller come back when it was told to, at most after a third
-// of the time that it has left. Some come back at once.
+// refused schedules the resubmission of a refused request: after the time that the
+// caller was told, but at most a third of the time left until its deadline. Callers
+// that ignore Retry-After resubmit at once.
 func (c *caller) refused(after time.Duration) {
-	c.over = true
-	left := c.deadline - c.world.now
-	if c.returns >= mostReturns || left <= 0 {
-		c.world.tally.refused(c)
+	c.finished = true
+	left := c.deadline - c.sim.now
+	if c.resubmissions >= maxResubmissions || left <= 0 {
+		c.sim.tally.refused(c)
 		return
 	}
-	c.returns++
+	c.resubmissions++
 	wait := min(after, left/3)
-	if !c.honest {
-		wait = quick
+	if !c.obeysRetryAfter {
+		wait = immediateLatency
 	}
-	c.world.after(wait, c.ask)
+	c.sim.schedule(wait, c.submit)
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -12,49 +12,50 @@
 	"foxtailspoke/mechanism"
 )
 
-// Experiment compares two policies on the same draws.
+// Experiment compares two policies on the same deployments.
 type Experiment struct {
-	// Draws is how many deployments are played, Seed what they are drawn by.
+	// Draws is the number of deployments, Seed the seed that they are drawn with.
 	Draws int
 	Seed  uint64
-	// A and B are the policies, by what is off.
+	// A and B are the mechanisms that each policy disables.
 	A, B mechanism.Disabled
-	// Draw draws a deployment; Wide.Draw unless set.
+	// Draw draws a deployment; nil means Wide.Draw.
 	Draw func(*rand.Rand) Deployment
 }
 
-// Outcome is what an experiment found.
+// Outcome is the result of an experiment.
 type Outcome struct {
 	Measures []Comparison
-	// Differences of each draw, B less A, by measure.
+	// Differences holds B minus A of each deployment, by measure.
 	Differences [][]float64
 }
 
-// Comparison is one measure of both policies over all draws.
+// Comparison is one measure of both policies over all deployments.
 type Comparison struct {
 	Name string
 	// A and B are the means.
 	A, B float64
-	// Difference is the mean of B less A, HalfWidth the half-width of its
-	// interval of confidence at 95%.
-	Difference, HalfWidth float64
-	HigherIsBetter        bool
+	// Difference is the mean of B minus A, Within half the width of its 95%
+	// confidence interval.
+	Difference, Within float64
+	MoreIsBetter       bool
 }
 
-// Verdict tells which policy is better, as far as the interval tells.
+// Verdict names the better policy, or "same" if the confidence interval of the
+// difference contains zero.
 func (c Comparison) Verdict() string {
 	switch {
-	case math.Abs(c.Difference) <= c.HalfWidth:
+	case math.Abs(c.Difference) <= c.Within:
 		return "same"
-	case (c.Difference > 0) == c.HigherIsBetter:
+	case (c.Difference > 0) == c.MoreIsBetter:
 		return "B"
 	default:
 		return "A"
 	}
 }
 
-// Run plays all draws, as many at a time as there are processors. The same
-// settings give the same figures.
+// Run simulates all deployments, GOMAXPROCS of them at a time. The same settings
+// give the same figures.
 func (x Experiment) Run() Outcome {
 	draw := x.Draw
 	if draw == nil {
@@ -84,7 +85,7 @@
 func compare(a, b [][]float64) Outcome {
 	var o Outcome
 	for m, name := range MeasureNames {
-		c := Comparison{Name: name, HigherIsBetter: HigherIsBetter[m]}
+		c := Comparison{Name: name, MoreIsBetter: HigherIsBetter[m]}
 		var differences []float64
 		for n := range a {
 			c.A += a[n][m] / float64(len(a))
@@ -92,14 +93,14 @@
 			differences = append(differences, b[n][m]-a[n][m])
 		}
 		c.Difference = stat.Mean(differences, nil)
-		c.HalfWidth = halfWidth(differences)
+		c.Within = halfWidth(differences)
 		o.Measures = append(o.Measures, c)
 		o.Differences = append(o.Differences, differences)
 	}
 	return o
 }
 
-// halfWidth of the mean's interval of confidence at 95%.
+// halfWidth returns half the width of the 95% confidence interval of the mean.
 func halfWidth(x []float64) float64 {
 	n := float64(len(x))
 	if n < 2 {
