--- a/peer/example_test.go
+++ b/peer/example_test.go
@@ -44,10 +44,10 @@
 	fmt.Println(answer, err)
 	client.Close()
 
-	stranger := peer.NewClient("b", []byte("another secret of enough length"), time.Second)
-	_, err = stranger.Call(ctx, l.Addr().String(), question{})
+	unauthorized := peer.NewClient("b", []byte("another secret of enough length"), time.Second)
+	_, err = unauthorized.Call(ctx, l.Addr().String(), question{})
 	fmt.Println(err != nil)
-	stranger.Close()
+	unauthorized.Close()
 	cancel()
 	<-done
 	// Output:
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -25,8 +25,8 @@
 // ErrHandshake reports that the other side doesn't know the secret.
 var ErrHandshake = errors.New("peer: handshake failed")
 
-// greet is the client's side. It ends by the deadline.
-func greet(conn net.Conn, secret []byte, deadline time.Time) error {
+// clientHandshake is the client's side. It ends by the deadline.
+func clientHandshake(conn net.Conn, secret []byte, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	}
 	var ours [nonceSize]byte
 	_, _ = rand.Read(ours[:])
-	hello := append(ours[:], proof(secret, clientRole, theirs, ours)...)
+	hello := append(ours[:], handshakeMAC(secret, clientRole, theirs, ours)...)
 	if _, err := conn.Write(hello); err != nil {
 		return err
 	}
@@ -44,14 +44,14 @@
 	if _, err := io.ReadFull(conn, answer[:]); err != nil {
 		return err
 	}
-	if !hmac.Equal(answer[:], proof(secret, serverRole, theirs, ours)) {
+	if !hmac.Equal(answer[:], handshakeMAC(secret, serverRole, theirs, ours)) {
 		return ErrHandshake
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-// admit is the server's side. It ends by the deadline.
-func admit(conn net.Conn, secret []byte, deadline time.Time) error {
+// serverHandshake is the server's side. It ends by the deadline.
+func serverHandshake(conn net.Conn, secret []byte, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -65,16 +65,16 @@
 		return err
 	}
 	theirs := [nonceSize]byte(hello[:nonceSize])
-	if !hmac.Equal(hello[nonceSize:], proof(secret, clientRole, ours, theirs)) {
+	if !hmac.Equal(hello[nonceSize:], handshakeMAC(secret, clientRole, ours, theirs)) {
 		return ErrHandshake
 	}
-	if _, err := conn.Write(proof(secret, serverRole, ours, theirs)); err != nil {
+	if _, err := conn.Write(handshakeMAC(secret, serverRole, ours, theirs)); err != nil {
 		return err
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-func proof(secret []byte, role string, server, client [nonceSize]byte) []byte {
+func handshakeMAC(secret []byte, role string, server, client [nonceSize]byte) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(role))
 	mac.Write(server[:])
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -35,37 +35,37 @@
 
 // Client calls other instances, with one connection to each address.
 type Client struct {
-	self   string
-	secret []byte
-	dial   time.Duration
+	self        string
+	secret      []byte
+	dialTimeout time.Duration
 
-	mu    sync.Mutex
-	conns map[string]*link
-	done  bool
+	mu     sync.Mutex
+	conns  map[string]*peerConn
+	closed bool
 }
 
-// link is the connection to one address.
-type link struct {
+// peerConn is the connection to one address.
+type peerConn struct {
 	// dialing has room for the one call that dials; the others wait for it,
 	// each until its own deadline.
 	dialing chan struct{}
 
-	mu     sync.Mutex
-	client *rpc.Client
-	conn   *countingConn
-	used   time.Time
+	mu       sync.Mutex
+	client   *rpc.Client
+	conn     *countingConn
+	lastUsed time.Time
 }
 
 // NewClient returns a client for the instance with the given id. Dialing,
 // with the handshake, ends after dialTimeout.
 func NewClient(self string, secret []byte, dialTimeout time.Duration) *Client {
-	return &Client{self: self, secret: secret, dial: dialTimeout, conns: map[string]*link{}}
+	return &Client{self: self, secret: secret, dialTimeout: dialTimeout, conns: map[string]*peerConn{}}
 }
 
 // Call sends body to the instance at address and waits for its reply until
 // ctx ends. Every failure is ErrNoAnswer.
 func (c *Client) Call(ctx context.Context, address string, body any) (any, error) {
-	l, err := c.link(address)
+	l, err := c.conn(address)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 	defer c.mu.Unlock()
 	for address, l := range c.conns {
 		l.mu.Lock()
-		if l.used.Before(limit) {
+		if l.lastUsed.Before(limit) {
 			l.closeLocked()
 			delete(c.conns, address)
 		}
@@ -126,7 +126,7 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.done = true
+	c.closed = true
 	for _, l := range c.conns {
 		l.mu.Lock()
 		l.closeLocked()
@@ -134,22 +134,22 @@
 	}
 }
 
-func (c *Client) link(address string) (*link, error) {
+func (c *Client) conn(address string) (*peerConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done {
+	if c.closed {
 		return nil, errors.Mark(net.ErrClosed, ErrNoReply)
 	}
 	l, ok := c.conns[address]
 	if !ok {
-		l = &link{dialing: make(chan struct{}, 1), used: time.Now()}
+		l = &peerConn{dialing: make(chan struct{}, 1), lastUsed: time.Now()}
 		c.conns[address] = l
 	}
 	return l, nil
 }
 
 // connect returns the connection, and makes one if there is none.
-func (l *link) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
+func (l *peerConn) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
 	if client := l.current(); client != nil {
 		return client, nil
 	}
@@ -173,16 +173,16 @@
 	return l.client, nil
 }
 
-func (l *link) current() *rpc.Client {
+func (l *peerConn) current() *rpc.Client {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 	return l.client
 }
 
 // open dials and shakes hands.
 func (c *Client) open(ctx context.Context, address string) (*countingConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.dial)
+	ctx, cancel := context.WithTimeout(ctx, c.dialTimeout)
 	defer cancel()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	deadline, _ := ctx.Deadline()
-	if err := greet(raw, c.secret, deadline); err != nil {
+	if err := clientHandshake(raw, c.secret, deadline); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
@@ -198,7 +198,7 @@
 }
 
 // drop closes the connection if it is still the one that the caller used.
-func (l *link) drop(client *rpc.Client) {
+func (l *peerConn) drop(client *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client == client {
@@ -206,7 +206,7 @@
 	}
 }
 
-func (l *link) closeLocked() {
+func (l *peerConn) closeLocked() {
 	if l.client == nil {
 		return
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,8 +22,8 @@
 	gob.Register(pong{})
 }
 
-// start serves handle on loopback until the test ends.
-func start(t *testing.T, secret string, handle Handler) (string, chan string) {
+// startServer serves handle on loopback until the test ends.
+func startServer(t *testing.T, secret string, handle Handler) (string, chan string) {
 	t.Helper()
 	s, err := NewServer([]byte(secret), 10, time.Second, handle)
 	must.NoError(t, err)
@@ -50,7 +50,7 @@
 }
 
 func TestCall(t *testing.T) {
-	address, _ := start(t, "secret", echo)
+	address, _ := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("secret"), time.Second)
 	defer c.Close()
 	for i := range 3 {
@@ -63,8 +63,8 @@
 	must.Positive(t, read)
 }
 
-func TestCallWithWrongSecretGetsNoAnswer(t *testing.T) {
-	address, refused := start(t, "secret", echo)
+func TestCallWithWrongSecretFails(t *testing.T) {
+	address, refused := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("other"), time.Second)
 	defer c.Close()
 	_, err := c.Call(context.Background(), address, ping{})
@@ -75,11 +75,11 @@
 // The other instance is frozen: it accepts the call and never answers. The
 // caller gives up at its deadline, and its next call, after the other side
 // has come back, doesn't wait behind the first.
-func TestCallAfterTimeoutDialsAnew(t *testing.T) {
+func TestCallAfterTimeoutReconnects(t *testing.T) {
 	frozen := make(chan struct{})
 	defer close(frozen)
 	var calls atomic.Int32
-	address, _ := start(t, "secret", func(from string, body any) (any, bool) {
+	address, _ := startServer(t, "secret", func(from string, body any) (any, bool) {
 		if calls.Add(1) == 1 {
 			<-frozen
 		}
@@ -98,11 +98,11 @@
 // One instance is frozen: connections to it come about and nobody greets. While
 // a call to it waits, the metrics are read. Calls to the others must not wait
 // for either.
-func TestFrozenPeerHoldsUpNobodyElse(t *testing.T) {
+func TestHungPeerDoesNotBlockOthers(t *testing.T) {
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = frozen.Close() }()
-	live, _ := start(t, "secret", echo)
+	live, _ := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("secret"), time.Minute)
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,12 +16,12 @@
 
 // Server accepts calls from other instances.
 type Server struct {
-	secret   []byte
-	rpc      *rpc.Server
-	maxConns int
-	greeting time.Duration
-	// refused hears of connections whose handshake failed; it may be nil.
-	refused func(address string)
+	secret           []byte
+	rpc              *rpc.Server
+	maxConns         int
+	handshakeTimeout time.Duration
+	// onHandshakeFailure hears of connections whose handshake failed; it may be nil.
+	onHandshakeFailure func(address string)
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
@@ -43,13 +43,13 @@
 
 // NewServer returns a server that accepts at most maxConns connections, each
 // of which must finish its handshake within greeting.
-func NewServer(secret []byte, maxConns int, greeting time.Duration, handle Handler) (*Server, error) {
+func NewServer(secret []byte, maxConns int, handshakeTimeout time.Duration, handle Handler) (*Server, error) {
 	s := &Server{
-		secret:   secret,
-		rpc:      rpc.NewServer(),
-		maxConns: maxConns,
-		greeting: greeting,
-		conns:    map[net.Conn]struct{}{},
+		secret:           secret,
+		rpc:              rpc.NewServer(),
+		maxConns:         maxConns,
+		handshakeTimeout: handshakeTimeout,
+		conns:            map[net.Conn]struct{}{},
 	}
 	if err := s.rpc.RegisterName("Peer", &receiver{handle: handle}); err != nil {
 		return nil, errors.Wrap(err, "peer: register")
@@ -59,7 +59,7 @@
 
 // OnHandshakeFailure sets who hears of connections from somebody who doesn't know the
 // secret. To be called before Serve.
-func (s *Server) OnHandshakeFailure(f func(address string)) { s.refused = f }
+func (s *Server) OnHandshakeFailure(f func(address string)) { s.onHandshakeFailure = f }
 
 // Serve accepts connections until ctx ends, then closes all of them.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
@@ -90,9 +90,9 @@
 
 func (s *Server) serve(conn net.Conn) {
 	defer s.remove(conn)
-	if err := admit(conn, s.secret, time.Now().Add(s.greeting)); err != nil {
-		if s.refused != nil && errors.Is(err, ErrHandshake) {
-			s.refused(conn.RemoteAddr().String())
+	if err := serverHandshake(conn, s.secret, time.Now().Add(s.handshakeTimeout)); err != nil {
+		if s.onHandshakeFailure != nil && errors.Is(err, ErrHandshake) {
+			s.onHandshakeFailure(conn.RemoteAddr().String())
 		}
 		return
 	}
--- a/storage/client/bench_test.go
+++ b/storage/client/bench_test.go
@@ -14,19 +14,19 @@
 	"foxtailspoke/storage/client"
 )
 
-// countedConn counts the bytes of a connection, both ways.
-type countedConn struct {
+// countingConn counts the bytes of a connection, both ways.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -40,7 +40,7 @@
 	must.NoError(b, err)
 	b.Cleanup(c.Close)
 	var bytes atomic.Int64
-	c.WrapConns(func(conn net.Conn) net.Conn { return countedConn{conn, &bytes} })
+	c.WrapConns(func(conn net.Conn) net.Conn { return countingConn{conn, &bytes} })
 	for i := range 500 {
 		row := []storage.Put{{Table: storage.Control, Key: fmt.Sprintf("key/%064d", i), Value: []byte(`{"workspace":"cebu"}`)}}
 		_, err := p.Tables().Write(storage.Txn{Attempt: fmt.Sprint("row", i), Puts: row})
--- a/storage/client/client.go
+++ b/storage/client/client.go
@@ -1,8 +1,8 @@
-// Package client reaches the platform's table, object store and instance
-// list over HTTP. It implements the interfaces of package platform.
+// Package client accesses the platform's table store, object store and instance
+// registry over HTTP. It implements the interfaces of package storage.
 //
-// The client never sends a write a second time: whether to repeat one after
-// an unknown outcome is its user's decision.
+// The client never retries a write: the caller decides whether to repeat one
+// whose outcome is unknown.
 package client
 
 import (
@@ -17,12 +17,12 @@
 	"foxtailspoke/storage"
 )
 
-// Defaults of Settings.
+// Default values of Settings.
 const (
-	DefaultTimeout     = 2 * time.Second
-	DefaultDialTimeout = time.Second
-	DefaultMaxConnections = 32
-	DefaultMaxResponseBytes   = 64 << 20
+	DefaultTimeout          = 2 * time.Second
+	DefaultDialTimeout      = time.Second
+	DefaultMaxConnections   = 32
+	DefaultMaxResponseBytes = 64 << 20
 )
 
 const (
@@ -30,22 +30,21 @@
 	keepAliveInterval = 15 * time.Second
 )
 
-// Settings of a client. A zero field takes its default.
+// Settings of a client. Zero fields take their default values.
 type Settings struct {
-	// Timeout bounds one call from its start to the end of the answer. A
-	// context that ends earlier goes first.
+	// Timeout limits a call, from its start to the end of the response body. An
+	// earlier deadline of the context takes precedence.
 	Timeout time.Duration
-	// DialTimeout bounds making a connection, within Timeout.
+	// DialTimeout limits connection establishment, within Timeout.
 	DialTimeout time.Duration
-	// MaxConnections bounds the connections to the platform, in use or idle.
+	// MaxConnections limits the connections to the platform, active and idle.
 	MaxConnections int
-	// MaxResponseBytes bounds an answer's body, in bytes. A longer one counts as
-	// no answer.
+	// MaxResponseBytes limits the size of a response body. A call whose response
+	// exceeds it fails as if no response had been received.
 	MaxResponseBytes int64
 }
 
-// Client is one process's access to the platform. It is safe for concurrent
-// use.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
 	api       *oas.Client
 	transport *http.Transport
@@ -58,14 +57,14 @@
 	_ storage.Instances = (*Client)(nil)
 )
 
-// New returns a client of the platform at baseURL, for instance
-// "http://10.0.0.1:7000". It makes no connection yet.
+// New returns a client of the platform at baseURL, for example
+// "http://10.0.0.1:7000". Connections are opened on first use.
 func New(baseURL string, s Settings) (*Client, error) {
 	s = s.withDefaults()
 	transport := newTransport(s)
 	httpClient := &http.Client{
-		Transport:     limitedTransport{next: transport, maxAnswer: s.MaxResponseBytes},
-		CheckRedirect: stayHere,
+		Transport:     limitedTransport{next: transport, maxBytes: s.MaxResponseBytes},
+		CheckRedirect: rejectRedirects,
 	}
 	api, err := oas.NewClient(baseURL, oas.WithClient(httpClient))
 	if err != nil {
@@ -79,7 +78,7 @@
 	c.transport.CloseIdleConnections()
 }
 
-func (c *Client) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
 
@@ -99,9 +98,9 @@
 	return s
 }
 
-// stayHere stops redirects. A redirected POST is sent once more with its
-// body: the transaction could commit at both places.
-func stayHere(*http.Request, []*http.Request) error {
+// rejectRedirects disables redirects. A 307 or 308 redirect makes the HTTP client
+// resend a POST with its body, so the transaction could commit at both servers.
+func rejectRedirects(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
--- a/storage/client/client_test.go
+++ b/storage/client/client_test.go
@@ -19,7 +19,7 @@
 	"foxtailspoke/storage/client"
 )
 
-func start(t *testing.T, o standin.PlatformOptions, s client.Settings) (*standin.Platform, *client.Client) {
+func startPlatform(t *testing.T, o standin.PlatformOptions, s client.Settings) (*standin.Platform, *client.Client) {
 	t.Helper()
 	p, err := standin.StartPlatform(o)
 	must.NoError(t, err)
@@ -30,7 +30,7 @@
 	return p, c
 }
 
-func put(attempt, key, value string, conditions ...storage.Condition) storage.Txn {
+func putTxn(attempt, key, value string, conditions ...storage.Condition) storage.Txn {
 	return storage.Txn{
 		Attempt:    attempt,
 		Conditions: conditions,
@@ -46,8 +46,8 @@
 }
 
 func TestTableOverHTTP(t *testing.T) {
-	_, c := start(t, standin.PlatformOptions{}, client.Settings{})
-	first := put("t1", "plan/ä b/%2F", "\x00\xff", storage.Condition{Table: storage.Control, Key: "plan/ä b/%2F"})
+	_, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{})
+	first := putTxn("t1", "plan/ä b/%2F", "\x00\xff", storage.Condition{Table: storage.Control, Key: "plan/ä b/%2F"})
 	first.Puts = append(first.Puts, storage.Put{Table: storage.Audit, Key: "1", Value: []byte{}})
 
 	result, err := c.Write(t.Context(), first)
@@ -71,12 +71,12 @@
 // that it doesn't know. The row's attempt id then tells the writer that the
 // write was its own, and the same transaction again doesn't apply twice,
 // because its condition no longer holds.
-func TestLostAnswerIsUnknown(t *testing.T) {
-	p, c := start(t, standin.PlatformOptions{}, client.Settings{})
+func TestLostResponseIsUnknown(t *testing.T) {
+	p, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{})
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{
 		Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{LoseAnswers: 1}},
 	}))
-	txn := put("mine", "lists", "v1", storage.Condition{Table: storage.Control, Key: "lists"})
+	txn := putTxn("mine", "lists", "v1", storage.Condition{Table: storage.Control, Key: "lists"})
 
 	result, err := c.Write(t.Context(), txn)
 	must.NoError(t, err)
@@ -93,7 +93,7 @@
 // The platform is away: it closes connections, says nothing, answers with an
 // error, or takes longer than the client waits. A read must fail as
 // unavailable and a write must be unknown, whichever it is.
-func TestPlatformAway(t *testing.T) {
+func TestPlatformUnavailable(t *testing.T) {
 	faults := map[string]standin.ServiceFaults{
 		"closed": {Down: standin.DownClosed},
 		"silent": {Down: standin.DownSilent},
@@ -102,22 +102,22 @@
 	}
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
-			p, c := start(t, standin.PlatformOptions{}, client.Settings{Timeout: 100 * time.Millisecond})
+			p, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{Timeout: 100 * time.Millisecond})
 			must.NoError(t, p.SetFaults(standin.PlatformFaults{
 				Table: standin.TableFaults{ServiceFaults: f}, Objects: f,
 				Instances: standin.InstanceFaults{ServiceFaults: f},
 			}))
-			result, err := c.Write(t.Context(), put("a", "k", "v"))
+			result, err := c.Write(t.Context(), putTxn("a", "k", "v"))
 			must.NoError(t, err)
 			must.Eq(t, storage.Unknown, result.Outcome)
-			for _, err := range readAll(t.Context(), c) {
+			for _, err := range callAll(t.Context(), c) {
 				must.True(t, errors.Is(err, storage.ErrUnavailable), must.Sprint(err))
 			}
 		})
 	}
 }
 
-func readAll(ctx context.Context, c *client.Client) []error {
+func callAll(ctx context.Context, c *client.Client) []error {
 	_, err1 := c.Read(ctx, storage.ReadRequest{Table: storage.Control})
 	_, err2 := c.Objects().Get(ctx, "o")
 	_, err3 := c.Objects().List(ctx, "")
@@ -155,7 +155,7 @@
 			t.Cleanup(c.Close)
 			must.Eq(t, 1, readControl(t, c, 0).Revision)
 
-			result, err := c.Write(t.Context(), put("a", "k", "v"))
+			result, err := c.Write(t.Context(), putTxn("a", "k", "v"))
 			must.NoError(t, err)
 			must.Eq(t, storage.WriteResult{}, result)
 			must.ErrorIs(t, c.Objects().Put(t.Context(), "o", nil), storage.ErrUnavailable)
@@ -166,7 +166,7 @@
 }
 
 func TestInstancesOverHTTP(t *testing.T) {
-	p, c := start(t, standin.PlatformOptions{EndAfter: time.Nanosecond}, client.Settings{})
+	p, c := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond}, client.Settings{})
 	full := storage.Instance{
 		ID: "i 1/x", Kind: storage.BackendServer, Service: "s", DataCentre: "a", Region: "r", Address: "1:1",
 		PeerAddress: "1:2", OperatorAddress: "1:3", Slots: 6, State: storage.Live,
@@ -185,7 +185,7 @@
 	must.Eq(t, storage.InstanceChanges{Version: 2}, list)
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, l.Close())
@@ -193,16 +193,16 @@
 	must.NoError(t, err)
 	_, err = c.Read(t.Context(), storage.ReadRequest{Table: storage.Control})
 	must.ErrorIs(t, err, storage.ErrUnavailable)
-	result, err := c.Write(t.Context(), put("a", "k", "v"))
+	result, err := c.Write(t.Context(), putTxn("a", "k", "v"))
 	must.NoError(t, err)
 	must.Eq(t, storage.Unknown, result.Outcome)
 }
 
 func TestMalformedWriteIsAnError(t *testing.T) {
-	p, c := start(t, standin.PlatformOptions{}, client.Settings{})
-	twice := put("a", "k", "1")
+	p, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{})
+	twice := putTxn("a", "k", "1")
 	twice.Puts = append(twice.Puts, twice.Puts[0])
-	for _, txn := range []storage.Txn{put("", "k", "v"), put("a", "", "v"), {Attempt: "a"}, twice} {
+	for _, txn := range []storage.Txn{putTxn("", "k", "v"), putTxn("a", "", "v"), {Attempt: "a"}, twice} {
 		_, err := c.Write(t.Context(), txn)
 		must.ErrorIs(t, err, client.ErrMalformed)
 	}
@@ -212,7 +212,7 @@
 }
 
 func TestObjectsOverHTTP(t *testing.T) {
-	_, c := start(t, standin.PlatformOptions{}, client.Settings{MaxResponseBytes: 1000})
+	_, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{MaxResponseBytes: 1000})
 	o := c.Objects()
 	_, err := o.Get(t.Context(), "trace/1")
 	must.ErrorIs(t, err, client.ErrNotFound)
--- a/storage/client/export_test.go
+++ b/storage/client/export_test.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// WrapConns lets a test see the connections that the client makes.
+// WrapConns wraps each connection that the client opens.
 func (c *Client) WrapConns(wrap func(net.Conn) net.Conn) {
 	dial := c.transport.DialContext
 	c.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/storage/client/answer_test.go
+++ b/storage/client/fuzz_test.go
@@ -12,14 +12,14 @@
 	"foxtailspoke/storage"
 )
 
-// cannedAnswer answers every request alike.
-type cannedAnswer struct {
+// staticResponse answers every request alike.
+type staticResponse struct {
 	status  int
 	problem bool
 	body    []byte
 }
 
-func (a cannedAnswer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a staticResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	header := http.Header{"Content-Type": {"application/json"}}
 	if a.problem {
 		header.Set("Content-Type", "application/problem+json")
@@ -49,8 +49,8 @@
 	f.Add(uint16(104), false, []byte{})
 	f.Add(uint16(207), false, []byte{})
 	f.Fuzz(func(t *testing.T, status uint16, problem bool, body []byte) {
-		a := cannedAnswer{status: 100 + int(status)%500, problem: problem, body: body}
-		api, err := oas.NewClient("http://127.0.0.1:1", oas.WithClient(&http.Client{Transport: a, CheckRedirect: stayHere}))
+		a := staticResponse{status: 100 + int(status)%500, problem: problem, body: body}
+		api, err := oas.NewClient("http://127.0.0.1:1", oas.WithClient(&http.Client{Transport: a, CheckRedirect: rejectRedirects}))
 		must.NoError(t, err)
 		c := &Client{api: api, timeout: DefaultTimeout}
 
--- a/storage/client/history_test.go
+++ b/storage/client/history_test.go
@@ -28,8 +28,8 @@
 	attempt  string
 }
 
-// access is a read, or a write that expects a revision.
-type access struct {
+// operation is a read, or a write that expects a revision.
+type operation struct {
 	write    bool
 	expected storage.Revision
 	attempt  string
@@ -46,7 +46,7 @@
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{register{}} },
 	Step: func(state, input, output any) []any {
-		s, a, r := state.(register), input.(access), output.(result)
+		s, a, r := state.(register), input.(operation), output.(result)
 		next := register{revision: s.revision + 1, attempt: a.attempt}
 		holds := s.revision == a.expected
 		switch {
@@ -76,7 +76,7 @@
 }
 
 // record makes a call and keeps it, unless it failed without any effect.
-func (r *recorder) record(worker int, a access, call func() (result, bool)) (result, bool) {
+func (r *recorder) record(worker int, a operation, call func() (result, bool)) (result, bool) {
 	began := time.Since(r.start)
 	out, ok := call()
 	ended := time.Since(r.start)
@@ -98,7 +98,7 @@
 func (r *recorder) hasOutcomes(f standin.PlatformFaults) bool {
 	found := map[storage.WriteOutcome]bool{}
 	for _, op := range r.ops {
-		if op.Input.(access).write {
+		if op.Input.(operation).write {
 			found[op.Output.(result).outcome] = true
 		}
 	}
@@ -106,7 +106,7 @@
 	return found[storage.Committed] && found[storage.Conflict] && (lossless || found[storage.Unknown])
 }
 
-func seen(rows []storage.Row) register {
+func registerOf(rows []storage.Row) register {
 	if len(rows) == 0 {
 		return register{}
 	}
@@ -115,30 +115,30 @@
 
 func readRegister(t *testing.T, c *client.Client) (result, bool) {
 	changes, err := c.Read(t.Context(), storage.ReadRequest{Table: storage.Control, Prefix: historyKey})
-	return result{seen: seen(changes.Rows)}, err == nil
+	return result{seen: registerOf(changes.Rows)}, err == nil
 }
 
-func writeRegister(t *testing.T, c *client.Client, a access) (result, bool) {
-	txn := put(a.attempt, historyKey, "v", storage.Condition{
+func writeRegister(t *testing.T, c *client.Client, a operation) (result, bool) {
+	txn := putTxn(a.attempt, historyKey, "v", storage.Condition{
 		Table: storage.Control, Key: historyKey, Revision: a.expected,
 	})
 	w, err := c.Write(t.Context(), txn)
-	out := result{outcome: w.Outcome, seen: seen(w.Current)}
+	out := result{outcome: w.Outcome, seen: registerOf(w.Current)}
 	if w.Outcome == storage.Committed {
 		out.seen = register{revision: w.Revisions[storage.Control], attempt: a.attempt}
 	}
 	return out, err == nil
 }
 
-// work reads the row and writes it on the condition that it is unchanged. A
+// runWorker reads the row and writes it on the condition that it is unchanged. A
 // write of unknown outcome is sent again now and then, as it is.
-func work(t *testing.T, c *client.Client, r *recorder, worker int, rng *rand.Rand) {
+func runWorker(t *testing.T, c *client.Client, r *recorder, worker int, rng *rand.Rand) {
 	for step := range historySteps {
-		known, ok := r.record(worker, access{}, func() (result, bool) { return readRegister(t, c) })
+		known, ok := r.record(worker, operation{}, func() (result, bool) { return readRegister(t, c) })
 		if !ok {
 			continue
 		}
-		a := access{write: true, expected: known.seen.revision, attempt: fmt.Sprintf("%d-%d", worker, step)}
+		a := operation{write: true, expected: known.seen.revision, attempt: fmt.Sprintf("%d-%d", worker, step)}
 		for {
 			out, _ := r.record(worker, a, func() (result, bool) { return writeRegister(t, c, a) })
 			if out.outcome != storage.Unknown || rng.IntN(2) == 0 {
@@ -148,18 +148,18 @@
 	}
 }
 
-func history(t *testing.T, seed uint64, f standin.PlatformFaults, during func(*standin.Platform, *client.Client)) porcupine.CheckResult {
-	p, c := start(t, standin.PlatformOptions{Seed: seed, Faults: f}, client.Settings{Timeout: 30 * time.Millisecond})
-	patient, err := client.New(p.URL(), client.Settings{})
+func checkHistory(t *testing.T, seed uint64, f standin.PlatformFaults, during func(*standin.Platform, *client.Client)) porcupine.CheckResult {
+	p, c := startPlatform(t, standin.PlatformOptions{Seed: seed, Faults: f}, client.Settings{Timeout: 30 * time.Millisecond})
+	slowClient, err := client.New(p.URL(), client.Settings{})
 	must.NoError(t, err)
-	t.Cleanup(patient.Close)
+	t.Cleanup(slowClient.Close)
 	r := &recorder{start: time.Now()}
 	var workers sync.WaitGroup
 	for worker := range historyWorkers {
 		rng := rand.New(rand.NewPCG(seed, uint64(worker)))
-		workers.Go(func() { work(t, c, r, worker, rng) })
+		workers.Go(func() { runWorker(t, c, r, worker, rng) })
 		if during != nil {
-			workers.Go(func() { during(p, patient) })
+			workers.Go(func() { during(p, slowClient) })
 		}
 	}
 	workers.Wait()
@@ -175,19 +175,19 @@
 	faults := standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{
 		LoseAnswersRatio: 0.1, LoseWrites: 5,
 	}}}
-	stumble := func(p *standin.Platform, patient *client.Client) {
+	delayTable := func(p *standin.Platform, longTimeout *client.Client) {
 		_ = p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.Delay = config.Duration(29 * time.Millisecond) })
-		_, _ = readRegister(t, patient)
+		_, _ = readRegister(t, longTimeout)
 		_ = p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.Delay = 0 })
 	}
 	for seed := range uint64(4) {
-		must.Eq(t, porcupine.Ok, history(t, seed, faults, stumble))
+		must.Eq(t, porcupine.Ok, checkHistory(t, seed, faults, delayTable))
 	}
 }
 
 // Reads come from an old copy of the table while writes go on. The same check
 // must notice, or it would prove nothing.
-func TestHistoryShowsOldCopy(t *testing.T) {
+func TestStaleReadsAreNotLinearizable(t *testing.T) {
 	old := standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}
-	must.Eq(t, porcupine.Illegal, history(t, 1, old, nil))
+	must.Eq(t, porcupine.Illegal, checkHistory(t, 1, old, nil))
 }
--- a/storage/client/limit.go
+++ b/storage/client/limit.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-var errAnswerTooLong = errors.New("answer too long")
+var errResponseTooLarge = errors.New("response body exceeds size limit")
 
-// limitedTransport bounds the bodies of answers. Without it a platform gone
-// wrong could fill the memory of every instance at once.
+// limitedTransport limits the size of response bodies. Without the limit, a
+// faulty platform could exhaust the memory of all instances at once.
 type limitedTransport struct {
-	next      http.RoundTripper
-	maxAnswer int64
+	next     http.RoundTripper
+	maxBytes int64
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -22,21 +22,21 @@
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &limitedBody{ReadCloser: resp.Body, left: t.maxAnswer}
+	resp.Body = &limitedBody{ReadCloser: resp.Body, remaining: t.maxBytes}
 	return resp, nil
 }
 
 type limitedBody struct {
 	io.ReadCloser
-	left int64
+	remaining int64
 }
 
-// Read implements io.Reader. It fails once more than the bound was read.
+// Read implements io.Reader. It fails once the limit has been exceeded.
 func (b *limitedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
-		return n, errAnswerTooLong
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
+		return n, errResponseTooLarge
 	}
 	return n, err
 }
--- a/storage/client/objects.go
+++ b/storage/client/objects.go
@@ -8,8 +8,8 @@
 	"foxtailspoke/storage"
 )
 
-// objects has the methods of storage.Objects, whose List differs from that
-// of storage.Instances.
+// objects implements storage.Objects. It is a separate type because the List
+// methods of storage.Objects and storage.Instances differ.
 type objects struct{ c *Client }
 
 // Objects returns the object store.
@@ -18,26 +18,26 @@
 // Put implements storage.Objects. After ErrUnavailable the object may have
 // been written.
 func (o objects) Put(ctx context.Context, name string, data []byte) error {
-	ctx, cancel := o.c.bounded(ctx)
+	ctx, cancel := o.c.withTimeout(ctx)
 	defer cancel()
 	if data == nil {
 		data = []byte{}
 	}
 	params := oas.PutObjectParams{Name: oas.ObjectName(name)}
 	if err := o.c.api.PutObject(ctx, &oas.Object{Data: data}, params); err != nil {
-		return failed(err)
+		return callError(err)
 	}
 	return nil
 }
 
-// Get implements storage.Objects. It fails with ErrNotFound if there is no
-// such object.
+// Get implements storage.Objects. It fails with ErrNotFound if the object does
+// not exist.
 func (o objects) Get(ctx context.Context, name string) ([]byte, error) {
-	ctx, cancel := o.c.bounded(ctx)
+	ctx, cancel := o.c.withTimeout(ctx)
 	defer cancel()
 	res, err := o.c.api.GetObject(ctx, oas.GetObjectParams{Name: oas.ObjectName(name)})
 	if err != nil {
-		return nil, failed(err)
+		return nil, callError(err)
 	}
 	object, ok := res.(*oas.Object)
 	if !ok {
@@ -48,7 +48,7 @@
 
 // List implements storage.Objects.
 func (o objects) List(ctx context.Context, prefix string) ([]string, error) {
-	ctx, cancel := o.c.bounded(ctx)
+	ctx, cancel := o.c.withTimeout(ctx)
 	defer cancel()
 	var params oas.ListObjectsParams
 	if prefix != "" {
@@ -56,7 +56,7 @@
 	}
 	res, err := o.c.api.ListObjects(ctx, params)
 	if err != nil {
-		return nil, failed(err)
+		return nil, callError(err)
 	}
 	return res.Names, nil
 }
--- a/storage/client/table.go
+++ b/storage/client/table.go
@@ -14,7 +14,7 @@
 
 // Read implements storage.Table.
 func (c *Client) Read(ctx context.Context, r storage.ReadRequest) (storage.Changes, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	params := oas.ReadRowsParams{
 		Table: oas.TableName(r.Table),
@@ -25,23 +25,23 @@
 	}
 	res, err := c.api.ReadRows(ctx, params)
 	if err != nil {
-		return storage.Changes{}, failed(err)
+		return storage.Changes{}, callError(err)
 	}
 	changes := convert.ChangesFromAPI(res)
-	if err := checkChanges(r, changes); err != nil {
-		return storage.Changes{}, failed(err)
+	if err := validateChanges(r, changes); err != nil {
+		return storage.Changes{}, callError(err)
 	}
 	return changes, nil
 }
 
 // Write implements storage.Table.
 //
-// Every failure after the request may have left ends as storage.Unknown:
-// an answer that is lost, late, cut short or not understood says nothing
-// about whether the transaction committed, and calling it a failure would
-// let its writer repeat what has already taken effect.
+// Every failure after the request may have been sent yields storage.Unknown: a
+// response that is lost, late, truncated or invalid does not show whether the
+// transaction committed. Reporting a failure would let the writer repeat a
+// transaction that has already been applied.
 func (c *Client) Write(ctx context.Context, t storage.Txn) (storage.WriteResult, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	request := convert.TxnToAPI(t)
 	if err := request.Validate(); err != nil {
@@ -49,12 +49,12 @@
 	}
 	res, err := c.api.WriteTransaction(ctx, request)
 	if err != nil {
-		return storage.WriteResult{}, refusal(err)
+		return storage.WriteResult{}, rejectionError(err)
 	}
 	switch res := res.(type) {
 	case *oas.Committed:
 		revisions := convert.RevisionsFromAPI(res.Revisions)
-		if !namesTables(revisions, t.Puts) {
+		if !hasAllRevisions(revisions, t.Puts) {
 			return storage.WriteResult{}, nil
 		}
 		return storage.WriteResult{Outcome: storage.Committed, Revisions: revisions}, nil
@@ -68,24 +68,24 @@
 	}
 }
 
-// checkChanges refuses an answer that can't be one to the request. A row
-// from beyond the answer's revision would make a replica drop the row's later
-// changes as old, and a withdrawn key could stay in force.
-func checkChanges(r storage.ReadRequest, c storage.Changes) error {
+// validateChanges rejects a response that does not match the request. A row with
+// a revision above that of the response would make a replica discard later
+// changes of the row as outdated, so a revoked key could remain valid.
+func validateChanges(r storage.ReadRequest, c storage.Changes) error {
 	for _, row := range c.Rows {
 		if row.Revision <= r.Since || row.Revision > c.Revision {
-			return errors.Newf("row %q of revision %d in an answer from %d to %d", row.Key, row.Revision, r.Since, c.Revision)
+			return errors.Newf("row %q has revision %d, outside the requested range (%d, %d]", row.Key, row.Revision, r.Since, c.Revision)
 		}
 		if !strings.HasPrefix(row.Key, r.Prefix) {
-			return errors.Newf("row %q in an answer to prefix %q", row.Key, r.Prefix)
+			return errors.Newf("row %q does not have the requested prefix %q", row.Key, r.Prefix)
 		}
 	}
 	return nil
 }
 
-// namesTables reports whether a commit's answer has the new revision of each
-// table that was written. One that hasn't answers something else.
-func namesTables(revisions map[storage.TableName]storage.Revision, puts []storage.Put) bool {
+// hasAllRevisions reports whether a commit response holds the new revision of
+// each written table. A response without them belongs to another request.
+func hasAllRevisions(revisions map[storage.TableName]storage.Revision, puts []storage.Put) bool {
 	for _, p := range puts {
 		if revisions[p.Table] == 0 {
 			return false
--- a/storage/instance.go
+++ b/storage/instance.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Kind tells entry instances from backend servers.
+// Kind distinguishes entry instances from backend servers.
 type Kind string
 
 const (
@@ -12,50 +12,53 @@
 	BackendServer Kind = "backend"
 )
 
-// State is the platform's view of an instance. It lags.
+// State is an instance's lifecycle state in the platform's registry, which is
+// eventually consistent.
 type State string
 
 const (
-	// Live instances run, as far as the platform knows.
+	// Live instances are running, as far as the platform knows.
 	Live State = "live"
-	// Leaving instances finish what they have and take nothing new.
+	// Leaving instances finish their requests and accept no new ones.
 	Leaving State = "leaving"
-	// Ended instances don't run any more and never will again.
+	// Ended instances have stopped; the state is final.
 	Ended State = "ended"
 )
 
-// Instance is one process or backend server in the platform's list.
+// Instance is one process or backend server in the platform's registry.
 type Instance struct {
-	// ID is new with every start (an incarnation id, a UUID).
+	// ID is a UUID that is generated anew on every start.
 	ID   string
 	Kind Kind
 	// Service that a backend server belongs to; empty for an entry instance.
 	Service    string
 	DataCentre string
 	Region     string
-	// Address takes calls: "ip:port". For an entry instance, from callers.
+	// Address is the "ip:port" for requests; on an entry instance, for requests
+	// from callers.
 	Address string
-	// PeerAddress takes calls from other entry instances: "ip:port".
+	// PeerAddress is the "ip:port" for calls from other entry instances.
 	PeerAddress string
-	// OperatorAddress takes calls from operators: "ip:port".
+	// OperatorAddress is the "ip:port" for calls from operators.
 	OperatorAddress string
-	// Slots is how many requests a backend server works on at the same time.
+	// Slots is the number of requests that a backend server processes
+	// concurrently.
 	Slots int
 	State State
 }
 
-// InstanceChanges lists the instances that changed after a version.
+// InstanceChanges holds the instances that changed after a given version.
 type InstanceChanges struct {
-	// Version of the list; it rises with every change.
+	// Version of the list, incremented with every change.
 	Version uint64
 	Changed []Instance
 	// Full means that Changed is the whole list.
 	Full bool
 }
 
-// Instances is the platform's list of instances.
+// Instances is the platform's instance registry.
 type Instances interface {
-	// List returns what changed after version since; 0 reads everything.
+	// List returns the instances that changed after version since; 0 reads all.
 	List(ctx context.Context, since uint64) (InstanceChanges, error)
 	// Announce registers an instance or reports its new state.
 	Announce(ctx context.Context, i Instance) error
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -1,9 +1,10 @@
-// Package storage describes the services that the platform offers to
-// foxtailspoke: a transactional table, an object store and a lagging list of
-// instances. Everything that has to be agreed on or kept goes through them.
+// Package storage defines the interfaces of the platform services that
+// foxtailspoke depends on: a transactional table store, an object store and an
+// eventually consistent instance registry. All shared and durable state is kept
+// in them.
 //
-// The interfaces are small so that tests can replace them by fakes. The
-// client in storage/client implements them over HTTP.
+// The interfaces are small so that tests can substitute fakes. Package
+// storage/client implements them over HTTP.
 package storage
 
 import (
@@ -13,7 +14,7 @@
 )
 
 // Revision counts the committed transactions of one table. It starts at 0
-// for an empty table and rises by one with every transaction that touches
+// for an empty table and rises by one with every transaction that modifies
 // the table.
 type Revision uint64
 
@@ -22,48 +23,50 @@
 
 const (
 	// Control holds lists, keys, shards, permits and witnesses. Every entry
-	// instance keeps a replica of it.
+	// instance replicates it.
 	Control TableName = "control"
-	// Audit holds one row per accepted change. Entry instances don't read it.
+	// Audit holds one row per accepted change. Entry instances do not read it.
 	Audit TableName = "audit"
-	// Claims holds the idempotency claims of requests with caller-made keys.
+	// Claims holds the idempotency claims of requests whose idempotency key was
+	// supplied by the caller.
 	Claims TableName = "claims"
 )
 
-// ErrUnavailable reports that the platform gave no answer. After a write
-// nobody knows whether it took effect.
+// ErrUnavailable reports that the platform did not respond. A write that fails
+// with it may or may not have taken effect.
 var ErrUnavailable = errors.New("platform: unavailable")
 
 // Row is one row of a table.
 type Row struct {
 	Key   string
 	Value []byte
-	// Revision is the table's revision that last changed the row.
+	// Revision is the table revision at which the row was last changed.
 	Revision Revision
-	// Attempt is the id of the transaction that last changed the row. A
-	// writer that lost the answer recognises its own write by it.
+	// Attempt is the ID of the transaction that last changed the row. A writer
+	// that lost the response uses it to recognise its own write.
 	Attempt string
-	// Deleted marks a tombstone: the row is gone since Revision.
+	// Deleted marks a tombstone: the row was deleted at Revision.
 	Deleted bool
 }
 
-// ReadRequest asks for the rows of one table that changed after Since.
+// ReadRequest selects the rows of one table that changed after Since.
 type ReadRequest struct {
 	Table TableName
 	// Since excludes rows at or below this revision; 0 reads everything.
 	Since Revision
-	// Prefix restricts the answer to keys that start with it; empty reads all.
+	// Prefix restricts the result to keys that start with it; empty reads all.
 	Prefix string
 }
 
-// Changes is the newest state of a table, as far as it differs from the
-// requested revision. A read is never served from an old copy.
+// Changes is the difference between the requested revision of a table and its
+// latest state. Reads are never served from a stale copy.
 type Changes struct {
-	// Revision is the table's newest revision at the time of the read.
+	// Revision is the table's latest revision at the time of the read.
 	Revision Revision
-	// Rows are the rows changed after Since, by ascending revision.
+	// Rows are the rows changed after Since, in ascending order of revision.
 	Rows []Row
-	// Full means that Rows is the whole table: the reader drops what it has.
+	// Full means that Rows is the whole table and replaces all rows that the
+	// reader holds.
 	Full bool
 }
 
@@ -71,7 +74,7 @@
 type Condition struct {
 	Table TableName
 	Key   string
-	// Revision the row must have; 0 demands that the row is absent.
+	// Revision that the row must have; 0 requires that the row does not exist.
 	Revision Revision
 }
 
@@ -83,24 +86,24 @@
 	Delete bool
 }
 
-// Txn is a transaction: if all conditions hold, all puts take effect at once.
+// Txn is a transaction: if all conditions hold, all puts are applied atomically.
 type Txn struct {
-	// Attempt identifies this transaction among all others ever sent.
+	// Attempt is the globally unique ID of the transaction.
 	Attempt    string
 	Conditions []Condition
 	Puts       []Put
 }
 
-// WriteOutcome is what the writer knows about a transaction.
+// WriteOutcome is the outcome of a transaction as known to its writer.
 type WriteOutcome int
 
 const (
-	// Unknown means that no answer came: it took effect, or it didn't, or
-	// it still may.
+	// Unknown means that no valid response was received: the transaction may
+	// have been applied, may have failed or may still be applied later.
 	Unknown WriteOutcome = iota
 	// Committed means that all puts took effect.
 	Committed
-	// Conflict means that a condition didn't hold and nothing took effect.
+	// Conflict means that a condition did not hold and nothing was applied.
 	Conflict
 )
 
@@ -116,23 +119,24 @@
 	}
 }
 
-// WriteResult is the answer to a transaction.
+// WriteResult is the result of a transaction.
 type WriteResult struct {
 	Outcome WriteOutcome
-	// Revisions has the new revision of each table touched, after Committed.
+	// Revisions holds the new revision of each modified table, after Committed.
 	Revisions map[TableName]Revision
-	// Current has the present row for each failed condition, after Conflict.
-	// A row that doesn't exist is left out.
+	// Current holds the current row of each failed condition, after Conflict.
+	// Rows that do not exist are omitted.
 	Current []Row
 }
 
-// Table is the transactional table service.
+// Table is the transactional table store.
 type Table interface {
-	// Read returns the table's newest state. It fails with ErrUnavailable.
+	// Read returns the table's latest state. It fails with ErrUnavailable if
+	// the platform does not respond.
 	Read(ctx context.Context, r ReadRequest) (Changes, error)
-	// Write commits the transaction or not at all. A lost answer is the
-	// outcome Unknown, not an error; an error means that the transaction
-	// was malformed and took no effect.
+	// Write applies the transaction atomically. A lost response is reported as
+	// outcome Unknown, not as an error; an error means that the transaction
+	// was malformed and had no effect.
 	Write(ctx context.Context, t Txn) (WriteResult, error)
 }
 
@@ -140,6 +144,6 @@
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
-	// List returns the names that start with prefix, ascending.
+	// List returns the names that start with prefix, in ascending order.
 	List(ctx context.Context, prefix string) ([]string, error)
 }
