--- a/peer/conn.go
+++ b/peer/conn.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	written atomic.Uint64
--- a/peer/example_test.go
+++ b/peer/example_test.go
@@ -10,14 +10,14 @@
 	"foxtailspoke/peer"
 )
 
-// question and reply are the messages of the example.
+// question and reply are the message types of the example.
 type (
 	question struct{ Text string }
 	reply    struct{ Text string }
 )
 
-// Two processes with the same secret call each other; one with another secret
-// is refused.
+// A client with the server's secret calls it; a client with a different secret
+// is rejected.
 func Example() {
 	gob.Register(question{})
 	gob.Register(reply{})
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The handshake: the server sends a nonce; the client sends its own nonce
-// and a MAC over both; the server answers with another MAC over both. Each
-// side thereby proves that it knows the secret, without sending it. Nothing
-// is decoded before that, so a stranger reaches only these few lines.
+// The handshake: the server sends a nonce; the client sends its own nonce and a
+// MAC over both; the server replies with another MAC over both. Each side thereby
+// proves knowledge of the secret without sending it. No message is decoded before
+// the handshake, which keeps the code exposed to unauthenticated peers small.
 const (
 	nonceSize  = 32
 	macSize    = sha256.Size
@@ -22,10 +22,10 @@
 	serverRole = "foxtailspoke peer server 1"
 )
 
-// ErrHandshake reports that the other side doesn't know the secret.
+// ErrHandshake reports that the peer failed to prove knowledge of the secret.
 var ErrHandshake = errors.New("peer: handshake failed")
 
-// clientHandshake is the client's side. It ends by the deadline.
+// clientHandshake performs the client's side of the handshake by the deadline.
 func clientHandshake(conn net.Conn, secret []byte, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	return conn.SetDeadline(time.Time{})
 }
 
-// serverHandshake is the server's side. It ends by the deadline.
+// serverHandshake performs the server's side of the handshake by the deadline.
 func serverHandshake(conn net.Conn, secret []byte, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
@@ -74,6 +74,8 @@
 	return conn.SetDeadline(time.Time{})
 }
 
+// handshakeMAC returns the MAC with which the given role proves knowledge of the
+// secret.
 func handshakeMAC(secret []byte, role string, server, client [nonceSize]byte) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(role))
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,11 +1,10 @@
-// Package peer carries messages between entry instances: net/rpc over TCP,
-// on connections where both sides have proved that they know the fleet's
-// shared secret.
+// Package peer exchanges messages between entry instances with net/rpc over TCP,
+// on connections that are mutually authenticated with the fleet's shared secret.
 //
-// One method carries all messages; the packages that own them register their
-// types with encoding/gob. A call that gets no answer in time closes its
-// connection: after a one-way partition the next call dials anew instead of
-// waiting behind the old one.
+// A single RPC method carries all messages; the packages that define them
+// register their types with encoding/gob. A call that times out closes its
+// connection, so that after a one-way network partition the next call opens a
+// new connection instead of queueing on the broken one.
 package peer
 
 import (
@@ -18,22 +17,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// method is the only method of the protocol.
+// method is the only RPC method of the protocol.
 const method = "Peer.Call"
 
-// ErrNoReply reports that a call ended without a reply. The other side may
-// have acted on the request all the same.
-var ErrNoReply = errors.New("peer: no answer")
+// ErrNoReply reports that a call ended without a reply. The peer may still have
+// processed the request.
+var ErrNoReply = errors.New("peer: no reply")
 
-// Envelope wraps a message with its sender.
+// Envelope wraps a message with the ID of its sender.
 type Envelope struct {
-	// From is the sender's instance id.
+	// From is the sender's instance ID.
 	From string
 	// Body is a message of a registered type.
 	Body any
 }
 
-// Client calls other instances, with one connection to each address.
+// Client calls other instances, using one connection per address.
 type Client struct {
 	self        string
 	secret      []byte
@@ -46,8 +45,8 @@
 
 // peerConn is the connection to one address.
 type peerConn struct {
-	// dialing has room for the one call that dials; the others wait for it,
-	// each until its own deadline.
+	// dialing is a semaphore held by the call that dials; other calls wait for
+	// it until their own deadlines.
 	dialing chan struct{}
 
 	mu       sync.Mutex
@@ -56,8 +55,8 @@
 	lastUsed time.Time
 }
 
-// NewClient returns a client for the instance with the given id. Dialing,
-// with the handshake, ends after dialTimeout.
+// NewClient returns a client for the instance with the ID self. dialTimeout
+// covers both dialing and the handshake.
 func NewClient(self string, secret []byte, dialTimeout time.Duration) *Client {
 	return &Client{self: self, secret: secret, dialTimeout: dialTimeout, conns: map[string]*peerConn{}}
 }
@@ -91,8 +90,8 @@
 	}
 }
 
-// Traffic returns the bytes written to and read from all peers by the
-// connections that are open now.
+// Traffic returns the numbers of bytes written to and read from all peers on
+// the currently open connections.
 func (c *Client) Traffic() (written, read uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +106,8 @@
 	return written, read
 }
 
-// CloseIdle closes connections that carried no call for the given time.
+// CloseIdle closes the connections that have carried no call for the duration
+// idle.
 func (c *Client) CloseIdle(idle time.Duration) {
 	limit := time.Now().Add(-idle)
 	c.mu.Lock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// Close closes all connections; calls in progress end without an answer.
+// Close closes all connections; calls in progress fail with ErrNoReply.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +148,7 @@
 	return l, nil
 }
 
-// connect returns the connection, and makes one if there is none.
+// connect returns the current RPC client, connecting first if there is none.
 func (l *peerConn) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
 	if client := l.current(); client != nil {
 		return client, nil
@@ -180,7 +180,7 @@
 	return l.client
 }
 
-// open dials and shakes hands.
+// open dials address and performs the handshake.
 func (c *Client) open(ctx context.Context, address string) (*countingConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.dialTimeout)
 	defer cancel()
@@ -197,7 +197,7 @@
 	return &countingConn{Conn: raw}, nil
 }
 
-// drop closes the connection if it is still the one that the caller used.
+// drop closes the connection if client is still its current RPC client.
 func (l *peerConn) drop(client *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,7 +22,7 @@
 	gob.Register(pong{})
 }
 
-// startServer serves handle on loopback until the test ends.
+// startServer serves handle on the loopback interface until the test ends.
 func startServer(t *testing.T, secret string, handle Handler) (string, chan string) {
 	t.Helper()
 	s, err := NewServer([]byte(secret), 10, time.Second, handle)
@@ -72,16 +72,15 @@
 	must.StrContains(t, <-refused, "127.0.0.1:")
 }
 
-// The other instance is frozen: it accepts the call and never answers. The
-// caller gives up at its deadline, and its next call, after the other side
-// has come back, doesn't wait behind the first.
+// Guards against a call queueing behind one that has timed out. The peer hangs
+// on the first call; the next call must use a new connection.
 func TestCallAfterTimeoutReconnects(t *testing.T) {
-	frozen := make(chan struct{})
-	defer close(frozen)
+	hung := make(chan struct{})
+	defer close(hung)
 	var calls atomic.Int32
 	address, _ := startServer(t, "secret", func(from string, body any) (any, bool) {
 		if calls.Add(1) == 1 {
-			<-frozen
+			<-hung
 		}
 		return echo(from, body)
 	})
@@ -95,20 +94,20 @@
 	must.NoError(t, err)
 }
 
-// One instance is frozen: connections to it come about and nobody greets. While
-// a call to it waits, the metrics are read. Calls to the others must not wait
-// for either.
+// Guards against a hung peer blocking calls to other peers. The hung peer accepts
+// connections but does not start the handshake; Traffic is called while a call to
+// it is waiting.
 func TestHungPeerDoesNotBlockOthers(t *testing.T) {
-	frozen, err := net.Listen("tcp", "127.0.0.1:0")
+	hung, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	defer func() { _ = frozen.Close() }()
+	defer func() { _ = hung.Close() }()
 	live, _ := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("secret"), time.Minute)
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	var waiting sync.WaitGroup
-	waiting.Go(func() { _, _ = c.Call(ctx, frozen.Addr().String(), ping{}) })
-	conn, err := frozen.Accept() // the call waits for the greeting now
+	waiting.Go(func() { _, _ = c.Call(ctx, hung.Addr().String(), ping{}) })
+	conn, err := hung.Accept() // the call now waits for the server's nonce
 	must.NoError(t, err)
 	answered := make(chan error, 1)
 	waiting.Go(func() {
@@ -120,7 +119,7 @@
 	case err := <-answered:
 		must.NoError(t, err)
 	case <-time.After(5 * time.Second):
-		t.Error("the call waits for the frozen peer")
+		t.Error("call to the live peer is blocked by the hung peer")
 	}
 	cancel()
 	_ = conn.Close()
--- a/peer/server.go
+++ b/peer/server.go
@@ -20,7 +20,8 @@
 	rpc              *rpc.Server
 	maxConns         int
 	handshakeTimeout time.Duration
-	// onHandshakeFailure hears of connections whose handshake failed; it may be nil.
+	// onHandshakeFailure is called for connections whose client failed to prove
+	// knowledge of the secret; it may be nil.
 	onHandshakeFailure func(address string)
 
 	mu    sync.Mutex
@@ -28,10 +29,10 @@
 	wg    sync.WaitGroup
 }
 
-// receiver is what net/rpc calls.
+// receiver is the receiver registered with net/rpc.
 type receiver struct{ handle Handler }
 
-// Call is the method of the protocol.
+// Call is the RPC method of the protocol.
 func (r *receiver) Call(request *Envelope, reply *Envelope) error {
 	body, ok := r.handle(request.From, request.Body)
 	if !ok {
@@ -57,8 +58,8 @@
 	return s, nil
 }
 
-// OnHandshakeFailure sets who hears of connections from somebody who doesn't know the
-// secret. To be called before Serve.
+// OnHandshakeFailure sets the function to call with the remote address of a client
+// that failed to prove knowledge of the secret. It must be called before Serve.
 func (s *Server) OnHandshakeFailure(f func(address string)) { s.onHandshakeFailure = f }
 
 // Serve accepts connections until ctx ends, then closes all of them.
--- a/storage/client/bench_test.go
+++ b/storage/client/bench_test.go
@@ -14,7 +14,7 @@
 	"foxtailspoke/storage/client"
 )
 
-// countingConn counts the bytes of a connection, both ways.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
--- a/storage/client/client_test.go
+++ b/storage/client/client_test.go
@@ -67,10 +67,9 @@
 	must.Eq(t, storage.Changes{Revision: 1, Full: true}, none)
 }
 
-// An operator's write commits but its answer is lost. The client must say
-// that it doesn't know. The row's attempt id then tells the writer that the
-// write was its own, and the same transaction again doesn't apply twice,
-// because its condition no longer holds.
+// A write commits but its response is lost. The client must report the outcome
+// as unknown. The row's attempt ID identifies the write, and a retry of the
+// transaction is not applied twice because its condition no longer holds.
 func TestLostResponseIsUnknown(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{})
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{
@@ -90,9 +89,9 @@
 	must.Eq(t, 1, readControl(t, c, 0).Revision)
 }
 
-// The platform is away: it closes connections, says nothing, answers with an
-// error, or takes longer than the client waits. A read must fail as
-// unavailable and a write must be unknown, whichever it is.
+// The platform closes connections, does not respond, returns an error or responds
+// after the client's timeout. In each case reads must fail with ErrUnavailable and
+// writes must have an unknown outcome.
 func TestPlatformUnavailable(t *testing.T) {
 	faults := map[string]standin.ServiceFaults{
 		"closed": {Down: standin.DownClosed},
@@ -125,18 +124,18 @@
 	return []error{err1, err2, err3, err4, c.Objects().Put(ctx, "o", nil)}
 }
 
-// Something in front of the platform takes writes on a connection that was
-// used before and closes it, or sends the writer elsewhere. An HTTP client
-// likes to send the request once more then; a write must arrive once.
+// Guards against HTTP-level retries of writes. HTTP clients may resend a request
+// when a reused connection is closed or the response is a redirect; a write must
+// be sent only once.
 func TestWriteIsSentOnce(t *testing.T) {
-	answers := map[string]http.HandlerFunc{
+	responses := map[string]http.HandlerFunc{
 		"closed": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"redirected": func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, r.URL.Path, http.StatusTemporaryRedirect)
 		},
 		"garbled": func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "{") },
 	}
-	for name, answer := range answers {
+	for name, respond := range responses {
 		t.Run(name, func(t *testing.T) {
 			var writes atomic.Int32
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -147,7 +146,7 @@
 				}
 				writes.Add(1)
 				_, _ = io.Copy(io.Discard, r.Body)
-				answer(w, r)
+				respond(w, r)
 			}))
 			t.Cleanup(s.Close)
 			c, err := client.New(s.URL, client.Settings{})
--- a/storage/client/fuzz_test.go
+++ b/storage/client/fuzz_test.go
@@ -12,7 +12,7 @@
 	"foxtailspoke/storage"
 )
 
-// staticResponse answers every request alike.
+// staticResponse is a transport that returns the same response to every request.
 type staticResponse struct {
 	status  int
 	problem bool
@@ -29,10 +29,10 @@
 	}, nil
 }
 
-// FuzzAnswers gives the client whatever a platform, or something in its
-// place, may answer. A write is known to have committed, or not to have, only
-// by an answer that says so; everything else leaves it unknown.
-func FuzzAnswers(f *testing.F) {
+// FuzzResponses passes arbitrary responses to the client. A write may be reported
+// as committed or conflicting only if the response says so; any other response
+// leaves its outcome unknown or is reported as an error.
+func FuzzResponses(f *testing.F) {
 	f.Add(uint16(100), false, []byte(`{"revisions":[{"table":"control","revision":7}]}`))
 	f.Add(uint16(100), false, []byte(`{"revision":3,"rows":[{"key":"k","value":"AA==","revision":2,"attempt":"a"}],"full":true}`))
 	f.Add(uint16(100), false, []byte(`{"revision":-1,"rows":[]}`))
--- a/storage/client/history_test.go
+++ b/storage/client/history_test.go
@@ -22,13 +22,13 @@
 	historyKey     = "shard/1"
 )
 
-// register is the state of the one row that the history is about.
+// register is the state of the single row that all workers access.
 type register struct {
 	revision storage.Revision
 	attempt  string
 }
 
-// operation is a read, or a write that expects a revision.
+// operation is a read, or a write conditional on a revision.
 type operation struct {
 	write    bool
 	expected storage.Revision
@@ -37,12 +37,12 @@
 
 type result struct {
 	outcome storage.WriteOutcome
-	// seen is what a read or a conflict showed.
+	// seen is the state returned by a read or conflict, or set by a commit.
 	seen register
 }
 
-// model is a compare-and-set register. A write of unknown outcome may have
-// taken effect or not.
+// model is a compare-and-set register. A write with an unknown outcome may or may
+// not have been applied.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{register{}} },
 	Step: func(state, input, output any) []any {
@@ -68,14 +68,14 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// recorder collects the history of all workers.
+// recorder records the operations of all workers.
 type recorder struct {
 	mu    sync.Mutex
 	start time.Time
 	ops   []porcupine.Operation
 }
 
-// record makes a call and keeps it, unless it failed without any effect.
+// record makes a call and records it, unless the call failed without effect.
 func (r *recorder) record(worker int, a operation, call func() (result, bool)) (result, bool) {
 	began := time.Since(r.start)
 	out, ok := call()
@@ -94,7 +94,8 @@
 	return out, true
 }
 
-// hasOutcomes reports whether writes ended in every way that the faults allow.
+// hasOutcomes reports whether the writes had every outcome possible under the
+// injected faults.
 func (r *recorder) hasOutcomes(f standin.PlatformFaults) bool {
 	found := map[storage.WriteOutcome]bool{}
 	for _, op := range r.ops {
@@ -130,8 +131,9 @@
 	return out, err == nil
 }
 
-// runWorker reads the row and writes it on the condition that it is unchanged. A
-// write of unknown outcome is sent again now and then, as it is.
+// runWorker repeatedly reads the row and writes it on condition that it is
+// unchanged. Writes with an unknown outcome are retried unmodified with a
+// probability of 1/2.
 func runWorker(t *testing.T, c *client.Client, r *recorder, worker int, rng *rand.Rand) {
 	for step := range historySteps {
 		known, ok := r.record(worker, operation{}, func() (result, bool) { return readRegister(t, c) })
@@ -150,27 +152,27 @@
 
 func checkHistory(t *testing.T, seed uint64, f standin.PlatformFaults, during func(*standin.Platform, *client.Client)) porcupine.CheckResult {
 	p, c := startPlatform(t, standin.PlatformOptions{Seed: seed, Faults: f}, client.Settings{Timeout: 30 * time.Millisecond})
-	slowClient, err := client.New(p.URL(), client.Settings{})
+	longTimeout, err := client.New(p.URL(), client.Settings{})
 	must.NoError(t, err)
-	t.Cleanup(slowClient.Close)
+	t.Cleanup(longTimeout.Close)
 	r := &recorder{start: time.Now()}
 	var workers sync.WaitGroup
 	for worker := range historyWorkers {
 		rng := rand.New(rand.NewPCG(seed, uint64(worker)))
 		workers.Go(func() { runWorker(t, c, r, worker, rng) })
 		if during != nil {
-			workers.Go(func() { during(p, slowClient) })
+			workers.Go(func() { during(p, longTimeout) })
 		}
 	}
 	workers.Wait()
-	must.True(t, r.hasOutcomes(f), must.Sprint("a history without every outcome proves little"))
+	must.True(t, r.hasOutcomes(f), must.Sprint("history does not contain every possible write outcome"))
 	checked, _ := porcupine.CheckOperationsVerbose(model.ToModel(), r.ops, 20*time.Second)
 	return checked
 }
 
-// Many writers race on one row while answers and whole writes are lost, and
-// some take effect after their writer has given up. Whatever each of them
-// was told must fit one order of all that happened.
+// Concurrent writers access one row while responses and writes are lost and some
+// writes are applied after the client has timed out. The recorded history must be
+// linearizable.
 func TestHistoryIsLinearizable(t *testing.T) {
 	faults := standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{
 		LoseAnswersRatio: 0.1, LoseWrites: 5,
@@ -185,8 +187,8 @@
 	}
 }
 
-// Reads come from an old copy of the table while writes go on. The same check
-// must notice, or it would prove nothing.
+// Checks that the linearizability check can fail: reads served from a stale copy
+// during concurrent writes must be reported as a violation.
 func TestStaleReadsAreNotLinearizable(t *testing.T) {
 	old := standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}
 	must.Eq(t, porcupine.Illegal, checkHistory(t, 1, old, nil))
