--- a/peer/example_test.go
+++ b/peer/example_test.go
@@ -40,8 +40,8 @@
 	go func() { done <- server.Serve(ctx, l) }()
 
 	client := peer.NewClient("a", secret, time.Second)
-	answer, err := client.Call(ctx, l.Addr().String(), question{Text: "newest revision?"})
-	fmt.Println(answer, err)
+	response, err := client.Call(ctx, l.Addr().String(), question{Text: "newest revision?"})
+	fmt.Println(response, err)
 	client.Close()
 
 	unauthorized := peer.NewClient("b", []byte("another secret of enough length"), time.Second)
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -40,11 +40,11 @@
 	if _, err := conn.Write(hello); err != nil {
 		return err
 	}
-	var answer [macSize]byte
-	if _, err := io.ReadFull(conn, answer[:]); err != nil {
+	var serverMAC [macSize]byte
+	if _, err := io.ReadFull(conn, serverMAC[:]); err != nil {
 		return err
 	}
-	if !hmac.Equal(answer[:], handshakeMAC(secret, serverRole, theirs, ours)) {
+	if !hmac.Equal(serverMAC[:], handshakeMAC(secret, serverRole, theirs, ours)) {
 		return ErrHandshake
 	}
 	return conn.SetDeadline(time.Time{})
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -62,13 +62,13 @@
 }
 
 // Call sends body to the instance at address and waits for its reply until
-// ctx ends. Every failure is ErrNoAnswer.
+// ctx ends. Every error is marked as ErrNoReply.
 func (c *Client) Call(ctx context.Context, address string, body any) (any, error) {
-	l, err := c.conn(address)
+	p, err := c.conn(address)
 	if err != nil {
 		return nil, err
 	}
-	client, err := l.connect(ctx, c, address)
+	client, err := p.connect(ctx, c, address)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNoReply)
 	}
@@ -81,11 +81,11 @@
 		}
 		var refused rpc.ServerError
 		if !errors.As(call.Error, &refused) {
-			l.drop(client)
+			p.drop(client)
 		}
 		return nil, errors.Mark(call.Error, ErrNoReply)
 	case <-ctx.Done():
-		l.drop(client)
+		p.drop(client)
 		return nil, errors.Mark(ctx.Err(), ErrNoReply)
 	}
 }
@@ -95,13 +95,13 @@
 func (c *Client) Traffic() (written, read uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.conns {
-		l.mu.Lock()
-		if l.conn != nil {
-			written += l.conn.written.Load()
-			read += l.conn.read.Load()
+	for _, p := range c.conns {
+		p.mu.Lock()
+		if p.conn != nil {
+			written += p.conn.written.Load()
+			read += p.conn.read.Load()
 		}
-		l.mu.Unlock()
+		p.mu.Unlock()
 	}
 	return written, read
 }
@@ -112,13 +112,13 @@
 	limit := time.Now().Add(-idle)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, l := range c.conns {
-		l.mu.Lock()
-		if l.lastUsed.Before(limit) {
-			l.closeLocked()
+	for address, p := range c.conns {
+		p.mu.Lock()
+		if p.lastUsed.Before(limit) {
+			p.closeLocked()
 			delete(c.conns, address)
 		}
-		l.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
@@ -127,10 +127,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, l := range c.conns {
-		l.mu.Lock()
-		l.closeLocked()
-		l.mu.Unlock()
+	for _, p := range c.conns {
+		p.mu.Lock()
+		p.closeLocked()
+		p.mu.Unlock()
 	}
 }
 
@@ -140,44 +140,44 @@
 	if c.closed {
 		return nil, errors.Mark(net.ErrClosed, ErrNoReply)
 	}
-	l, ok := c.conns[address]
+	p, ok := c.conns[address]
 	if !ok {
-		l = &peerConn{dialing: make(chan struct{}, 1), lastUsed: time.Now()}
-		c.conns[address] = l
+		p = &peerConn{dialing: make(chan struct{}, 1), lastUsed: time.Now()}
+		c.conns[address] = p
 	}
-	return l, nil
+	return p, nil
 }
 
 // connect returns the current RPC client, connecting first if there is none.
-func (l *peerConn) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
-	if client := l.current(); client != nil {
+func (p *peerConn) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
+	if client := p.current(); client != nil {
 		return client, nil
 	}
 	select {
-	case l.dialing <- struct{}{}:
-		defer func() { <-l.dialing }()
+	case p.dialing <- struct{}{}:
+		defer func() { <-p.dialing }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if client := l.current(); client != nil {
+	if client := p.current(); client != nil {
 		return client, nil
 	}
 	conn, err := c.open(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conn = conn
-	l.client = rpc.NewClient(conn)
-	return l.client, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conn = conn
+	p.client = rpc.NewClient(conn)
+	return p.client, nil
 }
 
-func (l *peerConn) current() *rpc.Client {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lastUsed = time.Now()
-	return l.client
+func (p *peerConn) current() *rpc.Client {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastUsed = time.Now()
+	return p.client
 }
 
 // open dials address and performs the handshake.
@@ -198,19 +198,19 @@
 }
 
 // drop closes the connection if client is still its current RPC client.
-func (l *peerConn) drop(client *rpc.Client) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.client == client {
-		l.closeLocked()
+func (p *peerConn) drop(client *rpc.Client) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.client == client {
+		p.closeLocked()
 	}
 }
 
-func (l *peerConn) closeLocked() {
-	if l.client == nil {
+func (p *peerConn) closeLocked() {
+	if p.client == nil {
 		return
 	}
-	_ = l.client.Close()
-	l.client = nil
-	l.conn = nil
+	_ = p.client.Close()
+	p.client = nil
+	p.conn = nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,13 +22,14 @@
 	gob.Register(pong{})
 }
 
-// startServer serves handle on the loopback interface until the test ends.
+// startServer serves handle on the loopback interface until the test ends. It
+// returns the address and a channel of clients whose handshake failed.
 func startServer(t *testing.T, secret string, handle Handler) (string, chan string) {
 	t.Helper()
 	s, err := NewServer([]byte(secret), 10, time.Second, handle)
 	must.NoError(t, err)
-	refused := make(chan string, 10)
-	s.OnHandshakeFailure(func(address string) { refused <- address })
+	failed := make(chan string, 10)
+	s.OnHandshakeFailure(func(address string) { failed <- address })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +42,7 @@
 		cancel()
 		<-done
 	})
-	return l.Addr().String(), refused
+	return l.Addr().String(), failed
 }
 
 func echo(_ string, body any) (any, bool) {
@@ -64,12 +65,12 @@
 }
 
 func TestCallWithWrongSecretFails(t *testing.T) {
-	address, refused := startServer(t, "secret", echo)
+	address, failed := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("other"), time.Second)
 	defer c.Close()
 	_, err := c.Call(context.Background(), address, ping{})
 	must.True(t, errors.Is(err, ErrNoReply))
-	must.StrContains(t, <-refused, "127.0.0.1:")
+	must.StrContains(t, <-failed, "127.0.0.1:")
 }
 
 // Guards against a call queueing behind one that has timed out. The peer hangs
@@ -109,14 +110,14 @@
 	waiting.Go(func() { _, _ = c.Call(ctx, hung.Addr().String(), ping{}) })
 	conn, err := hung.Accept() // the call now waits for the server's nonce
 	must.NoError(t, err)
-	answered := make(chan error, 1)
+	result := make(chan error, 1)
 	waiting.Go(func() {
 		c.Traffic()
 		_, err := c.Call(ctx, live, ping{})
-		answered <- err
+		result <- err
 	})
 	select {
-	case err := <-answered:
+	case err := <-result:
 		must.NoError(t, err)
 	case <-time.After(5 * time.Second):
 		t.Error("call to the live peer is blocked by the hung peer")
--- a/peer/server.go
+++ b/peer/server.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Handler answers one message. It returns false if it has no answer; the
-// caller then sees ErrNoAnswer.
+// Handler handles one message. If it returns false, the call fails with
+// ErrNoReply.
 type Handler func(from string, body any) (reply any, ok bool)
 
 // Server accepts calls from other instances.
@@ -29,7 +29,7 @@
 	wg    sync.WaitGroup
 }
 
-// receiver is the receiver registered with net/rpc.
+// receiver is registered with net/rpc and passes calls to the handler.
 type receiver struct{ handle Handler }
 
 // Call is the RPC method of the protocol.
@@ -43,7 +43,7 @@
 }
 
 // NewServer returns a server that accepts at most maxConns connections, each
-// of which must finish its handshake within greeting.
+// of which must complete its handshake within handshakeTimeout.
 func NewServer(secret []byte, maxConns int, handshakeTimeout time.Duration, handle Handler) (*Server, error) {
 	s := &Server{
 		secret:           secret,
--- a/storage/client/history_test.go
+++ b/storage/client/history_test.go
@@ -77,19 +77,19 @@
 
 // record makes a call and records it, unless the call failed without effect.
 func (r *recorder) record(worker int, a operation, call func() (result, bool)) (result, bool) {
-	began := time.Since(r.start)
+	called := time.Since(r.start)
 	out, ok := call()
-	ended := time.Since(r.start)
+	returned := time.Since(r.start)
 	if !ok {
 		return out, false
 	}
 	if a.write && out.outcome == storage.Unknown {
-		ended = time.Hour
+		returned = time.Hour
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ops = append(r.ops, porcupine.Operation{
-		ClientId: worker, Input: a, Call: int64(began), Output: out, Return: int64(ended),
+		ClientId: worker, Input: a, Call: int64(called), Output: out, Return: int64(returned),
 	})
 	return out, true
 }
