--- a/storage/client/history_test.go
+++ b/storage/client/history_test.go
@@ -107,6 +107,7 @@
 	return found[storage.Committed] && found[storage.Conflict] && (lossless || found[storage.Unknown])
 }
 
+// registerOf returns the register state held by the result of a read or conflict.
 func registerOf(rows []storage.Row) register {
 	if len(rows) == 0 {
 		return register{}
@@ -190,6 +191,6 @@
 // Checks that the linearizability check can fail: reads served from a stale copy
 // during concurrent writes must be reported as a violation.
 func TestStaleReadsAreNotLinearizable(t *testing.T) {
-	old := standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}
-	must.Eq(t, porcupine.Illegal, checkHistory(t, 1, old, nil))
+	staleReads := standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}
+	must.Eq(t, porcupine.Illegal, checkHistory(t, 1, staleReads, nil))
 }
