--- a/entry/driver.go
+++ b/entry/driver.go
@@ -13,7 +13,7 @@
 	"foxtailspoke/node"
 )
 
-// driver carries out a node's effects. None of them blocks.
+// driver executes a node's effects. No method blocks.
 type driver struct {
 	log     *slog.Logger
 	metrics *metrics.Metrics
@@ -38,7 +38,7 @@
 		d.records.Add(e.Record)
 	case node.Noted:
 		d.metrics.Noted(e)
-		d.note(e)
+		d.logNote(e)
 	case node.StartProbe:
 		d.probes.start(e)
 	case node.ReplyCall:
@@ -56,18 +56,18 @@
 	}
 }
 
-// notes are the log events of what a node notes.
-var notes = map[node.Note]event.Event{
+// noteEvents maps the notes of a node to log events.
+var noteEvents = map[node.Note]event.Event{
 	node.NoteEjected:      event.ServerEjected,
 	node.NoteReturned:     event.ServerReturned,
 	node.NoteShardWritten: event.ShardWritten,
 	node.NoteConfirmation: event.ConfirmationChanged,
 }
 
-func (d *driver) note(e node.Noted) {
-	logged, ok := notes[e.Note]
+func (d *driver) logNote(e node.Noted) {
+	logged, ok := noteEvents[e.Note]
 	if !ok {
-		return // only counted
+		return // exported as a metric only
 	}
 	logged.Log(d.log, slog.String("subject", e.Subject), slog.String("detail", e.Detail))
 }
--- a/entry/metrics/metrics.go
+++ b/entry/metrics/metrics.go
@@ -1,8 +1,8 @@
-// Package metrics counts what an instance does, for Prometheus.
+// Package metrics exports the Prometheus metrics of an instance.
 //
-// No label is a workspace: at 55,000 workspaces that would be millions of
-// series. How single workspaces fare is in the decision records and in the
-// operators' status.
+// No metric has a workspace label: with 55,000 workspaces that would create
+// millions of series. Per-workspace results are in the decision records and
+// in the operator API's status.
 package metrics
 
 import (
@@ -19,19 +19,19 @@
 
 const namespace = "foxtailspoke"
 
-// Metrics of one instance. Its methods are safe for concurrent use.
+// Metrics holds the metrics of one instance. It is safe for concurrent use.
 type Metrics struct {
-	registry  *prometheus.Registry
-	answers   *prometheus.CounterVec
-	added     prometheus.Histogram
-	took      *prometheus.HistogramVec
-	attempts  *prometheus.CounterVec
-	ejections *prometheus.CounterVec
-	detection prometheus.Histogram
-	states    *prometheus.GaugeVec
+	registry     *prometheus.Registry
+	answers      *prometheus.CounterVec
+	added        prometheus.Histogram
+	duration     *prometheus.HistogramVec
+	attempts     *prometheus.CounterVec
+	ejections    *prometheus.CounterVec
+	detection    prometheus.Histogram
+	confirmation *prometheus.GaugeVec
 }
 
-// New returns metrics at zero.
+// New returns Metrics with all series registered.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -44,7 +44,7 @@
 			Help:    "Time from a request's arrival to its answer's first byte, less the backend server's time.",
 			Buckets: prometheus.ExponentialBuckets(50e-6, 2, 14),
 		}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds",
 			Help:    "Time from a request's arrival to its end, by service.",
 			Buckets: prometheus.ExponentialBuckets(1e-3, 2, 14),
@@ -62,27 +62,27 @@
 			Help:    "Time from the first bad attempt reported against a backend server to its ejection, by the instance that had it ejected.",
 			Buckets: prometheus.ExponentialBuckets(0.125, 2, 12),
 		}),
-		states: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		confirmation: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "confirmation",
 			Help: "1 for what confirms that the configuration is the newest.",
 		}, []string{"state"}),
 	}
-	m.registry.MustRegister(m.answers, m.added, m.took, m.attempts, m.ejections, m.detection, m.states)
+	m.registry.MustRegister(m.answers, m.added, m.duration, m.attempts, m.ejections, m.detection, m.confirmation)
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that exposes the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Gauge adds a value that is read when the metrics are asked for.
+// Gauge registers a gauge whose value is read on each scrape.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Counter adds a rising value that is read when the metrics are asked for.
+// Counter registers a counter whose value is read on each scrape.
 func (m *Metrics) Counter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
@@ -95,19 +95,20 @@
 // Added implements callers.Metrics.
 func (m *Metrics) Added(d time.Duration) { m.added.Observe(d.Seconds()) }
 
-// Recorded counts a request that has ended.
+// Recorded observes the duration of a completed request. Requests without a
+// service are not counted.
 func (m *Metrics) Recorded(r decision.Record) {
 	if r.Service != "" {
-		m.took.WithLabelValues(r.Service).Observe(r.Took.Seconds())
+		m.duration.WithLabelValues(r.Service).Observe(r.Took.Seconds())
 	}
 }
 
-// Attempt counts an attempt that has ended.
+// Attempt counts a completed attempt.
 func (m *Metrics) Attempt(service, result string) {
 	m.attempts.WithLabelValues(service, result).Inc()
 }
 
-// Noted counts what the node noted.
+// Noted updates the metrics for a note of the node.
 func (m *Metrics) Noted(e node.Noted) {
 	switch e.Note {
 	case node.NoteEjected:
@@ -117,7 +118,7 @@
 	case node.NoteDetected:
 		m.detection.Observe(e.Took.Seconds())
 	case node.NoteConfirmation:
-		m.states.Reset()
-		m.states.WithLabelValues(e.Subject).Set(1)
+		m.confirmation.Reset()
+		m.confirmation.WithLabelValues(e.Subject).Set(1)
 	}
 }
