--- a/peer/example_test.go
+++ b/peer/example_test.go
@@ -10,14 +10,14 @@
 	"foxtailspoke/peer"
 )
 
-// question and reply are the messages of the example.
+// question and reply are the message types of the example.
 type (
 	question struct{ Text string }
 	reply    struct{ Text string }
 )
 
-// Two processes with the same secret call each other; one with another secret
-// is refused.
+// A client with the server's secret calls it; a client with a different secret
+// is rejected.
 func Example() {
 	gob.Register(question{})
 	gob.Register(reply{})
@@ -40,14 +40,14 @@
 	go func() { done <- server.Serve(ctx, l) }()
 
 	client := peer.NewClient("a", secret, time.Second)
-	answer, err := client.Call(ctx, l.Addr().String(), question{Text: "newest revision?"})
-	fmt.Println(answer, err)
+	response, err := client.Call(ctx, l.Addr().String(), question{Text: "newest revision?"})
+	fmt.Println(response, err)
 	client.Close()
 
-	stranger := peer.NewClient("b", []byte("another secret of enough length"), time.Second)
-	_, err = stranger.Call(ctx, l.Addr().String(), question{})
+	unauthorized := peer.NewClient("b", []byte("another secret of enough length"), time.Second)
+	_, err = unauthorized.Call(ctx, l.Addr().String(), question{})
 	fmt.Println(err != nil)
-	stranger.Close()
+	unauthorized.Close()
 	cancel()
 	<-done
 	// Output:
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The handshake: the server sends a nonce; the client sends its own nonce
-// and a MAC over both; the server answers with another MAC over both. Each
-// side thereby proves that it knows the secret, without sending it. Nothing
-// is decoded before that, so a stranger reaches only these few lines.
+// The handshake: the server sends a nonce; the client sends its own nonce and a
+// MAC over both; the server replies with another MAC over both. Each side thereby
+// proves knowledge of the secret without sending it. No message is decoded before
+// the handshake, which keeps the code exposed to unauthenticated peers small.
 const (
 	nonceSize  = 32
 	macSize    = sha256.Size
@@ -22,11 +22,11 @@
 	serverRole = "foxtailspoke peer server 1"
 )
 
-// ErrHandshake reports that the other side doesn't know the secret.
+// ErrHandshake reports that the peer failed to prove knowledge of the secret.
 var ErrHandshake = errors.New("peer: handshake failed")
 
-// greet is the client's side. It ends by the deadline.
-func greet(conn net.Conn, secret []byte, deadline time.Time) error {
+// clientHandshake performs the client's side of the handshake by the deadline.
+func clientHandshake(conn net.Conn, secret []byte, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -36,22 +36,22 @@
 	}
 	var ours [nonceSize]byte
 	_, _ = rand.Read(ours[:])
-	hello := append(ours[:], proof(secret, clientRole, theirs, ours)...)
+	hello := append(ours[:], handshakeMAC(secret, clientRole, theirs, ours)...)
 	if _, err := conn.Write(hello); err != nil {
 		return err
 	}
-	var answer [macSize]byte
-	if _, err := io.ReadFull(conn, answer[:]); err != nil {
+	var serverMAC [macSize]byte
+	if _, err := io.ReadFull(conn, serverMAC[:]); err != nil {
 		return err
 	}
-	if !hmac.Equal(answer[:], proof(secret, serverRole, theirs, ours)) {
+	if !hmac.Equal(serverMAC[:], handshakeMAC(secret, serverRole, theirs, ours)) {
 		return ErrHandshake
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-// admit is the server's side. It ends by the deadline.
-func admit(conn net.Conn, secret []byte, deadline time.Time) error {
+// serverHandshake performs the server's side of the handshake by the deadline.
+func serverHandshake(conn net.Conn, secret []byte, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -65,16 +65,18 @@
 		return err
 	}
 	theirs := [nonceSize]byte(hello[:nonceSize])
-	if !hmac.Equal(hello[nonceSize:], proof(secret, clientRole, ours, theirs)) {
+	if !hmac.Equal(hello[nonceSize:], handshakeMAC(secret, clientRole, ours, theirs)) {
 		return ErrHandshake
 	}
-	if _, err := conn.Write(proof(secret, serverRole, ours, theirs)); err != nil {
+	if _, err := conn.Write(handshakeMAC(secret, serverRole, ours, theirs)); err != nil {
 		return err
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-func proof(secret []byte, role string, server, client [nonceSize]byte) []byte {
+// handshakeMAC returns the MAC with which the given role proves knowledge of the
+// secret.
+func handshakeMAC(secret []byte, role string, server, client [nonceSize]byte) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(role))
 	mac.Write(server[:])
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,11 +1,10 @@
-// Package peer carries messages between entry instances: net/rpc over TCP,
-// on connections where both sides have proved that they know the fleet's
-// shared secret.
+// Package peer exchanges messages between entry instances with net/rpc over TCP,
+// on connections that are mutually authenticated with the fleet's shared secret.
 //
-// One method carries all messages; the packages that own them register their
-// types with encoding/gob. A call that gets no answer in time closes its
-// connection: after a one-way partition the next call dials anew instead of
-// waiting behind the old one.
+// A single RPC method carries all messages; the packages that define them
+// register their types with encoding/gob. A call that times out closes its
+// connection, so that after a one-way network partition the next call opens a
+// new connection instead of queueing on the broken one.
 package peer
 
 import (
@@ -18,58 +17,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// method is the only method of the protocol.
+// method is the only RPC method of the protocol.
 const method = "Peer.Call"
 
-// ErrNoReply reports that a call ended without a reply. The other side may
-// have acted on the request all the same.
-var ErrNoReply = errors.New("peer: no answer")
+// ErrNoReply reports that a call ended without a reply. The peer may still have
+// processed the request.
+var ErrNoReply = errors.New("peer: no reply")
 
-// Envelope wraps a message with its sender.
+// Envelope wraps a message with the ID of its sender.
 type Envelope struct {
-	// From is the sender's instance id.
+	// From is the sender's instance ID.
 	From string
 	// Body is a message of a registered type.
 	Body any
 }
 
-// Client calls other instances, with one connection to each address.
+// Client calls other instances, using one connection per address.
 type Client struct {
-	self   string
-	secret []byte
-	dial   time.Duration
+	self        string
+	secret      []byte
+	dialTimeout time.Duration
 
-	mu    sync.Mutex
-	conns map[string]*link
-	done  bool
+	mu     sync.Mutex
+	conns  map[string]*peerConn
+	closed bool
 }
 
-// link is the connection to one address.
-type link struct {
-	// dialing has room for the one call that dials; the others wait for it,
-	// each until its own deadline.
+// peerConn is the connection to one address.
+type peerConn struct {
+	// dialing is a semaphore held by the call that dials; other calls wait for
+	// it until their own deadlines.
 	dialing chan struct{}
 
-	mu     sync.Mutex
-	client *rpc.Client
-	conn   *countingConn
-	used   time.Time
+	mu       sync.Mutex
+	client   *rpc.Client
+	conn     *countingConn
+	lastUsed time.Time
 }
 
-// NewClient returns a client for the instance with the given id. Dialing,
-// with the handshake, ends after dialTimeout.
+// NewClient returns a client for the instance with the ID self. dialTimeout
+// covers both dialing and the handshake.
 func NewClient(self string, secret []byte, dialTimeout time.Duration) *Client {
-	return &Client{self: self, secret: secret, dial: dialTimeout, conns: map[string]*link{}}
+	return &Client{self: self, secret: secret, dialTimeout: dialTimeout, conns: map[string]*peerConn{}}
 }
 
 // Call sends body to the instance at address and waits for its reply until
-// ctx ends. Every failure is ErrNoAnswer.
+// ctx ends. Every error is marked as ErrNoReply.
 func (c *Client) Call(ctx context.Context, address string, body any) (any, error) {
-	l, err := c.link(address)
+	p, err := c.conn(address)
 	if err != nil {
 		return nil, err
 	}
-	client, err := l.connect(ctx, c, address)
+	client, err := p.connect(ctx, c, address)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNoReply)
 	}
@@ -82,107 +81,108 @@
 		}
 		var refused rpc.ServerError
 		if !errors.As(call.Error, &refused) {
-			l.drop(client)
+			p.drop(client)
 		}
 		return nil, errors.Mark(call.Error, ErrNoReply)
 	case <-ctx.Done():
-		l.drop(client)
+		p.drop(client)
 		return nil, errors.Mark(ctx.Err(), ErrNoReply)
 	}
 }
 
-// Traffic returns the bytes written to and read from all peers by the
-// connections that are open now.
+// Traffic returns the numbers of bytes written to and read from all peers on
+// the currently open connections.
 func (c *Client) Traffic() (written, read uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.conns {
-		l.mu.Lock()
-		if l.conn != nil {
-			written += l.conn.written.Load()
-			read += l.conn.read.Load()
+	for _, p := range c.conns {
+		p.mu.Lock()
+		if p.conn != nil {
+			written += p.conn.written.Load()
+			read += p.conn.read.Load()
 		}
-		l.mu.Unlock()
+		p.mu.Unlock()
 	}
 	return written, read
 }
 
-// CloseIdle closes connections that carried no call for the given time.
+// CloseIdle closes the connections that have carried no call for the duration
+// idle.
 func (c *Client) CloseIdle(idle time.Duration) {
 	limit := time.Now().Add(-idle)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, l := range c.conns {
-		l.mu.Lock()
-		if l.used.Before(limit) {
-			l.closeLocked()
+	for address, p := range c.conns {
+		p.mu.Lock()
+		if p.lastUsed.Before(limit) {
+			p.closeLocked()
 			delete(c.conns, address)
 		}
-		l.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
-// Close closes all connections; calls in progress end without an answer.
+// Close closes all connections; calls in progress fail with ErrNoReply.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.done = true
-	for _, l := range c.conns {
-		l.mu.Lock()
-		l.closeLocked()
-		l.mu.Unlock()
+	c.closed = true
+	for _, p := range c.conns {
+		p.mu.Lock()
+		p.closeLocked()
+		p.mu.Unlock()
 	}
 }
 
-func (c *Client) link(address string) (*link, error) {
+func (c *Client) conn(address string) (*peerConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done {
+	if c.closed {
 		return nil, errors.Mark(net.ErrClosed, ErrNoReply)
 	}
-	l, ok := c.conns[address]
+	p, ok := c.conns[address]
 	if !ok {
-		l = &link{dialing: make(chan struct{}, 1), used: time.Now()}
-		c.conns[address] = l
+		p = &peerConn{dialing: make(chan struct{}, 1), lastUsed: time.Now()}
+		c.conns[address] = p
 	}
-	return l, nil
+	return p, nil
 }
 
-// connect returns the connection, and makes one if there is none.
-func (l *link) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
-	if client := l.current(); client != nil {
+// connect returns the current RPC client, connecting first if there is none.
+func (p *peerConn) connect(ctx context.Context, c *Client, address string) (*rpc.Client, error) {
+	if client := p.current(); client != nil {
 		return client, nil
 	}
 	select {
-	case l.dialing <- struct{}{}:
-		defer func() { <-l.dialing }()
+	case p.dialing <- struct{}{}:
+		defer func() { <-p.dialing }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if client := l.current(); client != nil {
+	if client := p.current(); client != nil {
 		return client, nil
 	}
 	conn, err := c.open(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conn = conn
-	l.client = rpc.NewClient(conn)
-	return l.client, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conn = conn
+	p.client = rpc.NewClient(conn)
+	return p.client, nil
 }
 
-func (l *link) current() *rpc.Client {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.used = time.Now()
-	return l.client
+func (p *peerConn) current() *rpc.Client {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastUsed = time.Now()
+	return p.client
 }
 
-// open dials and shakes hands.
+// open dials address and performs the handshake.
 func (c *Client) open(ctx context.Context, address string) (*countingConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.dial)
+	ctx, cancel := context.WithTimeout(ctx, c.dialTimeout)
 	defer cancel()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
@@ -190,27 +190,27 @@
 		return nil, err
 	}
 	deadline, _ := ctx.Deadline()
-	if err := greet(raw, c.secret, deadline); err != nil {
+	if err := clientHandshake(raw, c.secret, deadline); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
 	return &countingConn{Conn: raw}, nil
 }
 
-// drop closes the connection if it is still the one that the caller used.
-func (l *link) drop(client *rpc.Client) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.client == client {
-		l.closeLocked()
+// drop closes the connection if client is still its current RPC client.
+func (p *peerConn) drop(client *rpc.Client) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.client == client {
+		p.closeLocked()
 	}
 }
 
-func (l *link) closeLocked() {
-	if l.client == nil {
+func (p *peerConn) closeLocked() {
+	if p.client == nil {
 		return
 	}
-	_ = l.client.Close()
-	l.client = nil
-	l.conn = nil
+	_ = p.client.Close()
+	p.client = nil
+	p.conn = nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,13 +22,14 @@
 	gob.Register(pong{})
 }
 
-// start serves handle on loopback until the test ends.
-func start(t *testing.T, secret string, handle Handler) (string, chan string) {
+// startServer serves handle on the loopback interface until the test ends. It
+// returns the address and a channel of clients whose handshake failed.
+func startServer(t *testing.T, secret string, handle Handler) (string, chan string) {
 	t.Helper()
 	s, err := NewServer([]byte(secret), 10, time.Second, handle)
 	must.NoError(t, err)
-	refused := make(chan string, 10)
-	s.OnHandshakeFailure(func(address string) { refused <- address })
+	failed := make(chan string, 10)
+	s.OnHandshakeFailure(func(address string) { failed <- address })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +42,7 @@
 		cancel()
 		<-done
 	})
-	return l.Addr().String(), refused
+	return l.Addr().String(), failed
 }
 
 func echo(_ string, body any) (any, bool) {
@@ -50,7 +51,7 @@
 }
 
 func TestCall(t *testing.T) {
-	address, _ := start(t, "secret", echo)
+	address, _ := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("secret"), time.Second)
 	defer c.Close()
 	for i := range 3 {
@@ -63,25 +64,24 @@
 	must.Positive(t, read)
 }
 
-func TestCallWithWrongSecretGetsNoAnswer(t *testing.T) {
-	address, refused := start(t, "secret", echo)
+func TestCallWithWrongSecretFails(t *testing.T) {
+	address, failed := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("other"), time.Second)
 	defer c.Close()
 	_, err := c.Call(context.Background(), address, ping{})
 	must.True(t, errors.Is(err, ErrNoReply))
-	must.StrContains(t, <-refused, "127.0.0.1:")
+	must.StrContains(t, <-failed, "127.0.0.1:")
 }
 
-// The other instance is frozen: it accepts the call and never answers. The
-// caller gives up at its deadline, and its next call, after the other side
-// has come back, doesn't wait behind the first.
-func TestCallAfterTimeoutDialsAnew(t *testing.T) {
-	frozen := make(chan struct{})
-	defer close(frozen)
+// Guards against a call queueing behind one that has timed out. The peer hangs
+// on the first call; the next call must use a new connection.
+func TestCallAfterTimeoutReconnects(t *testing.T) {
+	hung := make(chan struct{})
+	defer close(hung)
 	var calls atomic.Int32
-	address, _ := start(t, "secret", func(from string, body any) (any, bool) {
+	address, _ := startServer(t, "secret", func(from string, body any) (any, bool) {
 		if calls.Add(1) == 1 {
-			<-frozen
+			<-hung
 		}
 		return echo(from, body)
 	})
@@ -95,32 +95,32 @@
 	must.NoError(t, err)
 }
 
-// One instance is frozen: connections to it come about and nobody greets. While
-// a call to it waits, the metrics are read. Calls to the others must not wait
-// for either.
-func TestFrozenPeerHoldsUpNobodyElse(t *testing.T) {
-	frozen, err := net.Listen("tcp", "127.0.0.1:0")
+// Guards against a hung peer blocking calls to other peers. The hung peer accepts
+// connections but does not start the handshake; Traffic is called while a call to
+// it is waiting.
+func TestHungPeerDoesNotBlockOthers(t *testing.T) {
+	hung, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	defer func() { _ = frozen.Close() }()
-	live, _ := start(t, "secret", echo)
+	defer func() { _ = hung.Close() }()
+	live, _ := startServer(t, "secret", echo)
 	c := NewClient("a", []byte("secret"), time.Minute)
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	var waiting sync.WaitGroup
-	waiting.Go(func() { _, _ = c.Call(ctx, frozen.Addr().String(), ping{}) })
-	conn, err := frozen.Accept() // the call waits for the greeting now
+	waiting.Go(func() { _, _ = c.Call(ctx, hung.Addr().String(), ping{}) })
+	conn, err := hung.Accept() // the call now waits for the server's nonce
 	must.NoError(t, err)
-	answered := make(chan error, 1)
+	result := make(chan error, 1)
 	waiting.Go(func() {
 		c.Traffic()
 		_, err := c.Call(ctx, live, ping{})
-		answered <- err
+		result <- err
 	})
 	select {
-	case err := <-answered:
+	case err := <-result:
 		must.NoError(t, err)
 	case <-time.After(5 * time.Second):
-		t.Error("the call waits for the frozen peer")
+		t.Error("call to the live peer is blocked by the hung peer")
 	}
 	cancel()
 	_ = conn.Close()
--- a/storage/client/answer_test.go
+++ b/storage/client/fuzz_test.go
@@ -12,14 +12,14 @@
 	"foxtailspoke/storage"
 )
 
-// cannedAnswer answers every request alike.
-type cannedAnswer struct {
+// staticResponse is a transport that returns the same response to every request.
+type staticResponse struct {
 	status  int
 	problem bool
 	body    []byte
 }
 
-func (a cannedAnswer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a staticResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	header := http.Header{"Content-Type": {"application/json"}}
 	if a.problem {
 		header.Set("Content-Type", "application/problem+json")
@@ -29,10 +29,10 @@
 	}, nil
 }
 
-// FuzzAnswers gives the client whatever a platform, or something in its
-// place, may answer. A write is known to have committed, or not to have, only
-// by an answer that says so; everything else leaves it unknown.
-func FuzzAnswers(f *testing.F) {
+// FuzzResponses passes arbitrary responses to the client. A write may be reported
+// as committed or conflicting only if the response says so; any other response
+// leaves its outcome unknown or is reported as an error.
+func FuzzResponses(f *testing.F) {
 	f.Add(uint16(100), false, []byte(`{"revisions":[{"table":"control","revision":7}]}`))
 	f.Add(uint16(100), false, []byte(`{"revision":3,"rows":[{"key":"k","value":"AA==","revision":2,"attempt":"a"}],"full":true}`))
 	f.Add(uint16(100), false, []byte(`{"revision":-1,"rows":[]}`))
@@ -49,8 +49,8 @@
 	f.Add(uint16(104), false, []byte{})
 	f.Add(uint16(207), false, []byte{})
 	f.Fuzz(func(t *testing.T, status uint16, problem bool, body []byte) {
-		a := cannedAnswer{status: 100 + int(status)%500, problem: problem, body: body}
-		api, err := oas.NewClient("http://127.0.0.1:1", oas.WithClient(&http.Client{Transport: a, CheckRedirect: stayHere}))
+		a := staticResponse{status: 100 + int(status)%500, problem: problem, body: body}
+		api, err := oas.NewClient("http://127.0.0.1:1", oas.WithClient(&http.Client{Transport: a, CheckRedirect: rejectRedirects}))
 		must.NoError(t, err)
 		c := &Client{api: api, timeout: DefaultTimeout}
 
