--- a/api/operator/record.go
+++ b/api/operator/record.go
@@ -31,20 +31,20 @@
 // ToRecord returns the decision record that the API showed.
 func ToRecord(d oas.Decision) decision.Record {
 	return decision.Record{
-		Request:    d.Request,
-		At:         d.At,
-		Instance:   d.Instance,
-		Workspace:  d.Workspace.Or(""),
-		Service:    d.Service.Or(""),
-		Method:     d.Method.Or(""),
-		Outcome:    decision.Outcome(d.Outcome),
-		Rule:       decision.Rule(d.Rule),
-		Server:     d.Server.Or(""),
-		Attempts:   d.Attempts,
-		Took:       seconds(d.TookSeconds),
-		RetryAfter: seconds(d.RetryAfterSeconds.Or(0)),
-		SimilarSkipped:      d.Alike.Or(0),
-		Figures:    toFigures(d.Figures.Or(oas.Figures{})),
+		Request:        d.Request,
+		At:             d.At,
+		Instance:       d.Instance,
+		Workspace:      d.Workspace.Or(""),
+		Service:        d.Service.Or(""),
+		Method:         d.Method.Or(""),
+		Outcome:        decision.Outcome(d.Outcome),
+		Rule:           decision.Rule(d.Rule),
+		Server:         d.Server.Or(""),
+		Attempts:       d.Attempts,
+		Took:           seconds(d.TookSeconds),
+		RetryAfter:     seconds(d.RetryAfterSeconds.Or(0)),
+		SimilarSkipped: d.Alike.Or(0),
+		Figures:        toFigures(d.Figures.Or(oas.Figures{})),
 	}
 }
 
--- a/config/jsonc/document.go
+++ b/config/jsonc/document.go
@@ -37,7 +37,7 @@
 		return d, Value{}
 	}
 	if offset := depthExceededAt(data); offset >= 0 {
-		d.addDiagnostic(offset, "", fmt.Sprintf("values nested more than %d deep", MaxDepth), "fewer levels")
+		d.addDiagnostic(offset, "", fmt.Sprintf("values nested more than %d deep", MaxDepth), "fewer")
 		return d, Value{}
 	}
 	root, err := hujson.Parse(data)
