--- a/event/event.go
+++ b/event/event.go
@@ -15,7 +15,7 @@
 
 // Event is one entry of the catalogue.
 type Event struct {
-	// Number never changes its meaning and is never used again.
+	// Number has a fixed meaning and is never reused.
 	Number int
 	Level  slog.Level
 	// Message is the log line's text.
--- a/operator/fleet/addresses.go
+++ b/operator/fleet/addresses.go
@@ -24,5 +24,5 @@
 	return c, nil
 }
 
-// Announce implements storage.Instances. Nobody is told.
+// Announce implements storage.Instances. It does nothing.
 func (Addresses) Announce(context.Context, storage.Instance) error { return nil }
--- a/operator/fleet/fleet.go
+++ b/operator/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet asks entry instances over their operator API. It implements
-// operator.Fleet.
+// Package fleet queries entry instances through their operator API. It
+// implements operator.Fleet.
 package fleet
 
 import (
@@ -19,16 +19,16 @@
 	"foxtailspoke/storage"
 )
 
-// DefaultTimeout bounds one question to one instance.
+// DefaultTimeout limits one request to one instance.
 const DefaultTimeout = 2 * time.Second
 
-// maxDecisions is the greatest number of records that the API gives at once.
+// maxDecisions is the maximum number of records in one API response.
 const maxDecisions = 1000
 
 // ErrNoAddress reports an instance without an operator address.
 var ErrNoAddress = errors.New("instance has no operator address")
 
-// Fleet reaches the instances that the platform lists. It is safe for
+// Fleet is a client of the instances that the platform lists. It is safe for
 // concurrent use.
 type Fleet struct {
 	instances storage.Instances
@@ -55,7 +55,7 @@
 	}
 }
 
-// ReadToken reads a token from a file and drops the space around it.
+// ReadToken reads a token from a file and trims surrounding white space.
 func ReadToken(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -85,7 +85,7 @@
 
 // Status implements operator.Fleet.
 func (f *Fleet) Status(ctx context.Context, entry storage.Instance) (*oas.Status, error) {
-	c, err := f.to(entry)
+	c, err := f.clientFor(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 
 // InForce implements operator.Fleet.
 func (f *Fleet) InForce(ctx context.Context, entry storage.Instance, r storage.Revision) (*oas.InForce, error) {
-	c, err := f.to(entry)
+	c, err := f.clientFor(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -103,11 +103,11 @@
 
 // Decisions implements operator.Fleet.
 func (f *Fleet) Decisions(ctx context.Context, entry storage.Instance, q decision.Query) (operator.Decisions, error) {
-	c, err := f.to(entry)
+	c, err := f.clientFor(entry)
 	if err != nil {
 		return operator.Decisions{}, err
 	}
-	answer, err := c.ListDecisions(ctx, params(q))
+	answer, err := c.ListDecisions(ctx, listParams(q))
 	if err != nil {
 		return operator.Decisions{}, err
 	}
@@ -118,7 +118,7 @@
 	return d, nil
 }
 
-func params(q decision.Query) oas.ListDecisionsParams {
+func listParams(q decision.Query) oas.ListDecisionsParams {
 	p := oas.ListDecisionsParams{
 		Request:   oas.OptString{Value: q.Request, Set: q.Request != ""},
 		Workspace: oas.OptString{Value: q.Workspace, Set: q.Workspace != ""},
@@ -131,7 +131,7 @@
 	return p
 }
 
-func (f *Fleet) to(entry storage.Instance) (*oas.Client, error) {
+func (f *Fleet) clientFor(entry storage.Instance) (*oas.Client, error) {
 	if entry.OperatorAddress == "" {
 		return nil, ErrNoAddress
 	}
@@ -142,13 +142,13 @@
 	}
 	c, err := oas.NewClient("http://"+entry.OperatorAddress, tokenSource(f.token), oas.WithClient(f.client))
 	if err != nil {
-		return nil, errors.Wrap(err, "operator API")
+		return nil, errors.Wrap(err, "create operator API client")
 	}
 	f.clients[entry.OperatorAddress] = c
 	return c, nil
 }
 
-// tokenSource gives the generated client the operators' token.
+// tokenSource supplies the operators' token to the generated client.
 type tokenSource string
 
 func (t tokenSource) OperatorToken(context.Context, oas.OperationName) (oas.OperatorToken, error) {
