--- a/edge/edge.go
+++ b/edge/edge.go
@@ -296,7 +296,7 @@
 func (e *Edge) addServices() {
 	e.supervisor = suture.New("edge", suture.Spec{
 		EventHook: func(ev suture.Event) {
-			event.ChildFailed.Log(e.log, slog.String("error", ev.String()))
+			event.ComponentFailed.Log(e.log, slog.String("error", ev.String()))
 		},
 		Timeout: time.Second,
 	})
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -67,7 +67,7 @@
 	}
 	s.placer.UpdateEvacuations(begun, ended, now)
 	for _, dc := range begun {
-		event.EvacuationBegan.Log(e.log, slog.String("evacuated", dc), slog.Uint64("table_version", at.Version))
+		event.EvacuationStarted.Log(e.log, slog.String("evacuated", dc), slog.Uint64("table_version", at.Version))
 	}
 	for _, dc := range ended {
 		event.EvacuationEnded.Log(e.log, slog.String("evacuated", dc), slog.Uint64("table_version", at.Version))
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -167,7 +167,7 @@
 		return
 	}
 	s.loggedDroppedLines, s.droppedLinesLoggedAt = count, now
-	event.LinesLeftOut.Log(e.log, slog.Uint64("count", count))
+	event.LogLinesDropped.Log(e.log, slog.Uint64("count", count))
 }
 
 // ageAttr returns the log attribute of an age, or an empty attribute if the age is
--- a/edge/members.go
+++ b/edge/members.go
@@ -65,7 +65,7 @@
 // handlePeersReturned handles instances that are heard again.
 func (e *Edge) handlePeersReturned(returned []*fleet.Instance) {
 	for _, m := range returned {
-		event.PeerHeard.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()))
+		event.PeerReachable.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()))
 	}
 	if len(returned) > 0 {
 		e.updateRateShare()
--- a/edge/poll.go
+++ b/edge/poll.go
@@ -219,7 +219,7 @@
 func (e *Edge) logStaleRead(t evidence.Table, at replica.Position, now time.Duration) {
 	known, ok := e.replicaOf(t).Position()
 	if ok && at.Before(known) && e.budget.Allow(now, routineLogShare) {
-		event.AnswerIgnored.Log(e.log, slog.String("table", tableNames[t]),
+		event.StaleResponseIgnored.Log(e.log, slog.String("table", tableNames[t]),
 			slog.Uint64("version", at.Version), slog.Uint64("known", known.Version),
 			slog.Uint64("era", at.Era), slog.Uint64("known_era", known.Era))
 	}
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -182,7 +182,7 @@
 }
 
 func (env *environment) giveKey(workspace string) string {
-	k, err := env.operator.GiveKey(context.Background(), workspace, "")
+	k, err := env.operator.IssueKey(context.Background(), workspace, "")
 	must.NoError(env.t, err)
 	return k.Secret.Reveal()
 }
--- a/entry/path_bench_test.go
+++ b/entry/path_bench_test.go
@@ -97,7 +97,7 @@
 	must.NoError(b, err)
 	_, err = o.Commit(ctx, proposal)
 	must.NoError(b, err)
-	change, err := o.GiveKey(ctx, "load", "bench")
+	change, err := o.IssueKey(ctx, "load", "bench")
 	must.NoError(b, err)
 	return change.Secret.Reveal()
 }
--- a/entry/supervisor.go
+++ b/entry/supervisor.go
@@ -152,7 +152,7 @@
 
 func (e *Entry) logFailure(ev suture.Event) {
 	attrs := ev.Map()
-	event.ChildFailed.Log(e.log, slog.String("error", ev.String()), slog.Any("type", attrs["type"]))
+	event.ComponentFailed.Log(e.log, slog.String("error", ev.String()), slog.Any("type", attrs["type"]))
 }
 
 // exportGauges registers the metrics that are read on each scrape.
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -18,7 +18,7 @@
 		103, slog.LevelInfo, "instance stopped",
 		"The planned stop is complete; `cut` is the number of requests it aborted.", "If `cut` isn't 0, raise the stop settings.",
 	}
-	ChildFailed = Event{
+	ComponentFailed = Event{
 		104, slog.LevelError, "part failed and is restarted",
 		"A supervised part of the process ended with an error.", "Report it with the line's `error`.",
 	}
@@ -104,7 +104,7 @@
 		515, slog.LevelWarn, "call of the store failed",
 		"A call of this instance to the store got no usable response. Other instances continue to call it.", "If only one instance logs this, check its network.",
 	}
-	EvacuationBegan = Event{
+	EvacuationStarted = Event{
 		516, slog.LevelWarn, "data centre evacuated",
 		"Operators evacuated data centre `evacuated`: this instance sends no new requests to its backend servers.", "Nothing, if it was meant. It ends when the operators revert the evacuation.",
 	}
@@ -116,7 +116,7 @@
 		518, slog.LevelWarn, "backend server's limit changed",
 		"A backend server's responses report a `limit` (requests per second from all instances) that differs from `before`; 0 means no limit. The instances jointly enforce it.", "Find out what the server is short of.",
 	}
-	AnswerIgnored = Event{
+	StaleResponseIgnored = Event{
 		519, slog.LevelWarn, "answer of the store ignored",
 		"A response for `table`, from the store or forwarded by another instance, has `version`, which is older than `known`.", "One or two at a time are delayed responses. If they persist, compare the store's versions with those that the instances know.",
 	}
@@ -124,7 +124,7 @@
 		520, slog.LevelWarn, "store came back from a copy",
 		"The store is in `era` now, after `before`; writes that it confirmed after the copy was made may be missing until they are written again. All tables are reread.", "If it wasn't a drill, find out what the store has lost.",
 	}
-	PeerHeard = Event{
+	PeerReachable = Event{
 		521, slog.LevelInfo, "instance heard",
 		"A message arrived from another instance, for the first time or after silence.", "Nothing.",
 	}
@@ -148,7 +148,7 @@
 		532, slog.LevelInfo, "attempt ended",
 		"One attempt at a backend server ended: the expected and the actual result.", "See OPERATIONS.md.",
 	}
-	LinesLeftOut = Event{
+	LogLinesDropped = Event{
 		533, slog.LevelWarn, "log lines left out",
 		"Log lines exceeded the rate limit; `count` have been left out since the start.", "Raise log.linesPerSecond if they are needed.",
 	}
@@ -157,14 +157,14 @@
 // All returns the catalogue in the order of the numbers.
 func All() []Event {
 	return []Event{
-		Started, Stopping, Stopped, ChildFailed, InvariantBroken,
+		Started, Stopping, Stopped, ComponentFailed, InvariantBroken,
 		ConfirmationChanged, HandshakeFailed,
 		ServerEjected, ServerReturned, ShardWritten,
 		PlatformUnavailable, PlatformReturned, RecordsDropped,
 		EdgeStarted, EdgeStopping, EdgeStopped, SettingsReloaded, SettingsRejected,
 		ConfigInForce, ConfigRejected, ServerChanged, EntryIgnored, StoreCallFailed,
-		EvacuationBegan, EvacuationEnded, ServerLimited, AnswerIgnored, StoreRestored,
-		PeerHeard, PeerSilent, PeerMessageFailed, RelayChanged,
-		RequestEnded, AttemptEnded, LinesLeftOut,
+		EvacuationStarted, EvacuationEnded, ServerLimited, StaleResponseIgnored, StoreRestored,
+		PeerReachable, PeerSilent, PeerMessageFailed, RelayChanged,
+		RequestEnded, AttemptEnded, LogLinesDropped,
 	}
 }
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -61,9 +61,9 @@
 	switch e.Action {
 	case operator.ApplyLists:
 		line += fmt.Sprintf("changed the lists from version %d to %d", e.From, e.To)
-	case operator.GaveKey:
+	case operator.KeyIssued:
 		line += fmt.Sprintf("gave key %s%s to workspace %s", e.Key, label, e.Workspace)
-	case operator.WithdrewKey:
+	case operator.KeyRevoked:
 		line += fmt.Sprintf("withdrew key %s%s of workspace %s", e.Key, label, e.Workspace)
 	default:
 		line += string(e.Action)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -144,7 +144,7 @@
 		return exitUnavailable
 	case errors.Is(err, operator.ErrUnknownWorkspace), errors.Is(err, operator.ErrUnknownKey):
 		return exitNotFound
-	case errors.Is(err, operator.ErrAmbiguousKey), errors.Is(err, operator.ErrLabel), errors.Is(err, operator.ErrNoQuestion):
+	case errors.Is(err, operator.ErrAmbiguousKey), errors.Is(err, operator.ErrLabel), errors.Is(err, operator.ErrNoQuery):
 		return exitUsage
 	default:
 		return exitFailed
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -56,7 +56,7 @@
 	must.StrContains(t, trail, "maria changed the lists from version 0 to 1")
 	must.StrContains(t, trail, "maria gave key "+id+" (till-3) to workspace cebu-boatyard")
 	must.StrContains(t, trail, "maria withdrew key "+id)
-	must.False(t, strings.Contains(trail+status, key[len(operator.KeyStart):]))
+	must.False(t, strings.Contains(trail+status, key[len(operator.KeyPrefix):]))
 }
 
 // A refusal is explained from the memory of the instance that decided, and
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -59,7 +59,7 @@
 	defer conn.platform.Close()
 	ctx, cancel := c.app.limited()
 	defer cancel()
-	k, err := conn.operator.GiveKey(ctx, c.Workspace, c.Label)
+	k, err := conn.operator.IssueKey(ctx, c.Workspace, c.Label)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	defer conn.platform.Close()
 	ctx, cancel := c.app.limited()
 	defer cancel()
-	k, err := conn.operator.WithdrawKey(ctx, s)
+	k, err := conn.operator.RevokeKey(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 	if ways != 1 {
 		return operator.KeySelector{}, exit(exitUsage, "Name the key in one way: by its ID, by --label, or by --stdin.")
 	}
-	if strings.HasPrefix(c.Args.ID, operator.KeyStart) {
+	if strings.HasPrefix(c.Args.ID, operator.KeyPrefix) {
 		return operator.KeySelector{}, exit(exitUsage, "That is a key, and now it is in the list of processes and perhaps in the shell's history. Use its id, or --stdin.")
 	}
 	s := operator.KeySelector{ID: c.Args.ID, Workspace: c.Workspace, Label: c.Label}
--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -207,7 +207,7 @@
 func (r *faultRun) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	k, err := r.operator.WithdrawKey(ctx, operator.KeySelector{Key: r.leaver})
+	k, err := r.operator.RevokeKey(ctx, operator.KeySelector{Key: r.leaver})
 	must.NoError(r.t, err)
 	must.Eq(r.t, operator.Accepted, k.Outcome)
 	r.withdrawn = time.Now()
--- a/internal/proofs/spread_test.go
+++ b/internal/proofs/spread_test.go
@@ -65,10 +65,10 @@
 		var err error
 		want := n%2 == 0
 		if want {
-			c, err = w.operator.GiveKey(t.Context(), "cebu-boatyard", fmt.Sprintf("change %d", n))
+			c, err = w.operator.IssueKey(t.Context(), "cebu-boatyard", fmt.Sprintf("change %d", n))
 			key = c.Secret.Reveal()
 		} else {
-			c, err = w.operator.WithdrawKey(t.Context(), operator.KeySelector{Key: key})
+			c, err = w.operator.RevokeKey(t.Context(), operator.KeySelector{Key: key})
 		}
 		must.NoError(t, err)
 		must.Eq(t, operator.Accepted, c.Outcome)
--- a/internal/proofs/world_test.go
+++ b/internal/proofs/world_test.go
@@ -206,7 +206,7 @@
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	k, err := w.operator.GiveKey(ctx, workspace, label)
+	k, err := w.operator.IssueKey(ctx, workspace, label)
 	must.NoError(w.t, err)
 	force, err := w.operator.WaitInForce(ctx, w.fleet, k.Revision)
 	must.NoError(w.t, err)
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -119,7 +119,7 @@
 		return "", err
 	}
 	op := operator.New(platform, operator.Settings{Who: "trial"})
-	change, err := op.GiveKey(ctx, o.Workspace, "load "+time.Now().UTC().Format("15:04:05.000"))
+	change, err := op.IssueKey(ctx, o.Workspace, "load "+time.Now().UTC().Format("15:04:05.000"))
 	if err != nil {
 		return "", err
 	}
--- a/internal/trial/steps.go
+++ b/internal/trial/steps.go
@@ -181,7 +181,7 @@
 
 func (w *walk) withdraw(ctx context.Context) error {
 	key := w.keys[len(w.keys)-1]
-	change, err := w.operator.WithdrawKey(ctx, keySelector(key))
+	change, err := w.operator.RevokeKey(ctx, keySelector(key))
 	if err != nil {
 		return err
 	}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -94,7 +94,7 @@
 
 // newCaller gives a workspace a key and waits until it works everywhere.
 func (w *walk) newCaller(ctx context.Context, workspace string) (*Caller, error) {
-	change, err := w.operator.GiveKey(ctx, workspace, "trial "+time.Now().UTC().Format("15:04:05.000"))
+	change, err := w.operator.IssueKey(ctx, workspace, "trial "+time.Now().UTC().Format("15:04:05.000"))
 	if err != nil {
 		return nil, err
 	}
--- a/logreport/lines.go
+++ b/logreport/lines.go
@@ -122,7 +122,7 @@
 			request: d.Request, ended: d.Time, took: took,
 			server: d.Server, service: d.Service, result: d.Result,
 		})
-	case event.LinesLeftOut.Number:
+	case event.LogLinesDropped.Number:
 		if l.leftOut == nil {
 			l.leftOut = make(map[string]uint64)
 		}
--- a/operator/apply.go
+++ b/operator/apply.go
@@ -192,7 +192,7 @@
 	switch e.Action {
 	case ApplyLists:
 		return e.To > p.Base.Version
-	case GaveKey:
+	case KeyIssued:
 		known := func(k KeyInfo) bool { return k.ID == e.Key }
 		return slices.Contains(removedWorkspaces(p.Changes), e.Workspace) && !slices.ContainsFunc(p.Withdrawn, known)
 	default:
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -18,10 +18,10 @@
 const (
 	// ApplyLists put a new pair of lists in force.
 	ApplyLists Action = "apply"
-	// GaveKey gave a key to a workspace.
-	GaveKey Action = "give-key"
-	// WithdrewKey took a key back.
-	WithdrewKey Action = "withdraw-key"
+	// KeyIssued gave a key to a workspace.
+	KeyIssued Action = "give-key"
+	// KeyRevoked took a key back.
+	KeyRevoked Action = "withdraw-key"
 )
 
 // AuditEntry tells who changed what, when, from which version to which. It is
--- a/operator/example_test.go
+++ b/operator/example_test.go
@@ -40,7 +40,7 @@
 	}
 	applied, err := o.Commit(ctx, p)
 	fmt.Println(applied.Outcome, applied.Version, err)
-	key, err := o.GiveKey(ctx, "bohol-guitars", "till-1")
+	key, err := o.IssueKey(ctx, "bohol-guitars", "till-1")
 	fmt.Println(key.Outcome, len(key.Secret.Reveal()), key.Secret, err)
 	// Output:
 	// + plan bench: service catalogue (5 a second, burst 10)
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -14,9 +14,9 @@
 	"foxtailspoke/storage"
 )
 
-// ErrNoQuestion reports an explanation asked for without a request or a
+// ErrNoQuery reports an explanation asked for without a request or a
 // workspace.
-var ErrNoQuestion = errors.New("operator: name a request or a workspace")
+var ErrNoQuery = errors.New("operator: name a request or a workspace")
 
 // maxBatches bounds how many batches of the object store one explanation
 // reads, the newest first.
@@ -49,7 +49,7 @@
 // the object store may be nil.
 func (o *Operator) Explain(ctx context.Context, f Fleet, objects storage.Objects, q decision.Query) (Explanation, error) {
 	if q.Request == "" && q.Workspace == "" {
-		return Explanation{}, ErrNoQuestion
+		return Explanation{}, ErrNoQuery
 	}
 	var s search
 	s.query = q
--- a/operator/history_test.go
+++ b/operator/history_test.go
@@ -175,7 +175,7 @@
 		applied, _ := o.Commit(ctx, p)
 		h.note(applied.Outcome, applied.Attempt)
 	case 3:
-		k, err := o.GiveKey(ctx, randomName(rng), "")
+		k, err := o.IssueKey(ctx, randomName(rng), "")
 		if err != nil {
 			h.givenUp++
 			return
@@ -187,7 +187,7 @@
 			h.givenUp++
 			return
 		}
-		k, err := o.WithdrawKey(ctx, KeySelector{ID: keys[rng.IntN(len(keys))].ID})
+		k, err := o.RevokeKey(ctx, KeySelector{ID: keys[rng.IntN(len(keys))].ID})
 		if err == nil {
 			h.note(k.Outcome, k.Attempt)
 		}
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// KeyStart begins every key, so that people and secret scanners
+	// KeyPrefix begins every key, so that people and secret scanners
 	// recognise one.
-	KeyStart = "fsk_"
+	KeyPrefix = "fsk_"
 	keyBytes = 32
 	// keyIDLength is in hex digits: 48 bits, so that ids of some ten
 	// thousand keys are almost certainly different.
@@ -80,9 +80,9 @@
 // workspace's row changed meanwhile.
 const maxGiveTries = 5
 
-// GiveKey makes a key for a workspace. After Unresolved the key is worth
+// IssueKey makes a key for a workspace. After Unresolved the key is worth
 // keeping only if Resolve finds the attempt.
-func (o *Operator) GiveKey(ctx context.Context, workspace, label string) (KeyChange, error) {
+func (o *Operator) IssueKey(ctx context.Context, workspace, label string) (KeyChange, error) {
 	if !validLabel(label) {
 		return KeyChange{}, ErrLabel
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return KeyChange{}, errors.Wrap(err, "encode key row")
 	}
-	e := o.keyEntry(GaveKey, info, version)
+	e := o.keyEntry(KeyIssued, info, version)
 	k := KeyChange{Info: info, Attempt: e.Attempt}
 	k.Outcome, k.Revision, err = o.commit(ctx, change{
 		entry: e,
@@ -161,7 +161,7 @@
 	if _, err := io.ReadFull(random, b[:]); err != nil {
 		return Secret{}, errors.Wrap(err, "read random bytes")
 	}
-	return Secret{key: KeyStart + base64.RawURLEncoding.EncodeToString(b[:])}, nil
+	return Secret{key: KeyPrefix + base64.RawURLEncoding.EncodeToString(b[:])}, nil
 }
 
 func validLabel(label string) bool {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -102,7 +102,7 @@
 	must.NoError(t, err)
 	_, err = o.Commit(ctx, p)
 	must.NoError(t, err)
-	_, err = o.GiveKey(ctx, "nobody", "")
+	_, err = o.IssueKey(ctx, "nobody", "")
 	must.True(t, errors.Is(err, ErrUnknownWorkspace))
 	var workspace string
 	for name := range p.Changes {
@@ -110,11 +110,11 @@
 			workspace = p.Changes[name].Name
 		}
 	}
-	k, err := o.GiveKey(ctx, workspace, "till 3")
+	k, err := o.IssueKey(ctx, workspace, "till 3")
 	must.NoError(t, err)
 	secret := k.Secret.Reveal()
-	must.StrHasPrefix(t, KeyStart, secret)
-	must.Eq(t, len(KeyStart)+43, len(secret))
+	must.StrHasPrefix(t, KeyPrefix, secret)
+	must.Eq(t, len(KeyPrefix)+43, len(secret))
 	must.Eq(t, KeyID(secret), k.Info.ID)
 	encoded, err := json.Marshal(k)
 	must.NoError(t, err)
@@ -126,15 +126,15 @@
 			dump += row.Key + string(row.Value)
 		}
 	}
-	must.False(t, strings.Contains(dump, secret[len(KeyStart):]))
+	must.False(t, strings.Contains(dump, secret[len(KeyPrefix):]))
 
 	for _, s := range []KeySelector{{}, {ID: "abc"}, {ID: "zzzzzz"}, {Label: "till 4"}, {Key: "fsk_wrong"}} {
-		_, err := o.WithdrawKey(ctx, s)
+		_, err := o.RevokeKey(ctx, s)
 		must.True(t, errors.Is(err, ErrUnknownKey))
 	}
-	gone, err := o.WithdrawKey(ctx, KeySelector{Key: secret})
+	gone, err := o.RevokeKey(ctx, KeySelector{Key: secret})
 	must.NoError(t, err)
 	must.Eq(t, Accepted, gone.Outcome)
-	_, err = o.WithdrawKey(ctx, KeySelector{Label: "till 3"})
+	_, err = o.RevokeKey(ctx, KeySelector{Label: "till 3"})
 	must.True(t, errors.Is(err, ErrUnknownKey))
 }
--- a/operator/withdraw.go
+++ b/operator/withdraw.go
@@ -23,9 +23,9 @@
 // minID is the fewest hex digits of an id that select a key.
 const minID = 6
 
-// WithdrawKey takes a key back. It stops working once the change is in force
+// RevokeKey takes a key back. It stops working once the change is in force
 // everywhere. Withdrawing it twice ends as NothingToDo if nobody gave it anew.
-func (o *Operator) WithdrawKey(ctx context.Context, s KeySelector) (KeyChange, error) {
+func (o *Operator) RevokeKey(ctx context.Context, s KeySelector) (KeyChange, error) {
 	for {
 		k, err := o.selectKey(ctx, s)
 		if err != nil {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return KeyChange{}, err
 	}
-	e := o.keyEntry(WithdrewKey, k, lists.Version)
+	e := o.keyEntry(KeyRevoked, k, lists.Version)
 	end := KeyChange{Info: k, Attempt: e.Attempt}
 	end.Outcome, end.Revision, err = o.commit(ctx, change{
 		entry:      e,
