--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -61,18 +61,18 @@
 	must.NoError(t, err)
 	must.Eq(t, storage.Committed, w.Outcome)
 
-	must.NoError(t, p.Freeze())
+	must.NoError(t, p.Suspend())
 	_, err = read()
 	must.ErrorIs(t, err, storage.ErrUnavailable)
-	must.NoError(t, p.Thaw())
+	must.NoError(t, p.Resume())
 	within(t, "it answers again", func() bool { _, err := read(); return err == nil })
 	changes, err := read()
 	must.NoError(t, err)
 	must.Eq(t, 1, changes.Revision)
 
-	must.NoError(t, p.Freeze())
+	must.NoError(t, p.Suspend())
 	must.Zero(t, p.Stop(patience), must.Sprint("a frozen process is thawed to stop"))
-	must.Error(t, p.Thaw(), must.Sprint("no signal goes to an ended process"))
+	must.Error(t, p.Resume(), must.Sprint("no signal goes to an ended process"))
 	_, err = read()
 	must.ErrorIs(t, err, storage.ErrUnavailable)
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -99,7 +99,7 @@
 // Stop asks the process to end (SIGTERM) and kills it if it hasn't within
 // the timeout. It returns the exit code.
 func (p *Process) Stop(timeout time.Duration) int {
-	_ = p.Thaw()
+	_ = p.Resume()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -117,9 +117,9 @@
 	<-p.exited
 }
 
-// Freeze stops the process where it is (SIGSTOP) and returns once it stands
+// Suspend stops the process where it is (SIGSTOP) and returns once it stands
 // still.
-func (p *Process) Freeze() error {
+func (p *Process) Suspend() error {
 	if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return errors.Wrapf(err, "freeze %s", p.name)
 	}
@@ -133,8 +133,8 @@
 	return errors.Newf("freeze %s: it goes on", p.name)
 }
 
-// Thaw lets a frozen process go on (SIGCONT).
-func (p *Process) Thaw() error {
+// Resume lets a frozen process go on (SIGCONT).
+func (p *Process) Resume() error {
 	return errors.Wrapf(p.cmd.Process.Signal(syscall.SIGCONT), "thaw %s", p.name)
 }
 
