--- a/internal/trial/caller.go
+++ b/internal/trial/caller.go
@@ -24,15 +24,15 @@
 	until   time.Time
 }
 
-// Answer is what a caller saw.
-type Answer struct {
+// Response is what a caller saw.
+type Response struct {
 	Status  int
 	Outcome string
 	Request string
 	Body    []byte
 	// Problem is set if the answer is a refusal.
 	Problem oas.Problem
-	Took    time.Duration
+	Latency    time.Duration
 }
 
 const callerTimeout = 30 * time.Second
@@ -83,10 +83,10 @@
 }
 
 // Send sends a request to the first of the addresses that accepts it.
-func (c *Caller) Send(ctx context.Context, method, path, operation string, body []byte) (Answer, error) {
+func (c *Caller) Send(ctx context.Context, method, path, operation string, body []byte) (Response, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	var failed error
 	for _, address := range addresses {
@@ -96,14 +96,14 @@
 		}
 		failed = err
 	}
-	return Answer{}, errors.Wrap(failed, "trial: no address answered")
+	return Response{}, errors.Wrap(failed, "trial: no address answered")
 }
 
 // SendTo sends a request to one address.
-func (c *Caller) SendTo(ctx context.Context, address, method, path, operation string, body []byte) (Answer, error) {
+func (c *Caller) SendTo(ctx context.Context, address, method, path, operation string, body []byte) (Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "trial: request")
+		return Response{}, errors.Wrap(err, "trial: request")
 	}
 	r.Header.Set("Authorization", "Bearer "+c.key)
 	if operation != "" {
@@ -112,23 +112,23 @@
 	start := time.Now()
 	response, err := c.http.Do(r)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "trial: send")
+		return Response{}, errors.Wrap(err, "trial: send")
 	}
 	defer func() { _ = response.Body.Close() }()
 	return read(response, start)
 }
 
-func read(response *http.Response, start time.Time) (Answer, error) {
+func read(response *http.Response, start time.Time) (Response, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "trial: answer broke off")
+		return Response{}, errors.Wrap(err, "trial: answer broke off")
 	}
-	a := Answer{
+	a := Response{
 		Status:  response.StatusCode,
 		Outcome: response.Header.Get(wire.HeaderOutcome),
 		Request: response.Header.Get(wire.HeaderRequest),
 		Body:    body,
-		Took:    time.Since(start),
+		Latency:    time.Since(start),
 	}
 	if response.Header.Get("Content-Type") == "application/problem+json" {
 		_ = json.Unmarshal(body, &a.Problem)
--- a/internal/trial/command/load.go
+++ b/internal/trial/command/load.go
@@ -46,7 +46,7 @@
 		Path:      c.Path,
 		Backends:  backends,
 		Rates:     c.Rates,
-		For:       c.For,
+		RateDuration:       c.For,
 		EntryPID:  c.EntryPID,
 	})
 	if err != nil {
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -29,8 +29,8 @@
 	Backends []Backend
 	// Rates in requests a second, for each of the two ways at once.
 	Rates []int
-	// For is how long each rate lasts.
-	For time.Duration
+	// RateDuration is how long each rate lasts.
+	RateDuration time.Duration
 	// EntryPID is the entry's process, to read its processor time; 0 for none.
 	EntryPID int
 }
@@ -44,8 +44,8 @@
 
 // Check returns what is wrong with the options.
 func (o LoadOptions) Check() error {
-	if o.For <= 0 || o.For > maxLoadFor {
-		return errors.Newf("trial: a rate lasts up to %s, not %s", maxLoadFor, o.For)
+	if o.RateDuration <= 0 || o.RateDuration > maxLoadFor {
+		return errors.Newf("trial: a rate lasts up to %s, not %s", maxLoadFor, o.RateDuration)
 	}
 	for _, rate := range o.Rates {
 		if rate < 1 || rate > maxLoadRate {
@@ -90,7 +90,7 @@
 	}
 	var steps []measure.Step
 	for _, rate := range o.Rates {
-		step, err := pair.Run(ctx, rate, o.For)
+		step, err := pair.Run(ctx, rate, o.RateDuration)
 		if err != nil {
 			return steps, err
 		}
--- a/internal/trial/steps.go
+++ b/internal/trial/steps.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	w.promise(a.Status == http.StatusOK && a.Outcome == "served", "answered %d (%s) in %s: %s", a.Status, a.Outcome, a.Took.Round(time.Millisecond), strings.TrimSpace(string(a.Body)))
+	w.promise(a.Status == http.StatusOK && a.Outcome == "served", "answered %d (%s) in %s: %s", a.Status, a.Outcome, a.Latency.Round(time.Millisecond), strings.TrimSpace(string(a.Body)))
 	return nil
 }
 
@@ -34,7 +34,7 @@
 		return err
 	}
 	body := []byte(`{"item":"cartridge","count":1}`)
-	var first Answer
+	var first Response
 	for i, address := range append([]string{operation.Address, operation.Address}, addresses...) {
 		a, err := w.caller.SendTo(ctx, address, http.MethodPost, "/orders/", operation.Key, body)
 		if err != nil {
@@ -70,7 +70,7 @@
 		return err
 	}
 	whole := strings.Contains(string(a.Body), hex.EncodeToString(sum[:]))
-	w.promise(a.Status == http.StatusOK && whole, "the backend server got all %d bytes in %s", len(photo), a.Took.Round(time.Millisecond))
+	w.promise(a.Status == http.StatusOK && whole, "the backend server got all %d bytes in %s", len(photo), a.Latency.Round(time.Millisecond))
 	return nil
 }
 
@@ -88,7 +88,7 @@
 	}
 	start := time.Now()
 	served, refused, wrong := 0, 0, 0
-	var refusal Answer
+	var refusal Response
 	for i := range floodSize {
 		a, err := w.other.SendTo(ctx, addresses[i%len(addresses)], http.MethodGet, "/catalogue/glue", "", nil)
 		if err != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	w.promise(a.Outcome == "served", "another workspace was served meanwhile in %s", a.Took.Round(time.Millisecond))
+	w.promise(a.Outcome == "served", "another workspace was served meanwhile in %s", a.Latency.Round(time.Millisecond))
 	return nil
 }
 
@@ -150,7 +150,7 @@
 		if a.Outcome == "served" {
 			served++
 		}
-		worst = max(worst, a.Took)
+		worst = max(worst, a.Latency)
 		if ejectedAfter == 0 && w.isEjected(ctx, gray) {
 			ejectedAfter = time.Since(start)
 		}
