--- a/operator/audit.go
+++ b/operator/audit.go
@@ -12,19 +12,19 @@
 	"foxtailspoke/storage"
 )
 
-// Action is what an operator did.
+// Action is the type of an operator's change.
 type Action string
 
 const (
-	// ApplyLists put a new pair of lists in force.
+	// ApplyLists is the commit of a new pair of lists.
 	ApplyLists Action = "apply"
-	// KeyIssued gave a key to a workspace.
+	// KeyIssued is the issue of a key to a workspace.
 	KeyIssued Action = "give-key"
-	// KeyRevoked took a key back.
+	// KeyRevoked is the revocation of a key.
 	KeyRevoked Action = "withdraw-key"
 )
 
-// AuditEntry tells who changed what, when, from which version to which. It is
+// AuditEntry records who changed what, when, and the versions before and after. It is
 // written in the transaction of the change itself, so there is no change
 // without its entry and no entry without its change.
 type AuditEntry struct {
@@ -39,16 +39,17 @@
 	Digest string `json:"digest,omitempty"`
 	// Changes are one line each; at most MaxAuditChanges are kept.
 	Changes []string `json:"changes,omitempty"`
-	// MoreChanges is how many weren't kept.
+	// MoreChanges is the number of changes left out of Changes.
 	MoreChanges int `json:"moreChanges,omitempty"`
-	// Workspace, Key and Label tell of keys. Key is a KeyID, never a key.
+	// Workspace, Key and Label are set for changes of keys. Key is a KeyID,
+	// never the key itself.
 	Workspace string `json:"workspace,omitempty"`
 	Key       string `json:"key,omitempty"`
 	Label     string `json:"label,omitempty"`
 }
 
-// MaxAuditChanges bounds the lines of one entry, so that a first list of
-// 55,000 workspaces doesn't make an entry of megabytes.
+// MaxAuditChanges limits the lines of one entry: an initial list of 55,000
+// workspaces would otherwise make an entry of several megabytes.
 const MaxAuditChanges = 100
 
 const (
@@ -61,8 +62,8 @@
 	return e.At.UTC().Format(auditLayout) + "/" + e.Attempt
 }
 
-// entry returns an audit entry of a new attempt. The time is cut to what the
-// key keeps.
+// entry returns an audit entry of a new attempt. The time is truncated to
+// the precision of the entry's key.
 func (o *Operator) entry(action Action) AuditEntry {
 	return AuditEntry{
 		At:      o.settings.Now().UTC().Truncate(time.Microsecond),
@@ -74,7 +75,7 @@
 
 // AuditQuery selects entries.
 type AuditQuery struct {
-	// Since leaves out older entries. A day is read at a time.
+	// Since excludes older entries. Entries are read one day at a time.
 	Since time.Time
 	// Attempt selects one attempt; empty selects all.
 	Attempt string
@@ -82,7 +83,7 @@
 
 // Audit returns the entries that match, newest first.
 func (o *Operator) Audit(ctx context.Context, q AuditQuery) ([]AuditEntry, error) {
-	// Operators' clocks differ, so the days around are read as well.
+	// Operators' clocks differ, so the following day is read as well.
 	last := o.settings.Now().UTC().AddDate(0, 0, 1)
 	var entries []AuditEntry
 	for day := q.Since.UTC().Truncate(24 * time.Hour); !day.After(last); day = day.AddDate(0, 0, 1) {
@@ -120,9 +121,9 @@
 	return entries, nil
 }
 
-// Resolve tells whether an attempt that ended Unresolved took effect by now.
-// False isn't final: the transaction may still be on its way until the rows
-// it depends on have changed.
+// Resolve reports whether an attempt that ended Unresolved has taken effect.
+// False isn't final: the transaction may still be in flight until the rows it
+// depends on have changed.
 func (o *Operator) Resolve(ctx context.Context, attempt string, since time.Time) (AuditEntry, bool, error) {
 	entries, err := o.Audit(ctx, AuditQuery{Since: since, Attempt: attempt})
 	if err != nil || len(entries) == 0 {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -12,7 +12,7 @@
 	"foxtailspoke/storage"
 )
 
-// Fleet asks entry instances over their operator API. Package operator/fleet
+// Fleet queries entry instances through their operator API. Package operator/fleet
 // implements it.
 type Fleet interface {
 	// Entries returns the entry instances that the platform lists as live
@@ -23,41 +23,42 @@
 	Decisions(ctx context.Context, entry storage.Instance, q decision.Query) (Decisions, error)
 }
 
-// Decisions are one instance's answer.
+// Decisions is one instance's response.
 type Decisions struct {
 	Records []decision.Record
-	// Dropped is how many records fell out of its memory unstored.
+	// Dropped is the number of records evicted from memory before they were
+	// stored.
 	Dropped uint64
 }
 
 // ErrNoEntry reports that no entry instance answered.
 var ErrNoEntry = errors.New("operator: no entry instance answered")
 
-// InForce is what is known of a change's spread.
+// InForce describes how far a change has propagated.
 type InForce struct {
-	// InForce means that nobody acts on an older revision any more.
+	// InForce means that no instance applies an older revision any more.
 	InForce  bool             `json:"inForce"`
 	Revision storage.Revision `json:"revision"`
-	// Entry is the instance that told.
+	// Entry is the instance that answered.
 	Entry string `json:"entry,omitempty"`
 	// KnownBy and Missing are witnesses.
 	KnownBy []string `json:"knownBy,omitempty"`
 	Missing []string `json:"missing,omitempty"`
 }
 
-// inForcePoll is the pause between two questions.
-const inForcePoll = 250 * time.Millisecond
+// inForcePollInterval is the pause between two queries.
+const inForcePollInterval = 250 * time.Millisecond
 
-// WaitInForce asks entry instances until one says that the revision is in
-// force everywhere, or ctx ends. Then it returns the last answer that it got
-// and ErrNoEntry if it got none.
+// WaitInForce polls entry instances until one reports that the revision is in
+// force everywhere, or ctx ends. In the latter case it returns the last
+// response, or ErrNoEntry if there was none.
 func (o *Operator) WaitInForce(ctx context.Context, f Fleet, r storage.Revision) (InForce, error) {
 	last := InForce{Revision: r}
 	answered := false
 	for {
 		entries, err := f.Entries(ctx)
 		if err == nil {
-			answer, ok := askInForce(ctx, f, entries, r)
+			answer, ok := queryInForce(ctx, f, entries, r)
 			if ok {
 				last, answered = answer, true
 			}
@@ -65,7 +66,7 @@
 		if last.InForce {
 			return last, nil
 		}
-		if o.settings.Pause(ctx, inForcePoll) != nil {
+		if o.settings.Pause(ctx, inForcePollInterval) != nil {
 			break
 		}
 	}
@@ -75,9 +76,9 @@
 	return last, nil
 }
 
-// askInForce asks one instance after the other until one answers. Any of
-// them can tell: it counts the witnesses, not itself.
-func askInForce(ctx context.Context, f Fleet, entries []storage.Instance, r storage.Revision) (InForce, bool) {
+// queryInForce queries one instance after the other until one answers. Any
+// instance can answer, because it reports the state of the witnesses.
+func queryInForce(ctx context.Context, f Fleet, entries []storage.Instance, r storage.Revision) (InForce, bool) {
 	for _, e := range liveFirst(entries) {
 		a, err := f.InForce(ctx, e, r)
 		if err != nil {
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -17,13 +17,13 @@
 
 const (
 	// KeyPrefix begins every key, so that people and secret scanners
-	// recognise one.
+	// recognise it.
 	KeyPrefix = "fsk_"
-	keyBytes = 32
-	// keyIDLength is in hex digits: 48 bits, so that ids of some ten
-	// thousand keys are almost certainly different.
+	keyBytes  = 32
+	// keyIDLength is in hex digits: 48 bits make a collision among
+	// some ten thousand keys very unlikely.
 	keyIDLength = 12
-	// MaxLabel bounds a key's label, in bytes.
+	// MaxLabel is the maximum length of a key's label in bytes.
 	MaxLabel = 63
 )
 
@@ -34,11 +34,11 @@
 	ErrUnknownKey = errors.New("operator: no such key")
 	// ErrAmbiguousKey reports that more than one key matches.
 	ErrAmbiguousKey = errors.New("operator: more than one key matches")
-	// ErrLabel reports a label that can't be kept.
+	// ErrLabel reports an invalid label.
 	ErrLabel = errors.New("operator: label must be at most 63 printable ASCII characters")
 )
 
-// KeyInfo is what is known of a key. The key itself isn't kept anywhere.
+// KeyInfo is the metadata of a key. The key itself isn't stored.
 type KeyInfo struct {
 	// ID is the start of the key's hash, in hex.
 	ID        string `json:"id"`
@@ -50,21 +50,21 @@
 
 func (k KeyInfo) row() string { return config.APIKeyPrefix + k.hash }
 
-// KeyID returns the id under which operators know a key.
+// KeyID returns the id by which operators refer to a key.
 func KeyID(key string) string { return config.HashKey(key).String()[:keyIDLength] }
 
-// KeyChange is the end of giving or withdrawing a key.
+// KeyChange is the result of issuing or revoking a key.
 type KeyChange struct {
 	Outcome  Outcome          `json:"outcome"`
 	Info     KeyInfo          `json:"key"`
 	Revision storage.Revision `json:"revision"`
 	Attempt  string           `json:"attempt,omitempty"`
-	// Secret is the key itself after giving it, and this once only. It is
-	// left out of every encoding.
+	// Secret is the key itself. It is set only in the result of IssueKey and
+	// is excluded from JSON.
 	Secret Secret `json:"-"`
 }
 
-// Secret is a key that prints as nothing by accident.
+// Secret is a key that is redacted when it is formatted or encoded.
 type Secret struct{ key string }
 
 // Reveal returns the key.
@@ -76,12 +76,12 @@
 // GoString hides the key from %#v.
 func (s Secret) GoString() string { return "(hidden)" }
 
-// maxGiveTries bounds how often giving a key starts anew because the
-// workspace's row changed meanwhile.
-const maxGiveTries = 5
+// maxIssueTries limits how often issuing a key is retried because the
+// workspace's row changed concurrently.
+const maxIssueTries = 5
 
-// IssueKey makes a key for a workspace. After Unresolved the key is worth
-// keeping only if Resolve finds the attempt.
+// IssueKey issues a new key for a workspace. After Unresolved the key is valid
+// only if Resolve finds the attempt.
 func (o *Operator) IssueKey(ctx context.Context, workspace, label string) (KeyChange, error) {
 	if !validLabel(label) {
 		return KeyChange{}, ErrLabel
@@ -93,8 +93,8 @@
 	hash := config.HashKey(secret.key).String()
 	info := KeyInfo{ID: hash[:keyIDLength], Workspace: workspace, Label: label, hash: hash}
 	k := KeyChange{Outcome: Raced, Info: info}
-	for try := 0; k.Outcome == Raced && try < maxGiveTries; try++ {
-		if k, err = o.give(ctx, info); err != nil {
+	for try := 0; k.Outcome == Raced && try < maxIssueTries; try++ {
+		if k, err = o.issue(ctx, info); err != nil {
 			return KeyChange{}, err
 		}
 	}
@@ -104,7 +104,7 @@
 	return k, nil
 }
 
-func (o *Operator) give(ctx context.Context, info KeyInfo) (KeyChange, error) {
+func (o *Operator) issue(ctx context.Context, info KeyInfo) (KeyChange, error) {
 	row, version, err := o.workspaceRow(ctx, info.Workspace)
 	if err != nil {
 		return KeyChange{}, err
@@ -122,8 +122,8 @@
 			{Table: storage.Control, Key: info.row()},
 		},
 		puts: []storage.Put{
-			// Rewriting the workspace's row makes a removal of the
-			// workspace that doesn't know this key lose the race.
+			// Rewriting the workspace's row makes a concurrent removal
+			// of the workspace that misses this key conflict.
 			{Table: storage.Control, Key: row.Key, Value: row.Value},
 			{Table: storage.Control, Key: info.row(), Value: value},
 		},
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,9 +1,9 @@
-// Package operator holds what operators do: apply the two lists, give and
-// withdraw keys, see who changed what, and explain a decision. Each change is
+// Package operator implements the operators' actions: applying the two lists,
+// issuing and revoking keys, reading the audit trail, and explaining a decision. Each change is
 // one conditional transaction on the platform's table, with its audit entry
-// in the same transaction. Nothing here needs an entry instance; only waiting
-// until a change is in force everywhere, the status of the instances and
-// their newest decisions ask them.
+// in the same transaction. Entry instances are queried only to wait
+// until a change is in force everywhere, and for their status and newest
+// decisions.
 package operator
 
 import (
@@ -19,15 +19,15 @@
 
 // Settings of an Operator. A zero field takes its default.
 type Settings struct {
-	// Who is the person, for the audit trail.
+	// Who identifies the operator in the audit trail.
 	Who string
 	// Now reads the wall clock, for the audit trail only.
 	Now func() time.Time
-	// NewAttempt returns a new transaction id, unlike all others ever made.
+	// NewAttempt returns a globally unique transaction id.
 	NewAttempt func() string
 	// Random is the source of keys; the default is crypto/rand.
 	Random io.Reader
-	// Pause waits before a try is repeated.
+	// Pause waits before a retry.
 	Pause func(context.Context, time.Duration) error
 	// Backoff is the first pause; it doubles up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
@@ -43,7 +43,7 @@
 type Operator struct {
 	table    storage.Table
 	settings Settings
-	// stageRows is maxStageRows but in tests.
+	// stageRows is maxStageRows except in tests.
 	stageRows int
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// backoff returns the pause before the n-th repetition, from 0.
+// backoff returns the pause before the n-th retry, counted from 0.
 func (o *Operator) backoff(n int) time.Duration {
 	d := o.settings.Backoff
 	for range n {
--- a/operator/snapshot.go
+++ b/operator/snapshot.go
@@ -15,32 +15,32 @@
 // control table starts with it.
 const listsPrefix = config.ListsKey
 
-// maxSnapshotTries bounds how often reading starts anew because other
-// operators keep changing the lists.
+// maxSnapshotTries limits how often a read is restarted because other
+// operators changed the lists.
 const maxSnapshotTries = 5
 
-// ErrBusy reports that other operators changed the lists again and again
-// while they were read.
+// ErrBusy reports that other operators changed the lists during every attempt
+// to read them.
 var ErrBusy = errors.New("operator: the lists keep changing")
 
 // Snapshot is the accepted pair of lists.
 type Snapshot struct {
 	Lists lists.Lists
-	// Version and Digest are those of the lists row; 0 if no lists were
-	// ever applied.
+	// Version and Digest are those of the lists row, or zero values if no
+	// lists have been applied.
 	Version uint64
 	Digest  string
 	// Revision of the lists row; 0 if it is absent.
 	Revision storage.Revision
 	// attempt that wrote the lists row.
 	attempt string
-	// rows has the revision of each row of the lists.
+	// rows maps the keys of the lists' rows to their revisions.
 	rows map[string]storage.Revision
 }
 
 // Current reads the accepted lists. The rows are read prefix by prefix, and
 // the lists row before and after: as every change of the lists rewrites it,
-// an unchanged row proves that all belong together.
+// an unchanged row proves that the reads are consistent.
 func (o *Operator) Current(ctx context.Context) (Snapshot, error) {
 	for range maxSnapshotTries {
 		s, err := o.listsRow(ctx)
--- a/operator/stage.go
+++ b/operator/stage.go
@@ -9,8 +9,8 @@
 	"foxtailspoke/storage"
 )
 
-// maxStageRows bounds the rows that one transaction changes. The platform
-// takes 1,000 puts; the lists row and the audit entry come on top.
+// maxStageRows limits the rows that one transaction changes. The platform
+// accepts 1,000 puts, which include the lists row and the audit entry.
 const maxStageRows = 900
 
 // stage is the part of a proposal that goes into one transaction.
@@ -23,10 +23,11 @@
 	digest string
 }
 
-// stages cuts a proposal. The order makes every cut a pair of lists that
-// instances can serve by: what others refer to comes first and goes last, and
-// a workspace's keys go before the workspace. Only a route that moves between
-// services may be missing, or still lead to the old one, until the next stage.
+// stages splits a proposal. The order makes the result of every stage a valid
+// pair of lists: referenced items are added first and removed last, and a
+// workspace's keys are removed before the workspace. Only a route that moves
+// between services may be missing, or still point to the old service, until
+// the next stage.
 func (p Proposal) stages(limit int) []stage {
 	rows := map[string][]byte{}
 	for _, row := range p.Base.Lists.Rows() {
@@ -64,7 +65,7 @@
 	line      string
 }
 
-// steps returns the rows in the order in which they may be cut.
+// steps returns the rows in the order in which they may be split.
 func (p Proposal) steps() []step {
 	changes := slices.Clone(p.Changes)
 	slices.SortStableFunc(changes, func(a, b lists.Change) int { return cmp.Compare(rank(a), rank(b)) })
@@ -91,9 +92,9 @@
 	return steps
 }
 
-// stepOf returns the row of one change. Removing a workspace also depends on
-// its row: giving a key rewrites it, so a key that was given after the keys
-// were read, and would be left behind, makes the change lose the race.
+// stepOf returns the row of one change. Removing a workspace is conditional on
+// its row: issuing a key rewrites that row, so a key issued after the keys were
+// read, which would outlive the workspace, makes the change conflict.
 func (p Proposal) stepOf(c lists.Change) step {
 	removed := c.Kind == lists.Removed
 	s := step{
--- a/operator/status.go
+++ b/operator/status.go
@@ -22,39 +22,40 @@
 	Keys         int              `json:"keys"`
 	// Ejected are the backend servers out of use, by service.
 	Ejected map[string][]config.Ejection `json:"ejected"`
-	// TableError tells why the table couldn't be read; the fields above are
-	// empty then.
+	// TableError is the reason why the table couldn't be read; the fields
+	// above are empty then.
 	TableError string `json:"tableError,omitempty"`
 	// Entries are empty if the instances couldn't be listed; EntriesError
-	// tells why.
+	// is the reason.
 	Entries      []EntryStatus `json:"entries"`
 	EntriesError string        `json:"entriesError,omitempty"`
 }
 
-// EntryStatus is one instance's own status, or why there is none.
+// EntryStatus is the status that an instance reports, or the error.
 type EntryStatus struct {
 	Instance storage.Instance `json:"instance"`
 	Status   *oas.Status      `json:"status,omitempty"`
 	Error    string           `json:"error,omitempty"`
 }
 
-// parallelAsks bounds the questions to instances at one time.
-const parallelAsks = 32
+// maxParallel limits concurrent requests to instances and the object store.
+const maxParallel = 32
 
-// Status reads the table and asks every instance. Without a fleet, or with
-// the instances down, it shows what the table tells; with the platform away,
-// what the instances tell, if they can be listed. It fails if there is neither.
+// Status reads the table and queries every instance. Without a fleet, or with
+// the instances down, it returns the table's data only; with the platform
+// unavailable, the instances' data only, if they can be listed. It fails if
+// neither is available.
 func (o *Operator) Status(ctx context.Context, f Fleet) (Status, error) {
 	if f == nil {
 		return o.tableStatus(ctx)
 	}
-	// At the same time: a table that doesn't answer takes all of the time.
+	// Concurrent, because a table that doesn't answer uses up ctx's deadline.
 	var entries []EntryStatus
 	var entriesErr error
-	var asking sync.WaitGroup
-	asking.Go(func() { entries, entriesErr = askStatus(ctx, f) })
+	var queries sync.WaitGroup
+	queries.Go(func() { entries, entriesErr = queryStatus(ctx, f) })
 	s, err := o.tableStatus(ctx)
-	asking.Wait()
+	queries.Wait()
 	s.Entries = entries
 	if entriesErr != nil {
 		s.EntriesError = entriesErr.Error()
@@ -66,7 +67,7 @@
 	return s, nil
 }
 
-func askStatus(ctx context.Context, f Fleet) ([]EntryStatus, error) {
+func queryStatus(ctx context.Context, f Fleet) ([]EntryStatus, error) {
 	entries, err := f.Entries(ctx)
 	if err != nil {
 		return nil, err
@@ -114,10 +115,10 @@
 	return s, nil
 }
 
-// inParallel calls f for 0 to n-1, a bounded number at a time.
+// inParallel calls f for 0 to n-1 with at most maxParallel calls at a time.
 func inParallel(n int, f func(int)) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, parallelAsks)
+	slots := make(chan struct{}, maxParallel)
 	for i := range n {
 		slots <- struct{}{}
 		wg.Go(func() {
--- a/operator/withdraw.go
+++ b/operator/withdraw.go
@@ -12,7 +12,7 @@
 )
 
 // KeySelector names one key: by its id (or more of its hash), by workspace
-// and label, or by the key itself. Exactly one way is to be used.
+// and label, or by the key itself. Exactly one of these must be used.
 type KeySelector struct {
 	ID        string
 	Workspace string
@@ -20,23 +20,23 @@
 	Key       string
 }
 
-// minID is the fewest hex digits of an id that select a key.
-const minID = 6
+// minIDLength is the minimum number of hex digits that select a key.
+const minIDLength = 6
 
-// RevokeKey takes a key back. It stops working once the change is in force
-// everywhere. Withdrawing it twice ends as NothingToDo if nobody gave it anew.
+// RevokeKey revokes a key. The key stops working once the change is in force
+// everywhere. A concurrent revocation by another operator results in NothingToDo.
 func (o *Operator) RevokeKey(ctx context.Context, s KeySelector) (KeyChange, error) {
 	for {
 		k, err := o.selectKey(ctx, s)
 		if err != nil {
 			return KeyChange{}, err
 		}
-		end, err := o.withdraw(ctx, k)
+		end, err := o.revoke(ctx, k)
 		if err != nil || end.Outcome != Raced {
 			return end, err
 		}
-		// The row changed since it was read. Whatever happened to it, the
-		// operator wants it gone, so look again.
+		// The row changed after it was read. The key must be deleted whatever
+		// the change was, so select it again.
 		if again, err := o.selectKey(ctx, s); errors.Is(err, ErrUnknownKey) {
 			end.Outcome = NothingToDo
 			end.Revision = o.newestRevision(ctx)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (o *Operator) withdraw(ctx context.Context, k KeyInfo) (KeyChange, error) {
+func (o *Operator) revoke(ctx context.Context, k KeyInfo) (KeyChange, error) {
 	lists, err := o.listsRow(ctx)
 	if err != nil {
 		return KeyChange{}, err
@@ -89,8 +89,8 @@
 		return config.HashKey(s.Key).String(), anyKey, nil
 	case s.ID != "":
 		id := strings.ToLower(s.ID)
-		if len(id) < minID || !isHex(id) {
-			return "", nil, errors.Wrapf(ErrUnknownKey, "an id has at least %d hex digits", minID)
+		if len(id) < minIDLength || !isHex(id) {
+			return "", nil, errors.Wrapf(ErrUnknownKey, "an id has at least %d hex digits", minIDLength)
 		}
 		return id, anyKey, nil
 	case s.Label != "":
