--- a/operator/apply.go
+++ b/operator/apply.go
@@ -14,31 +14,32 @@
 	"foxtailspoke/storage"
 )
 
-// Proposal is a change of the lists that isn't sent yet.
+// Proposal is a change of the lists that has not been committed.
 type Proposal struct {
-	// Base is what the change was made from.
+	// Base is the snapshot that the change is based on.
 	Base Snapshot
 	// Changes are the differences from Base.
 	Changes []lists.Change
-	// Withdrawn are the keys of removed workspaces. They go with them, so
-	// that a workspace added again later doesn't find old keys working.
+	// Withdrawn are the keys of removed workspaces. They are deleted
+	// together, so that old keys don't become valid if a workspace of the
+	// same name is added later.
 	Withdrawn []KeyInfo
 }
 
-// Empty tells whether there is nothing to change.
+// Empty reports whether the proposal has no changes.
 func (p Proposal) Empty() bool { return len(p.Changes) == 0 }
 
-// Applied is the end of a change of the lists.
+// Applied is the result of committing a Proposal.
 type Applied struct {
 	Outcome Outcome `json:"outcome"`
 	// Version is that of the new lists; for NothingToDo and Raced it is the
-	// version that stands now.
+	// current version.
 	Version uint64 `json:"version"`
 	// Revision of the control table to wait for; 0 if it isn't known.
 	Revision storage.Revision `json:"revision"`
 	// Attempt identifies the change in the audit trail.
 	Attempt string `json:"attempt,omitempty"`
-	// Stages tell how a proposal fared that took several versions.
+	// Stages is the progress of a proposal that takes several versions.
 	Stages Stages `json:"stages"`
 	// Winners are, for Raced, the changes accepted since Base, oldest first.
 	Winners []AuditEntry `json:"winners,omitempty"`
@@ -47,11 +48,12 @@
 // Stages counts the versions that a proposal takes.
 type Stages struct {
 	Of int `json:"of"`
-	// Accepted ones are in the table, also if a later one failed.
+	// Accepted is the number of versions in the table, also if a later one
+	// failed.
 	Accepted int `json:"accepted"`
 }
 
-// Propose compares checked lists with the accepted ones.
+// Propose compares validated lists with the accepted ones.
 func (o *Operator) Propose(ctx context.Context, to lists.Lists) (Proposal, error) {
 	base, err := o.Current(ctx)
 	if err != nil {
@@ -84,12 +86,12 @@
 	return names
 }
 
-// Commit sends a proposal, on the condition that the lists are still those
-// that it was made from. Of racing operators one at most wins.
+// Commit writes a proposal on the condition that the lists still match its
+// base. At most one of several concurrent proposals succeeds.
 //
-// A proposal of more rows than one transaction takes is sent as several
-// versions, each a whole pair of lists that the next depends on. If one of
-// them doesn't succeed, those before it stand: Applied.Stages tells.
+// A proposal with more rows than one transaction accepts is written as several
+// versions, each a valid pair of lists that the next one depends on. If one
+// fails, the previous ones stay in the table; see Applied.Stages.
 func (o *Operator) Commit(ctx context.Context, p Proposal) (Applied, error) {
 	if p.Empty() {
 		return Applied{Outcome: NothingToDo, Version: p.Base.Version}, nil
@@ -116,8 +118,8 @@
 	return Applied{}, errors.AssertionFailedf("a proposal that isn't empty has no stage")
 }
 
-// after returns the lists row as the stage before has left it. If another
-// operator has changed it since, the next stage's condition won't hold.
+// after returns the lists row as the previous stage wrote it. If another
+// operator has changed it since, the next stage's condition fails.
 func (o *Operator) after(ctx context.Context, a Applied) (Snapshot, error) {
 	s, err := o.listsRow(ctx)
 	for n := 0; err != nil; n++ {
@@ -127,13 +129,13 @@
 		s, err = o.listsRow(ctx)
 	}
 	if s.attempt != a.Attempt {
-		s.Version, s.Revision = a.Version, lostRevision
+		s.Version, s.Revision = a.Version, invalidRevision
 	}
 	return s, nil
 }
 
-// lostRevision is no row's revision, so that a condition on it fails.
-const lostRevision = ^storage.Revision(0)
+// invalidRevision matches no row, so that a condition on it fails.
+const invalidRevision = ^storage.Revision(0)
 
 func (o *Operator) commitStage(ctx context.Context, p Proposal, base Snapshot, s stage) (Applied, error) {
 	c, err := o.listsChange(base, s)
@@ -167,28 +169,28 @@
 	}, nil
 }
 
-// winners returns the version that stands and who brought it there. It is
-// for the loser's information: if the platform doesn't answer, it is empty.
+// winners returns the current version and the changes that led to it. The
+// result is informational: it is empty if the platform doesn't answer.
 func (o *Operator) winners(ctx context.Context, p Proposal) (uint64, []AuditEntry) {
 	now, err := o.listsRow(ctx)
 	if err != nil {
 		return 0, nil
 	}
-	entries, err := o.Audit(ctx, AuditQuery{Since: o.settings.Now().Add(-winnersSince)})
+	entries, err := o.Audit(ctx, AuditQuery{Since: o.settings.Now().Add(-winnersLookback)})
 	if err != nil {
 		return now.Version, nil
 	}
-	won := slices.DeleteFunc(entries, func(e AuditEntry) bool { return !p.lostTo(e) })
+	won := slices.DeleteFunc(entries, func(e AuditEntry) bool { return !p.conflictsWith(e) })
 	slices.Reverse(won)
 	return now.Version, won
 }
 
-// winnersSince is how far back a race is looked for.
-const winnersSince = 24 * time.Hour
+// winnersLookback is how far back conflicting changes are searched for.
+const winnersLookback = 24 * time.Hour
 
-// lostTo tells whether an accepted change is one that made p lose: lists that
-// came after its base, or a key for a workspace that it removes.
-func (p Proposal) lostTo(e AuditEntry) bool {
+// conflictsWith reports whether an accepted change made p conflict: lists newer
+// than its base, or a key for a workspace that it removes.
+func (p Proposal) conflictsWith(e AuditEntry) bool {
 	switch e.Action {
 	case ApplyLists:
 		return e.To > p.Base.Version
--- a/operator/change.go
+++ b/operator/change.go
@@ -9,21 +9,21 @@
 	"foxtailspoke/storage"
 )
 
-// Outcome is how an operator's change ended.
+// Outcome is the result of an operator's change.
 type Outcome string
 
 const (
 	// Accepted changes are in the table.
 	Accepted Outcome = "accepted"
-	// NothingToDo means that the table is already as wanted.
+	// NothingToDo means that the table is already in the requested state.
 	NothingToDo Outcome = "nothing-to-do"
-	// Raced changes lost against another operator's. Nothing took effect.
+	// Raced changes conflicted with another operator's and had no effect.
 	Raced Outcome = "raced"
-	// Unresolved changes got no answer in time. They took effect, or they
-	// didn't, or they still may: Resolve finds out once the platform answers.
+	// Unresolved changes got no answer in time. They may have taken
+	// effect or may still do so; Resolve reports it once the platform answers.
 	Unresolved Outcome = "unresolved"
-	// Stopped changes took several versions, and the platform ceased to
-	// answer after some of them. The others weren't sent.
+	// Stopped changes took several versions, and the platform stopped
+	// answering after some of them. The others weren't sent.
 	Stopped Outcome = "stopped"
 )
 
@@ -34,15 +34,15 @@
 	entry      AuditEntry
 }
 
-// commit sends the change until its end is known or ctx ends.
+// commit sends the change until its outcome is known or ctx ends.
 //
-// A lost answer leaves open whether the transaction took effect. Reading the
-// table doesn't settle it, because the transaction may still be on its way.
-// Sending the same transaction again does: its conditions name rows that it
+// After a lost response it is unknown whether the transaction took effect.
+// Reading the table doesn't settle it, because the transaction may still be in
+// flight. Sending the same transaction again does: its conditions name rows that it
 // changes itself, so at most one of all its copies takes effect, and once a
-// copy was refused for its conditions, none that is still on its way can
-// succeed. Whether an earlier copy did is then told by the audit entry, which
-// is there if and only if the transaction took effect.
+// copy was refused for its conditions, none that is still in flight can
+// succeed. The audit entry then shows whether an earlier copy did: it exists
+// if and only if the transaction took effect.
 func (o *Operator) commit(ctx context.Context, c change) (Outcome, storage.Revision, error) {
 	txn, err := o.transaction(c)
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// transaction adds the audit entry, on the condition that it isn't there yet:
-// so every change has a condition on a row that it writes itself.
+// transaction adds the audit entry on the condition that it doesn't exist yet,
+// so that every change has a condition on a row that it writes itself.
 func (o *Operator) transaction(c change) (storage.Txn, error) {
 	value, err := json.Marshal(c.entry)
 	if err != nil {
@@ -81,7 +81,8 @@
 	}, nil
 }
 
-// afterConflict tells an own earlier success from another's.
+// afterConflict determines whether an earlier copy of this transaction or
+// another operator's change caused the conflict.
 func (o *Operator) afterConflict(ctx context.Context, e AuditEntry) (Outcome, storage.Revision, error) {
 	for n := 0; ; n++ {
 		c, err := o.table.Read(ctx, storage.ReadRequest{Table: storage.Audit, Prefix: e.key()})
@@ -94,9 +95,9 @@
 	}
 }
 
-// ownOrRaced returns, for an own success, a revision at which the change is
+// ownOrRaced returns, if the change took effect, a revision at which it is
 // certainly in the control table. The revision of the write itself was lost
-// with its answer; any later one serves to wait for.
+// with its response; any later one can be waited for instead.
 func (o *Operator) ownOrRaced(ctx context.Context, c storage.Changes, e AuditEntry) (Outcome, storage.Revision, error) {
 	for _, row := range c.Rows {
 		if row.Key == e.key() && !row.Deleted && row.Attempt == e.Attempt {
--- a/operator/example_test.go
+++ b/operator/example_test.go
@@ -11,7 +11,7 @@
 	"foxtailspoke/storage"
 )
 
-// table makes the stand-in's tables a storage.Table.
+// table adapts the stand-in's tables to storage.Table.
 type table struct{ *tables.Store }
 
 func (t table) Read(_ context.Context, r storage.ReadRequest) (storage.Changes, error) {
@@ -22,7 +22,7 @@
 	return t.Store.Write(txn)
 }
 
-// Lists are proposed, looked at and committed; then a workspace gets a key.
+// Lists are proposed, reviewed and committed; then a key is issued.
 func Example() {
 	ctx := context.Background()
 	o := operator.New(table{tables.New()}, operator.Settings{Who: "maria"})
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -14,39 +14,38 @@
 	"foxtailspoke/storage"
 )
 
-// ErrNoQuery reports an explanation asked for without a request or a
-// workspace.
+// ErrNoQuery reports a query without a request or a workspace.
 var ErrNoQuery = errors.New("operator: name a request or a workspace")
 
-// maxBatches bounds how many batches of the object store one explanation
-// reads, the newest first.
+// maxBatches limits the batches that one explanation reads from the object
+// store, newest first.
 const maxBatches = 2000
 
-// Explanation is what was found out about requests.
+// Explanation is the result of a query for decision records.
 type Explanation struct {
-	// Records match the question, newest first.
+	// Records match the query, newest first.
 	Records []decision.Record
-	// Asked instances of which Silent gave no answer.
+	// Asked is the number of instances queried; Silent of them didn't answer.
 	Asked, Silent int
-	// Batches read from the object store, of which Unread couldn't be, and
-	// Skipped were beyond the bound.
+	// Batches were read from the object store, Unread couldn't be read, and
+	// Skipped exceeded maxBatches.
 	Batches, Unread, Skipped int
-	// Dropped is how many records are known to have been lost before they
-	// were stored. The one asked for may be among them.
+	// Dropped is the number of records known to have been lost before they
+	// were stored. Matching records may be among them.
 	Dropped uint64
-	// StoreError tells why the object store couldn't be listed.
+	// StoreError is the reason why the object store couldn't be listed.
 	StoreError string
 }
 
-// Complete tells whether everything was read that could hold an answer.
+// Complete reports whether every source that may hold a match was read.
 func (e Explanation) Complete() bool {
 	return e.Silent == 0 && e.Unread == 0 && e.Skipped == 0 && e.StoreError == "" && e.Dropped == 0
 }
 
-// Explain looks for decision records in the instances' memory, which has the
-// newest, and in the object store, which has those of instances that are
-// gone. Either may be missing: what couldn't be read is told. The fleet or
-// the object store may be nil.
+// Explain searches for decision records in the instances' memory, which has
+// the newest, and in the object store, which also has those of instances that
+// have ended. Either may be unavailable, which the Explanation reports. The
+// fleet or the object store may be nil.
 func (o *Operator) Explain(ctx context.Context, f Fleet, objects storage.Objects, q decision.Query) (Explanation, error) {
 	if q.Request == "" && q.Workspace == "" {
 		return Explanation{}, ErrNoQuery
@@ -55,7 +54,7 @@
 	s.query = q
 	id, known := decision.ParseRequestID(q.Request)
 	if f != nil {
-		s.askFleet(ctx, f, id.InstancePrefix)
+		s.queryFleet(ctx, f, id.InstancePrefix)
 	}
 	if objects != nil && (known || !q.Since.IsZero()) {
 		s.readStore(ctx, objects, o.prefixes(q, id, known))
@@ -76,7 +75,7 @@
 	return prefixes
 }
 
-// search gathers an explanation from many answers.
+// search collects an explanation from many responses.
 type search struct {
 	query decision.Query
 	mu    sync.Mutex
@@ -84,7 +83,7 @@
 	seen  map[string]bool
 }
 
-func (s *search) askFleet(ctx context.Context, f Fleet, instancePrefix string) {
+func (s *search) queryFleet(ctx context.Context, f Fleet, instancePrefix string) {
 	entries, err := f.Entries(ctx)
 	if err != nil {
 		s.found.Asked, s.found.Silent = 1, 1
--- a/operator/history_test.go
+++ b/operator/history_test.go
@@ -19,23 +19,23 @@
 )
 
 // TestMain fixes the seed and the number of the random histories; the flags
-// -rapid.seed and -rapid.checks override them. The rarest fault known, a key
-// that outlives its workspace, needs 256.
+// -rapid.seed and -rapid.checks override them. The rarest known fault, a key
+// that outlives its workspace, needs 256 histories to show.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20260302")
 	_ = flag.Set("rapid.checks", "500")
 	os.Exit(m.Run())
 }
 
-// faultyTable loses answers before and after the write takes effect, delays
-// writes, and lets another operator act between any two calls.
+// faultyTable loses responses before and after the write takes effect, delays
+// writes, and runs another operator between any two calls.
 type faultyTable struct {
 	store *tables.Store
-	// intrude runs before a call. It is nil while an intruder acts.
-	intrude func()
-	// lose draws what happens to a write's answer.
+	// interleave runs before a call. It is nil while it is running.
+	interleave func()
+	// lose draws the fault that a call meets.
 	lose func() loss
-	// late writes are still on their way.
+	// late are delayed writes that have not arrived yet.
 	late []storage.Txn
 }
 
@@ -73,8 +73,8 @@
 }
 
 func (f *faultyTable) between() {
-	if f.intrude != nil {
-		f.intrude()
+	if f.interleave != nil {
+		f.interleave()
 	}
 }
 
@@ -85,7 +85,7 @@
 	f.late = nil
 }
 
-// history is what the operators were told.
+// history records the outcomes that the operators got.
 type history struct {
 	accepted, raced, unresolved map[string]bool
 	givenUp                     int
@@ -103,11 +103,11 @@
 	}
 }
 
-// Two operators apply lists, give and withdraw keys, at the same time. The
-// table loses answers before or after the write took effect, or a write
-// arrives only after its operator gave up. Each operator must be told the
-// truth: accepted if and only if the change is in the audit trail, and no
-// accepted change may be overwritten unseen by one made from an older version.
+// Two operators apply lists and issue and revoke keys concurrently. The table
+// loses responses before or after a write takes effect, or a write arrives only
+// after its operator gave up. Outcomes must match the audit trail: an accepted
+// change is in it, a raced one isn't, and no accepted change may be overwritten
+// by one based on an older version.
 func TestRacingOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -146,14 +146,14 @@
 		return o
 	}
 	a, b := newOperator("a"), newOperator("b")
-	f.intrude = func() {
+	f.interleave = func() {
 		if rng.IntN(4) > 0 {
 			return
 		}
-		resume := f.intrude
-		f.intrude = nil
+		resume := f.interleave
+		f.interleave = nil
 		act(b, h, rng)
-		f.intrude = resume
+		f.interleave = resume
 	}
 	for range 12 {
 		act(a, h, rng)
@@ -209,10 +209,10 @@
 
 func checkHistory(t must.T, store *tables.Store, h *history) {
 	ctx := context.Background()
-	calm := New(&faultyTable{store: store, lose: func() loss { return answered }}, Settings{
+	reliable := New(&faultyTable{store: store, lose: func() loss { return answered }}, Settings{
 		Now: func() time.Time { return time.Date(2026, 3, 3, 12, 0, 0, 0, time.UTC) },
 	})
-	entries, err := calm.Audit(ctx, AuditQuery{Since: time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)})
+	entries, err := reliable.Audit(ctx, AuditQuery{Since: time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)})
 	must.NoError(t, err)
 	inTrail := map[string]bool{}
 	version, digest := uint64(0), ""
@@ -220,23 +220,23 @@
 		e := entries[i]
 		must.False(t, inTrail[e.Attempt], must.Sprintf("%s took effect twice", e.Attempt))
 		inTrail[e.Attempt] = true
-		must.False(t, h.raced[e.Attempt], must.Sprintf("%s was called raced, but took effect", e.Attempt))
+		must.False(t, h.raced[e.Attempt], must.Sprintf("%s reported raced, but took effect", e.Attempt))
 	}
 	for attempt := range h.accepted {
-		must.True(t, inTrail[attempt], must.Sprintf("%s was called accepted, but isn't in the trail", attempt))
+		must.True(t, inTrail[attempt], must.Sprintf("%s reported accepted, but isn't in the audit trail", attempt))
 	}
 	for _, e := range byVersion(entries) {
-		must.Eq(t, version, e.From, must.Sprintf("%s wasn't made from the version before", e.Attempt))
+		must.Eq(t, version, e.From, must.Sprintf("%s isn't based on the previous version", e.Attempt))
 		version, digest = e.To, e.Digest
 	}
-	s, err := calm.Current(ctx)
+	s, err := reliable.Current(ctx)
 	must.NoError(t, err)
 	must.Eq(t, version, s.Version)
 	must.Eq(t, digest, s.Digest)
 	if version > 0 {
 		must.Eq(t, digest, s.Lists.Digest(), must.Sprint("the rows aren't those of the last version"))
 	}
-	keys, err := calm.ListKeys(ctx, "")
+	keys, err := reliable.ListKeys(ctx, "")
 	must.NoError(t, err)
 	for _, k := range keys {
 		_, there := s.Lists.Workspaces[k.Workspace]
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -20,10 +20,10 @@
 	"foxtailspoke/storage"
 )
 
-// A change of many rows is cut into several versions. Instances serve by each
-// of them for a moment, so each must be whole: no plan without its services,
-// no workspace without its plan.
-func TestStagesAreWholeLists(t *testing.T) {
+// A change of many rows is split into several versions. Instances apply each of
+// them for a short time, so each must be valid: no plan may refer to a missing
+// service, and no workspace to a missing plan.
+func TestStagesAreValidLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		from, to := namedLists(rng), namedLists(rng)
@@ -54,7 +54,7 @@
 	})
 }
 
-// namedLists draws lists whose plans and services come and go as well.
+// namedLists draws lists that also differ in their plans and services.
 func namedLists(rng *rand.Rand) lists.Lists {
 	l := lists.Empty()
 	for range 1 + rng.IntN(3) {
@@ -66,8 +66,8 @@
 	return l
 }
 
-// One of two operators gets in between the other's reading and writing. The
-// loser must learn who won with what, and nothing of its own may be there.
+// One of two operators commits between the other's read and write. The other
+// must get the winner's audit entry, and its own change must have no effect.
 func TestRaceNamesTheWinner(t *testing.T) {
 	ctx := context.Background()
 	store := tables.New()
@@ -92,8 +92,9 @@
 	must.Eq(t, second.Digest(), b.Winners[0].Digest)
 }
 
-// A key is printed once. Nothing that is kept, encoded or formatted has it.
-func TestKeyIsNowhereButRevealed(t *testing.T) {
+// A key is revealed only once: it must not appear in stored rows, JSON or
+// formatted values.
+func TestKeyIsNotLeaked(t *testing.T) {
 	ctx := context.Background()
 	store := tables.New()
 	table := &faultyTable{store: store, lose: func() loss { return answered }}
