--- a/edge/members.go
+++ b/edge/members.go
@@ -79,7 +79,7 @@
 	for _, m := range silent {
 		s.usage.ForgetInstance(m.ID)
 		s.placer.RemoveInstance(m.ID)
-		event.PeerSilent.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
+		event.PeerUnreachable.Log(e.log, slog.String("peer", addrPort(m.ID, 0).Addr().String()),
 			slog.Duration("silence", now-m.LastHeard))
 	}
 	if float64(len(silent)) > massSilenceShare*float64(all) {
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -118,7 +118,7 @@
 	if o.own != nil {
 		env.serveOwn(o.own)
 	}
-	env.operator = operator.New(env.client, operator.Settings{Who: "test"})
+	env.operator = operator.New(env.client, operator.Settings{OperatorName: "test"})
 	env.apply(testLists())
 	env.key, env.full = env.giveKey("boatyard"), env.giveKey("workshop")
 	transport := &http.Transport{DisableCompression: true}
--- a/entry/path_bench_test.go
+++ b/entry/path_bench_test.go
@@ -92,7 +92,7 @@
 
 func giveKey(b *testing.B, c *client.Client) string {
 	ctx := context.Background()
-	o := operator.New(c, operator.Settings{Who: "bench"})
+	o := operator.New(c, operator.Settings{OperatorName: "bench"})
 	proposal, err := o.Propose(ctx, benchLists())
 	must.NoError(b, err)
 	_, err = o.Commit(ctx, proposal)
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -128,7 +128,7 @@
 		521, slog.LevelInfo, "instance heard",
 		"A message arrived from another instance, for the first time or after silence.", "Nothing.",
 	}
-	PeerSilent = Event{
+	PeerUnreachable = Event{
 		522, slog.LevelWarn, "instance silent",
 		"No message has arrived from another instance for `silence`; it isn't advertised to callers, and its share of the rates isn't counted.", "Check the instance unless it was stopped deliberately.",
 	}
@@ -164,7 +164,7 @@
 		EdgeStarted, EdgeStopping, EdgeStopped, SettingsReloaded, SettingsRejected,
 		ConfigInForce, ConfigRejected, ServerChanged, EntryIgnored, StoreCallFailed,
 		EvacuationStarted, EvacuationEnded, ServerLimited, StaleResponseIgnored, StoreRestored,
-		PeerReachable, PeerSilent, PeerMessageFailed, RelayChanged,
+		PeerReachable, PeerUnreachable, PeerMessageFailed, RelayChanged,
 		RequestEnded, AttemptEnded, LogLinesDropped,
 	}
 }
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	r := applyResult{Changes: p.Changes, Withdrawn: p.Withdrawn, DryRun: c.DryRun, From: p.Base.Version}
+	r := applyResult{Changes: p.Changes, Withdrawn: p.RevokedKeys, DryRun: c.DryRun, From: p.Base.Version}
 	c.show(p)
 	if c.DryRun {
 		return c.app.endJSON(r, nil)
@@ -133,7 +133,7 @@
 	for _, change := range p.Changes {
 		c.app.printf("  %s\n", change)
 	}
-	for _, k := range p.Withdrawn {
+	for _, k := range p.RevokedKeys {
 		c.app.printf("  - key %s of workspace %s is withdrawn with it\n", k.ID, k.Workspace)
 	}
 }
@@ -143,7 +143,7 @@
 	switch a.Outcome {
 	case operator.NothingToDo:
 		return nil, nil
-	case operator.Raced:
+	case operator.Conflict:
 		return nil, c.lost(p, a)
 	case operator.Unresolved:
 		return nil, exit(exitUnresolved, "The platform's answer was lost. It isn't known whether version %d took effect, and it still may.\nFind out by: foxtailspoke audit --attempt %s. %s", a.Version, a.Attempt, partly(a))
@@ -159,7 +159,7 @@
 
 func (c *applyCommand) lost(p operator.Proposal, a operator.Applied) error {
 	var b strings.Builder
-	for _, w := range a.Winners {
+	for _, w := range a.ConflictingChanges {
 		b.WriteString("\n  " + auditLine(w))
 		for _, change := range w.Changes {
 			b.WriteString("\n      " + change)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -77,8 +77,8 @@
 
 func resultOf(e operator.Explanation) explainResult {
 	r := explainResult{
-		Decisions: []explained{}, Complete: e.Complete(), Asked: e.Asked, Silent: e.Silent, Batches: e.Batches,
-		Unread: e.Unread, Skipped: e.Skipped, Dropped: e.Dropped, Error: e.StoreError,
+		Decisions: []explained{}, Complete: e.Complete(), Asked: e.Queried, Silent: e.Unresponsive, Batches: e.Batches,
+		Unread: e.UnreadableBatches, Skipped: e.Skipped, Dropped: e.Dropped, Error: e.StoreError,
 	}
 	for _, record := range e.Records {
 		r.Decisions = append(r.Decisions, explained{Sentence: record.Sentence(), Record: record})
@@ -101,8 +101,8 @@
 		n    int
 		what string
 	}{
-		{e.Silent, "instances didn't answer"},
-		{e.Unread, "batches couldn't be read"},
+		{e.Unresponsive, "instances didn't answer"},
+		{e.UnreadableBatches, "batches couldn't be read"},
 		{e.Skipped, "older batches were left out"},
 		{int(e.Dropped), "records were lost before they were stored"},
 	} {
--- a/internal/cli/options.go
+++ b/internal/cli/options.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return connection{}, exit(exitUsage, "platform %q: %v", s.platform, err)
 	}
-	c := connection{platform: p, operator: operator.New(p, operator.Settings{Who: s.as})}
+	c := connection{platform: p, operator: operator.New(p, operator.Settings{OperatorName: s.as})}
 	if s.tokenFile == "" {
 		return c, nil
 	}
--- a/internal/proofs/world_test.go
+++ b/internal/proofs/world_test.go
@@ -97,7 +97,7 @@
 	w.client, err = client.New(w.platform.URL(), client.Settings{Timeout: platformTimeout})
 	must.NoError(t, err)
 	t.Cleanup(w.client.Close)
-	w.operator = operator.New(w.client, operator.Settings{Who: "proofs"})
+	w.operator = operator.New(w.client, operator.Settings{OperatorName: "proofs"})
 	w.fleet = fleet.New(w.client, operatorToken, time.Second)
 	return w
 }
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return "", err
 	}
-	op := operator.New(platform, operator.Settings{Who: "trial"})
+	op := operator.New(platform, operator.Settings{OperatorName: "trial"})
 	change, err := op.IssueKey(ctx, o.Workspace, "load "+time.Now().UTC().Format("15:04:05.000"))
 	if err != nil {
 		return "", err
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -80,7 +80,7 @@
 	}
 	w := &walk{
 		Options:  o,
-		operator: operator.New(platform, operator.Settings{Who: "trial"}),
+		operator: operator.New(platform, operator.Settings{OperatorName: "trial"}),
 		fleet:    fleet.New(platform, token, fleetTimeout),
 	}
 	if w.caller, err = w.newCaller(ctx, callerWorkspace); err != nil {
--- a/operator/apply.go
+++ b/operator/apply.go
@@ -20,10 +20,10 @@
 	Base Snapshot
 	// Changes are the differences from Base.
 	Changes []lists.Change
-	// Withdrawn are the keys of removed workspaces. They are deleted
+	// RevokedKeys are the keys of removed workspaces. They are deleted
 	// together, so that old keys don't become valid if a workspace of the
 	// same name is added later.
-	Withdrawn []KeyInfo
+	RevokedKeys []KeyInfo
 }
 
 // Empty reports whether the proposal has no changes.
@@ -32,7 +32,7 @@
 // Applied is the result of committing a Proposal.
 type Applied struct {
 	Outcome Outcome `json:"outcome"`
-	// Version is that of the new lists; for NothingToDo and Raced it is the
+	// Version is that of the new lists; for NothingToDo and Conflict it is the
 	// current version.
 	Version uint64 `json:"version"`
 	// Revision of the control table to wait for; 0 if it isn't known.
@@ -41,8 +41,9 @@
 	Attempt string `json:"attempt,omitempty"`
 	// Stages is the progress of a proposal that takes several versions.
 	Stages Stages `json:"stages"`
-	// Winners are, for Raced, the changes accepted since Base, oldest first.
-	Winners []AuditEntry `json:"winners,omitempty"`
+	// ConflictingChanges are, for Conflict, the changes accepted since Base,
+	// oldest first.
+	ConflictingChanges []AuditEntry `json:"winners,omitempty"`
 }
 
 // Stages counts the versions that a proposal takes.
@@ -70,7 +71,7 @@
 	}
 	for _, k := range keys {
 		if slices.Contains(removed, k.Workspace) {
-			p.Withdrawn = append(p.Withdrawn, k)
+			p.RevokedKeys = append(p.RevokedKeys, k)
 		}
 	}
 	return p, nil
@@ -144,11 +145,11 @@
 	}
 	a := Applied{Version: c.entry.To, Attempt: c.entry.Attempt}
 	a.Outcome, a.Revision, err = o.commit(ctx, c)
-	if err != nil || a.Outcome != Raced {
+	if err != nil || a.Outcome != Conflict {
 		return a, err
 	}
 	p.Base.Version = base.Version
-	a.Version, a.Winners = o.winners(ctx, p)
+	a.Version, a.ConflictingChanges = o.winners(ctx, p)
 	return a, nil
 }
 
@@ -196,7 +197,7 @@
 		return e.To > p.Base.Version
 	case KeyIssued:
 		known := func(k KeyInfo) bool { return k.ID == e.Key }
-		return slices.Contains(removedWorkspaces(p.Changes), e.Workspace) && !slices.ContainsFunc(p.Withdrawn, known)
+		return slices.Contains(removedWorkspaces(p.Changes), e.Workspace) && !slices.ContainsFunc(p.RevokedKeys, known)
 	default:
 		return false
 	}
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -67,7 +67,7 @@
 func (o *Operator) entry(action Action) AuditEntry {
 	return AuditEntry{
 		At:      o.settings.Now().UTC().Truncate(time.Microsecond),
-		Who:     o.settings.Who,
+		Who:     o.settings.OperatorName,
 		Action:  action,
 		Attempt: o.settings.NewAttempt(),
 	}
--- a/operator/change.go
+++ b/operator/change.go
@@ -17,8 +17,9 @@
 	Accepted Outcome = "accepted"
 	// NothingToDo means that the table is already in the requested state.
 	NothingToDo Outcome = "nothing-to-do"
-	// Raced changes conflicted with another operator's and had no effect.
-	Raced Outcome = "raced"
+	// Conflict means that another operator's change was accepted first and
+	// this one had no effect.
+	Conflict Outcome = "raced"
 	// Unresolved changes got no answer in time. They may have taken
 	// effect or may still do so; Resolve reports it once the platform answers.
 	Unresolved Outcome = "unresolved"
@@ -104,7 +105,7 @@
 			return Accepted, o.newestRevision(ctx), nil
 		}
 	}
-	return Raced, 0, nil
+	return Conflict, 0, nil
 }
 
 // newestRevision returns the control table's revision, or 0 if the platform
--- a/operator/example_test.go
+++ b/operator/example_test.go
@@ -25,7 +25,7 @@
 // Lists are proposed, reviewed and committed; then a key is issued.
 func Example() {
 	ctx := context.Background()
-	o := operator.New(table{tables.New()}, operator.Settings{Who: "maria"})
+	o := operator.New(table{tables.New()}, operator.Settings{OperatorName: "maria"})
 	l := lists.Empty()
 	l.Services["catalogue"] = config.Service{Name: "catalogue", Floor: 6, Routes: []config.Route{{Prefix: "/catalogue/"}}}
 	l.Plans["bench"] = config.Plan{Name: "bench", Services: map[string]config.Limit{"catalogue": {Rate: 5, Burst: 10}}}
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -25,11 +25,12 @@
 type Explanation struct {
 	// Records match the query, newest first.
 	Records []decision.Record
-	// Asked is the number of instances queried; Silent of them didn't answer.
-	Asked, Silent int
-	// Batches were read from the object store, Unread couldn't be read, and
-	// Skipped exceeded maxBatches.
-	Batches, Unread, Skipped int
+	// Queried is the number of instances queried, Unresponsive the number of
+	// those that did not answer.
+	Queried, Unresponsive int
+	// Batches were read from the object store, UnreadableBatches could not be
+	// read, and Skipped exceeded maxBatches.
+	Batches, UnreadableBatches, Skipped int
 	// Dropped is the number of records known to have been lost before they
 	// were stored. Matching records may be among them.
 	Dropped uint64
@@ -39,7 +40,7 @@
 
 // Complete reports whether every source that may hold a match was read.
 func (e Explanation) Complete() bool {
-	return e.Silent == 0 && e.Unread == 0 && e.Skipped == 0 && e.StoreError == "" && e.Dropped == 0
+	return e.Unresponsive == 0 && e.UnreadableBatches == 0 && e.Skipped == 0 && e.StoreError == "" && e.Dropped == 0
 }
 
 // Explain searches for decision records in the instances' memory, which has
@@ -86,19 +87,19 @@
 func (s *search) queryFleet(ctx context.Context, f Fleet, instancePrefix string) {
 	entries, err := f.Entries(ctx)
 	if err != nil {
-		s.found.Asked, s.found.Silent = 1, 1
+		s.found.Queried, s.found.Unresponsive = 1, 1
 		return
 	}
 	entries = slices.DeleteFunc(entries, func(i storage.Instance) bool {
 		return !strings.HasPrefix(i.ID, instancePrefix)
 	})
-	s.found.Asked = len(entries)
+	s.found.Queried = len(entries)
 	inParallel(len(entries), func(i int) {
 		answer, err := f.Decisions(ctx, entries[i], s.query)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err != nil {
-			s.found.Silent++
+			s.found.Unresponsive++
 			return
 		}
 		s.add(answer.Records)
@@ -130,7 +131,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.found.Unread++
+		s.found.UnreadableBatches++
 		return
 	}
 	s.found.Batches++
--- a/operator/history_test.go
+++ b/operator/history_test.go
@@ -95,7 +95,7 @@
 	switch o {
 	case Accepted:
 		h.accepted[attempt] = true
-	case Raced:
+	case Conflict:
 		h.raced[attempt] = true
 	case Unresolved:
 		h.unresolved[attempt] = true
@@ -125,8 +125,8 @@
 	stageRows := []int{1, 2, 3, maxStageRows}[rng.IntN(4)]
 	newOperator := func(who string) *Operator {
 		o := New(f, Settings{
-			Who: who,
-			Now: func() time.Time { now = now.Add(time.Second); return now },
+			OperatorName: who,
+			Now:          func() time.Time { now = now.Add(time.Second); return now },
 			NewAttempt: func() string {
 				attempts++
 				return fmt.Sprintf("attempt-%03d", attempts)
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -92,13 +92,13 @@
 	}
 	hash := config.HashKey(secret.key).String()
 	info := KeyInfo{ID: hash[:keyIDLength], Workspace: workspace, Label: label, hash: hash}
-	k := KeyChange{Outcome: Raced, Info: info}
-	for try := 0; k.Outcome == Raced && try < maxIssueTries; try++ {
+	k := KeyChange{Outcome: Conflict, Info: info}
+	for try := 0; k.Outcome == Conflict && try < maxIssueTries; try++ {
 		if k, err = o.issue(ctx, info); err != nil {
 			return KeyChange{}, err
 		}
 	}
-	if k.Outcome != Raced {
+	if k.Outcome != Conflict {
 		k.Secret = secret
 	}
 	return k, nil
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -19,8 +19,8 @@
 
 // Settings of an Operator. A zero field takes its default.
 type Settings struct {
-	// Who identifies the operator in the audit trail.
-	Who string
+	// OperatorName identifies the operator in the audit trail.
+	OperatorName string
 	// Now reads the wall clock, for the audit trail only.
 	Now func() time.Time
 	// NewAttempt returns a globally unique transaction id.
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -72,7 +72,7 @@
 	ctx := context.Background()
 	store := tables.New()
 	table := &faultyTable{store: store, lose: func() loss { return answered }}
-	maria, ercan := New(table, Settings{Who: "maria"}), New(table, Settings{Who: "ercan"})
+	maria, ercan := New(table, Settings{OperatorName: "maria"}), New(table, Settings{OperatorName: "ercan"})
 	rng := rand.New(rand.NewPCG(1, 1))
 	first, second := randomLists(rng), randomLists(rng)
 	lost, err := maria.Propose(ctx, first)
@@ -84,12 +84,12 @@
 	must.Eq(t, Accepted, a.Outcome)
 	b, err := maria.Commit(ctx, lost)
 	must.NoError(t, err)
-	must.Eq(t, Raced, b.Outcome)
+	must.Eq(t, Conflict, b.Outcome)
 	must.Eq(t, 1, b.Version)
-	must.Len(t, 1, b.Winners)
-	must.Eq(t, "ercan", b.Winners[0].Who)
-	must.SliceContains(t, b.Winners[0].Changes, "+ plan p: service s (1 a second, burst 1)")
-	must.Eq(t, second.Digest(), b.Winners[0].Digest)
+	must.Len(t, 1, b.ConflictingChanges)
+	must.Eq(t, "ercan", b.ConflictingChanges[0].Who)
+	must.SliceContains(t, b.ConflictingChanges[0].Changes, "+ plan p: service s (1 a second, burst 1)")
+	must.Eq(t, second.Digest(), b.ConflictingChanges[0].Digest)
 }
 
 // A key is revealed only once: it must not appear in stored rows, JSON or
@@ -98,7 +98,7 @@
 	ctx := context.Background()
 	store := tables.New()
 	table := &faultyTable{store: store, lose: func() loss { return answered }}
-	o := New(table, Settings{Who: "maria"})
+	o := New(table, Settings{OperatorName: "maria"})
 	p, err := o.Propose(ctx, randomLists(rand.New(rand.NewPCG(2, 2))))
 	must.NoError(t, err)
 	_, err = o.Commit(ctx, p)
--- a/operator/revoke.go
+++ b/operator/revoke.go
@@ -32,7 +32,7 @@
 			return KeyChange{}, err
 		}
 		end, err := o.revoke(ctx, k)
-		if err != nil || end.Outcome != Raced {
+		if err != nil || end.Outcome != Conflict {
 			return end, err
 		}
 		// The row changed after it was read. The key must be deleted whatever
--- a/operator/stage.go
+++ b/operator/stage.go
@@ -81,7 +81,7 @@
 
 func (p Proposal) keysOf(workspace string) []step {
 	var steps []step
-	for _, k := range p.Withdrawn {
+	for _, k := range p.RevokedKeys {
 		if k.Workspace == workspace {
 			steps = append(steps, step{
 				put:  storage.Put{Table: storage.Control, Key: k.row(), Delete: true},
