--- a/internal/harness/lines.go
+++ b/internal/harness/addresses.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// parseListening reads a line "listening WHAT IP:PORT".
+// parseListening parses a line of the form "listening WHAT IP:PORT".
 func parseListening(line string) (what, address string, ok bool) {
 	fields := strings.Fields(line)
 	if len(fields) != 3 || fields[0] != "listening" {
@@ -20,11 +20,11 @@
 	return fields[1], fields[2], true
 }
 
-// addresses are those that a process has printed so far.
+// addresses holds the listen addresses that a process has printed so far.
 type addresses struct {
 	mu    sync.Mutex
 	known map[string]string
-	// changed is closed, and replaced, with every new one.
+	// changed is closed and replaced whenever an address is set.
 	changed chan struct{}
 }
 
@@ -46,9 +46,10 @@
 	a.changed = make(chan struct{})
 }
 
-// read takes a process's output to its end, whatever it is: a process whose
-// output isn't read would stop at its next line.
-func (a *addresses) read(r io.Reader) {
+// consume records the addresses in r and reads r to its end, also after a
+// line that is too long for the scanner: a process blocks on writing to a full
+// pipe.
+func (a *addresses) consume(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		if what, address, ok := parseListening(lines.Text()); ok {
--- a/internal/harness/build.go
+++ b/internal/harness/build.go
@@ -1,10 +1,10 @@
-// Package harness runs the project's real programs as processes, for tests
-// and trials: it builds them once, starts them, learns their addresses from
-// the lines "listening WHAT ADDRESS" that they print, and stops, kills,
-// freezes and thaws them.
+// Package harness runs the module's programs as child processes, for tests
+// and end-to-end checks. It builds them once, starts them, reads their
+// addresses from the lines "listening WHAT ADDRESS" on their standard output,
+// and stops, kills, suspends and resumes them.
 //
-// It signals only processes that it started itself and that it hasn't waited
-// for yet, and they are killed if the process that started them dies.
+// It signals only child processes that it has started and not yet reaped.
+// Child processes are killed if the process that started them dies.
 package harness
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// built is where this process's programs are.
-var built = sync.OnceValues(build)
+// buildOnce builds the programs on the first call and returns their directory.
+var buildOnce = sync.OnceValues(build)
 
-// Program returns the path of a program of this module by its name under
-// cmd/. The first call builds all of them, by the go command, into a new
-// directory; Cleanup removes it.
+// Program returns the path of the executable for cmd/name. The first call
+// builds all programs of the module into a temporary directory, which Cleanup
+// removes.
 func Program(name string) (string, error) {
-	dir, err := built()
+	dir, err := buildOnce()
 	if err != nil {
 		return "", err
 	}
@@ -35,9 +35,9 @@
 	return path, nil
 }
 
-// Cleanup removes the programs. Nothing can be started after it.
+// Cleanup removes the executables. No program can be started afterwards.
 func Cleanup() {
-	if dir, err := built(); err == nil {
+	if dir, err := buildOnce(); err == nil {
 		_ = os.RemoveAll(dir)
 	}
 }
@@ -49,7 +49,7 @@
 	}
 	dir, err := os.MkdirTemp("", "foxtailspoke-programs-")
 	if err != nil {
-		return "", errors.Wrap(err, "directory of the programs")
+		return "", errors.Wrap(err, "create directory for executables")
 	}
 	if _, err := output(root, "go", "build", "-o", dir+string(filepath.Separator), "./cmd/..."); err != nil {
 		_ = os.RemoveAll(dir)
@@ -58,16 +58,16 @@
 	return dir, nil
 }
 
-// output runs a command in a directory and returns what it prints, without
-// the spaces around it.
+// output runs a command in dir and returns its standard output with
+// surrounding white space removed. An error includes the standard error.
 func output(dir, name string, args ...string) (string, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
-	var problems strings.Builder
-	cmd.Stderr = &problems
+	var stderr strings.Builder
+	cmd.Stderr = &stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return "", errors.Wrapf(err, "%s %s: %s", name, strings.Join(args, " "), problems.String())
+		return "", errors.Wrapf(err, "%s %s: %s", name, strings.Join(args, " "), stderr.String())
 	}
 	return strings.TrimSpace(string(out)), nil
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -19,7 +19,7 @@
 	"foxtailspoke/storage/client"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	code := m.Run()
@@ -39,16 +39,16 @@
 
 func address(t *testing.T, p *harness.Process, what string) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	a, err := p.Address(ctx, what)
 	must.NoError(t, err)
 	return a
 }
 
-// The platform's process is frozen, thawed, stopped and killed. Its callers
-// see it away, back with all that it had, and gone.
-func TestProcessesFreezeAndEnd(t *testing.T) {
+// The platform is unavailable while its process is suspended, keeps its data
+// after it is resumed, and is unavailable again once stopped.
+func TestProcessSuspendResumeStop(t *testing.T) {
 	p := start(t, "platform")
 	c, err := client.New("http://"+address(t, p, "platform"), client.Settings{Timeout: 200 * time.Millisecond})
 	must.NoError(t, err)
@@ -65,38 +65,37 @@
 	_, err = read()
 	must.ErrorIs(t, err, storage.ErrUnavailable)
 	must.NoError(t, p.Resume())
-	within(t, "it answers again", func() bool { _, err := read(); return err == nil })
+	within(t, "platform answers after resume", func() bool { _, err := read(); return err == nil })
 	changes, err := read()
 	must.NoError(t, err)
 	must.Eq(t, 1, changes.Revision)
 
 	must.NoError(t, p.Suspend())
-	must.Zero(t, p.Stop(patience), must.Sprint("a frozen process is thawed to stop"))
-	must.Error(t, p.Resume(), must.Sprint("no signal goes to an ended process"))
+	must.Zero(t, p.Stop(waitTimeout), must.Sprint("a suspended process is resumed before SIGTERM"))
+	must.Error(t, p.Resume(), must.Sprint("no signal is sent to an exited process"))
 	_, err = read()
 	must.ErrorIs(t, err, storage.ErrUnavailable)
 }
 
-// Threads of this process end; the system takes the end of the one that
-// started a process for the end of its starter. The process must go on.
+// Guards against child processes killed by PDEATHSIG when a thread of this
+// process exits: the kernel ties the signal to the thread that started them.
 func TestProcessOutlivesThreads(t *testing.T) {
 	p := start(t, "platform")
 	url := "http://" + address(t, p, "control") + "/control/faults"
 	for range 50 {
 		var threads sync.WaitGroup
 		for range 16 {
-			threads.Go(func() { runtime.LockOSThread() }) // and ends with it
+			threads.Go(func() { runtime.LockOSThread() }) // The thread exits with its goroutine.
 		}
 		threads.Wait()
 		r, err := http.Get(url)
-		must.NoError(t, err, must.Sprint("the process was ended"))
+		must.NoError(t, err, must.Sprint("the process was killed"))
 		must.NoError(t, r.Body.Close())
 	}
 }
 
-// A process doesn't end when it is asked to. It is killed, and nothing of it
-// stays.
-func TestStubbornProcessIsKilled(t *testing.T) {
+// A process that does not exit on SIGTERM is killed and reaped.
+func TestStopKillsAfterTimeout(t *testing.T) {
 	p := start(t, "backend", "--service", "s", "--linger", "1h")
 	url := "http://" + address(t, p, "backend")
 	must.Eq(t, -1, p.Stop(50*time.Millisecond))
@@ -106,7 +105,7 @@
 	must.ErrorIs(t, err, os.ErrNotExist)
 }
 
-func TestProcessThatFails(t *testing.T) {
+func TestStartAndAddressErrors(t *testing.T) {
 	p := start(t, "platform", "--listen", "nowhere")
 	_, err := p.Address(t.Context(), "platform")
 	must.ErrorContains(t, err, "listen on nowhere")
@@ -125,9 +124,9 @@
 	must.Error(t, err)
 }
 
-// The process that started others is killed before it can stop them. They
-// must not outlive it, or a failed test would leave load behind.
-func TestProcessesEndWithTheirStarter(t *testing.T) {
+// Guards against child processes that outlive a killed starter: a failed test
+// would leave them running and loading the machine.
+func TestChildrenDieWithParent(t *testing.T) {
 	if path := os.Getenv("HARNESS_TEST_STARTER"); path != "" {
 		p, err := harness.Start(harness.Spec{Path: path, Args: []string{"platform"}})
 		must.NoError(t, err)
@@ -142,24 +141,23 @@
 	must.NoError(t, err)
 	starter, err := harness.Start(harness.Spec{
 		Path: self,
-		Args: []string{"-test.run", "^TestProcessesEndWithTheirStarter$", "-test.timeout", "60s"},
+		Args: []string{"-test.run", "^TestChildrenDieWithParent$", "-test.timeout", "60s"},
 		Env:  []string{"HARNESS_TEST_STARTER=" + program, "HARNESS_TEST_FILE=" + file},
 	})
 	must.NoError(t, err)
 	t.Cleanup(starter.Kill)
 	var pid string
-	within(t, "the other runs", func() bool {
+	within(t, "child process starts", func() bool {
 		text, err := os.ReadFile(file)
 		pid = string(text)
 		return err == nil && pid != ""
 	})
 	must.True(t, alive(pid))
 	starter.Kill()
-	within(t, "the other ends", func() bool { return !alive(pid) })
+	within(t, "child process exits", func() bool { return !alive(pid) })
 }
 
-// alive reports whether a process runs; one that waits for its parent to
-// notice its end doesn't.
+// alive reports whether a process exists and is not a zombie.
 func alive(pid string) bool {
 	stat, err := os.ReadFile("/proc/" + pid + "/stat")
 	return err == nil && !strings.Contains(string(stat), ") Z ")
@@ -167,5 +165,5 @@
 
 func within(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(waitTimeout), wait.Gap(time.Millisecond)), must.Sprint(what))
 }
--- a/internal/harness/internal_test.go
+++ b/internal/harness/internal_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzParseListening checks that what is taken for an address is one, and
-// that other output of a process is passed over.
+// FuzzParseListening checks that every accepted address is valid and that
+// other output is ignored.
 func FuzzParseListening(f *testing.F) {
 	for _, line := range []string{
 		"listening platform 127.0.0.1:80", "listening control [::1]:0", "listening x nowhere",
@@ -30,23 +30,23 @@
 	})
 }
 
-func TestLogKeepsTheLatest(t *testing.T) {
-	l := &log{}
-	for range maxLog / 1000 * 2 {
+func TestLogRetainsLatestOutput(t *testing.T) {
+	l := &logBuffer{}
+	for range maxLogBytes / 1000 * 2 {
 		_, _ = l.Write([]byte(strings.Repeat("a", 1000)))
 	}
 	_, _ = l.Write([]byte("last"))
 	must.StrHasSuffix(t, "alast", l.String())
 	must.StrHasPrefix(t, "[earlier output dropped]", l.String())
-	must.LessEq(t, maxLog+100, len(l.String()))
+	must.LessEq(t, maxLogBytes+100, len(l.String()))
 }
 
-// A process prints a line that is too long to be an address. What it prints
-// later must still be read, or it would stop at a full pipe.
+// Guards against a process that blocks on a full pipe because reading stopped
+// at a line too long for the scanner.
 func TestOutputIsReadToItsEnd(t *testing.T) {
 	r := strings.NewReader("listening a 127.0.0.1:1\n" + strings.Repeat("x", 1<<20) + "\n")
 	a := newAddresses()
-	a.read(r)
+	a.consume(r)
 	must.Zero(t, r.Len())
 	address, _ := a.get("a")
 	must.Eq(t, "127.0.0.1:1", address)
--- a/internal/harness/log.go
+++ b/internal/harness/log.go
@@ -2,32 +2,32 @@
 
 import "sync"
 
-// maxLog bounds what is kept of a process's log, in bytes.
-const maxLog = 1 << 20
+// maxLogBytes limits the part of a process's log that is retained.
+const maxLogBytes = 1 << 20
 
-// log keeps the latest of what is written to it.
-type log struct {
-	mu   sync.Mutex
-	text []byte
-	cut  bool
+// logBuffer retains the last maxLogBytes bytes written to it.
+type logBuffer struct {
+	mu        sync.Mutex
+	text      []byte
+	truncated bool
 }
 
 // Write implements io.Writer.
-func (l *log) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text = append(l.text, p...)
-	if excess := len(l.text) - maxLog; excess > 0 {
+	if excess := len(l.text) - maxLogBytes; excess > 0 {
 		l.text = append(l.text[:0], l.text[excess:]...)
-		l.cut = true
+		l.truncated = true
 	}
 	return len(p), nil
 }
 
-func (l *log) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.truncated {
 		return "[earlier output dropped]\n" + string(l.text)
 	}
 	return string(l.text)
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// freezeTimeout bounds the wait until a process stands still.
-	freezeTimeout = 5 * time.Second
-	freezePoll    = time.Millisecond
+	// suspendTimeout limits the wait until a process is in the stopped state.
+	suspendTimeout      = 5 * time.Second
+	suspendPollInterval = time.Millisecond
 )
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
-	// Path of the program, for instance from Program.
+	// Path is the path of the executable, such as one returned by Program.
 	Path string
 	Args []string
-	// Env is added to the environment of this process.
+	// Env is appended to the environment of the calling process.
 	Env []string
 }
 
-// Process is a program that was started.
+// Process is a child process.
 type Process struct {
 	cmd       *exec.Cmd
 	name      string
 	addresses *addresses
-	log       *log
+	log       *logBuffer
 	exited    chan struct{}
 }
 
-// Start starts a program. It must be ended by Stop or Kill.
+// Start starts a process. The caller must end it with Stop or Kill.
 func Start(s Spec) (*Process, error) {
 	p := &Process{
 		cmd:       exec.Command(s.Path, s.Args...),
 		name:      strings.Join(append([]string{s.Path}, s.Args...), " "),
 		addresses: newAddresses(),
-		log:       &log{},
+		log:       &logBuffer{},
 		exited:    make(chan struct{}),
 	}
 	p.cmd.Env = append(os.Environ(), s.Env...)
@@ -51,19 +51,20 @@
 	if err != nil {
 		return nil, errors.Wrap(err, p.name)
 	}
-	if err := startBound(p.cmd); err != nil {
+	if err := startWithDeathSignal(p.cmd); err != nil {
 		return nil, errors.Wrap(err, p.name)
 	}
 	go func() {
 		defer close(p.exited)
-		p.addresses.read(stdout)
+		p.addresses.consume(stdout)
 		_ = p.cmd.Wait()
 	}()
 	return p, nil
 }
 
-// Address waits until the process prints that it listens for what, and
-// returns "ip:port". It fails if the process ends or the context does.
+// Address waits until the process prints its listen address for what and
+// returns it as "ip:port". It returns an error if the process exits or ctx is
+// done first.
 func (p *Process) Address(ctx context.Context, what string) (string, error) {
 	for {
 		address, changed := p.addresses.get(what)
@@ -73,31 +74,31 @@
 		select {
 		case <-changed:
 		case <-p.exited:
-			return "", errors.Newf("%s: ended without listening for %s: %s", p.name, what, p.log)
+			return "", errors.Newf("%s: exited without listening for %s: %s", p.name, what, p.log)
 		case <-ctx.Done():
 			return "", errors.Wrapf(ctx.Err(), "%s: not listening for %s: %s", p.name, what, p.log)
 		}
 	}
 }
 
-// PID is the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Log returns the latest of what the process has written to its standard
-// error.
+// Log returns the end of the process's standard error, up to maxLogBytes.
 func (p *Process) Log() string { return p.log.String() }
 
-// Exited is closed once the process has ended.
+// Exited returns a channel that is closed once the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitCode is the process's exit code after its end; -1 if a signal ended it.
+// ExitCode waits for the process to exit and returns its exit code, or -1 if
+// it was terminated by a signal.
 func (p *Process) ExitCode() int {
 	<-p.exited
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Stop asks the process to end (SIGTERM) and kills it if it hasn't within
-// the timeout. It returns the exit code.
+// Stop sends SIGTERM, and SIGKILL if the process has not exited within the
+// timeout. It resumes a suspended process first and returns the exit code.
 func (p *Process) Stop(timeout time.Duration) int {
 	_ = p.Resume()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -111,34 +112,34 @@
 	return p.ExitCode()
 }
 
-// Kill ends the process at once (SIGKILL) and waits for its end.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Suspend stops the process where it is (SIGSTOP) and returns once it stands
-// still.
+// Suspend sends SIGSTOP and waits until the process is in the stopped state.
 func (p *Process) Suspend() error {
 	if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-		return errors.Wrapf(err, "freeze %s", p.name)
+		return errors.Wrapf(err, "suspend %s", p.name)
 	}
-	deadline := time.Now().Add(freezeTimeout)
+	deadline := time.Now().Add(suspendTimeout)
 	for time.Now().Before(deadline) {
 		if state, err := processState(p.PID()); err != nil || state == "T" {
-			return errors.Wrapf(err, "freeze %s", p.name)
+			return errors.Wrapf(err, "suspend %s", p.name)
 		}
-		time.Sleep(freezePoll)
+		time.Sleep(suspendPollInterval)
 	}
-	return errors.Newf("freeze %s: it goes on", p.name)
+	return errors.Newf("suspend %s: not stopped within %s", p.name, suspendTimeout)
 }
 
-// Resume lets a frozen process go on (SIGCONT).
+// Resume sends SIGCONT to a suspended process.
 func (p *Process) Resume() error {
-	return errors.Wrapf(p.cmd.Process.Signal(syscall.SIGCONT), "thaw %s", p.name)
+	return errors.Wrapf(p.cmd.Process.Signal(syscall.SIGCONT), "resume %s", p.name)
 }
 
-// processState returns the letter of a process's state, as proc(5) has it.
+// processState returns the one-letter process state from /proc/PID/stat; see
+// proc(5).
 func processState(pid int) (string, error) {
 	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -146,7 +147,7 @@
 	}
 	_, after, ok := strings.Cut(string(stat), ") ")
 	if !ok || after == "" {
-		return "", errors.Newf("state of process %d: %q", pid, stat)
+		return "", errors.Newf("parse state of process %d: %q", pid, stat)
 	}
 	return after[:1], nil
 }
--- a/internal/harness/starter.go
+++ b/internal/harness/starter.go
@@ -7,32 +7,33 @@
 	"syscall"
 )
 
-// start asks the starter to start a command.
-type start struct {
+// startRequest asks the starter thread to start a command.
+type startRequest struct {
 	cmd  *exec.Cmd
 	done chan<- error
 }
 
-// starter returns the channel to the one thread that starts processes.
+// starter returns the request channel of the thread that requests all processes.
 //
-// A test that is killed, or panics, can't stop its processes, and they would
-// go on for ever. The system kills them instead (PDEATHSIG), but at the end
-// of the thread that started them, not of its process. The Go runtime ends
-// threads as it likes, so the starter keeps one for itself for good.
-var starter = sync.OnceValue(func() chan<- start {
-	starts := make(chan start)
+// A test that is killed or panics can't stop its child processes, so the
+// kernel kills them through PDEATHSIG. That signal is sent when the thread that
+// started the child exits, not when its process does. The Go runtime may end
+// threads at any time, so the starter goroutine stays locked to one thread.
+var starter = sync.OnceValue(func() chan<- startRequest {
+	requests := make(chan startRequest)
 	go func() {
 		runtime.LockOSThread()
-		for s := range starts {
+		for s := range requests {
 			s.done <- s.cmd.Start()
 		}
 	}()
-	return starts
+	return requests
 })
 
-func startBound(cmd *exec.Cmd) error {
+// startWithDeathSignal starts a command that is killed when this process dies.
+func startWithDeathSignal(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan error, 1)
-	starter() <- start{cmd, done}
+	starter() <- startRequest{cmd, done}
 	return <-done
 }
