--- a/internal/trial/caller.go
+++ b/internal/trial/caller.go
@@ -14,32 +14,33 @@
 	"foxtailspoke/wire"
 )
 
-// Caller is a customer's program: it asks which addresses to use, keeps the
-// answer as long as it may, and sends its requests there.
+// Caller is a client of the caller API. It locates entry addresses, caches them
+// for their TTL and sends its requests to them.
 type Caller struct {
-	first   string
-	key     string
-	http    *http.Client
-	located *oas.Located
-	until   time.Time
+	bootstrap string
+	key       string
+	http      *http.Client
+	located   *oas.Located
+	expires   time.Time
 }
 
-// Response is what a caller saw.
+// Response is the response to a caller's request.
 type Response struct {
 	Status  int
 	Outcome string
 	Request string
 	Body    []byte
-	// Problem is set if the answer is a refusal.
+	// Problem is set if the response body is application/problem+json.
 	Problem oas.Problem
-	Latency    time.Duration
+	Latency time.Duration
 }
 
 const callerTimeout = 30 * time.Second
 
-// NewCaller returns a caller that knows one address of the system.
-func NewCaller(first, key string) *Caller {
-	return &Caller{first: first, key: key, http: &http.Client{Timeout: callerTimeout}}
+// NewCaller returns a caller that locates entry addresses through the entry
+// instance at bootstrap, "ip:port".
+func NewCaller(bootstrap, key string) *Caller {
+	return &Caller{bootstrap: bootstrap, key: key, http: &http.Client{Timeout: callerTimeout}}
 }
 
 // Key implements oas.SecuritySource.
@@ -47,9 +48,9 @@
 	return oas.Key{Token: c.key}, nil
 }
 
-// Addresses asks which addresses to use, unless the last answer still holds.
+// Addresses returns the located entry addresses, from the cache within their TTL.
 func (c *Caller) Addresses(ctx context.Context) ([]string, error) {
-	if time.Now().Before(c.until) {
+	if time.Now().Before(c.expires) {
 		return c.located.Addresses, nil
 	}
 	located, err := c.locate(ctx, 0)
@@ -57,24 +58,24 @@
 		return nil, err
 	}
 	c.located = located
-	c.until = time.Now().Add(time.Duration(located.TtlSeconds) * time.Second)
+	c.expires = time.Now().Add(time.Duration(located.TtlSeconds) * time.Second)
 	return located.Addresses, nil
 }
 
-// Operation asks for an operation key.
+// Operation requests a new operation key.
 func (c *Caller) Operation(ctx context.Context) (oas.Operation, error) {
 	located, err := c.locate(ctx, 1)
 	if err != nil {
 		return oas.Operation{}, err
 	}
 	if len(located.Operations) == 0 {
-		return oas.Operation{}, errors.New("trial: no operation key")
+		return oas.Operation{}, errors.New("trial: locate returned no operation key")
 	}
 	return located.Operations[0], nil
 }
 
 func (c *Caller) locate(ctx context.Context, operations int) (*oas.Located, error) {
-	client, err := oas.NewClient("http://"+c.first, c, oas.WithClient(c.http))
+	client, err := oas.NewClient("http://"+c.bootstrap, c, oas.WithClient(c.http))
 	if err != nil {
 		return nil, errors.Wrap(err, "trial: locate")
 	}
@@ -82,28 +83,28 @@
 	return located, errors.Wrap(err, "trial: locate")
 }
 
-// Send sends a request to the first of the addresses that accepts it.
+// Send sends a request to the located addresses in order until one responds.
 func (c *Caller) Send(ctx context.Context, method, path, operation string, body []byte) (Response, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
 		return Response{}, err
 	}
-	var failed error
+	var lastErr error
 	for _, address := range addresses {
 		a, err := c.SendTo(ctx, address, method, path, operation, body)
 		if err == nil {
 			return a, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	return Response{}, errors.Wrap(failed, "trial: no address answered")
+	return Response{}, errors.Wrap(lastErr, "trial: no address responded")
 }
 
-// SendTo sends a request to one address.
+// SendTo sends a request to the given address.
 func (c *Caller) SendTo(ctx context.Context, address, method, path, operation string, body []byte) (Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return Response{}, errors.Wrap(err, "trial: request")
+		return Response{}, errors.Wrap(err, "trial: create request")
 	}
 	r.Header.Set("Authorization", "Bearer "+c.key)
 	if operation != "" {
@@ -112,23 +113,23 @@
 	start := time.Now()
 	response, err := c.http.Do(r)
 	if err != nil {
-		return Response{}, errors.Wrap(err, "trial: send")
+		return Response{}, errors.Wrap(err, "trial: send request")
 	}
 	defer func() { _ = response.Body.Close() }()
-	return read(response, start)
+	return readResponse(response, start)
 }
 
-func read(response *http.Response, start time.Time) (Response, error) {
+func readResponse(response *http.Response, start time.Time) (Response, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Response{}, errors.Wrap(err, "trial: answer broke off")
+		return Response{}, errors.Wrap(err, "trial: read response body")
 	}
 	a := Response{
 		Status:  response.StatusCode,
 		Outcome: response.Header.Get(wire.HeaderOutcome),
 		Request: response.Header.Get(wire.HeaderRequest),
 		Body:    body,
-		Latency:    time.Since(start),
+		Latency: time.Since(start),
 	}
 	if response.Header.Get("Content-Type") == "application/problem+json" {
 		_ = json.Unmarshal(body, &a.Problem)
--- a/internal/trial/command/command.go
+++ b/internal/trial/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the trial program.
+// Package command implements the command line of foxtailspoke-trial.
 package command
 
 import (
@@ -15,8 +15,8 @@
 
 // Exit statuses.
 const (
-	exitKept   = 0
-	exitBroken = 1
+	exitOK     = 0
+	exitFailed = 1
 	exitUsage  = 2
 )
 
@@ -26,8 +26,8 @@
 	status         int
 }
 
-// Run runs the program and returns its exit status: 0 if everything went as
-// promised.
+// Run runs the program and returns its exit status: 0 on success, 1 on a failed
+// check or an error, 2 on a usage error.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	p := &program{ctx: ctx, stdout: stdout, stderr: stderr}
 	parser := flags.NewParser(&struct{}{}, flags.HelpFlag|flags.PassDoubleDash)
@@ -45,13 +45,13 @@
 		return p.status
 	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
 		_, _ = fmt.Fprintln(stdout, err)
-		return exitKept
+		return exitOK
 	case errors.As(err, &flagsErr):
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitUsage
 	default:
 		_, _ = fmt.Fprintln(stderr, err)
-		return exitBroken
+		return exitFailed
 	}
 }
 
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	broken, err := trial.Run(c.program.ctx, trial.Options{
+	failures, err := trial.Run(c.program.ctx, trial.Options{
 		Entry:     c.Entry,
 		Platform:  c.Platform,
 		TokenFile: c.Token,
@@ -87,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	if broken > 0 {
-		c.program.status = exitBroken
-		_, _ = fmt.Fprintf(c.program.stdout, "\n%d promises were broken.\n", broken)
+	if failures > 0 {
+		c.program.status = exitFailed
+		_, _ = fmt.Fprintf(c.program.stdout, "\n%d promises were broken.\n", failures)
 		return nil
 	}
 	_, _ = fmt.Fprintln(c.program.stdout, "\nEverything went as promised.")
--- a/internal/trial/command/load.go
+++ b/internal/trial/command/load.go
@@ -26,10 +26,10 @@
 	Workspace string        `long:"workspace" required:"yes" description:"workspace that sends the requests"`
 	Path      string        `long:"path" required:"yes" description:"path of the lookup"`
 	Backends  []string      `long:"backend" required:"yes" description:"a stand-in as service=address,control; may be repeated"`
-	Rates     []int         `long:"rate" default:"100" default:"500" default:"1000" default:"2000" description:"requests a second, each way; may be repeated"`
-	For       time.Duration `long:"for" default:"10s" description:"how long each rate lasts"`
-	EntryPID  int           `long:"entry-pid" description:"process of the entry instance, to read its processor time"`
-	Output    string        `long:"output" default:"text" choice:"text" choice:"json" description:"form of the output"`
+	Rates     []int         `long:"rate" default:"100" default:"500" default:"1000" default:"2000" description:"requests per second, direct and through the entry; may be repeated"`
+	For       time.Duration `long:"for" default:"10s" description:"duration of each rate"`
+	EntryPID  int           `long:"entry-pid" description:"process ID of the entry instance, to read its CPU time"`
+	Output    string        `long:"output" default:"text" choice:"text" choice:"json" description:"output format"`
 }
 
 // Execute implements flags.Commander.
@@ -39,15 +39,15 @@
 		return err
 	}
 	steps, err := trial.Load(c.program.ctx, trial.LoadOptions{
-		Entry:     c.Entry,
-		Platform:  c.Platform,
-		TokenFile: c.Token,
-		Workspace: c.Workspace,
-		Path:      c.Path,
-		Backends:  backends,
-		Rates:     c.Rates,
-		RateDuration:       c.For,
-		EntryPID:  c.EntryPID,
+		Entry:        c.Entry,
+		Platform:     c.Platform,
+		TokenFile:    c.Token,
+		Workspace:    c.Workspace,
+		Path:         c.Path,
+		Backends:     backends,
+		Rates:        c.Rates,
+		RateDuration: c.For,
+		EntryPID:     c.EntryPID,
 	})
 	if err != nil {
 		return err
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -9,39 +9,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Backend is a stand-in backend server with its control address.
+// Backend is a stand-in backend server.
 type Backend struct {
 	Service string
 	Address string
 	Control string
 }
 
-// execution is one line of a stand-in's log of what it ran.
+// execution is one entry of a stand-in's execution log.
 type execution struct {
 	Operation string `json:"operation"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 }
 
-// executions returns what the stand-ins of a service ran.
+// executions returns the execution logs of the stand-ins of a service.
 func executions(ctx context.Context, backends []Backend, service string) ([]execution, error) {
 	var all []execution
 	for _, b := range backends {
 		if b.Service != service {
 			continue
 		}
-		var some struct {
+		var report struct {
 			Executions []execution `json:"executions"`
 		}
-		if err := control(ctx, b, http.MethodGet, "executions", nil, &some); err != nil {
+		if err := control(ctx, b, http.MethodGet, "executions", nil, &report); err != nil {
 			return nil, err
 		}
-		all = append(all, some.Executions...)
+		all = append(all, report.Executions...)
 	}
 	return all, nil
 }
 
-// setFaults switches a stand-in's faults; nil ends them all.
+// setFaults sets a stand-in's injected faults; nil clears all of them.
 func setFaults(ctx context.Context, b Backend, faults map[string]any) error {
 	if faults == nil {
 		return control(ctx, b, http.MethodDelete, "faults", nil, nil)
@@ -49,8 +49,8 @@
 	return control(ctx, b, http.MethodPost, "faults", faults, nil)
 }
 
-// watch lets the stand-ins look for texts in all bytes that they receive.
-func watch(ctx context.Context, backends []Backend, texts []string) error {
+// setSecrets makes the stand-ins search all received bytes for the texts.
+func setSecrets(ctx context.Context, backends []Backend, texts []string) error {
 	for _, b := range backends {
 		if err := control(ctx, b, http.MethodPost, "secrets", texts, nil); err != nil {
 			return err
@@ -59,8 +59,9 @@
 	return nil
 }
 
-// seen returns which of the texts the stand-ins received.
-func seen(ctx context.Context, backends []Backend) (map[string]bool, error) {
+// receivedSecrets returns which of the texts from setSecrets the stand-ins
+// received.
+func receivedSecrets(ctx context.Context, backends []Backend) (map[string]bool, error) {
 	found := map[string]bool{}
 	for _, b := range backends {
 		var report struct {
@@ -76,8 +77,9 @@
 	return found, nil
 }
 
-func control(ctx context.Context, b Backend, method, path string, send, receive any) error {
-	body, err := json.Marshal(send)
+// control sends a request to the control API of a stand-in.
+func control(ctx context.Context, b Backend, method, path string, request, reply any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "trial: control")
 	}
@@ -91,10 +93,10 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return errors.Newf("trial: control %s of %s answered %s", path, b.Control, response.Status)
+		return errors.Newf("trial: control request %s to %s returned %s", path, b.Control, response.Status)
 	}
-	if receive == nil {
+	if reply == nil {
 		return nil
 	}
-	return errors.Wrap(json.NewDecoder(response.Body).Decode(receive), "trial: control")
+	return errors.Wrap(json.NewDecoder(response.Body).Decode(reply), "trial: control")
 }
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -14,7 +14,7 @@
 	"foxtailspoke/storage/client"
 )
 
-// LoadOptions of a measurement of the time that an entry instance adds.
+// LoadOptions configures a measurement of the latency that an entry instance adds.
 type LoadOptions struct {
 	// Entry is the address for callers of the entry instance, "ip:port".
 	Entry string
@@ -22,34 +22,34 @@
 	Platform string
 	// TokenFile holds the operators' token.
 	TokenFile string
-	// Workspace sends the requests; its plan allows the highest rate.
+	// Workspace owns the requests; its plan must allow the highest rate.
 	Workspace string
-	// Path of the lookup, which every one of the backend servers answers.
+	// Path is the path of the lookup, which every backend server must serve.
 	Path     string
 	Backends []Backend
-	// Rates in requests a second, for each of the two ways at once.
+	// Rates are in requests per second, sent at once directly and through the entry.
 	Rates []int
-	// RateDuration is how long each rate lasts.
+	// RateDuration is the duration of each rate.
 	RateDuration time.Duration
-	// EntryPID is the entry's process, to read its processor time; 0 for none.
+	// EntryPID is the entry's process ID, for its CPU time; 0 skips that.
 	EntryPID int
 }
 
-// Bounds of a measurement: it must end, and it stays on this machine.
+// Limits of a measurement. Check also requires loopback addresses.
 const (
-	maxLoadRate = 5000
-	maxLoadFor  = time.Minute
-	warmUpFor   = 15 * time.Second
+	maxLoadRate     = 5000
+	maxRateDuration = time.Minute
+	warmUpDuration  = 15 * time.Second
 )
 
-// Check returns what is wrong with the options.
+// Check validates the options.
 func (o LoadOptions) Check() error {
-	if o.RateDuration <= 0 || o.RateDuration > maxLoadFor {
-		return errors.Newf("trial: a rate lasts up to %s, not %s", maxLoadFor, o.RateDuration)
+	if o.RateDuration <= 0 || o.RateDuration > maxRateDuration {
+		return errors.Newf("trial: duration of a rate must be positive and at most %s, got %s", maxRateDuration, o.RateDuration)
 	}
 	for _, rate := range o.Rates {
 		if rate < 1 || rate > maxLoadRate {
-			return errors.Newf("trial: a rate is from 1 to %d requests a second, not %d", maxLoadRate, rate)
+			return errors.Newf("trial: rate must be from 1 to %d requests per second, got %d", maxLoadRate, rate)
 		}
 	}
 	addresses := []string{o.Entry}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Load sends the same lookup straight to the backend servers and through the
-// entry instance, at each rate, and returns one step a rate.
+// Load sends the same lookup directly to the backend servers and through the
+// entry instance at each rate, and returns one step per rate.
 func Load(ctx context.Context, o LoadOptions) ([]measure.Step, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 		PID:     o.EntryPID,
 	}
 	defer pair.Close()
-	if err := pair.WarmUp(ctx, warmUpFor); err != nil {
+	if err := pair.WarmUp(ctx, warmUpDuration); err != nil {
 		return nil, err
 	}
 	var steps []measure.Step
@@ -99,7 +99,7 @@
 	return steps, nil
 }
 
-// directHeader is what an entry instance would send along.
+// directHeader returns the header fields that an entry instance adds to attempts.
 func directHeader(workspace string) http.Header {
 	return http.Header{
 		"Foxtailspoke-Attempt":    {"direct.1"},
@@ -108,6 +108,7 @@
 	}
 }
 
+// loadKey creates an API key for the workspace and waits until it is in force.
 func loadKey(ctx context.Context, o LoadOptions) (string, error) {
 	platform, err := client.New(o.Platform, client.Settings{Timeout: fleetTimeout})
 	if err != nil {
--- a/internal/trial/run_test.go
+++ b/internal/trial/run_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The real binaries go the whole path, as `make run` does: what it prints is
-// what a newcomer sees, and its status says whether it went as promised.
+// Runs the built programs end to end with the script of `make run` and checks
+// its exit status and output.
 func TestRunGoesAsPromised(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	must.NoError(t, err)
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,6 +1,7 @@
-// Package trial walks through what callers of a running system see: a lookup,
-// an order with repeats, a photo, a flood, a gray backend server and a
-// withdrawn key. It says for each whether it went as promised.
+// Package trial checks a running system end to end from the caller's side: a
+// lookup, an order with repeats, a large upload, a request flood, a backend
+// server with a gray failure and a withdrawn key. It reports the result of each
+// check, and measures the latency that an entry instance adds.
 package trial
 
 import (
@@ -14,7 +15,7 @@
 	"foxtailspoke/storage/client"
 )
 
-// Options of a walk.
+// Options configures Run.
 type Options struct {
 	// Entry is the address for callers of any entry instance, "ip:port".
 	Entry string
@@ -26,15 +27,15 @@
 	Out       io.Writer
 }
 
-// walk is the state of one walk.
-type walk struct {
+// scenario is the state of one run.
+type scenario struct {
 	Options
 	operator *operator.Operator
 	fleet    operator.Fleet
 	// caller belongs to cebu-boatyard, other to bohol-guitars.
 	caller, other *Caller
 	keys          []string
-	broken        int
+	failures      int
 }
 
 const (
@@ -43,7 +44,7 @@
 	fleetTimeout    = 2 * time.Second
 )
 
-// Run walks and returns how many promises were broken.
+// Run runs all steps and returns the number of failed checks.
 func Run(ctx context.Context, o Options) (int, error) {
 	w, err := prepare(ctx, o)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	for _, step := range []struct {
 		title string
-		do    func(context.Context) error
+		run   func(context.Context) error
 	}{
 		{"A lookup", w.lookup},
 		{"An order, repeated under the same idempotency key", w.order},
@@ -61,15 +62,15 @@
 		{"A key is withdrawn while its caller is connected", w.withdraw},
 		{"What backend servers saw of the keys", w.secrets},
 	} {
-		w.say("\n%s", step.title)
-		if err := step.do(ctx); err != nil {
-			return w.broken, err
+		w.printf("\n%s", step.title)
+		if err := step.run(ctx); err != nil {
+			return w.failures, err
 		}
 	}
-	return w.broken, nil
+	return w.failures, nil
 }
 
-func prepare(ctx context.Context, o Options) (*walk, error) {
+func prepare(ctx context.Context, o Options) (*scenario, error) {
 	platform, err := client.New(o.Platform, client.Settings{Timeout: fleetTimeout})
 	if err != nil {
 		return nil, err
@@ -78,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &walk{
+	w := &scenario{
 		Options:  o,
 		operator: operator.New(platform, operator.Settings{Who: "trial"}),
 		fleet:    fleet.New(platform, token, fleetTimeout),
@@ -89,11 +90,12 @@
 	if w.other, err = w.newCaller(ctx, otherWorkspace); err != nil {
 		return nil, err
 	}
-	return w, watch(ctx, w.Backends, append([]string{callerWorkspace}, w.keys...))
+	return w, setSecrets(ctx, w.Backends, append([]string{callerWorkspace}, w.keys...))
 }
 
-// newCaller gives a workspace a key and waits until it works everywhere.
-func (w *walk) newCaller(ctx context.Context, workspace string) (*Caller, error) {
+// newCaller creates an API key for a workspace, waits until it is in force on
+// all entry instances and returns a caller that uses it.
+func (w *scenario) newCaller(ctx context.Context, workspace string) (*Caller, error) {
 	change, err := w.operator.GiveKey(ctx, workspace, "trial "+time.Now().UTC().Format("15:04:05.000"))
 	if err != nil {
 		return nil, err
@@ -106,18 +108,18 @@
 	return NewCaller(w.Entry, key), nil
 }
 
-func (w *walk) say(format string, args ...any) {
+func (w *scenario) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(w.Out, format+"\n", args...)
 }
 
-// promise notes whether something went as promised.
-func (w *walk) promise(kept bool, format string, args ...any) {
-	mark := "as promised:"
-	if !kept {
-		mark = "NOT AS PROMISED:"
-		w.broken++
+// check prints the result of a check and counts it if it failed.
+func (w *scenario) check(ok bool, format string, args ...any) {
+	label := "as promised:"
+	if !ok {
+		label = "NOT AS PROMISED:"
+		w.failures++
 	}
-	w.say("  %s %s", mark, fmt.Sprintf(format, args...))
+	w.printf("  %s %s", label, fmt.Sprintf(format, args...))
 }
 
 func keySelector(key string) operator.KeySelector { return operator.KeySelector{Key: key} }
