--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -130,7 +130,7 @@
 		}
 		time.Sleep(suspendPollInterval)
 	}
-	return errors.Newf("suspend %s: not stopped within %s", p.name, suspendTimeout)
+	return errors.Newf("suspend %s: process did not stop", p.name)
 }
 
 // Resume sends SIGCONT to a suspended process.
