--- a/internal/proofs/checks_test.go
+++ b/internal/proofs/checks_test.go
@@ -10,8 +10,9 @@
 	"foxtailspoke/internal/standin"
 )
 
-// Each check of a history finds the fault that it is for, and only that one.
-// Otherwise the long runs would pass whatever happened.
+// Each history check must report its own kind of fault and nothing else. A check
+// that reports nothing would let the fault-injection tests pass regardless of
+// the history.
 func TestChecksFindFaults(t *testing.T) {
 	start := time.Unix(1000, 0)
 	get := send{workspace: "w", key: "k", service: "s", method: "GET", path: "/1", status: 200, outcome: "served", answer: []byte("s GET /1 workspace=w\n"), written: 1}
@@ -23,7 +24,7 @@
 	notRun := func(s *send) { s.outcome, s.status, s.answer = "not-run", 429, nil }
 
 	history := []execution{ran("GET", "/1", 0), ran("POST", "/2", 0)}
-	must.SliceEmpty(t, ranTwice(append(history, ran("GET", "/1", 0))), must.Sprint("a lookup may run twice"))
+	must.SliceEmpty(t, ranTwice(append(history, ran("GET", "/1", 0))), must.Sprint("an idempotent request may run twice"))
 	must.Len(t, 1, ranTwice(append(history, ran("POST", "/2", 0))))
 
 	for _, c := range []struct {
@@ -32,28 +33,28 @@
 		ran   []execution
 		found int
 	}{
-		{"as promised", get, history, 0},
-		{"not run, and ran", with(get, notRun), history, 1},
-		{"not run, and didn't", with(get, notRun), history[1:], 0},
-		{"the caller's library sent it twice", with(with(get, notRun), func(s *send) { s.written = 2 }), history, 0},
-		{"served, and never ran", get, history[1:], 1},
-		{"ran before, and never ran", with(post, func(s *send) { s.outcome = "ran-before" }), history[:1], 1},
-		{"unknown, and ran", post, history, 0},
-		{"half", with(get, func(s *send) { s.answer = s.answer[:len(s.answer)-1] }), history, 1},
-		{"half of a large one", with(get, func(s *send) { s.size = 100 }), history, 1},
-		{"another's", with(get, func(s *send) { s.answer = []byte("s GET /3 workspace=w\n") }), history, 1},
-		{"another workspace's", with(get, func(s *send) { s.answer = []byte("s GET /1 workspace=v\n") }), history, 1},
+		{"served and executed once", get, history, 0},
+		{"answered not-run but executed", with(get, notRun), history, 1},
+		{"answered not-run and not executed", with(get, notRun), history[1:], 0},
+		{"resent by the HTTP client library", with(with(get, notRun), func(s *send) { s.written = 2 }), history, 0},
+		{"answered served but not executed", get, history[1:], 1},
+		{"answered ran-before but not executed", with(post, func(s *send) { s.outcome = "ran-before" }), history[:1], 1},
+		{"answered unknown and executed", post, history, 0},
+		{"truncated answer", with(get, func(s *send) { s.answer = s.answer[:len(s.answer)-1] }), history, 1},
+		{"answer shorter than the requested size", with(get, func(s *send) { s.size = 100 }), history, 1},
+		{"answer to another request", with(get, func(s *send) { s.answer = []byte("s GET /3 workspace=w\n") }), history, 1},
+		{"answer for another workspace", with(get, func(s *send) { s.answer = []byte("s GET /1 workspace=v\n") }), history, 1},
 	} {
 		must.Len(t, c.found, falseAnswers([]send{c.send}, c.ran), must.Sprint(c.name))
 	}
-	must.SliceEmpty(t, falseAnswers([]send{post, with(post, notRun)}, history), must.Sprint("another send of it may have run"))
+	must.SliceEmpty(t, falseAnswers([]send{post, with(post, notRun)}, history), must.Sprint("another send of the same operation may have run"))
 
 	allowed := map[bucket]config.Limit{{"w", "s"}: {Rate: 10, Burst: 2}}
 	atRate := []execution{ran("GET", "/1", 0), ran("GET", "/2", 0), ran("GET", "/3", 100*time.Millisecond), ran("GET", "/4", 200*time.Millisecond)}
 	must.SliceEmpty(t, overLimit(atRate, allowed, 0))
-	must.SliceEmpty(t, overLimit(append(atRate, ran("GET", "/4", 200*time.Millisecond)), allowed, 0), must.Sprint("a second attempt"))
+	must.SliceEmpty(t, overLimit(append(atRate, ran("GET", "/4", 200*time.Millisecond)), allowed, 0), must.Sprint("a second attempt of a request is not counted"))
 	must.Len(t, 1, overLimit(append(atRate, ran("GET", "/5", 250*time.Millisecond)), allowed, 0))
-	must.Len(t, 1, overLimit(atRate, nil, 0), must.Sprint("a workspace without a limit"))
+	must.Len(t, 1, overLimit(atRate, nil, 0), must.Sprint("a workspace without a configured limit"))
 
 	late := []execution{ran("GET", "/1", 3001*time.Millisecond), ran("POST", "/2", time.Hour)}
 	must.Len(t, 1, afterWithdrawal([]send{get, post}, late, "k", start, 3*time.Second))
--- a/internal/proofs/doc.go
+++ b/internal/proofs/doc.go
@@ -1,5 +1,5 @@
-// Package proofs holds the tests of what must always hold in the real
-// processes: entry instances are killed, frozen, cut off and replaced under
-// load by a fixed schedule, and the recorded history is checked afterwards.
-// Nothing here is part of the product.
+// Package proofs contains end-to-end tests of the safety guarantees. Real entry
+// processes are killed, paused, partitioned and replaced under load on a fixed
+// schedule, and the recorded history is checked afterwards. It is test code
+// only.
 package proofs
--- a/internal/proofs/start_test.go
+++ b/internal/proofs/start_test.go
@@ -12,11 +12,11 @@
 	"foxtailspoke/internal/trial"
 )
 
-// The platform is away when an instance starts. The list of instances is
-// there too, so the new one knows nobody, has no configuration and no proof
-// of its age. It must refuse everything as not run until the platform is
-// back, and then serve; the instances that were there go on meanwhile. Another
-// one that was given the address of one of them serves at once.
+// An instance that starts during a platform outage cannot read the instance
+// list, so it has no peers, no configuration and no evidence of the
+// configuration's age. It must refuse every request as not run until the
+// platform returns, and then serve. Running instances must keep serving, and a
+// new instance that has a seed address must serve during the outage.
 func TestStartWhilePlatformIsAway(t *testing.T) {
 	const away = 8 * time.Second
 	w := newWorld(t, worldOptions{endAfter: time.Minute, locateTTL: time.Second})
@@ -41,25 +41,25 @@
 	refused := 0
 	for start := time.Now(); time.Since(start) < away; time.Sleep(100 * time.Millisecond) {
 		s := c.send(late.callers, c.request("catalogue", http.MethodGet))
-		must.Eq(t, "not-run cut-off", s.outcome+" "+s.rule, must.Sprint("not: the key is unknown"))
-		must.False(t, accepts(late.callers, key), must.Sprint("it names addresses"))
+		must.Eq(t, "not-run cut-off", s.outcome+" "+s.rule, must.Sprint("a new instance without configuration must refuse as cut-off, not as an unknown key"))
+		must.False(t, accepts(late.callers, key), must.Sprint("locate succeeded on an instance without configuration"))
 		refused++
 		must.Eq(t, "served", c.send(old.callers, c.request("catalogue", http.MethodGet)).outcome)
 	}
 	seeded := w.startEntry("luzon-3", old.toPeers.Address())
 	started := time.Now()
 	for c.send(seeded.callers, c.request("catalogue", http.MethodGet)).outcome != "served" {
-		must.Less(t, patience, time.Since(started), must.Sprint("it never serves, though it has a seed"))
+		must.Less(t, patience, time.Since(started), must.Sprint("instance with a seed address did not serve during the outage"))
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("with a seed: served %s after its start, the platform still away", time.Since(started).Round(10*time.Millisecond))
+	t.Logf("instance with a seed address served %s after its start, during the outage", time.Since(started).Round(10*time.Millisecond))
 	must.NoError(t, w.platform.SetFaults(standin.PlatformFaults{}))
 	back := time.Now()
 	for c.send(late.callers, c.request("catalogue", http.MethodGet)).outcome != "served" {
-		must.Less(t, patience, time.Since(back), must.Sprint("it never serves"))
+		must.Less(t, patience, time.Since(back), must.Sprint("instance did not serve after the platform returned"))
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("%d refusals in %s; served %s after the platform was back", refused, away, time.Since(back).Round(10*time.Millisecond))
+	t.Logf("%d refusals in %s; served %s after the platform returned", refused, away, time.Since(back).Round(10*time.Millisecond))
 	sends := l.end()
 	must.Eq(t, nil, falseAnswers(sends, executions(w.backends)))
 }
--- a/internal/proofs/stop_test.go
+++ b/internal/proofs/stop_test.go
@@ -11,20 +11,20 @@
 	"foxtailspoke/internal/standin"
 )
 
-// searchTime is how long the slowest work takes: longer than a stop takes
-// until the listener closes, so that requests are under way then.
+// searchTime is the latency of the slowest requests. It exceeds the time from
+// the start of a stop until the listener closes, so that requests are in flight
+// at that point.
 const searchTime = 7 * time.Second
 
-// stopTimeout bounds one planned stop: the callers' answers run out, the
-// parts and the seat move, the last request ends.
+// stopTimeout bounds one planned stop: locate answers expire, the quota parts
+// and the seat are handed over, and the last request completes.
 const stopTimeout = 20 * time.Second
 
-// All three instances are replaced, one after the other, while callers look
-// up, order and upload within their rate. The callers only follow what locate
-// tells them and never try a second address. A stop that closed the listener
-// before those answers ran out would refuse connections; one that didn't wait
-// for its requests would cut them; one that left its parts behind would
-// refuse for the rate.
+// A rolling replacement of all three instances must neither cut nor refuse
+// requests that are within the rate limit. Callers use only the addresses from
+// locate and do not retry at another one. Closing the listener before locate
+// answers expire refuses connections, not waiting for requests in flight cuts
+// them, and not handing over quota parts causes refusals for the rate.
 func TestPlannedStopsCutNothing(t *testing.T) {
 	w := newWorld(t, worldOptions{endAfter: 10 * time.Second, locateTTL: time.Second})
 	defer w.logs()
@@ -53,17 +53,17 @@
 	for i, old := range w.running() {
 		w.startEntry(fmt.Sprintf("luzon-%d", i+1))
 		start := time.Now()
-		must.Zero(t, old.process.Stop(stopTimeout), must.Sprintf("%s had to be killed: %s", old.name, old.process.Log()))
+		must.Zero(t, old.process.Stop(stopTimeout), must.Sprintf("%s did not stop within the timeout and was killed: %s", old.name, old.process.Log()))
 		t.Logf("%s stopped from %.2fs to %.2fs", old.name, start.Sub(begin).Seconds(), time.Since(begin).Seconds())
 	}
 	time.Sleep(2 * time.Second)
 	sends := l.end()
 
-	t.Logf("%d sends; how they ended:\n%s", len(sends), tally(sends))
+	t.Logf("%d requests by outcome:\n%s", len(sends), tally(sends))
 	t.Logf("refusals:\n%s", timeline(begin, sends))
 	must.Greater(t, 300, len(sends))
 	if faults := cutOrRefused(sends); len(faults) > 0 {
-		t.Errorf("cut or refused: %d\n%s", len(faults), strings.Join(faults[:min(len(faults), 20)], "\n"))
+		t.Errorf("requests cut or refused: %d\n%s", len(faults), strings.Join(faults[:min(len(faults), 20)], "\n"))
 	}
 	ran := executions(w.backends)
 	must.Eq(t, nil, ranTwice(ran))
