--- a/internal/proofs/world_test.go
+++ b/internal/proofs/cluster_test.go
@@ -26,7 +26,7 @@
 
 const (
 	// patience bounds every wait for something that is to happen soon.
-	patience = 20 * time.Second
+	waitTimeout = 20 * time.Second
 	// platformTimeout bounds the test's own calls to the platform.
 	platformTimeout = 2 * time.Second
 	operatorToken   = "a token of the operators"
@@ -40,7 +40,7 @@
 
 // world is a platform, backend servers and entry instances. The entries are
 // real processes; the rest runs here, so that its logs are at hand.
-type world struct {
+type testCluster struct {
 	t        *testing.T
 	dir      string
 	ttl      time.Duration
@@ -54,7 +54,7 @@
 	entries []*instance
 	started int
 	// number makes the paths of all requests different.
-	number atomic.Int64
+	requestNumber atomic.Int64
 }
 
 // instance is one entry process with the links before it.
@@ -77,7 +77,7 @@
 	started time.Time
 }
 
-type worldOptions struct {
+type testClusterOptions struct {
 	// endAfter is how long an instance is silent before the platform takes
 	// it for ended.
 	endAfter time.Duration
@@ -85,40 +85,40 @@
 	locateTTL time.Duration
 }
 
-func newWorld(t *testing.T, o worldOptions) *world {
+func newTestCluster(t *testing.T, o testClusterOptions) *testCluster {
 	t.Helper()
-	w := &world{t: t, dir: t.TempDir(), ttl: o.locateTTL}
-	w.write("secret", "a secret of all instances")
-	w.write("token", operatorToken)
+	tc := &testCluster{t: t, dir: t.TempDir(), ttl: o.locateTTL}
+	tc.write("secret", "a secret of all instances")
+	tc.write("token", operatorToken)
 	var err error
-	w.platform, err = standin.StartPlatform(standin.PlatformOptions{EndAfter: o.endAfter})
+	tc.platform, err = standin.StartPlatform(standin.PlatformOptions{EndAfter: o.endAfter})
 	must.NoError(t, err)
-	t.Cleanup(w.platform.Close)
-	w.client, err = client.New(w.platform.URL(), client.Settings{Timeout: platformTimeout})
+	t.Cleanup(tc.platform.Close)
+	tc.client, err = client.New(tc.platform.URL(), client.Settings{Timeout: platformTimeout})
 	must.NoError(t, err)
-	t.Cleanup(w.client.Close)
-	w.operator = operator.New(w.client, operator.Settings{Who: "proofs"})
-	w.fleet = fleet.New(w.client, operatorToken, time.Second)
-	return w
+	t.Cleanup(tc.client.Close)
+	tc.operator = operator.New(tc.client, operator.Settings{Who: "proofs"})
+	tc.fleet = fleet.New(tc.client, operatorToken, time.Second)
+	return tc
 }
 
-func (w *world) write(name, text string) string {
-	path := filepath.Join(w.dir, name)
-	must.NoError(w.t, os.WriteFile(path, []byte(text), 0o600))
+func (tc *testCluster) write(name, text string) string {
+	path := filepath.Join(tc.dir, name)
+	must.NoError(tc.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
 // startBackend starts a backend server of a service.
-func (w *world) startBackend(service, dataCentre string, o standin.BackendOptions) *backend {
+func (tc *testCluster) startBackend(service, dataCentre string, o standin.BackendOptions) *backend {
 	o.Service, o.DataCentre, o.Region = service, dataCentre, "luzon"
-	o.Instances = w.client
+	o.Instances = tc.client
 	o.AnnounceEvery = time.Second
 	b := &backend{service: service, started: time.Now()}
 	var err error
 	b.Backend, err = standin.StartBackend(o)
-	must.NoError(w.t, err)
-	w.t.Cleanup(b.Close)
-	w.backends = append(w.backends, b)
+	must.NoError(tc.t, err)
+	tc.t.Cleanup(b.Close)
+	tc.backends = append(tc.backends, b)
 	return b
 }
 
@@ -134,16 +134,16 @@
 }
 
 // startEntry starts an entry instance; seeds are peer addresses of others.
-func (w *world) startEntry(dataCentre string, seeds ...string) *instance {
-	w.mu.Lock()
-	w.started++
-	name := fmt.Sprintf("entry%d", w.started)
-	w.mu.Unlock()
-	peers := freeAddress(w.t)
+func (tc *testCluster) startEntry(dataCentre string, seeds ...string) *instance {
+	tc.mu.Lock()
+	tc.started++
+	name := fmt.Sprintf("entry%d", tc.started)
+	tc.mu.Unlock()
+	peers := freeAddress(tc.t)
 	e := &instance{name: name, dataCentre: dataCentre}
-	e.toPeers = w.link(name+" peers", peers)
-	e.toPlatform = w.link(name+" platform", w.platform.Address())
-	settings := w.write(name+".json", fmt.Sprintf(`{
+	e.toPeers = tc.link(name+" peers", peers)
+	e.toPlatform = tc.link(name+" platform", tc.platform.Address())
+	settings := tc.write(name+".json", fmt.Sprintf(`{
 		"dataCentre": %q, "region": "luzon",
 		"callers": { "listen": "127.0.0.1:0" },
 		"peers": { "listen": %q, "advertise": %q, "secretFile": %q, "seeds": %s },
@@ -151,84 +151,84 @@
 		"platform": { "url": %q, "announceEvery": "1s", "recordsEvery": "5s" },
 		"fleet": { "locateTTL": %q },
 		"stop": { "patience": "10s" },
-	}`, dataCentre, peers, e.toPeers.Address(), filepath.Join(w.dir, "secret"), list(seeds),
-		filepath.Join(w.dir, "token"), "http://"+e.toPlatform.Address(), w.ttl))
+	}`, dataCentre, peers, e.toPeers.Address(), filepath.Join(tc.dir, "secret"), list(seeds),
+		filepath.Join(tc.dir, "token"), "http://"+e.toPlatform.Address(), tc.ttl))
 	program, err := harness.Program("foxtailspoke-entry")
-	must.NoError(w.t, err)
+	must.NoError(tc.t, err)
 	e.process, err = harness.Start(harness.Spec{Path: program, Args: []string{"--settings", settings}})
-	must.NoError(w.t, err)
-	w.t.Cleanup(e.process.Kill)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	must.NoError(tc.t, err)
+	tc.t.Cleanup(e.process.Kill)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	e.callers, err = e.process.Address(ctx, "callers")
-	must.NoError(w.t, err)
+	must.NoError(tc.t, err)
 	e.operators, err = e.process.Address(ctx, "operators")
-	must.NoError(w.t, err)
-	w.mu.Lock()
-	w.entries = append(w.entries, e)
-	w.mu.Unlock()
+	must.NoError(tc.t, err)
+	tc.mu.Lock()
+	tc.entries = append(tc.entries, e)
+	tc.mu.Unlock()
 	return e
 }
 
-func (w *world) link(name, to string) *standin.Link {
+func (tc *testCluster) link(name, to string) *standin.Link {
 	l, err := standin.StartLink(standin.LinkOptions{Name: name, To: to}, nil)
-	must.NoError(w.t, err)
-	w.t.Cleanup(l.Close)
+	must.NoError(tc.t, err)
+	tc.t.Cleanup(l.Close)
 	return l
 }
 
 // callerAddresses of all instances ever started.
-func (w *world) callerAddresses() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tc *testCluster) callerAddresses() []string {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	var all []string
-	for _, e := range w.entries {
+	for _, e := range tc.entries {
 		all = append(all, e.callers)
 	}
 	return all
 }
 
 // apply makes the lists the accepted ones.
-func (w *world) apply(l lists.Lists) operator.Applied {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (tc *testCluster) apply(l lists.Lists) operator.Applied {
+	tc.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	p, err := w.operator.Propose(ctx, l)
-	must.NoError(w.t, err)
-	a, err := w.operator.Commit(ctx, p)
-	must.NoError(w.t, err)
-	must.Eq(w.t, operator.Accepted, a.Outcome)
+	p, err := tc.operator.Propose(ctx, l)
+	must.NoError(tc.t, err)
+	a, err := tc.operator.Commit(ctx, p)
+	must.NoError(tc.t, err)
+	must.Eq(tc.t, operator.Accepted, a.Outcome)
 	return a
 }
 
 // giveKey gives a workspace a key and waits until it works everywhere.
-func (w *world) giveKey(workspace, label string) string {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (tc *testCluster) giveKey(workspace, label string) string {
+	tc.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	k, err := w.operator.GiveKey(ctx, workspace, label)
-	must.NoError(w.t, err)
-	force, err := w.operator.WaitInForce(ctx, w.fleet, k.Revision)
-	must.NoError(w.t, err)
-	must.True(w.t, force.InForce, must.Sprintf("the key isn't in force: missing %v", force.Missing))
+	k, err := tc.operator.GiveKey(ctx, workspace, label)
+	must.NoError(tc.t, err)
+	inForce, err := tc.operator.WaitInForce(ctx, tc.fleet, k.Revision)
+	must.NoError(tc.t, err)
+	must.True(tc.t, inForce.InForce, must.Sprintf("the key isn't in force: missing %v", inForce.Missing))
 	return k.Secret.Reveal()
 }
 
 // running returns the instances as they were started so far.
-func (w *world) running() []*instance {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.entries)
+func (tc *testCluster) running() []*instance {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	return slices.Clone(tc.entries)
 }
 
 // logs shows the end of what every instance logged, for failures.
-func (w *world) logs() {
-	if !w.t.Failed() {
+func (tc *testCluster) dumpLogsOnFailure() {
+	if !tc.t.Failed() {
 		return
 	}
-	for _, e := range w.entries {
+	for _, e := range tc.entries {
 		text := e.process.Log()
-		w.t.Logf("%s in %s:\n%s", e.name, e.dataCentre, text[max(0, len(text)-2000):])
+		tc.t.Logf("%s in %s:\n%s", e.name, e.dataCentre, text[max(0, len(text)-2000):])
 	}
 }
 
--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -57,17 +57,17 @@
 
 // faultRun is the state of one run.
 type faultRun struct {
-	*world
-	load      *load
-	begin     time.Time
-	keys      []string
-	leaver    string
-	withdrawn time.Time
-	revisions revisions
-	drained   *backend
+	*testCluster
+	load         *load
+	begin        time.Time
+	keys         []string
+	withdrawnKey string
+	withdrawn    time.Time
+	revisions    revisions
+	drained      *backend
 	// atDrain are the requests that the drained server had got when the
 	// grace was over.
-	atDrain int
+	requestsAtDrain int
 }
 
 // Callers of two workspaces look up, order, upload and flood while entry
@@ -88,28 +88,28 @@
 
 func runFaults(t *testing.T, seed uint64) {
 	r := prepareFaults(t)
-	defer r.logs()
+	defer r.dumpLogsOnFailure()
 	r.startLoad(seed)
 	watching, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		r.watchRevisions(watching)
+		r.pollRevisions(watching)
 	}()
 	r.begin = time.Now()
 	for _, step := range r.schedule() {
 		time.Sleep(time.Until(r.begin.Add(step.at)))
 		step.do()
 	}
-	sends := r.load.end()
+	requests := r.load.end()
 	stopWatching()
 	<-watched
-	r.check(sends)
+	r.check(requests)
 }
 
 func prepareFaults(t *testing.T) *faultRun {
-	r := &faultRun{world: newWorld(t, worldOptions{endAfter: 10 * time.Second, locateTTL: 2 * time.Second})}
+	r := &faultRun{testCluster: newTestCluster(t, testClusterOptions{endAfter: 10 * time.Second, locateTTL: 2 * time.Second})}
 	for i := range 6 {
 		r.startEntry(fmt.Sprintf("luzon-%d", i%3+1))
 	}
@@ -120,7 +120,7 @@
 	for _, workspace := range []string{"cebu-boatyard", "bohol-guitars", "cebu-boatyard"} {
 		r.keys = append(r.keys, r.giveKey(workspace, fmt.Sprintf("key %d", len(r.keys))))
 	}
-	r.leaver = r.keys[2]
+	r.withdrawnKey = r.keys[2]
 	for _, b := range r.backends {
 		b.WatchSecrets(append([]string{"cebu-boatyard"}, r.keys...)...)
 	}
@@ -128,23 +128,23 @@
 }
 
 func (r *faultRun) startLoad(seed uint64) {
-	r.load = newLoad(r.world)
+	r.load = newLoad(r.testCluster)
 	cebu, bohol := r.keys[0], r.keys[1]
 	for n := range uint64(4) {
-		r.load.every(80*time.Millisecond, "cebu-boatyard", cebu, seed+n, lookup)
-		r.load.every(20*time.Millisecond, "bohol-guitars", bohol, seed+10+n, lookup)
+		r.load.startCaller(80*time.Millisecond, "cebu-boatyard", cebu, seed+n, lookup)
+		r.load.startCaller(20*time.Millisecond, "bohol-guitars", bohol, seed+10+n, lookup)
 	}
-	r.load.every(500*time.Millisecond, "cebu-boatyard", cebu, seed+20, advisedOrder)
-	r.load.every(500*time.Millisecond, "cebu-boatyard", cebu, seed+21, ownOrder)
-	r.load.every(700*time.Millisecond, "cebu-boatyard", cebu, seed+22, bareOrder)
-	r.load.every(200*time.Millisecond, "bohol-guitars", bohol, seed+23, bareOrder)
-	r.load.every(300*time.Millisecond, "bohol-guitars", bohol, seed+27, ownOrder)
-	r.load.every(300*time.Millisecond, "bohol-guitars", bohol, seed+28, advisedOrder)
-	r.load.every(600*time.Millisecond, "cebu-boatyard", cebu, seed+24, upload)
-	r.load.every(50*time.Millisecond, "cebu-boatyard", r.leaver, seed+25, lookup)
-	r.load.every(time.Second, "cebu-boatyard", r.leaver, seed+26, ownOrder)
+	r.load.startCaller(500*time.Millisecond, "cebu-boatyard", cebu, seed+20, orderWithIssuedKey)
+	r.load.startCaller(500*time.Millisecond, "cebu-boatyard", cebu, seed+21, orderWithCallerKey)
+	r.load.startCaller(700*time.Millisecond, "cebu-boatyard", cebu, seed+22, orderWithoutKey)
+	r.load.startCaller(200*time.Millisecond, "bohol-guitars", bohol, seed+23, orderWithoutKey)
+	r.load.startCaller(300*time.Millisecond, "bohol-guitars", bohol, seed+27, orderWithCallerKey)
+	r.load.startCaller(300*time.Millisecond, "bohol-guitars", bohol, seed+28, orderWithIssuedKey)
+	r.load.startCaller(600*time.Millisecond, "cebu-boatyard", cebu, seed+24, upload)
+	r.load.startCaller(50*time.Millisecond, "cebu-boatyard", r.withdrawnKey, seed+25, lookup)
+	r.load.startCaller(time.Second, "cebu-boatyard", r.withdrawnKey, seed+26, orderWithCallerKey)
 	for n, e := range r.running() {
-		r.load.every(250*time.Millisecond, "cebu-boatyard", r.leaver, seed+30+uint64(n), lookupAt(e.callers))
+		r.load.startCaller(250*time.Millisecond, "cebu-boatyard", r.withdrawnKey, seed+30+uint64(n), lookupAt(e.callers))
 	}
 }
 
@@ -160,54 +160,61 @@
 func (r *faultRun) schedule() []step {
 	second := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	catalogue, hanging, leaving := r.backends[0], r.backends[4], r.backends[2]
-	killed, frozen, deaf, mute, apart := r.entries[0], r.entries[1], r.entries[2], r.entries[3], r.entries[4]
+	killed, frozen, inboundCut, repliesCut, platformCut := r.entries[0], r.entries[1], r.entries[2], r.entries[3], r.entries[4]
 	return []step{
 		{second(2), func() {
-			r.gray(catalogue, standin.BackendFaults{HalfRatio: 0.2, CrossedRatio: 0.1, LateRatio: 0.1, LateBy: config.Duration(3 * time.Second), NoEchoRatio: 0.1, DuplicateRatio: 0.1, StallRatio: 0.1, Health: "ok"})
+			r.setBackendFaults(catalogue, standin.BackendFaults{HalfRatio: 0.2, CrossedRatio: 0.1, LateRatio: 0.1, LateBy: config.Duration(3 * time.Second), NoEchoRatio: 0.1, DuplicateRatio: 0.1, StallRatio: 0.1, Health: "ok"})
+		}},
+		{second(2.5), func() {
+			r.setBackendFaults(hanging, standin.BackendFaults{HangRatio: 0.5, HalfRatio: 0.2, Health: "ok"})
 		}},
-		{second(2.5), func() { r.gray(hanging, standin.BackendFaults{HangRatio: 0.5, HalfRatio: 0.2, Health: "ok"}) }},
 		{second(4), func() { killed.process.Kill() }},
 		{second(4.5), func() { r.startEntry("luzon-1") }},
 		{second(6), func() { r.loseAnswers(8) }},
 		{second(8), func() { must.NoError(r.t, frozen.process.Freeze()) }},
 		{second(9), r.withdraw},
 		{second(13), func() { must.NoError(r.t, frozen.process.Thaw()) }},
-		{second(14), func() { r.cut(deaf.toPeers, standin.LinkState{Forward: standin.Cut}) }},
-		{second(17), func() { r.cut(deaf.toPeers, standin.LinkState{}) }},
-		{second(17), func() { r.cut(mute.toPeers, standin.LinkState{Backward: standin.Cut}) }},
-		{second(17.5), func() { r.cut(apart.toPlatform, standin.LinkState{Forward: standin.Cut}) }},
-		{second(20), func() { r.cut(mute.toPeers, standin.LinkState{}) }},
-		{second(21), func() { r.cut(apart.toPlatform, standin.LinkState{Backward: standin.Cut}) }},
-		{second(23), func() { r.cut(apart.toPlatform, standin.LinkState{}) }},
-		{second(23), func() { r.away(standin.DownClosed) }},
-		{second(25), func() { r.away(standin.DownSilent) }},
-		{second(28), func() { r.away(standin.Up) }},
+		{second(14), func() { r.setLink(inboundCut.toPeers, standin.LinkState{Forward: standin.Cut}) }},
+		{second(17), func() { r.setLink(inboundCut.toPeers, standin.LinkState{}) }},
+		{second(17), func() { r.setLink(repliesCut.toPeers, standin.LinkState{Backward: standin.Cut}) }},
+		{second(17.5), func() { r.setLink(platformCut.toPlatform, standin.LinkState{Forward: standin.Cut}) }},
+		{second(20), func() { r.setLink(repliesCut.toPeers, standin.LinkState{}) }},
+		{second(21), func() { r.setLink(platformCut.toPlatform, standin.LinkState{Backward: standin.Cut}) }},
+		{second(23), func() { r.setLink(platformCut.toPlatform, standin.LinkState{}) }},
+		{second(23), func() { r.setPlatformDown(standin.DownClosed) }},
+		{second(25), func() { r.setPlatformDown(standin.DownSilent) }},
+		{second(28), func() { r.setPlatformDown(standin.Up) }},
 		{second(29), func() { r.loseAnswers(4) }},
-		{second(29), func() { r.gray(catalogue, standin.BackendFaults{}); r.gray(hanging, standin.BackendFaults{}) }},
+		{second(29), func() {
+			r.setBackendFaults(catalogue, standin.BackendFaults{})
+			r.setBackendFaults(hanging, standin.BackendFaults{})
+		}},
 		{second(30), func() { leaving.Drain(); r.drained = leaving }},
-		{second(30) + drainGrace, func() { r.atDrain = workRequests(leaving) }},
+		{second(30) + drainGrace, func() { r.requestsAtDrain = workRequests(leaving) }},
 		{second(36), func() {}},
 	}
 }
 
-func (r *faultRun) gray(b *backend, f standin.BackendFaults) { must.NoError(r.t, b.SetFaults(f)) }
+func (r *faultRun) setBackendFaults(b *backend, f standin.BackendFaults) {
+	must.NoError(r.t, b.SetFaults(f))
+}
 
-func (r *faultRun) cut(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.Set(s)) }
+func (r *faultRun) setLink(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.Set(s)) }
 
 func (r *faultRun) loseAnswers(n int) {
 	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = n }))
 }
 
-func (r *faultRun) away(mode standin.DownMode) {
+func (r *faultRun) setPlatformDown(mode standin.DownMode) {
 	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) {
 		f.Table.Down, f.Objects.Down, f.Instances.Down = mode, mode, mode
 	}))
 }
 
 func (r *faultRun) withdraw() {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	k, err := r.operator.WithdrawKey(ctx, operator.KeySelector{Key: r.leaver})
+	k, err := r.operator.WithdrawKey(ctx, operator.KeySelector{Key: r.withdrawnKey})
 	must.NoError(r.t, err)
 	must.Eq(r.t, operator.Accepted, k.Outcome)
 	r.withdrawn = time.Now()
@@ -225,7 +232,7 @@
 	return n
 }
 
-func (r *faultRun) watchRevisions(ctx context.Context) {
+func (r *faultRun) pollRevisions(ctx context.Context) {
 	for ctx.Err() == nil {
 		entries, err := r.fleet.Entries(ctx)
 		if err != nil {
@@ -242,17 +249,17 @@
 	}
 }
 
-func (r *faultRun) check(sends []send) {
+func (r *faultRun) check(requests []sentRequest) {
 	t := r.t
 	ran := executions(r.backends)
-	t.Logf("%d sends, %d executions; how they ended:\n%s", len(sends), len(ran), tally(sends))
-	for b, worst := range excess(ran, limits) {
+	t.Logf("%d sends, %d executions; how they ended:\n%s", len(requests), len(ran), countByOutcome(requests))
+	for b, worst := range maxOverdraft(ran, limits) {
 		t.Logf("%s at %s: at worst %+.1f requests against rate and burst", b.workspace, b.service, worst)
 	}
-	inside, refused := refusedInside(sends, "cebu-boatyard")
+	inside, refused := rateRefusals(requests, "cebu-boatyard")
 	t.Logf("of cebu-boatyard's %d requests, all inside its rate, %d were refused for the rate:\n%s", inside, len(refused), timeline(r.begin, refused))
 	served := map[string]int{}
-	for _, s := range sends {
+	for _, s := range requests {
 		if s.outcome == "served" {
 			served[s.service]++
 		}
@@ -264,20 +271,20 @@
 	counts := r.platform.Counts()
 	must.Positive(t, counts.LostAnswers)
 
-	none := func(what string, faults []string) {
+	reportFaults := func(what string, faults []string) {
 		t.Helper()
 		if len(faults) > 0 {
 			t.Errorf("%s: %d\n%s", what, len(faults), strings.Join(faults[:min(len(faults), 10)], "\n"))
 		}
 	}
-	none("ran twice", ranTwice(ran))
-	none("false answers", falseAnswers(sends, ran))
-	none("over rate and burst", overLimit(ran, limits, admissionJitter))
-	none("ran for a withdrawn key", afterWithdrawal(sends, ran, r.leaver, r.withdrawn, withdrawnGrace))
-	none("configuration went back", r.revisions.faults)
+	reportFaults("ran twice", repeatedExecutions(ran))
+	reportFaults("false answers", incorrectAnswers(requests, ran))
+	reportFaults("over rate and burst", limitViolations(ran, limits, admissionJitter))
+	reportFaults("ran for a withdrawn key", executionsAfterWithdrawal(requests, ran, r.withdrawnKey, r.withdrawn, withdrawnGrace))
+	reportFaults("configuration went back", r.revisions.faults)
 	r.checkSecrets()
 	must.Less(t, 2000, workRequests(r.drained), must.Sprint("the server's log is full"))
-	must.Eq(t, r.atDrain, workRequests(r.drained), must.Sprint("requests to a drained server"))
+	must.Eq(t, r.requestsAtDrain, workRequests(r.drained), must.Sprint("requests to a drained server"))
 }
 
 // checkSecrets looks for the keys in all that backend servers received. The
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -14,7 +14,7 @@
 )
 
 // send is one request as a caller saw it.
-type send struct {
+type sentRequest struct {
 	workspace string
 	key       string
 	service   string
@@ -36,19 +36,19 @@
 	failure string
 	// written is how often the caller's own HTTP library sent it: it repeats
 	// a lookup, unasked, when a connection that it kept breaks.
-	written int32
+	transmissions int32
 }
 
 // history collects what callers saw. It is safe for concurrent use.
 type history struct {
-	mu    sync.Mutex
-	sends []send
+	mu       sync.Mutex
+	requests []sentRequest
 }
 
-func (h *history) add(s send) {
+func (h *history) add(s sentRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sends = append(h.sends, s)
+	h.requests = append(h.requests, s)
 }
 
 // execution is one line of a backend server's log, at a time that can be
@@ -83,7 +83,7 @@
 }
 
 // byPath counts the executions of each path.
-func byPath(ran []execution) map[string]int {
+func executionsByPath(ran []execution) map[string]int {
 	n := map[string]int{}
 	for _, e := range ran {
 		n[e.Path]++
@@ -96,9 +96,9 @@
 
 // ranTwice returns the operations that ran more than once. The repeats of an
 // operation share its path, whatever instance they went to.
-func ranTwice(ran []execution) []string {
+func repeatedExecutions(ran []execution) []string {
 	var faults []string
-	times := byPath(ran)
+	times := executionsByPath(ran)
 	seen := map[string]bool{}
 	for _, e := range ran {
 		if idempotent(e.Method) || times[e.Path] < 2 || seen[e.Path] {
@@ -113,18 +113,18 @@
 // falseAnswers returns the answers that contradict what backend servers ran:
 // "not run" of something that ran, "served" or "ran before" of something that
 // didn't, and answers that aren't the whole answer to their own request.
-func falseAnswers(sends []send, ran []execution) []string {
+func incorrectAnswers(requests []sentRequest, ran []execution) []string {
 	var faults []string
-	times := byPath(ran)
-	maybe := mayHaveRun(sends)
-	for _, s := range sends {
+	times := executionsByPath(ran)
+	possible := possiblyExecuted(requests)
+	for _, s := range requests {
 		switch {
-		case s.outcome == "not-run" && !maybe[s.path] && times[s.path] > 0:
+		case s.outcome == "not-run" && !possible[s.path] && times[s.path] > 0:
 			faults = append(faults, fmt.Sprintf("%s %s: answered not-run (%s), and ran", s.method, s.path, s.rule))
 		case (s.outcome == "served" || s.outcome == "ran-before") && times[s.path] == 0:
 			faults = append(faults, fmt.Sprintf("%s %s: answered %s (%s), and never ran", s.method, s.path, s.outcome, s.rule))
 		}
-		if fault := wrongAnswer(s); fault != "" {
+		if fault := answerMismatch(s); fault != "" {
 			faults = append(faults, fault)
 		}
 	}
@@ -133,18 +133,18 @@
 
 // mayHaveRun has the paths of which one of the sends may have run. A refusal
 // of another send of the same operation is true nevertheless.
-func mayHaveRun(sends []send) map[string]bool {
-	maybe := map[string]bool{}
-	for _, s := range sends {
-		if s.outcome != "not-run" || s.written > 1 {
-			maybe[s.path] = true
+func possiblyExecuted(requests []sentRequest) map[string]bool {
+	possible := map[string]bool{}
+	for _, s := range requests {
+		if s.outcome != "not-run" || s.transmissions > 1 {
+			possible[s.path] = true
 		}
 	}
-	return maybe
+	return possible
 }
 
 // wrongAnswer compares a served answer with the one that its request has.
-func wrongAnswer(s send) string {
+func answerMismatch(s sentRequest) string {
 	if s.status != 200 {
 		return ""
 	}
@@ -165,9 +165,9 @@
 // overLimit replays when the requests of each workspace began to run against
 // a bucket of its rate and burst. A request counts once, when it first ran.
 // Jitter is how much the time from admission to the beginning may vary.
-func overLimit(ran []execution, limits map[bucket]config.Limit, jitter time.Duration) []string {
+func limitViolations(ran []execution, limits map[bucket]config.Limit, jitter time.Duration) []string {
 	var faults []string
-	for b, worst := range excess(ran, limits) {
+	for b, worst := range maxOverdraft(ran, limits) {
 		allowed := limits[b].Rate * jitter.Seconds()
 		if worst > allowed {
 			faults = append(faults, fmt.Sprintf("%s at %s: %.1f requests above rate and burst, %.1f allowed", b.workspace, b.service, worst, allowed))
@@ -179,8 +179,8 @@
 
 // excess returns by how many requests each bucket was overdrawn at worst, in
 // any window; it is negative for a bucket that never ran empty.
-func excess(ran []execution, limits map[bucket]config.Limit) map[bucket]float64 {
-	first := firstRuns(ran)
+func maxOverdraft(ran []execution, limits map[bucket]config.Limit) map[bucket]float64 {
+	first := firstExecutions(ran)
 	worst := map[bucket]float64{}
 	tokens := map[bucket]float64{}
 	last := map[bucket]time.Time{}
@@ -204,7 +204,7 @@
 	return worst
 }
 
-func firstRuns(ran []execution) []execution {
+func firstExecutions(ran []execution) []execution {
 	seen := map[string]bool{}
 	var first []execution
 	for _, e := range ran {
@@ -218,9 +218,9 @@
 
 // afterWithdrawal returns the requests of a key that began to run later than
 // the grace after it was withdrawn.
-func afterWithdrawal(sends []send, ran []execution, key string, withdrawn time.Time, grace time.Duration) []string {
+func executionsAfterWithdrawal(requests []sentRequest, ran []execution, key string, withdrawn time.Time, grace time.Duration) []string {
 	own := map[string]bool{}
-	for _, s := range sends {
+	for _, s := range requests {
 		if s.key == key {
 			own[s.path] = true
 		}
@@ -236,10 +236,10 @@
 
 // revisions are what instances said of their configuration, over time.
 type revisions struct {
-	mu     sync.Mutex
-	newest map[string][2]uint64
-	faults []string
-	seen   int
+	mu      sync.Mutex
+	highest map[string][2]uint64
+	faults  []string
+	seen    int
 }
 
 // add takes an instance's revision and version of the lists. Neither may ever
@@ -247,21 +247,21 @@
 func (r *revisions) add(instance string, revision, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.newest == nil {
-		r.newest = map[string][2]uint64{}
+	if r.highest == nil {
+		r.highest = map[string][2]uint64{}
 	}
-	before := r.newest[instance]
+	before := r.highest[instance]
 	if revision < before[0] || version < before[1] {
 		r.faults = append(r.faults, fmt.Sprintf("%s went back from %v to %d, %d", instance, before, revision, version))
 	}
-	r.newest[instance] = [2]uint64{max(revision, before[0]), max(version, before[1])}
+	r.highest[instance] = [2]uint64{max(revision, before[0]), max(version, before[1])}
 	r.seen++
 }
 
 // tally counts sends by how they ended.
-func tally(sends []send) string {
+func countByOutcome(requests []sentRequest) string {
 	n := map[string]int{}
-	for _, s := range sends {
+	for _, s := range requests {
 		key := s.service + " " + s.outcome
 		switch {
 		case s.status == 0:
@@ -281,10 +281,10 @@
 
 // timeline shows in which quarters of a second sends ended otherwise than
 // served, by what they said.
-func timeline(start time.Time, sends []send) string {
+func timeline(start time.Time, requests []sentRequest) string {
 	const slot = 250 * time.Millisecond
 	n := map[string]int{}
-	for _, s := range sends {
+	for _, s := range requests {
 		if s.outcome == "served" || s.outcome == "ran-before" {
 			continue
 		}
@@ -302,8 +302,8 @@
 // refusedInside counts a workspace's requests with a valid key, and returns
 // those refused for the rate. For a workspace that never comes near its rate
 // and burst, each of them is wrongful.
-func refusedInside(sends []send, workspace string) (all int, refused []send) {
-	for _, s := range sends {
+func rateRefusals(requests []sentRequest, workspace string) (all int, refused []sentRequest) {
+	for _, s := range requests {
 		if s.workspace != workspace || s.rule == "key-unknown" {
 			continue
 		}
--- a/internal/proofs/load_test.go
+++ b/internal/proofs/load_test.go
@@ -27,26 +27,26 @@
 
 // load runs callers against a world until it is stopped.
 type load struct {
-	w       *world
+	tc      *testCluster
 	history *history
 	ctx     context.Context
 	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
-func newLoad(w *world) *load {
-	l := &load{w: w, history: &history{}}
+func newLoad(tc *testCluster) *load {
+	l := &load{tc: tc, history: &history{}}
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	return l
 }
 
 // end stops the callers and waits until each has its last answer.
-func (l *load) end() []send {
+func (l *load) end() []sentRequest {
 	l.stop()
 	l.running.Wait()
 	l.history.mu.Lock()
 	defer l.history.mu.Unlock()
-	return l.history.sends
+	return l.history.requests
 }
 
 // caller is one customer's program. It isn't safe for concurrent use.
@@ -57,11 +57,11 @@
 	rng       *rand.Rand
 	http      map[string]*trial.Caller
 	addresses []string
-	until     time.Time
+	expires   time.Time
 }
 
 // every lets a new caller act at about a rate, until the load ends.
-func (l *load) every(period time.Duration, workspace, key string, seed uint64, act func(*caller)) {
+func (l *load) startCaller(period time.Duration, workspace, key string, seed uint64, act func(*caller)) {
 	c := &caller{
 		l: l, workspace: workspace, key: key,
 		rng: rand.New(rand.NewPCG(seed, 0)), http: map[string]*trial.Caller{},
@@ -89,20 +89,20 @@
 // locate returns the addresses to use. The caller keeps the answer as long as
 // it may and asks the addresses that it has, then all others, for a new one.
 func (c *caller) locate() []string {
-	if time.Now().Before(c.until) {
+	if time.Now().Before(c.expires) {
 		return c.addresses
 	}
-	for _, address := range append(c.addresses, c.l.w.callerAddresses()...) {
+	for _, address := range append(c.addresses, c.l.tc.callerAddresses()...) {
 		ctx, cancel := context.WithTimeout(context.Background(), locateTimeout)
 		start := time.Now()
 		found, err := trial.NewCaller(address, c.key).Addresses(ctx)
 		cancel()
 		if err == nil && len(found) > 0 {
-			c.addresses, c.until = found, start.Add(c.l.w.ttl)
+			c.addresses, c.expires = found, start.Add(c.l.tc.ttl)
 			return found
 		}
 	}
-	return c.l.w.callerAddresses()
+	return c.l.tc.callerAddresses()
 }
 
 // operation asks for an operation key, at one address after the other.
@@ -119,22 +119,22 @@
 }
 
 // request returns a request to a service whose path nobody else uses.
-func (c *caller) request(service, method string) send {
+func (c *caller) request(service, method string) sentRequest {
 	prefix := map[string]string{"catalogue": "/catalogue/", "ordering": "/orders/", "diagnosis": "/photos/", "archive": "/archive/"}[service]
-	n := c.l.w.number.Add(1)
-	return send{
+	n := c.l.tc.requestNumber.Add(1)
+	return sentRequest{
 		workspace: c.workspace, key: c.key, service: service, method: method,
 		path: prefix + c.workspace + "-" + strconv.FormatInt(n, 10),
 	}
 }
 
 // send sends to one address and takes down what came of it.
-func (c *caller) send(address string, s send) send {
+func (c *caller) send(address string, s sentRequest) sentRequest {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	var written atomic.Int32
+	var transmissions atomic.Int32
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { written.Add(1) },
+		GotConn: func(httptrace.GotConnInfo) { transmissions.Add(1) },
 	})
 	uri := s.path
 	if s.size > 0 {
@@ -143,7 +143,7 @@
 	s.at = time.Now()
 	a, err := c.at(address).SendTo(ctx, address, s.method, uri, s.operation, s.body)
 	s.took = time.Since(s.at)
-	s.written = written.Load()
+	s.transmissions = transmissions.Load()
 	if err != nil {
 		s.failure = fmt.Sprintf("%s: %v", address, err)
 	} else {
@@ -154,7 +154,7 @@
 }
 
 // anywhere returns one of the addresses to use.
-func (c *caller) anywhere() string {
+func (c *caller) randomAddress() string {
 	addresses := c.locate()
 	return addresses[c.rng.IntN(len(addresses))]
 }
@@ -166,18 +166,18 @@
 
 // awaitServed waits until each service serves a workspace. A fleet that has
 // just started has no parts of any limit in force.
-func (w *world) awaitServed(key, workspace string) {
-	w.t.Helper()
-	l := newLoad(w)
+func (tc *testCluster) awaitServed(key, workspace string) {
+	tc.t.Helper()
+	l := newLoad(tc)
 	c := &caller{l: l, workspace: workspace, key: key, rng: rand.New(rand.NewPCG(0, 0)), http: map[string]*trial.Caller{}}
 	start := time.Now()
 	for _, service := range []string{"catalogue", "ordering", "diagnosis"} {
-		for c.send(c.anywhere(), c.request(service, http.MethodGet)).outcome != "served" {
-			must.Less(w.t, patience, time.Since(start), must.Sprintf("%s doesn't serve", service))
+		for c.send(c.randomAddress(), c.request(service, http.MethodGet)).outcome != "served" {
+			must.Less(tc.t, waitTimeout, time.Since(start), must.Sprintf("%s doesn't serve", service))
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	w.t.Logf("served %s after the key was in force", time.Since(start).Round(10*time.Millisecond))
+	tc.t.Logf("served %s after the key was in force", time.Since(start).Round(10*time.Millisecond))
 }
 
 // lookup asks for something small, now and then for something large.
@@ -186,15 +186,15 @@
 	if c.rng.IntN(10) == 0 {
 		s.size = 300_000
 	}
-	c.send(c.anywhere(), s)
+	c.send(c.randomAddress(), s)
 }
 
 // search asks for something that takes long.
-func search(c *caller) { c.send(c.anywhere(), c.request("archive", http.MethodGet)) }
+func search(c *caller) { c.send(c.randomAddress(), c.request("archive", http.MethodGet)) }
 
 // advisedOrder places an order under a key of the system's, and repeats it at
 // other instances, at the same time and later.
-func advisedOrder(c *caller) {
+func orderWithIssuedKey(c *caller) {
 	key, address := c.operation()
 	if key == "" {
 		return
@@ -203,8 +203,8 @@
 }
 
 // ownOrder places an order under a key that the caller made.
-func ownOrder(c *caller) {
-	c.order(fmt.Sprintf("own-%s-%d", c.workspace, c.l.w.number.Add(1)), c.anywhere())
+func orderWithCallerKey(c *caller) {
+	c.order(fmt.Sprintf("own-%s-%d", c.workspace, c.l.tc.requestNumber.Add(1)), c.randomAddress())
 }
 
 func (c *caller) order(key, address string) {
@@ -212,33 +212,33 @@
 	s.operation = key
 	s.body = []byte(`{"item":"cartridge","path":"` + s.path + `"}`)
 	other := &caller{l: c.l, workspace: c.workspace, key: c.key, http: map[string]*trial.Caller{}}
-	second := c.anywhere()
+	second := c.randomAddress()
 	var both sync.WaitGroup
 	both.Go(func() { other.send(second, s) })
 	c.send(address, s)
 	both.Wait()
-	c.send(c.anywhere(), s)
+	c.send(c.randomAddress(), s)
 }
 
 // bareOrder places an order without any key, once.
-func bareOrder(c *caller) {
+func orderWithoutKey(c *caller) {
 	s := c.request("ordering", http.MethodPost)
 	s.body = []byte(`{"item":"sample"}`)
-	c.send(c.anywhere(), s)
+	c.send(c.randomAddress(), s)
 }
 
 // upload sends a photo.
 func upload(c *caller) {
 	s := c.request("diagnosis", http.MethodPost)
 	s.body = bytes.Repeat([]byte("joint"), 20_000+c.rng.IntN(100_000))
-	c.send(c.anywhere(), s)
+	c.send(c.randomAddress(), s)
 }
 
 // cutOrRefused returns the sends that got no whole answer, or a refusal that
 // isn't for the rate.
-func cutOrRefused(sends []send) []string {
+func cutOrRefused(requests []sentRequest) []string {
 	var faults []string
-	for _, s := range sends {
+	for _, s := range requests {
 		if s.status == 0 || s.outcome != "served" && s.outcome != "ran-before" {
 			what := strings.TrimSpace(s.outcome + " " + s.rule + " " + s.failure)
 			faults = append(faults, fmt.Sprintf("%s %s: %s after %s", s.method, s.path, what, s.took.Round(time.Millisecond)))
--- a/internal/proofs/spread_test.go
+++ b/internal/proofs/spread_test.go
@@ -26,15 +26,15 @@
 	// instances and dataCentres are the greater of today's deployments.
 	instances   = 40
 	dataCentres = 4
-	changes     = 10
+	keyChanges  = 10
 	// quiet is for how long the cost without changes is measured.
-	quiet = 10 * time.Second
+	idlePeriod = 10 * time.Second
 	// inForceWithin is what is promised. The allowance is for a machine that
 	// runs 40 instances and other work on a few cores.
-	inForceWithin    = 3 * time.Second
-	machineAllowance = time.Second
+	inForceLimit           = 3 * time.Second
+	sharedMachineAllowance = time.Second
 	// askEvery is the pause between two questions to an instance.
-	askEvery = 40 * time.Millisecond
+	pollInterval = 40 * time.Millisecond
 )
 
 // Forty instances run. Keys are given and withdrawn in turn, and each time
@@ -42,64 +42,64 @@
 // them missed would be a withdrawn key that goes on working there, and a
 // change that took longer to be in force would hold up every operator.
 func TestChangeSpreadsToFortyInstances(t *testing.T) {
-	w := newWorld(t, worldOptions{endAfter: time.Minute, locateTTL: 2 * time.Second})
-	defer w.logs()
+	tc := newTestCluster(t, testClusterOptions{endAfter: time.Minute, locateTTL: 2 * time.Second})
+	defer tc.dumpLogsOnFailure()
 	for i := range instances {
-		w.startEntry(fmt.Sprintf("luzon-%d", i%dataCentres+1))
+		tc.startEntry(fmt.Sprintf("luzon-%d", i%dataCentres+1))
 	}
 	for i := range 4 {
-		w.startBackend("catalogue", fmt.Sprintf("luzon-%d", i+1), standin.BackendOptions{})
+		tc.startBackend("catalogue", fmt.Sprintf("luzon-%d", i+1), standin.BackendOptions{})
 	}
-	w.apply(trialLists())
-	entries := w.awaitFleet(instances)
-	time.Sleep(quiet) // the shards' first rows are written meanwhile
+	tc.apply(trialLists())
+	entries := tc.awaitFleet(instances)
+	time.Sleep(idlePeriod) // the shards' first rows are written meanwhile
 
-	before := w.costs(entries)
-	time.Sleep(quiet)
-	w.reportCosts(before, w.costs(entries))
+	before := tc.measureUsage(entries)
+	time.Sleep(idlePeriod)
+	tc.logUsage(before, tc.measureUsage(entries))
 
-	var spread, slowest, force []time.Duration
+	var spread, slowest, inForce []time.Duration
 	var key string
-	for n := range changes {
+	for n := range keyChanges {
 		var c operator.KeyChange
 		var err error
 		want := n%2 == 0
 		if want {
-			c, err = w.operator.GiveKey(t.Context(), "cebu-boatyard", fmt.Sprintf("change %d", n))
+			c, err = tc.operator.GiveKey(t.Context(), "cebu-boatyard", fmt.Sprintf("change %d", n))
 			key = c.Secret.Reveal()
 		} else {
-			c, err = w.operator.WithdrawKey(t.Context(), operator.KeySelector{Key: key})
+			c, err = tc.operator.WithdrawKey(t.Context(), operator.KeySelector{Key: key})
 		}
 		must.NoError(t, err)
 		must.Eq(t, operator.Accepted, c.Outcome)
-		all, known := w.measure(entries, key, want, c.Revision)
+		all, known := tc.measure(entries, key, want, c.Revision)
 		for i, a := range all {
-			spread = append(spread, a.acted)
-			if a.before > known {
+			spread = append(spread, a.applied)
+			if a.lastBefore > known {
 				t.Errorf("change %d: instance %d still answered as before the change %s after it was said to be in force everywhere",
-					n, i, a.before-known)
+					n, i, a.lastBefore-known)
 			}
 		}
 		slowest = append(slowest, slices.Max(spread[len(spread)-len(all):]))
-		force = append(force, known)
+		inForce = append(inForce, known)
 	}
-	t.Logf("%d changes at %d instances: acted on after %s", changes, len(entries), quantiles(spread))
+	t.Logf("%d changes at %d instances: acted on after %s", keyChanges, len(entries), quantiles(spread))
 	t.Logf("the slowest instance of each change: %s", quantiles(slowest))
-	t.Logf("known to be in force everywhere: %s", quantiles(force))
-	must.Less(t, inForceWithin+machineAllowance, slices.Max(slowest))
-	must.Less(t, inForceWithin+machineAllowance, slices.Max(force))
+	t.Logf("known to be in force everywhere: %s", quantiles(inForce))
+	must.Less(t, inForceLimit+sharedMachineAllowance, slices.Max(slowest))
+	must.Less(t, inForceLimit+sharedMachineAllowance, slices.Max(inForce))
 }
 
 // awaitFleet waits until every instance serves and knows all others.
-func (w *world) awaitFleet(n int) []storage.Instance {
-	w.t.Helper()
+func (tc *testCluster) awaitFleet(n int) []storage.Instance {
+	tc.t.Helper()
 	start := time.Now()
 	for {
-		must.Less(w.t, 2*patience, time.Since(start), must.Sprint("the instances don't find each other"))
-		entries, err := w.fleet.Entries(w.t.Context())
+		must.Less(tc.t, 2*waitTimeout, time.Since(start), must.Sprint("the instances don't find each other"))
+		entries, err := tc.fleet.Entries(tc.t.Context())
 		ready := 0
 		for _, e := range entries {
-			s, err := w.fleet.Status(w.t.Context(), e)
+			s, err := tc.fleet.Status(tc.t.Context(), e)
 			if err == nil && s.Serving == oas.StatusServingServing && s.Entries.Live == n {
 				ready++
 			}
@@ -113,40 +113,40 @@
 
 // measure returns how long each instance took to act on a change of a key,
 // and how long until an instance knew that it is in force everywhere.
-func (w *world) measure(entries []storage.Instance, key string, works bool, r storage.Revision) (all []reached, force time.Duration) {
+func (tc *testCluster) measure(entries []storage.Instance, key string, works bool, r storage.Revision) (all []observation, inForce time.Duration) {
 	start := time.Now()
-	all = make([]reached, len(entries))
+	all = make([]observation, len(entries))
 	var asking sync.WaitGroup
 	for i, e := range entries {
-		asking.Go(func() { all[i] = until(start, func() bool { return accepts(e.Address, key) == works }) })
+		asking.Go(func() { all[i] = pollUntil(start, func() bool { return accepts(e.Address, key) == works }) })
 	}
 	asking.Go(func() {
-		force = until(start, func() bool {
-			a, err := w.fleet.InForce(w.t.Context(), entries[0], r)
+		inForce = pollUntil(start, func() bool {
+			a, err := tc.fleet.InForce(tc.t.Context(), entries[0], r)
 			return err == nil && a.InForce
-		}).acted
+		}).applied
 	})
 	asking.Wait()
-	return all, force
+	return all, inForce
 }
 
 // reached says when an instance reached the new state.
-type reached struct {
+type observation struct {
 	// acted is when it answered by the new state; before is when the last
 	// question was put that it answered by the old one.
-	acted, before time.Duration
+	applied, lastBefore time.Duration
 }
 
-func until(start time.Time, done func() bool) reached {
-	var r reached
+func pollUntil(start time.Time, done func() bool) observation {
+	var r observation
 	for {
 		asked := time.Since(start)
-		if done() || asked > patience {
-			r.acted = time.Since(start)
+		if done() || asked > waitTimeout {
+			r.applied = time.Since(start)
 			return r
 		}
-		r.before = asked
-		time.Sleep(askEvery)
+		r.lastBefore = asked
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -159,7 +159,7 @@
 }
 
 // cost is what the fleet has used so far.
-type cost struct {
+type fleetUsage struct {
 	at            time.Time
 	reads, writes int
 	// cpu and peerBytes are by instance; peerBytes counts both directions.
@@ -168,22 +168,22 @@
 	rss       []int
 }
 
-func (w *world) costs(entries []storage.Instance) cost {
-	counts := w.platform.Counts()
-	c := cost{at: time.Now(), reads: counts.Reads, writes: counts.Writes}
-	for _, e := range w.running() {
-		cpu, rss := usage(w.t, e.process.PID())
+func (tc *testCluster) measureUsage(entries []storage.Instance) fleetUsage {
+	counts := tc.platform.Counts()
+	c := fleetUsage{at: time.Now(), reads: counts.Reads, writes: counts.Writes}
+	for _, e := range tc.running() {
+		cpu, rss := usage(tc.t, e.process.PID())
 		c.cpu = append(c.cpu, cpu)
 		c.rss = append(c.rss, rss)
 	}
 	for _, e := range entries {
-		m := metrics(w.t, e.OperatorAddress)
+		m := metrics(tc.t, e.OperatorAddress)
 		c.peerBytes = append(c.peerBytes, m["foxtailspoke_peer_sent_bytes"]+m["foxtailspoke_peer_received_bytes"])
 	}
 	return c
 }
 
-func (w *world) reportCosts(a, b cost) {
+func (tc *testCluster) logUsage(a, b fleetUsage) {
 	seconds := b.at.Sub(a.at).Seconds()
 	var cpu, peer, rss []float64
 	for i := range a.cpu {
@@ -191,9 +191,9 @@
 		peer = append(peer, (b.peerBytes[i]-a.peerBytes[i])/seconds)
 		rss = append(rss, float64(b.rss[i])/(1<<20))
 	}
-	w.t.Logf("without changes, over %.1f s: the platform got %.1f reads and %.1f writes a second",
+	tc.t.Logf("without changes, over %.1f s: the platform got %.1f reads and %.1f writes a second",
 		seconds, float64(b.reads-a.reads)/seconds, float64(b.writes-a.writes)/seconds)
-	w.t.Logf("an instance: peer bytes a second %s; CPU ms a second %s; MiB resident %s", figures(peer), figures(cpu), figures(rss))
+	tc.t.Logf("an instance: peer bytes a second %s; CPU ms a second %s; MiB resident %s", figures(peer), figures(cpu), figures(rss))
 }
 
 // usage returns the processor time and the resident bytes of a process of
--- a/internal/proofs/stop_test.go
+++ b/internal/proofs/stop_test.go
@@ -26,46 +26,46 @@
 // answers expire refuses connections, not waiting for requests in flight cuts
 // them, and not handing over quota parts causes refusals for the rate.
 func TestPlannedStopsCutNothing(t *testing.T) {
-	w := newWorld(t, worldOptions{endAfter: 10 * time.Second, locateTTL: time.Second})
-	defer w.logs()
+	tc := newTestCluster(t, testClusterOptions{endAfter: 10 * time.Second, locateTTL: time.Second})
+	defer tc.dumpLogsOnFailure()
 	for i := range 3 {
-		w.startEntry(fmt.Sprintf("luzon-%d", i+1))
+		tc.startEntry(fmt.Sprintf("luzon-%d", i+1))
 	}
 	for i, service := range []string{"catalogue", "catalogue", "ordering", "ordering", "diagnosis", "diagnosis"} {
-		w.startBackend(service, fmt.Sprintf("luzon-%d", i%3+1), standin.BackendOptions{Slots: 8, Latency: 30 * time.Millisecond})
+		tc.startBackend(service, fmt.Sprintf("luzon-%d", i%3+1), standin.BackendOptions{Slots: 8, Latency: 30 * time.Millisecond})
 	}
-	w.startBackend("archive", "luzon-1", standin.BackendOptions{Slots: 60, Latency: searchTime})
-	w.apply(trialLists())
-	key := w.giveKey("cebu-boatyard", "planned stops")
-	w.awaitServed(key, "cebu-boatyard")
+	tc.startBackend("archive", "luzon-1", standin.BackendOptions{Slots: 60, Latency: searchTime})
+	tc.apply(trialLists())
+	key := tc.giveKey("cebu-boatyard", "planned stops")
+	tc.awaitServed(key, "cebu-boatyard")
 
-	l := newLoad(w)
+	l := newLoad(tc)
 	for n := range uint64(4) {
-		l.every(100*time.Millisecond, "cebu-boatyard", key, n, lookup)
+		l.startCaller(100*time.Millisecond, "cebu-boatyard", key, n, lookup)
 	}
-	l.every(400*time.Millisecond, "cebu-boatyard", key, 10, bareOrder)
+	l.startCaller(400*time.Millisecond, "cebu-boatyard", key, 10, orderWithoutKey)
 	for n := range uint64(20) {
-		l.every(time.Duration(n+1)*350*time.Millisecond, "cebu-boatyard", key, 20+n, search)
+		l.startCaller(time.Duration(n+1)*350*time.Millisecond, "cebu-boatyard", key, 20+n, search)
 	}
-	l.every(500*time.Millisecond, "cebu-boatyard", key, 11, upload)
+	l.startCaller(500*time.Millisecond, "cebu-boatyard", key, 11, upload)
 	begin := time.Now()
 	time.Sleep(2 * time.Second)
-	for i, old := range w.running() {
-		w.startEntry(fmt.Sprintf("luzon-%d", i+1))
+	for i, old := range tc.running() {
+		tc.startEntry(fmt.Sprintf("luzon-%d", i+1))
 		start := time.Now()
 		must.Zero(t, old.process.Stop(stopTimeout), must.Sprintf("%s did not stop within the timeout and was killed: %s", old.name, old.process.Log()))
 		t.Logf("%s stopped from %.2fs to %.2fs", old.name, start.Sub(begin).Seconds(), time.Since(begin).Seconds())
 	}
 	time.Sleep(2 * time.Second)
-	sends := l.end()
+	requests := l.end()
 
-	t.Logf("%d requests by outcome:\n%s", len(sends), tally(sends))
-	t.Logf("refusals:\n%s", timeline(begin, sends))
-	must.Greater(t, 300, len(sends))
-	if faults := cutOrRefused(sends); len(faults) > 0 {
+	t.Logf("%d requests by outcome:\n%s", len(requests), countByOutcome(requests))
+	t.Logf("refusals:\n%s", timeline(begin, requests))
+	must.Greater(t, 300, len(requests))
+	if faults := cutOrRefused(requests); len(faults) > 0 {
 		t.Errorf("requests cut or refused: %d\n%s", len(faults), strings.Join(faults[:min(len(faults), 20)], "\n"))
 	}
-	ran := executions(w.backends)
-	must.Eq(t, nil, ranTwice(ran))
-	must.Eq(t, nil, falseAnswers(sends, ran))
+	ran := executions(tc.backends)
+	must.Eq(t, nil, repeatedExecutions(ran))
+	must.Eq(t, nil, incorrectAnswers(requests, ran))
 }
