--- a/internal/proofs/cluster_test.go
+++ b/internal/proofs/cluster_test.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	// patience bounds every wait for something that is to happen soon.
+	// waitTimeout bounds each wait for an expected state change.
 	waitTimeout = 20 * time.Second
 	// platformTimeout bounds the test's own calls to the platform.
 	platformTimeout = 2 * time.Second
@@ -38,8 +38,9 @@
 	os.Exit(code)
 }
 
-// world is a platform, backend servers and entry instances. The entries are
-// real processes; the rest runs here, so that its logs are at hand.
+// testCluster is a platform, backend servers and entry instances. Entry
+// instances are real processes; the platform and the backend servers run in the
+// test process, which gives the checks direct access to their logs.
 type testCluster struct {
 	t        *testing.T
 	dir      string
@@ -53,24 +54,24 @@
 	mu      sync.Mutex
 	entries []*instance
 	started int
-	// number makes the paths of all requests different.
+	// requestNumber makes request paths unique.
 	requestNumber atomic.Int64
 }
 
-// instance is one entry process with the links before it.
+// instance is one entry process with its network links.
 type instance struct {
 	name       string
 	dataCentre string
 	process    *harness.Process
 	callers    string
 	operators  string
-	// toPeers carries the calls of all others to this instance; toPlatform
-	// carries its own calls to the platform.
+	// toPeers carries calls from other instances to this one; toPlatform
+	// carries its calls to the platform.
 	toPeers, toPlatform *standin.Link
 }
 
-// backend is a backend server with the time of its start, from which its log
-// counts.
+// backend is a backend server with its start time, to which the times in its log
+// are relative.
 type backend struct {
 	*standin.Backend
 	service string
@@ -78,10 +79,10 @@
 }
 
 type testClusterOptions struct {
-	// endAfter is how long an instance is silent before the platform takes
-	// it for ended.
+	// endAfter is how long an instance may send no announcement before the
+	// platform considers it ended.
 	endAfter time.Duration
-	// locateTTL is how long callers keep what locate answers.
+	// locateTTL is how long callers may cache a locate answer.
 	locateTTL time.Duration
 }
 
@@ -122,9 +123,7 @@
 	return b
 }
 
-// startEntry starts an entry instance and waits until it listens. Others
-// reach it, and it reaches the platform, by links of its own.
-// list writes texts as a JSON list.
+// list encodes texts as a JSON list.
 func list(texts []string) string {
 	data, err := json.Marshal(append([]string{}, texts...))
 	if err != nil {
@@ -133,7 +132,9 @@
 	return string(data)
 }
 
-// startEntry starts an entry instance; seeds are peer addresses of others.
+// startEntry starts an entry instance and waits until it listens. Other instances
+// reach it, and it reaches the platform, through its own links. seeds are the
+// peer addresses of other instances.
 func (tc *testCluster) startEntry(dataCentre string, seeds ...string) *instance {
 	tc.mu.Lock()
 	tc.started++
@@ -177,7 +178,7 @@
 	return l
 }
 
-// callerAddresses of all instances ever started.
+// callerAddresses returns the caller addresses of all instances started so far.
 func (tc *testCluster) callerAddresses() []string {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -188,7 +189,7 @@
 	return all
 }
 
-// apply makes the lists the accepted ones.
+// apply proposes and commits the lists.
 func (tc *testCluster) apply(l lists.Lists) operator.Applied {
 	tc.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -201,7 +202,8 @@
 	return a
 }
 
-// giveKey gives a workspace a key and waits until it works everywhere.
+// giveKey creates a key for a workspace and waits until it is in force on all
+// instances.
 func (tc *testCluster) giveKey(workspace, label string) string {
 	tc.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -210,18 +212,18 @@
 	must.NoError(tc.t, err)
 	inForce, err := tc.operator.WaitInForce(ctx, tc.fleet, k.Revision)
 	must.NoError(tc.t, err)
-	must.True(tc.t, inForce.InForce, must.Sprintf("the key isn't in force: missing %v", inForce.Missing))
+	must.True(tc.t, inForce.InForce, must.Sprintf("key is not in force on all instances: missing %v", inForce.Missing))
 	return k.Secret.Reveal()
 }
 
-// running returns the instances as they were started so far.
+// running returns a copy of the list of instances started so far.
 func (tc *testCluster) running() []*instance {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	return slices.Clone(tc.entries)
 }
 
-// logs shows the end of what every instance logged, for failures.
+// dumpLogsOnFailure prints the end of each instance's log if the test failed.
 func (tc *testCluster) dumpLogsOnFailure() {
 	if !tc.t.Failed() {
 		return
@@ -232,8 +234,8 @@
 	}
 }
 
-// freeAddress returns an address that nobody listens on just now. A link
-// must know the address behind it before the process that listens there.
+// freeAddress returns a local address that is currently unused. A link needs its
+// target address before the process that listens there is started.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -242,7 +244,7 @@
 	return l.Addr().String()
 }
 
-// service returns a service of one route.
+// service returns a service with a single route.
 func service(name, prefix string, floor int, timeout time.Duration) config.Service {
 	return config.Service{
 		Name: name, Floor: floor, Timeout: config.Duration(timeout),
--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// withdrawnGrace is how long a withdrawn key may go on working.
+	// withdrawnGrace is how long a withdrawn key may still be accepted.
 	withdrawnGrace = 3 * time.Second
-	// drainGrace is how long a leaving server may be sent new work.
+	// drainGrace is how long a draining server may still receive new requests.
 	drainGrace = 3 * time.Second
-	// admissionJitter is by how much the time from an admission to the
-	// beginning of the work may vary: waiting for a slot, and one retry.
+	// admissionJitter is the allowed variation of the delay between admission
+	// and start of execution, from waiting for a slot and one retry.
 	admissionJitter = 500 * time.Millisecond
 )
 
-// limits of the run's plans, by workspace and service.
+// limits are the configured limits by workspace and service.
 var limits = map[bucket]config.Limit{
 	{"cebu-boatyard", "catalogue"}: {Rate: 100, Burst: 200},
 	{"cebu-boatyard", "ordering"}:  {Rate: 10, Burst: 20},
@@ -55,7 +55,7 @@
 	return l
 }
 
-// faultRun is the state of one run.
+// faultRun is the state of one fault-injection run.
 type faultRun struct {
 	*testCluster
 	load         *load
@@ -65,17 +65,18 @@
 	withdrawn    time.Time
 	revisions    revisions
 	drained      *backend
-	// atDrain are the requests that the drained server had got when the
-	// grace was over.
+	// requestsAtDrain is the number of requests that the drained server had
+	// received when drainGrace expired.
 	requestsAtDrain int
 }
 
-// Callers of two workspaces look up, order, upload and flood while entry
-// instances are killed, frozen and cut off one way, the platform is away or
-// loses answers, backend servers go gray and one drains, and a key is
-// withdrawn. Whatever happens, no operation runs twice, no answer is false or
-// somebody else's, nobody gets more than rate and burst, the withdrawn key
-// stops, and no key reaches a backend server.
+// Two workspaces send lookups, orders and uploads, one of them far above its
+// rate. Meanwhile entry instances are killed, paused and partitioned in one
+// direction, the platform is unavailable or loses answers, backend servers fail
+// partially, one drains, and a key is withdrawn. Throughout, no operation may run
+// twice, no answer may be incorrect or belong to another request, no workspace
+// may exceed rate and burst, the withdrawn key must stop working, and no key may
+// reach a backend server.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	rounds := 1
 	if d, err := time.ParseDuration(os.Getenv("SOAK")); err == nil {
@@ -148,13 +149,13 @@
 	}
 }
 
-// step is one thing that happens, counted from the beginning of the load.
+// step is one scheduled action; at is relative to the start of the load.
 type step struct {
 	at time.Duration
 	do func()
 }
 
-// roundLength is the time of one round with its preparation.
+// roundLength is the duration of one round including setup.
 const roundLength = 45 * time.Second
 
 func (r *faultRun) schedule() []step {
@@ -220,8 +221,8 @@
 	r.withdrawn = time.Now()
 }
 
-// workRequests counts the requests for work that a server got, also those
-// that it refused.
+// workRequests counts the caller requests that a server received, including those
+// it refused.
 func workRequests(b *backend) int {
 	n := 0
 	for _, header := range b.RawHeaders().Headers {
@@ -252,12 +253,12 @@
 func (r *faultRun) check(requests []sentRequest) {
 	t := r.t
 	ran := executions(r.backends)
-	t.Logf("%d sends, %d executions; how they ended:\n%s", len(requests), len(ran), countByOutcome(requests))
+	t.Logf("%d requests, %d executions; requests by outcome:\n%s", len(requests), len(ran), countByOutcome(requests))
 	for b, worst := range maxOverdraft(ran, limits) {
-		t.Logf("%s at %s: at worst %+.1f requests against rate and burst", b.workspace, b.service, worst)
+		t.Logf("%s at %s: largest excess over rate and burst: %+.1f requests", b.workspace, b.service, worst)
 	}
 	inside, refused := rateRefusals(requests, "cebu-boatyard")
-	t.Logf("of cebu-boatyard's %d requests, all inside its rate, %d were refused for the rate:\n%s", inside, len(refused), timeline(r.begin, refused))
+	t.Logf("cebu-boatyard sent %d requests, all within its rate; %d were refused for the rate:\n%s", inside, len(refused), timeline(r.begin, refused))
 	served := map[string]int{}
 	for _, s := range requests {
 		if s.outcome == "served" {
@@ -277,18 +278,19 @@
 			t.Errorf("%s: %d\n%s", what, len(faults), strings.Join(faults[:min(len(faults), 10)], "\n"))
 		}
 	}
-	reportFaults("ran twice", repeatedExecutions(ran))
-	reportFaults("false answers", incorrectAnswers(requests, ran))
-	reportFaults("over rate and burst", limitViolations(ran, limits, admissionJitter))
-	reportFaults("ran for a withdrawn key", executionsAfterWithdrawal(requests, ran, r.withdrawnKey, r.withdrawn, withdrawnGrace))
-	reportFaults("configuration went back", r.revisions.faults)
+	reportFaults("operations executed more than once", repeatedExecutions(ran))
+	reportFaults("incorrect answers", incorrectAnswers(requests, ran))
+	reportFaults("rate and burst exceeded", limitViolations(ran, limits, admissionJitter))
+	reportFaults("requests executed for a withdrawn key", executionsAfterWithdrawal(requests, ran, r.withdrawnKey, r.withdrawn, withdrawnGrace))
+	reportFaults("configuration revision decreased", r.revisions.faults)
 	r.checkSecrets()
-	must.Less(t, 2000, workRequests(r.drained), must.Sprint("the server's log is full"))
-	must.Eq(t, r.requestsAtDrain, workRequests(r.drained), must.Sprint("requests to a drained server"))
+	must.Less(t, 2000, workRequests(r.drained), must.Sprint("the header log of the drained server is full, so its request count is not reliable"))
+	must.Eq(t, r.requestsAtDrain, workRequests(r.drained), must.Sprint("the drained server received requests after the grace period"))
 }
 
-// checkSecrets looks for the keys in all that backend servers received. The
-// workspace's name, which they do receive, shows that the search works.
+// checkSecrets verifies that no key appears in any data received by backend
+// servers. The workspace name, which they do receive, verifies that the search
+// itself works.
 func (r *faultRun) checkSecrets() {
 	seen := map[string]bool{}
 	for _, b := range r.backends {
--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -13,33 +13,32 @@
 	"foxtailspoke/internal/standin"
 )
 
-// send is one request as a caller saw it.
+// sentRequest is one request and its result as observed by the caller.
 type sentRequest struct {
 	workspace string
 	key       string
 	service   string
 	method    string
-	// path is unlike that of any other request, but for repeats of the same
-	// operation.
+	// path is unique to an operation; repeats of the operation share it.
 	path string
-	// size is asked of the answer; 0 leaves it to the server.
+	// size is the requested answer size in bytes; 0 leaves it to the server.
 	size      int
 	operation string
 	body      []byte
 	at        time.Time
 	took      time.Duration
-	// status is 0 if no whole answer came.
+	// status is 0 if no complete answer was received.
 	status  int
 	outcome string
 	rule    string
 	answer  []byte
 	failure string
-	// written is how often the caller's own HTTP library sent it: it repeats
-	// a lookup, unasked, when a connection that it kept breaks.
+	// transmissions is how often the HTTP client library sent the request. It
+	// automatically resends a lookup when a reused connection breaks.
 	transmissions int32
 }
 
-// history collects what callers saw. It is safe for concurrent use.
+// history records the requests of all callers. It is safe for concurrent use.
 type history struct {
 	mu       sync.Mutex
 	requests []sentRequest
@@ -51,15 +50,16 @@
 	h.requests = append(h.requests, s)
 }
 
-// execution is one line of a backend server's log, at a time that can be
-// compared with others'.
+// execution is one entry of a backend server's log, with an absolute time that is
+// comparable across servers.
 type execution struct {
 	standin.Execution
 	service string
 	at      time.Time
 }
 
-// executions returns what all backend servers ran, in the order of time.
+// executions returns the executions of all backend servers in time order, without
+// probes.
 func executions(backends []*backend) []execution {
 	var all []execution
 	for _, b := range backends {
@@ -75,14 +75,14 @@
 	return all
 }
 
-// isProbe tells the instances' own requests to ejected backend servers from
-// callers'. They run for no workspace, so that no limit counts them; an
-// execution for no workspace that isn't one is an excess.
+// isProbe reports whether an execution is an instance's probe of an ejected backend
+// server. Probes have no workspace and count against no limit; any other
+// execution without a workspace is reported as a limit violation.
 func isProbe(e standin.Execution) bool {
 	return strings.HasPrefix(e.Attempt, "probe.") && e.Workspace == "" && e.Method == http.MethodGet
 }
 
-// byPath counts the executions of each path.
+// executionsByPath counts the executions of each path.
 func executionsByPath(ran []execution) map[string]int {
 	n := map[string]int{}
 	for _, e := range ran {
@@ -91,11 +91,12 @@
 	return n
 }
 
-// idempotent tells what a repeat of the request may do.
+// idempotent reports whether a request with this method may be executed repeatedly.
 func idempotent(method string) bool { return method == "GET" }
 
-// ranTwice returns the operations that ran more than once. The repeats of an
-// operation share its path, whatever instance they went to.
+// repeatedExecutions returns the non-idempotent operations that ran more than once.
+// Repeats of an operation share its path regardless of the instance they were
+// sent to.
 func repeatedExecutions(ran []execution) []string {
 	var faults []string
 	times := executionsByPath(ran)
@@ -110,9 +111,9 @@
 	return faults
 }
 
-// falseAnswers returns the answers that contradict what backend servers ran:
-// "not run" of something that ran, "served" or "ran before" of something that
-// didn't, and answers that aren't the whole answer to their own request.
+// incorrectAnswers returns the answers that contradict the executions: not-run for
+// a request that ran, served or ran-before for one that didn't, and answers that
+// are incomplete or belong to another request.
 func incorrectAnswers(requests []sentRequest, ran []execution) []string {
 	var faults []string
 	times := executionsByPath(ran)
@@ -120,9 +121,9 @@
 	for _, s := range requests {
 		switch {
 		case s.outcome == "not-run" && !possible[s.path] && times[s.path] > 0:
-			faults = append(faults, fmt.Sprintf("%s %s: answered not-run (%s), and ran", s.method, s.path, s.rule))
+			faults = append(faults, fmt.Sprintf("%s %s: answered not-run (%s) but was executed", s.method, s.path, s.rule))
 		case (s.outcome == "served" || s.outcome == "ran-before") && times[s.path] == 0:
-			faults = append(faults, fmt.Sprintf("%s %s: answered %s (%s), and never ran", s.method, s.path, s.outcome, s.rule))
+			faults = append(faults, fmt.Sprintf("%s %s: answered %s (%s) but was not executed", s.method, s.path, s.outcome, s.rule))
 		}
 		if fault := answerMismatch(s); fault != "" {
 			faults = append(faults, fault)
@@ -131,8 +132,8 @@
 	return faults
 }
 
-// mayHaveRun has the paths of which one of the sends may have run. A refusal
-// of another send of the same operation is true nevertheless.
+// possiblyExecuted returns the paths for which at least one request may have run.
+// Another request of the same operation may still correctly be answered not-run.
 func possiblyExecuted(requests []sentRequest) map[string]bool {
 	possible := map[string]bool{}
 	for _, s := range requests {
@@ -143,7 +144,8 @@
 	return possible
 }
 
-// wrongAnswer compares a served answer with the one that its request has.
+// answerMismatch describes how a served answer differs from the expected one; it
+// is empty if they match.
 func answerMismatch(s sentRequest) string {
 	if s.status != 200 {
 		return ""
@@ -151,34 +153,35 @@
 	want := fmt.Sprintf("%s %s %s workspace=%s", s.service, s.method, s.path, s.workspace)
 	got := string(s.answer)
 	if !strings.HasPrefix(got, want) {
-		return fmt.Sprintf("%s %s: somebody else's answer: %.80q", s.method, s.path, got)
+		return fmt.Sprintf("%s %s: answer belongs to another request: %.80q", s.method, s.path, got)
 	}
 	if s.size > 0 && len(got) != s.size || s.size == 0 && !strings.HasSuffix(got, "\n") {
-		return fmt.Sprintf("%s %s: not the whole answer: %d bytes", s.method, s.path, len(got))
+		return fmt.Sprintf("%s %s: incomplete answer: got %d bytes", s.method, s.path, len(got))
 	}
 	return ""
 }
 
-// bucket is a workspace's use of one service.
+// bucket identifies the token bucket of a workspace at one service.
 type bucket struct{ workspace, service string }
 
-// overLimit replays when the requests of each workspace began to run against
-// a bucket of its rate and burst. A request counts once, when it first ran.
-// Jitter is how much the time from admission to the beginning may vary.
+// limitViolations replays the start times of each workspace's requests against a
+// token bucket with its rate and burst. A request counts once, at its first
+// execution. jitter is the allowed variation of the delay between admission and
+// start of execution.
 func limitViolations(ran []execution, limits map[bucket]config.Limit, jitter time.Duration) []string {
 	var faults []string
 	for b, worst := range maxOverdraft(ran, limits) {
 		allowed := limits[b].Rate * jitter.Seconds()
 		if worst > allowed {
-			faults = append(faults, fmt.Sprintf("%s at %s: %.1f requests above rate and burst, %.1f allowed", b.workspace, b.service, worst, allowed))
+			faults = append(faults, fmt.Sprintf("%s at %s: exceeded rate and burst by %.1f requests, tolerance is %.1f", b.workspace, b.service, worst, allowed))
 		}
 	}
 	slices.Sort(faults)
 	return faults
 }
 
-// excess returns by how many requests each bucket was overdrawn at worst, in
-// any window; it is negative for a bucket that never ran empty.
+// maxOverdraft returns the largest number of requests by which each bucket was
+// overdrawn in any window. It is negative for a bucket that never became empty.
 func maxOverdraft(ran []execution, limits map[bucket]config.Limit) map[bucket]float64 {
 	first := firstExecutions(ran)
 	worst := map[bucket]float64{}
@@ -216,8 +219,8 @@
 	return first
 }
 
-// afterWithdrawal returns the requests of a key that began to run later than
-// the grace after it was withdrawn.
+// executionsAfterWithdrawal returns the requests of a key that started to run more
+// than grace after the key was withdrawn.
 func executionsAfterWithdrawal(requests []sentRequest, ran []execution, key string, withdrawn time.Time, grace time.Duration) []string {
 	own := map[string]bool{}
 	for _, s := range requests {
@@ -234,7 +237,7 @@
 	return faults
 }
 
-// revisions are what instances said of their configuration, over time.
+// revisions checks the configuration revisions that instances report over time.
 type revisions struct {
 	mu      sync.Mutex
 	highest map[string][2]uint64
@@ -242,8 +245,8 @@
 	seen    int
 }
 
-// add takes an instance's revision and version of the lists. Neither may ever
-// be lower than what it said before.
+// add records an instance's revision and lists version. A value lower than one the
+// instance reported before is a fault.
 func (r *revisions) add(instance string, revision, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,13 +255,13 @@
 	}
 	before := r.highest[instance]
 	if revision < before[0] || version < before[1] {
-		r.faults = append(r.faults, fmt.Sprintf("%s went back from %v to %d, %d", instance, before, revision, version))
+		r.faults = append(r.faults, fmt.Sprintf("%s: revision and lists version decreased from %v to [%d %d]", instance, before, revision, version))
 	}
 	r.highest[instance] = [2]uint64{max(revision, before[0]), max(version, before[1])}
 	r.seen++
 }
 
-// tally counts sends by how they ended.
+// countByOutcome formats the number of requests per service and outcome.
 func countByOutcome(requests []sentRequest) string {
 	n := map[string]int{}
 	for _, s := range requests {
@@ -279,8 +282,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// timeline shows in which quarters of a second sends ended otherwise than
-// served, by what they said.
+// timeline formats the number of requests not served per 250 ms slot, by outcome
+// and rule.
 func timeline(start time.Time, requests []sentRequest) string {
 	const slot = 250 * time.Millisecond
 	n := map[string]int{}
@@ -299,9 +302,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// refusedInside counts a workspace's requests with a valid key, and returns
-// those refused for the rate. For a workspace that never comes near its rate
-// and burst, each of them is wrongful.
+// rateRefusals counts a workspace's requests with a valid key and returns those
+// refused for the rate. For a workspace that stays well below its rate and burst,
+// each refusal is incorrect.
 func rateRefusals(requests []sentRequest, workspace string) (all int, refused []sentRequest) {
 	for _, s := range requests {
 		if s.workspace != workspace || s.rule == "key-unknown" {
--- a/internal/proofs/load_test.go
+++ b/internal/proofs/load_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// sendTimeout bounds one request as its caller waits.
+	// sendTimeout is the client timeout of one request.
 	sendTimeout = 20 * time.Second
-	// locateTimeout bounds the question for addresses.
+	// locateTimeout bounds a locate or operation-key request.
 	locateTimeout = time.Second
 )
 
-// load runs callers against a world until it is stopped.
+// load runs callers against a test cluster until it is stopped.
 type load struct {
 	tc      *testCluster
 	history *history
@@ -40,7 +40,8 @@
 	return l
 }
 
-// end stops the callers and waits until each has its last answer.
+// end stops the callers, waits for their requests in flight and returns the
+// history.
 func (l *load) end() []sentRequest {
 	l.stop()
 	l.running.Wait()
@@ -49,7 +50,7 @@
 	return l.history.requests
 }
 
-// caller is one customer's program. It isn't safe for concurrent use.
+// caller simulates one client program. It isn't safe for concurrent use.
 type caller struct {
 	l         *load
 	workspace string
@@ -60,7 +61,8 @@
 	expires   time.Time
 }
 
-// every lets a new caller act at about a rate, until the load ends.
+// startCaller starts a caller that runs act about once per period until the load
+// ends.
 func (l *load) startCaller(period time.Duration, workspace, key string, seed uint64, act func(*caller)) {
 	c := &caller{
 		l: l, workspace: workspace, key: key,
@@ -86,8 +88,8 @@
 	return c.http[address]
 }
 
-// locate returns the addresses to use. The caller keeps the answer as long as
-// it may and asks the addresses that it has, then all others, for a new one.
+// locate returns the addresses to use. It caches an answer for the locate TTL, then
+// queries the cached addresses and after them those of all instances.
 func (c *caller) locate() []string {
 	if time.Now().Before(c.expires) {
 		return c.addresses
@@ -105,7 +107,7 @@
 	return c.l.tc.callerAddresses()
 }
 
-// operation asks for an operation key, at one address after the other.
+// operation requests an operation key, trying the located addresses in order.
 func (c *caller) operation() (key, address string) {
 	for _, address := range c.locate() {
 		ctx, cancel := context.WithTimeout(context.Background(), locateTimeout)
@@ -118,7 +120,7 @@
 	return "", ""
 }
 
-// request returns a request to a service whose path nobody else uses.
+// request returns a request to a service with a unique path.
 func (c *caller) request(service, method string) sentRequest {
 	prefix := map[string]string{"catalogue": "/catalogue/", "ordering": "/orders/", "diagnosis": "/photos/", "archive": "/archive/"}[service]
 	n := c.l.tc.requestNumber.Add(1)
@@ -128,7 +130,7 @@
 	}
 }
 
-// send sends to one address and takes down what came of it.
+// send sends a request to an address and records the result in the history.
 func (c *caller) send(address string, s sentRequest) sentRequest {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
@@ -153,19 +155,19 @@
 	return s
 }
 
-// anywhere returns one of the addresses to use.
+// randomAddress returns one of the located addresses at random.
 func (c *caller) randomAddress() string {
 	addresses := c.locate()
 	return addresses[c.rng.IntN(len(addresses))]
 }
 
-// lookupAt stays with one instance, on a connection that it keeps.
+// lookupAt returns a lookup that always uses one instance over a reused connection.
 func lookupAt(address string) func(*caller) {
 	return func(c *caller) { c.send(address, c.request("catalogue", http.MethodGet)) }
 }
 
-// awaitServed waits until each service serves a workspace. A fleet that has
-// just started has no parts of any limit in force.
+// awaitServed waits until each service serves a workspace. In a newly started fleet
+// no quota parts are in force yet, so requests are refused at first.
 func (tc *testCluster) awaitServed(key, workspace string) {
 	tc.t.Helper()
 	l := newLoad(tc)
@@ -173,14 +175,14 @@
 	start := time.Now()
 	for _, service := range []string{"catalogue", "ordering", "diagnosis"} {
 		for c.send(c.randomAddress(), c.request(service, http.MethodGet)).outcome != "served" {
-			must.Less(tc.t, waitTimeout, time.Since(start), must.Sprintf("%s doesn't serve", service))
+			must.Less(tc.t, waitTimeout, time.Since(start), must.Sprintf("%s did not serve the workspace within the timeout", service))
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 	tc.t.Logf("served %s after the key was in force", time.Since(start).Round(10*time.Millisecond))
 }
 
-// lookup asks for something small, now and then for something large.
+// lookup sends a GET request; one in ten asks for a large answer.
 func lookup(c *caller) {
 	s := c.request("catalogue", http.MethodGet)
 	if c.rng.IntN(10) == 0 {
@@ -189,11 +191,11 @@
 	c.send(c.randomAddress(), s)
 }
 
-// search asks for something that takes long.
+// search sends a long-running GET request.
 func search(c *caller) { c.send(c.randomAddress(), c.request("archive", http.MethodGet)) }
 
-// advisedOrder places an order under a key of the system's, and repeats it at
-// other instances, at the same time and later.
+// orderWithIssuedKey places an order with an operation key issued by the system and
+// repeats it at other instances, concurrently and afterwards.
 func orderWithIssuedKey(c *caller) {
 	key, address := c.operation()
 	if key == "" {
@@ -202,7 +204,7 @@
 	c.order(key, address)
 }
 
-// ownOrder places an order under a key that the caller made.
+// orderWithCallerKey places and repeats an order with a key generated by the caller.
 func orderWithCallerKey(c *caller) {
 	c.order(fmt.Sprintf("own-%s-%d", c.workspace, c.l.tc.requestNumber.Add(1)), c.randomAddress())
 }
@@ -220,7 +222,7 @@
 	c.send(c.randomAddress(), s)
 }
 
-// bareOrder places an order without any key, once.
+// orderWithoutKey places an order once, without an operation key.
 func orderWithoutKey(c *caller) {
 	s := c.request("ordering", http.MethodPost)
 	s.body = []byte(`{"item":"sample"}`)
@@ -234,8 +236,8 @@
 	c.send(c.randomAddress(), s)
 }
 
-// cutOrRefused returns the sends that got no whole answer, or a refusal that
-// isn't for the rate.
+// cutOrRefused returns the requests that got no complete answer or an outcome other
+// than served or ran-before.
 func cutOrRefused(requests []sentRequest) []string {
 	var faults []string
 	for _, s := range requests {
--- a/internal/proofs/spread_test.go
+++ b/internal/proofs/spread_test.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	// instances and dataCentres are the greater of today's deployments.
+	// instances and dataCentres match the larger of the current deployments.
 	instances   = 40
 	dataCentres = 4
 	keyChanges  = 10
-	// quiet is for how long the cost without changes is measured.
+	// idlePeriod is how long resource use without changes is measured.
 	idlePeriod = 10 * time.Second
-	// inForceWithin is what is promised. The allowance is for a machine that
-	// runs 40 instances and other work on a few cores.
+	// inForceLimit is the guaranteed time for a change to be in force. The
+	// allowance covers running 40 instances and other work on a few cores.
 	inForceLimit           = 3 * time.Second
 	sharedMachineAllowance = time.Second
-	// askEvery is the pause between two questions to an instance.
+	// pollInterval is the pause between two polls of an instance.
 	pollInterval = 40 * time.Millisecond
 )
 
-// Forty instances run. Keys are given and withdrawn in turn, and each time
-// every instance is asked until it acts on the change. A change that one of
-// them missed would be a withdrawn key that goes on working there, and a
-// change that took longer to be in force would hold up every operator.
+// Keys are created and withdrawn in turn on 40 instances, and every instance is
+// polled until it has applied each change. An instance that misses a change would
+// keep accepting a withdrawn key, and a change that takes too long to be in force
+// delays every operator.
 func TestChangeSpreadsToFortyInstances(t *testing.T) {
 	tc := newTestCluster(t, testClusterOptions{endAfter: time.Minute, locateTTL: 2 * time.Second})
 	defer tc.dumpLogsOnFailure()
@@ -52,7 +52,7 @@
 	}
 	tc.apply(trialLists())
 	entries := tc.awaitFleet(instances)
-	time.Sleep(idlePeriod) // the shards' first rows are written meanwhile
+	time.Sleep(idlePeriod) // let the shards write their first rows
 
 	before := tc.measureUsage(entries)
 	time.Sleep(idlePeriod)
@@ -76,16 +76,16 @@
 		for i, a := range all {
 			spread = append(spread, a.applied)
 			if a.lastBefore > known {
-				t.Errorf("change %d: instance %d still answered as before the change %s after it was said to be in force everywhere",
+				t.Errorf("change %d: instance %d still answered with the old state %s after the change was reported in force on all instances",
 					n, i, a.lastBefore-known)
 			}
 		}
 		slowest = append(slowest, slices.Max(spread[len(spread)-len(all):]))
 		inForce = append(inForce, known)
 	}
-	t.Logf("%d changes at %d instances: acted on after %s", keyChanges, len(entries), quantiles(spread))
-	t.Logf("the slowest instance of each change: %s", quantiles(slowest))
-	t.Logf("known to be in force everywhere: %s", quantiles(inForce))
+	t.Logf("%d changes at %d instances: applied after %s", keyChanges, len(entries), quantiles(spread))
+	t.Logf("slowest instance per change: %s", quantiles(slowest))
+	t.Logf("reported in force on all instances: %s", quantiles(inForce))
 	must.Less(t, inForceLimit+sharedMachineAllowance, slices.Max(slowest))
 	must.Less(t, inForceLimit+sharedMachineAllowance, slices.Max(inForce))
 }
@@ -95,7 +95,7 @@
 	tc.t.Helper()
 	start := time.Now()
 	for {
-		must.Less(tc.t, 2*waitTimeout, time.Since(start), must.Sprint("the instances don't find each other"))
+		must.Less(tc.t, 2*waitTimeout, time.Since(start), must.Sprint("not all instances are serving and know all others"))
 		entries, err := tc.fleet.Entries(tc.t.Context())
 		ready := 0
 		for _, e := range entries {
@@ -111,8 +111,8 @@
 	}
 }
 
-// measure returns how long each instance took to act on a change of a key,
-// and how long until an instance knew that it is in force everywhere.
+// measure returns how long each instance took to apply a change of a key, and the
+// time until an instance reported the change in force on all instances.
 func (tc *testCluster) measure(entries []storage.Instance, key string, works bool, r storage.Revision) (all []observation, inForce time.Duration) {
 	start := time.Now()
 	all = make([]observation, len(entries))
@@ -130,10 +130,10 @@
 	return all, inForce
 }
 
-// reached says when an instance reached the new state.
+// observation holds when an instance was seen to switch to the new state.
 type observation struct {
-	// acted is when it answered by the new state; before is when the last
-	// question was put that it answered by the old one.
+	// applied is when the first answer with the new state arrived; lastBefore
+	// is when the last request answered with the old state was sent.
 	applied, lastBefore time.Duration
 }
 
@@ -150,7 +150,8 @@
 	}
 }
 
-// accepts asks an instance for addresses, which takes a key and no rate.
+// accepts reports whether an instance accepts a key. It uses locate, which needs a
+// key but does not count against the rate.
 func accepts(address, key string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), locateTimeout)
 	defer cancel()
@@ -158,11 +159,11 @@
 	return err == nil
 }
 
-// cost is what the fleet has used so far.
+// fleetUsage is the cumulative resource use of the fleet.
 type fleetUsage struct {
 	at            time.Time
 	reads, writes int
-	// cpu and peerBytes are by instance; peerBytes counts both directions.
+	// cpu, peerBytes and rss are per instance; peerBytes counts both directions.
 	cpu       []time.Duration
 	peerBytes []float64
 	rss       []int
@@ -191,13 +192,12 @@
 		peer = append(peer, (b.peerBytes[i]-a.peerBytes[i])/seconds)
 		rss = append(rss, float64(b.rss[i])/(1<<20))
 	}
-	tc.t.Logf("without changes, over %.1f s: the platform got %.1f reads and %.1f writes a second",
+	tc.t.Logf("without changes, over %.1f s: platform received %.1f reads/s and %.1f writes/s",
 		seconds, float64(b.reads-a.reads)/seconds, float64(b.writes-a.writes)/seconds)
-	tc.t.Logf("an instance: peer bytes a second %s; CPU ms a second %s; MiB resident %s", figures(peer), figures(cpu), figures(rss))
+	tc.t.Logf("per instance: peer bytes/s %s; CPU ms/s %s; resident MiB %s", figures(peer), figures(cpu), figures(rss))
 }
 
-// usage returns the processor time and the resident bytes of a process of
-// this test, from proc(5).
+// usage returns the CPU time and resident bytes of a process, from proc(5).
 func usage(t *testing.T, pid int) (time.Duration, int) {
 	t.Helper()
 	const tick = 10 * time.Millisecond // USER_HZ is 100 on Linux
@@ -215,7 +215,7 @@
 	return time.Duration(user+system) * tick, pages * os.Getpagesize()
 }
 
-// metrics reads the metrics without labels of an instance.
+// metrics returns the unlabelled metrics of an instance.
 func metrics(t *testing.T, address string) map[string]float64 {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/metrics", nil)
