--- a/internal/proofs/stop_test.go
+++ b/internal/proofs/stop_test.go
@@ -53,7 +53,7 @@
 	for i, old := range tc.running() {
 		tc.startEntry(fmt.Sprintf("luzon-%d", i+1))
 		start := time.Now()
-		must.Zero(t, old.process.Stop(stopTimeout), must.Sprintf("%s did not stop within the timeout and was killed: %s", old.name, old.process.Log()))
+		must.Zero(t, old.process.Stop(stopTimeout), must.Sprintf("%s exited with an error or was killed after the stop timeout: %s", old.name, old.process.Log()))
 		t.Logf("%s stopped from %.2fs to %.2fs", old.name, start.Sub(begin).Seconds(), time.Since(begin).Seconds())
 	}
 	time.Sleep(2 * time.Second)
