--- a/operator/apply.go
+++ b/operator/apply.go
@@ -116,7 +116,7 @@
 		}
 		base = next
 	}
-	return Applied{}, errors.AssertionFailedf("a proposal that isn't empty has no stage")
+	return Applied{}, errors.AssertionFailedf("proposal with changes has no stages")
 }
 
 // after returns the lists row as the previous stage wrote it. If another
@@ -149,7 +149,7 @@
 		return a, err
 	}
 	p.Base.Version = base.Version
-	a.Version, a.ConflictingChanges = o.winners(ctx, p)
+	a.Version, a.ConflictingChanges = o.conflictingChanges(ctx, p)
 	return a, nil
 }
 
@@ -170,9 +170,9 @@
 	}, nil
 }
 
-// winners returns the current version and the changes that led to it. The
+// conflictingChanges returns the current version and the changes that led to it. The
 // result is informational: it is empty if the platform doesn't answer.
-func (o *Operator) winners(ctx context.Context, p Proposal) (uint64, []AuditEntry) {
+func (o *Operator) conflictingChanges(ctx context.Context, p Proposal) (uint64, []AuditEntry) {
 	now, err := o.listsRow(ctx)
 	if err != nil {
 		return 0, nil
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		if err := json.Unmarshal(row.Value, &e); err != nil {
-			return nil, errors.Wrapf(err, "audit entry %s", row.Key)
+			return nil, errors.Wrapf(err, "decode audit entry %s", row.Key)
 		}
 		entries = append(entries, e)
 	}
--- a/operator/change.go
+++ b/operator/change.go
@@ -52,7 +52,7 @@
 	for n := 0; ; n++ {
 		result, err := o.table.Write(ctx, txn)
 		if err != nil {
-			return "", 0, errors.Wrap(err, "write")
+			return "", 0, errors.Wrap(err, "write control table")
 		}
 		switch result.Outcome {
 		case storage.Committed:
@@ -88,7 +88,7 @@
 	for n := 0; ; n++ {
 		c, err := o.table.Read(ctx, storage.ReadRequest{Table: storage.Audit, Prefix: e.key()})
 		if err == nil {
-			return o.ownOrRaced(ctx, c, e)
+			return o.outcomeOfLostWrite(ctx, c, e)
 		}
 		if o.settings.Pause(ctx, o.backoff(n)) != nil {
 			return Unresolved, 0, nil
@@ -96,10 +96,10 @@
 	}
 }
 
-// ownOrRaced returns, if the change took effect, a revision at which it is
+// outcomeOfLostWrite returns, if the change took effect, a revision at which it is
 // certainly in the control table. The revision of the write itself was lost
 // with its response; any later one can be waited for instead.
-func (o *Operator) ownOrRaced(ctx context.Context, c storage.Changes, e AuditEntry) (Outcome, storage.Revision, error) {
+func (o *Operator) outcomeOfLostWrite(ctx context.Context, c storage.Changes, e AuditEntry) (Outcome, storage.Revision, error) {
 	for _, row := range c.Rows {
 		if row.Key == e.key() && !row.Deleted && row.Attempt == e.Attempt {
 			return Accepted, o.newestRevision(ctx), nil
--- a/operator/fleet/fleet.go
+++ b/operator/fleet/fleet.go
@@ -26,7 +26,7 @@
 const maxDecisions = 1000
 
 // ErrNoAddress reports an instance without an operator address.
-var ErrNoAddress = errors.New("instance has no operator address")
+var ErrNoAddress = errors.New("instance does not publish an operator API address")
 
 // Fleet is a client of the instances that the platform lists. It is safe for
 // concurrent use.
--- a/operator/history_test.go
+++ b/operator/history_test.go
@@ -87,8 +87,8 @@
 
 // history records the outcomes that the operators got.
 type history struct {
-	accepted, raced, unresolved map[string]bool
-	givenUp                     int
+	accepted, conflicting, unresolved map[string]bool
+	givenUp                           int
 }
 
 func (h *history) note(o Outcome, attempt string) {
@@ -96,7 +96,7 @@
 	case Accepted:
 		h.accepted[attempt] = true
 	case Conflict:
-		h.raced[attempt] = true
+		h.conflicting[attempt] = true
 	case Unresolved:
 		h.unresolved[attempt] = true
 	case NothingToDo, Stopped:
@@ -106,7 +106,7 @@
 // Two operators apply lists and issue and revoke keys concurrently. The table
 // loses responses before or after a write takes effect, or a write arrives only
 // after its operator gave up. Outcomes must match the audit trail: an accepted
-// change is in it, a raced one isn't, and no accepted change may be overwritten
+// change is in it, a conflicting one isn't, and no accepted change may be overwritten
 // by one based on an older version.
 func TestRacingOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -117,7 +117,7 @@
 
 func runHistory(t must.T, rng *rand.Rand) {
 	f := &faultyTable{store: tables.New()}
-	h := &history{accepted: map[string]bool{}, raced: map[string]bool{}, unresolved: map[string]bool{}}
+	h := &history{accepted: map[string]bool{}, conflicting: map[string]bool{}, unresolved: map[string]bool{}}
 	f.lose = func() loss {
 		return []loss{answered, answered, answered, answered, lostBefore, lostAfter, lostLate}[rng.IntN(7)]
 	}
@@ -220,7 +220,7 @@
 		e := entries[i]
 		must.False(t, inTrail[e.Attempt], must.Sprintf("%s took effect twice", e.Attempt))
 		inTrail[e.Attempt] = true
-		must.False(t, h.raced[e.Attempt], must.Sprintf("%s reported raced, but took effect", e.Attempt))
+		must.False(t, h.conflicting[e.Attempt], must.Sprintf("%s reported a conflict, but took effect", e.Attempt))
 	}
 	for attempt := range h.accepted {
 		must.True(t, inTrail[attempt], must.Sprintf("%s reported accepted, but isn't in the audit trail", attempt))
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -33,7 +33,7 @@
 	// ErrUnknownKey reports that no key matches.
 	ErrUnknownKey = errors.New("operator: no such key")
 	// ErrAmbiguousKey reports that more than one key matches.
-	ErrAmbiguousKey = errors.New("operator: more than one key matches")
+	ErrAmbiguousKey = errors.New("operator: ambiguous key: more than one key matches")
 	// ErrLabel reports an invalid label.
 	ErrLabel = errors.New("operator: label must be at most 63 printable ASCII characters")
 )
--- a/operator/revoke.go
+++ b/operator/revoke.go
@@ -76,7 +76,7 @@
 	case len(keys) == 0:
 		return KeyInfo{}, ErrUnknownKey
 	case len(keys) > 1:
-		return KeyInfo{}, errors.Wrapf(ErrAmbiguousKey, "%d keys", len(keys))
+		return KeyInfo{}, errors.Wrapf(ErrAmbiguousKey, "%d keys match", len(keys))
 	default:
 		return keys[0], nil
 	}
@@ -90,7 +90,7 @@
 	case s.ID != "":
 		id := strings.ToLower(s.ID)
 		if len(id) < minIDLength || !isHex(id) {
-			return "", nil, errors.Wrapf(ErrUnknownKey, "an id has at least %d hex digits", minIDLength)
+			return "", nil, errors.Wrapf(ErrUnknownKey, "an id prefix needs at least %d hex digits", minIDLength)
 		}
 		return id, anyKey, nil
 	case s.Label != "":
@@ -98,7 +98,7 @@
 			return k.Label == s.Label && (s.Workspace == "" || k.Workspace == s.Workspace)
 		}, nil
 	default:
-		return "", nil, errors.Wrap(ErrUnknownKey, "neither an id, a label nor a key was given")
+		return "", nil, errors.Wrap(ErrUnknownKey, "no id, label or key given")
 	}
 }
 
--- a/operator/snapshot.go
+++ b/operator/snapshot.go
@@ -21,7 +21,7 @@
 
 // ErrBusy reports that other operators changed the lists during every attempt
 // to read them.
-var ErrBusy = errors.New("operator: the lists keep changing")
+var ErrBusy = errors.New("operator: lists changed during every read attempt")
 
 // Snapshot is the accepted pair of lists.
 type Snapshot struct {
