--- a/cmd/foxtailspoke-edge/main.go
+++ b/cmd/foxtailspoke-edge/main.go
@@ -13,8 +13,8 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// The settings file is looked at every few seconds anyway; the signal must
-	// only not end the process.
+	// Settings are reloaded by polling the file, so SIGHUP only has to be kept
+	// from terminating the process.
 	signal.Ignore(syscall.SIGHUP)
 	os.Exit(edgecommand.Run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/foxtailspoke-standin/main.go
+++ b/cmd/foxtailspoke-standin/main.go
@@ -1,4 +1,4 @@
-// Command foxtailspoke-standin runs small stand-ins of the platform, of
+// Command foxtailspoke-standin runs test doubles of the platform, of
 // backend servers and of network links.
 package main
 
--- a/cmd/foxtailspoke-trial/main.go
+++ b/cmd/foxtailspoke-trial/main.go
@@ -1,4 +1,5 @@
-// Command foxtailspoke-trial tries a running system out, as its callers.
+// Command foxtailspoke-trial exercises a running system from the
+// callers' side.
 package main
 
 import (
--- a/cmd/foxtailspoke/main.go
+++ b/cmd/foxtailspoke/main.go
@@ -1,5 +1,5 @@
 // Command foxtailspoke is the operators' command line: it checks and applies
-// the two lists, gives and withdraws keys, and explains decisions.
+// the two lists, issues and revokes keys, and explains decisions.
 package main
 
 import (
--- a/internal/edgecommand/command.go
+++ b/internal/edgecommand/command.go
@@ -17,12 +17,13 @@
 
 // Exit statuses.
 const (
-	exitDone   = 0
+	exitOK   = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// settingsVariable names the settings file where the option doesn't.
+// settingsVariable is the environment variable that names the settings file
+// if --settings is not given.
 const settingsVariable = "FOXTAILSPOKE_SETTINGS"
 
 const help = `Runs one edge instance until SIGTERM, which begins a planned stop.
@@ -52,7 +53,7 @@
 		var flagsErr *flags.Error
 		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			_, _ = fmt.Fprintln(stdout, err)
-			return exitDone
+			return exitOK
 		}
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitUsage
@@ -62,7 +63,7 @@
 			_, _ = fmt.Fprintln(stderr, err)
 			return exitFailed
 		}
-		return exitDone
+		return exitOK
 	}
 	if o.Settings == "" {
 		o.Settings = os.Getenv(settingsVariable)
@@ -74,7 +75,7 @@
 	}
 	if o.Check {
 		_, _ = fmt.Fprintln(stdout, "settings are in order")
-		return exitDone
+		return exitOK
 	}
 	e, err := edge.New(o.Settings, s, logging.NewWriter(stdout))
 	if err != nil {
@@ -85,7 +86,7 @@
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitFailed
 	}
-	return exitDone
+	return exitOK
 }
 
 func (o options) runCommand(name string, stdout io.Writer) error {
--- a/internal/edgecommand/explain.go
+++ b/internal/edgecommand/explain.go
@@ -10,7 +10,7 @@
 	"foxtailspoke/logreport"
 )
 
-// explainCommand reports on the lines of any number of instances.
+// explainCommand prints a report on the logs of any number of instances.
 type explainCommand struct {
 	JSON bool `long:"json" description:"write the report as JSON"`
 	Args struct {
--- a/internal/edgecommand/status.go
+++ b/internal/edgecommand/status.go
@@ -15,11 +15,11 @@
 	"foxtailspoke/edge"
 )
 
-// statusTimeout bounds a question to an instance. It answers within
-// milliseconds; one that is asked from another region is some tens away.
+// statusTimeout bounds a status request. An instance answers within
+// milliseconds; from another region the round trip adds tens of milliseconds.
 const statusTimeout = 3 * time.Second
 
-// statusCommand shows what an instance knows of the fleet.
+// statusCommand prints an instance's view of the fleet.
 type statusCommand struct {
 	JSON bool `long:"json" description:"print JSON instead of tables"`
 	Args struct {
@@ -31,7 +31,7 @@
 	if _, _, err := net.SplitHostPort(c.Args.Address); err != nil {
 		return errors.Wrapf(err, "%q isn't ip:port", c.Args.Address)
 	}
-	s, err := askStatus(c.Args.Address)
+	s, err := fetchStatus(c.Args.Address)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	return printStatus(stdout, s)
 }
 
-func askStatus(address string) (edge.Status, error) {
+func fetchStatus(address string) (edge.Status, error) {
 	var s edge.Status
 	client := http.Client{Timeout: statusTimeout}
 	resp, err := client.Get("http://" + address + edge.PathStatus)
--- a/internal/edgecommand/status_test.go
+++ b/internal/edgecommand/status_test.go
@@ -39,7 +39,7 @@
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	code, out, _ := run("status", address)
-	must.Eq(t, exitDone, code)
+	must.Eq(t, exitOK, code)
 	for _, part := range []string{
 		"edge-1 in luz-a, ready", "configuration 12, proved 230ms ago; servers as of unknown ago; read by 10.1.0.31",
 		"50% of each workspace's rate", "incomplete 1.5s ago", "boatyard", "not ready, slow link",
@@ -48,7 +48,7 @@
 		must.StrContains(t, out, part)
 	}
 	code, out, _ = run("status", "--json", address)
-	must.Eq(t, exitDone, code)
+	must.Eq(t, exitOK, code)
 	var back edge.Status
 	must.NoError(t, json.Unmarshal([]byte(out), &back))
 	must.Eq(t, s, back)
@@ -77,9 +77,8 @@
 	must.StrContains(t, stderr, "nosuch.jsonc")
 }
 
-// Lines of two instances, one file each. Who was served, and what kept others
-// from it, is told of both together; a file without lines of requests is an
-// error, not an empty report.
+// The logs of two instances, one file each, are combined into one report. A
+// file without request lines is an error, not an empty report.
 func TestExplainReadsManyLogs(t *testing.T) {
 	write := func(lines string) string {
 		name := filepath.Join(t.TempDir(), "log")
--- a/internal/entrycommand/command.go
+++ b/internal/entrycommand/command.go
@@ -16,7 +16,7 @@
 
 // Exit statuses.
 const (
-	exitDone   = 0
+	exitOK   = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
@@ -48,20 +48,20 @@
 	}
 	if o.Check {
 		_, _ = fmt.Fprintln(stdout, "settings are in order")
-		return exitDone
+		return exitOK
 	}
 	if err := serve(ctx, s, stdout, stderr); err != nil {
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitFailed
 	}
-	return exitDone
+	return exitOK
 }
 
 func usage(err error, stdout, stderr io.Writer) int {
 	var flagsErr *flags.Error
 	if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 		_, _ = fmt.Fprintln(stdout, err)
-		return exitDone
+		return exitOK
 	}
 	_, _ = fmt.Fprintln(stderr, err)
 	return exitUsage
