--- a/internal/entrycommand/command.go
+++ b/internal/entrycommand/command.go
@@ -16,7 +16,7 @@
 
 // Exit statuses.
 const (
-	exitOK   = 0
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
