--- a/logreport/logreport_test.go
+++ b/logreport/logreport_test.go
@@ -49,7 +49,7 @@
 	must.Eq(t, map[string]int{"no-room": 1, "server-failed": 1}, r.Rules)
 	must.Len(t, 2, r.Seconds)
 	must.Eq(t, map[string]int{"server-failed": 1}, r.Seconds[1].Rules)
-	must.Eq(t, "w", r.Worst)
+	must.Eq(t, "w", r.WorstWorkspace)
 	must.Eq(t, 9, r.LeftOut)
 	must.Eq(t, 1, r.Unread)
 	var text strings.Builder
@@ -69,13 +69,13 @@
 		tried(90_000, "other", "a", "server error", 5), ended(90_001, "other", 500, "server-failed", `"took_ms":6`),
 		tried(90_100, "own", "a", "connect failed", 5),
 	)
-	must.Len(t, 2, r.Spells)
-	s := r.Spells[0]
+	must.Len(t, 2, r.Episodes)
+	s := r.Episodes[0]
 	must.Eq(t, 2, s.Attempts)
 	must.Eq(t, 1, s.Lost)
 	must.Eq(t, 800, s.DetectionMS)
 	must.Eq(t, map[string]int{"incomplete": 1, "timeout": 1}, s.Results)
-	must.Eq(t, logreport.Detection{Spells: 2, Attempts: 3, Lost: 2, MedianMS: 800, MostMS: 800}, r.Detection)
+	must.Eq(t, logreport.Detection{Episodes: 2, Attempts: 3, Lost: 2, MedianMS: 800, MaxMS: 800}, r.Detection)
 	must.Eq(t, 1, r.Results["connect failed"])
 }
 
@@ -102,5 +102,5 @@
 		ended(0, "1", 200, "served", plan), ended(1, "2", 429, "over-rate", plan),
 		ended(2, "3", 429, "over-rate", plan), ended(3, "4", 429, "over-rate", plan),
 	)
-	must.Eq(t, map[string]int{"w": 1}, r.RefusedInside)
+	must.Eq(t, map[string]int{"w": 1}, r.RefusedWithinRate)
 }
--- a/logreport/report.go
+++ b/logreport/report.go
@@ -18,19 +18,19 @@
 	// Results counts failed attempts by how they failed.
 	Results map[string]int `json:"results"`
 	Seconds []Second       `json:"seconds"`
-	Spells  []Spell        `json:"spells"`
+	Episodes  []FailureEpisode        `json:"spells"`
 	// Detection is the usual and the longest time from a spell's first failure
 	// to the last request that any instance still sent into it.
 	Detection Detection `json:"detection"`
 	// FalselyAvoided are servers that were left out after a failure that stood
 	// alone.
-	FalselyAvoided []Avoided `json:"falsely_avoided"`
-	// RefusedInside counts, per workspace, the requests that were refused for
+	FalselyAvoided []AvoidedServer `json:"falsely_avoided"`
+	// RefusedWithinRate counts, per workspace, the requests that were refused for
 	// the rate although one bucket for the whole fleet would have paid for them.
-	RefusedInside map[string]int `json:"refused_inside"`
-	// Worst is the workspace that was served least, those apart that asked for
+	RefusedWithinRate map[string]int `json:"refused_inside"`
+	// WorstWorkspace is the workspace that was served least, those apart that asked for
 	// more than their rate.
-	Worst string `json:"worst_workspace"`
+	WorstWorkspace string `json:"worst_workspace"`
 	// LeftOut is the number of lines that instances didn't write, Unread of
 	// those that couldn't be read.
 	LeftOut uint64 `json:"lines_left_out"`
@@ -87,7 +87,7 @@
 	r := Report{
 		Routes: map[string]Count{}, Workspaces: map[string]Count{}, Services: map[string]Count{},
 		Servers: map[string]Count{}, Rules: map[string]int{}, Results: map[string]int{},
-		RefusedInside: l.refusedInside(), Unread: l.unread,
+		RefusedWithinRate: l.refusedInside(), Unread: l.unread,
 	}
 	for _, n := range l.leftOut {
 		r.LeftOut += n
@@ -104,10 +104,10 @@
 	for _, a := range l.attempts {
 		r.Results[a.result]++
 	}
-	r.Spells = l.spells()
-	r.Detection = detection(r.Spells)
-	r.FalselyAvoided = l.falselyAvoided(r.Spells)
-	r.Worst = r.worst()
+	r.Episodes = l.spells()
+	r.Detection = detection(r.Episodes)
+	r.FalselyAvoided = l.falselyAvoided(r.Episodes)
+	r.WorstWorkspace = r.worst()
 	return r
 }
 
--- a/logreport/spells.go
+++ b/logreport/spells.go
@@ -15,8 +15,8 @@
 	avoidedFor = 2 * time.Second
 )
 
-// Spell is a time in which a server failed requests again and again.
-type Spell struct {
+// FailureEpisode is a time in which a server failed requests again and again.
+type FailureEpisode struct {
 	Server  string    `json:"server"`
 	Service string    `json:"service"`
 	From    time.Time `json:"from"`
@@ -33,22 +33,22 @@
 
 // Detection sums up spells.
 type Detection struct {
-	Spells   int   `json:"spells"`
+	Episodes   int   `json:"spells"`
 	Attempts int   `json:"attempts"`
 	Lost     int   `json:"lost"`
 	MedianMS int64 `json:"median_ms"`
-	MostMS   int64 `json:"most_ms"`
+	MaxMS   int64 `json:"most_ms"`
 }
 
-// Avoided is a server that was left out although it was well.
-type Avoided struct {
+// AvoidedServer is a server that was left out although it was well.
+type AvoidedServer struct {
 	Server string    `json:"server"`
 	From   time.Time `json:"from"`
 	ForMS  int64     `json:"for_ms"`
 }
 
 // spells groups failed attempts by server and time.
-func (l *Lines) spells() []Spell {
+func (l *Lines) spells() []FailureEpisode {
 	lost := make(map[string]bool)
 	for _, q := range l.requests {
 		if o := q.outcome(); o == failed || o == refused {
@@ -56,15 +56,15 @@
 		}
 	}
 	starts := l.starts()
-	open := make(map[string]*Spell)
-	var all []*Spell
+	open := make(map[string]*FailureEpisode)
+	var all []*FailureEpisode
 	for _, a := range l.attempts {
 		if !a.accuses() {
 			continue
 		}
 		s := open[a.server]
 		if s == nil || a.ended.Sub(s.until) > spellGap {
-			s = &Spell{Server: a.server, Service: a.service, From: a.ended, Results: map[string]int{}}
+			s = &FailureEpisode{Server: a.server, Service: a.service, From: a.ended, Results: map[string]int{}}
 			open[a.server] = s
 			all = append(all, s)
 		}
@@ -76,7 +76,7 @@
 			delete(lost, a.request)
 		}
 	}
-	spells := make([]Spell, 0, len(all))
+	spells := make([]FailureEpisode, 0, len(all))
 	for _, s := range all {
 		s.DetectionMS = lastBeforePause(starts[s.Server], s.From).Milliseconds()
 		spells = append(spells, *s)
@@ -122,8 +122,8 @@
 	return last.Sub(from)
 }
 
-func detection(spells []Spell) Detection {
-	d := Detection{Spells: len(spells)}
+func detection(spells []FailureEpisode) Detection {
+	d := Detection{Episodes: len(spells)}
 	var times []int64
 	for _, s := range spells {
 		d.Attempts += s.Attempts
@@ -134,13 +134,13 @@
 		return d
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
-	d.MedianMS, d.MostMS = times[len(times)/2], times[len(times)-1]
+	d.MedianMS, d.MaxMS = times[len(times)/2], times[len(times)-1]
 	return d
 }
 
 // falselyAvoided finds servers without a request for long after a spell of one
 // failed attempt, whose next attempt was served.
-func (l *Lines) falselyAvoided(spells []Spell) []Avoided {
+func (l *Lines) falselyAvoided(spells []FailureEpisode) []AvoidedServer {
 	starts := l.starts()
 	failures := make(map[string][]time.Time)
 	for _, a := range l.attempts {
@@ -148,7 +148,7 @@
 			failures[a.server] = append(failures[a.server], a.ended.Add(-a.took))
 		}
 	}
-	var all []Avoided
+	var all []AvoidedServer
 	for _, s := range spells {
 		if s.Attempts != 1 {
 			continue
@@ -160,7 +160,7 @@
 		if bad, again := firstAfter(failures[s.Server], s.From); again && bad.Equal(next) {
 			continue
 		}
-		all = append(all, Avoided{s.Server, s.From, next.Sub(s.From).Milliseconds()})
+		all = append(all, AvoidedServer{s.Server, s.From, next.Sub(s.From).Milliseconds()})
 	}
 	return all
 }
--- a/logreport/text.go
+++ b/logreport/text.go
@@ -42,16 +42,16 @@
 	line("")
 	line("not served, by rule:\t%s", counted(r.Rules))
 	line("failed attempts:\t%s", counted(r.Results))
-	line("refused inside the rate:\t%s", counted(r.RefusedInside))
-	line("worst-served workspace:\t%s", r.Worst)
+	line("refused inside the rate:\t%s", counted(r.RefusedWithinRate))
+	line("worst-served workspace:\t%s", r.WorstWorkspace)
 	line("spells:\t%d, with %d failed attempts and %d lost requests; detected after %d ms (median), %d ms (longest)",
-		r.Detection.Spells, r.Detection.Attempts, r.Detection.Lost, r.Detection.MedianMS, r.Detection.MostMS)
+		r.Detection.Episodes, r.Detection.Attempts, r.Detection.Lost, r.Detection.MedianMS, r.Detection.MaxMS)
 	line("left out though well:\t%d", len(r.FalselyAvoided))
 	line("lines left out:\t%d", r.LeftOut)
 	line("lines unread:\t%d", r.Unread)
 	line("")
 	line("spell of\tfrom\tattempts\tlost\tdetected ms\tresults")
-	for _, s := range dearest(r.Spells) {
+	for _, s := range dearest(r.Episodes) {
 		line("%s\t%s\t%d\t%d\t%d\t%s", s.Server, s.From.Format("15:04:05.000"), s.Attempts, s.Lost, s.DetectionMS, counted(s.Results))
 	}
 	return errors.Wrap(t.Flush(), "report")
@@ -69,8 +69,8 @@
 	return names
 }
 
-func dearest(spells []Spell) []Spell {
-	all := append([]Spell(nil), spells...)
+func dearest(spells []FailureEpisode) []FailureEpisode {
+	all := append([]FailureEpisode(nil), spells...)
 	sort.SliceStable(all, func(i, j int) bool {
 		return all[i].Lost > all[j].Lost || (all[i].Lost == all[j].Lost && all[i].Attempts > all[j].Attempts)
 	})
