--- a/logreport/spells.go
+++ b/logreport/episodes.go
@@ -6,49 +6,48 @@
 )
 
 const (
-	// spellGap ends a spell: a server that fails again later is in another
-	// one. Shorter than the pauses that the fleet makes before it tries again
-	// would count each try as a spell.
-	spellGap = 5 * time.Second
-	// avoidedFor is the time without a request from which a server counts as
-	// left out, while its service has requests.
-	avoidedFor = 2 * time.Second
+	// episodeGap is the longest time between failures of one episode. A value
+	// below the fleet's retry pauses would count each retry as an episode.
+	episodeGap = 5 * time.Second
+	// minAvoidedTime is the time without a request after which a server counts as
+	// excluded while its service has requests.
+	minAvoidedTime = 2 * time.Second
 )
 
-// FailureEpisode is a time in which a server failed requests again and again.
+// FailureEpisode is a period of repeated failures of a server.
 type FailureEpisode struct {
 	Server  string    `json:"server"`
 	Service string    `json:"service"`
 	From    time.Time `json:"from"`
-	// Attempts that failed, and Lost requests that weren't served for it.
+	// Attempts counts failed attempts, Lost the requests not served because of them.
 	Attempts int `json:"attempts"`
 	Lost     int `json:"lost"`
 	// DetectionMS is the time from the first failure to the start of the last
 	// attempt before the first pause, in milliseconds.
 	DetectionMS int64 `json:"detection_ms"`
-	// Results of the attempts.
+	// Results counts the attempts by result.
 	Results map[string]int `json:"results"`
 	until   time.Time
 }
 
-// Detection sums up spells.
+// Detection summarizes failure episodes.
 type Detection struct {
-	Episodes   int   `json:"spells"`
+	Episodes int   `json:"spells"`
 	Attempts int   `json:"attempts"`
 	Lost     int   `json:"lost"`
 	MedianMS int64 `json:"median_ms"`
-	MaxMS   int64 `json:"most_ms"`
+	MaxMS    int64 `json:"most_ms"`
 }
 
-// AvoidedServer is a server that was left out although it was well.
+// AvoidedServer is a healthy server that was excluded.
 type AvoidedServer struct {
 	Server string    `json:"server"`
 	From   time.Time `json:"from"`
 	ForMS  int64     `json:"for_ms"`
 }
 
-// spells groups failed attempts by server and time.
-func (l *Lines) spells() []FailureEpisode {
+// episodes groups failed attempts by server and time.
+func (l *Lines) episodes() []FailureEpisode {
 	lost := make(map[string]bool)
 	for _, q := range l.requests {
 		if o := q.outcome(); o == failed || o == refused {
@@ -59,11 +58,11 @@
 	open := make(map[string]*FailureEpisode)
 	var all []*FailureEpisode
 	for _, a := range l.attempts {
-		if !a.accuses() {
+		if !a.countsAgainstServer() {
 			continue
 		}
 		s := open[a.server]
-		if s == nil || a.ended.Sub(s.until) > spellGap {
+		if s == nil || a.ended.Sub(s.until) > episodeGap {
 			s = &FailureEpisode{Server: a.server, Service: a.service, From: a.ended, Results: map[string]int{}}
 			open[a.server] = s
 			all = append(all, s)
@@ -76,12 +75,12 @@
 			delete(lost, a.request)
 		}
 	}
-	spells := make([]FailureEpisode, 0, len(all))
+	episodes := make([]FailureEpisode, 0, len(all))
 	for _, s := range all {
 		s.DetectionMS = lastBeforePause(starts[s.Server], s.From).Milliseconds()
-		spells = append(spells, *s)
+		episodes = append(episodes, *s)
 	}
-	return spells
+	return episodes
 }
 
 // starts are the times at which requests were sent to each server, in order.
@@ -92,8 +91,8 @@
 	}
 	for _, q := range l.requests {
 		if o := q.outcome(); q.server != "" && (o == served || o == late) {
-			// The time of a request that was repeated begins before its last
-			// attempt; what is told is too early then, never too late.
+			// A retried request starts before its last attempt, so the
+			// start is too early then, never too late.
 			starts[q.server] = append(starts[q.server], q.ended.Add(-q.took))
 		}
 	}
@@ -103,18 +102,19 @@
 	return starts
 }
 
-// pause is the time without a request from which the fleet has learnt.
-const pause = time.Second
+// detectionPause is the time without a request after which a failure counts
+// as detected.
+const detectionPause = time.Second
 
-// lastBeforePause is how long after a moment requests were still sent until
-// the first pause.
+// lastBeforePause returns how long after from requests were still sent before
+// the first detectionPause.
 func lastBeforePause(starts []time.Time, from time.Time) time.Duration {
 	last := from
 	for _, s := range starts {
 		if s.Before(from) {
 			continue
 		}
-		if s.Sub(last) > pause {
+		if s.Sub(last) > detectionPause {
 			break
 		}
 		last = s
@@ -122,10 +122,10 @@
 	return last.Sub(from)
 }
 
-func detection(spells []FailureEpisode) Detection {
-	d := Detection{Episodes: len(spells)}
+func detection(episodes []FailureEpisode) Detection {
+	d := Detection{Episodes: len(episodes)}
 	var times []int64
-	for _, s := range spells {
+	for _, s := range episodes {
 		d.Attempts += s.Attempts
 		d.Lost += s.Lost
 		times = append(times, s.DetectionMS)
@@ -138,23 +138,23 @@
 	return d
 }
 
-// falselyAvoided finds servers without a request for long after a spell of one
-// failed attempt, whose next attempt was served.
-func (l *Lines) falselyAvoided(spells []FailureEpisode) []AvoidedServer {
+// falselyAvoided finds servers that got no request for minAvoidedTime after a
+// single failed attempt and whose next attempt succeeded.
+func (l *Lines) falselyAvoided(episodes []FailureEpisode) []AvoidedServer {
 	starts := l.starts()
 	failures := make(map[string][]time.Time)
 	for _, a := range l.attempts {
-		if a.accuses() {
+		if a.countsAgainstServer() {
 			failures[a.server] = append(failures[a.server], a.ended.Add(-a.took))
 		}
 	}
 	var all []AvoidedServer
-	for _, s := range spells {
+	for _, s := range episodes {
 		if s.Attempts != 1 {
 			continue
 		}
 		next, found := firstAfter(starts[s.Server], s.From)
-		if !found || next.Sub(s.From) < avoidedFor {
+		if !found || next.Sub(s.From) < minAvoidedTime {
 			continue
 		}
 		if bad, again := firstAfter(failures[s.Server], s.From); again && bad.Equal(next) {
--- a/logreport/lines.go
+++ b/logreport/lines.go
@@ -1,17 +1,16 @@
-// Package logreport tells from the structured lines of any number of instances
-// who was served and who wasn't, and what the fleet knew of its backend servers
-// when it decided.
+// Package logreport aggregates the structured logs of any number of instances
+// into a report on served and unserved requests and on failure detection.
 //
-// Idea: an instance writes a line when a request ends and one when an attempt
-// fails. Put together over the fleet and in order of time they give the
-// measures that callers feel: served, late, refused and failed requests by
-// route, workspace, service and rule; the spells in which servers failed, what
-// each spell cost and how long requests were still sent into it; servers that
-// were left out though they were well; refusals inside a workspace's rate.
+// An instance writes a line when a request ends and one when an attempt
+// fails. Merged over the fleet in order of time, they give the
+// caller-visible measures: served, late, refused and failed requests by
+// route, workspace, service and rule; failure episodes of servers,
+// the requests lost to each and how long requests were still sent to the server;
+// healthy servers that were excluded; refusals within a workspace's rate.
 //
-// Trade-off: lines are bounded under load (event 533), and good answers go
-// first. A report says how many lines were left out; its shares are then too
-// low for what was served.
+// Logging is rate-limited under load (event 533), and lines of successful
+// requests are dropped first. The report gives the number of dropped lines; the
+// share of served requests is then underestimated.
 package logreport
 
 import (
@@ -28,7 +27,7 @@
 	"foxtailspoke/health"
 )
 
-// request is a line that tells how a caller's request ended.
+// request is the log line of a completed caller request.
 type request struct {
 	id        string
 	ended     time.Time
@@ -44,7 +43,7 @@
 	server    string
 }
 
-// attempt is a line that tells how an attempt failed.
+// attempt is the log line of a failed attempt.
 type attempt struct {
 	request string
 	ended   time.Time
@@ -54,18 +53,18 @@
 	result  string
 }
 
-// Lines are the lines of a fleet that a report is made of.
+// Lines holds the parsed log lines of a fleet.
 type Lines struct {
 	requests []request
 	attempts []attempt
-	// leftOut is the number of lines that instances left out.
+	// leftOut is the number of lines dropped, by instance.
 	leftOut map[string]uint64
-	// unread counts lines that couldn't be read.
+	// unread counts lines that could not be parsed.
 	unread int
 }
 
-// document is a line as it is written. Fields that a line lacks are zero.
-type document struct {
+// logLine is the JSON form of a line. Absent fields are zero.
+type logLine struct {
 	Time      time.Time `json:"time"`
 	Event     int       `json:"event"`
 	Instance  string    `json:"instance"`
@@ -87,9 +86,8 @@
 // maxLine bounds a line; the longest that instances write is under 2 KB.
 const maxLine = 1 << 20
 
-// Read takes in lines. What stands before the first brace of a line, such as a
-// collector's time or the name of a machine, is passed over, and so are lines
-// of other events and lines without a brace.
+// Read parses log lines. It skips any prefix before the first brace, such as a
+// collector's timestamp or host name, lines without a brace and other events.
 func (l *Lines) Read(in io.Reader) error {
 	s := bufio.NewScanner(in)
 	s.Buffer(nil, maxLine)
@@ -98,17 +96,17 @@
 		if start < 0 {
 			continue
 		}
-		var d document
+		var d logLine
 		if err := json.Unmarshal(s.Bytes()[start:], &d); err != nil {
 			l.unread++
 			continue
 		}
-		l.take(d)
+		l.add(d)
 	}
 	return errors.Wrap(s.Err(), "log lines")
 }
 
-func (l *Lines) take(d document) {
+func (l *Lines) add(d logLine) {
 	took := time.Duration(d.TookMS) * time.Millisecond
 	switch d.Event {
 	case event.RequestEnded.Number:
@@ -144,11 +142,12 @@
 	late
 	refused
 	failed
-	// notOwed: the request was wrong, or its caller left.
+	// notOwed: the request was invalid, or its caller disconnected.
 	notOwed
 )
 
-// outcome of a request. 408, 421, 429 and 503 promise that it didn't run.
+// outcome classifies a request. 408, 421, 429 and 503 guarantee that it was
+// not executed.
 func (r request) outcome() outcome {
 	switch {
 	case r.status >= 200 && r.status < 400 && r.aim > 0 && r.took > r.aim:
@@ -164,8 +163,8 @@
 	}
 }
 
-// accuses reports whether an attempt's result counts against its server.
-func (a attempt) accuses() bool {
+// countsAgainstServer reports whether an attempt's result counts against its server.
+func (a attempt) countsAgainstServer() bool {
 	switch a.result {
 	case health.ServerError.String(), health.Timeout.String(), health.Incomplete.String(), health.Mismatch.String():
 		return true
--- a/logreport/logreport_test.go
+++ b/logreport/logreport_test.go
@@ -13,7 +13,7 @@
 
 var begin = time.Date(2026, 5, 1, 12, 0, 0, 0, time.UTC)
 
-// ended is the line of a request that ended at so many milliseconds.
+// ended returns the line of a request that ended atMS after begin.
 func ended(atMS int, id string, status int, rule, more string) string {
 	at := begin.Add(time.Duration(atMS) * time.Millisecond).Format(time.RFC3339Nano)
 	return fmt.Sprintf(`{"time":%q,"event":531,"request":%q,"status":%d,"rule":%q,"aim_ms":300,"route":"r","service":"s",%s}`,
@@ -57,10 +57,10 @@
 	must.StrContains(t, text.String(), "no-room 1, server-failed 1")
 }
 
-// A server fails two requests, is sent one more by an instance that hasn't
-// heard, and is then left alone. A lookup that was served elsewhere in the end
-// isn't lost. Minutes later it fails again: another spell.
-func TestSpellsTellWhatTheyCostAndWhenTheyWereDetected(t *testing.T) {
+// A server fails two requests, gets one more from an instance that has not
+// detected the failure, and is then excluded. A lookup that another server
+// answered is not lost. A failure more than a minute later starts a new episode.
+func TestFailureEpisodesCountLossesAndDetectionTime(t *testing.T) {
 	r := report(t,
 		tried(1000, "order", "a", "incomplete", 5), ended(1001, "order", 502, "server-failed", `"took_ms":6`),
 		tried(1400, "lookup", "a", "timeout", 300), ended(1600, "lookup", 200, "served", `"took_ms":200,"server":"b"`),
@@ -79,10 +79,9 @@
 	must.Eq(t, 1, r.Results["connect failed"])
 }
 
-// One answer of a healthy server reports a failure of its own; the fleet leaves
-// the server out for seconds, and its next request is served. Of a server that
-// fails that one too, nobody says that it was well.
-func TestServersLeftOutThoughWell(t *testing.T) {
+// A healthy server returns a single error, is excluded for seconds, and serves
+// its next request. A server that fails its next request too is not reported.
+func TestHealthyServersExcluded(t *testing.T) {
 	r := report(t,
 		tried(1000, "1", "well", "server error", 5), ended(4100, "2", 200, "served", `"took_ms":100,"server":"well"`),
 		tried(1000, "3", "soon", "server error", 5), ended(1500, "4", 200, "served", `"took_ms":100,"server":"soon"`),
@@ -93,9 +92,9 @@
 	must.Eq(t, 3000, r.FalselyAvoided[0].ForMS)
 }
 
-// A workspace sends four requests at once with a rate of one a second and a
-// burst of two. Two instances refuse it; only the refusal of the second request
-// was inside what the fleet owed.
+// A workspace sends four requests at once with a rate of one per second and a
+// burst of two. Three are refused; only the refusal of the second request was
+// within the rate.
 func TestRefusalsInsideTheRate(t *testing.T) {
 	const plan = `"took_ms":0,"workspace":"w","rate":1,"burst":2`
 	r := report(t,
--- a/logreport/report.go
+++ b/logreport/report.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Report is what lines tell.
+// Report is the aggregate of a fleet's log lines.
 type Report struct {
 	All        Count            `json:"all"`
 	Routes     map[string]Count `json:"routes"`
@@ -16,23 +16,21 @@
 	// Rules counts the requests that weren't served by the rule that ended them.
 	Rules map[string]int `json:"rules"`
 	// Results counts failed attempts by how they failed.
-	Results map[string]int `json:"results"`
-	Seconds []Second       `json:"seconds"`
-	Episodes  []FailureEpisode        `json:"spells"`
-	// Detection is the usual and the longest time from a spell's first failure
-	// to the last request that any instance still sent into it.
+	Results  map[string]int   `json:"results"`
+	Seconds  []Second         `json:"seconds"`
+	Episodes []FailureEpisode `json:"spells"`
+	// Detection is the median and the longest time from an episode's first
+	// failure to the last request before instances stopped sending.
 	Detection Detection `json:"detection"`
-	// FalselyAvoided are servers that were left out after a failure that stood
-	// alone.
+	// FalselyAvoided are healthy servers excluded after a single failure.
 	FalselyAvoided []AvoidedServer `json:"falsely_avoided"`
 	// RefusedWithinRate counts, per workspace, the requests that were refused for
 	// the rate although one bucket for the whole fleet would have paid for them.
 	RefusedWithinRate map[string]int `json:"refused_inside"`
-	// WorstWorkspace is the workspace that was served least, those apart that asked for
-	// more than their rate.
+	// WorstWorkspace is the workspace with the smallest share served.
 	WorstWorkspace string `json:"worst_workspace"`
-	// LeftOut is the number of lines that instances didn't write, Unread of
-	// those that couldn't be read.
+	// LeftOut is the number of lines that instances dropped, Unread of those
+	// that could not be parsed.
 	LeftOut uint64 `json:"lines_left_out"`
 	Unread  int    `json:"lines_unread"`
 }
@@ -73,7 +71,7 @@
 	return c
 }
 
-// Second is what ended in one second.
+// Second counts the requests that ended in one second.
 type Second struct {
 	// At is the time since the first line, in whole seconds.
 	At int `json:"at_s"`
@@ -81,13 +79,13 @@
 	Rules map[string]int `json:"rules"`
 }
 
-// Report makes the report.
+// Report computes the report.
 func (l *Lines) Report() Report {
 	l.sort()
 	r := Report{
 		Routes: map[string]Count{}, Workspaces: map[string]Count{}, Services: map[string]Count{},
 		Servers: map[string]Count{}, Rules: map[string]int{}, Results: map[string]int{},
-		RefusedWithinRate: l.refusedInside(), Unread: l.unread,
+		RefusedWithinRate: l.refusedWithinRate(), Unread: l.unread,
 	}
 	for _, n := range l.leftOut {
 		r.LeftOut += n
@@ -104,7 +102,7 @@
 	for _, a := range l.attempts {
 		r.Results[a.result]++
 	}
-	r.Episodes = l.spells()
+	r.Episodes = l.episodes()
 	r.Detection = detection(r.Episodes)
 	r.FalselyAvoided = l.falselyAvoided(r.Episodes)
 	r.WorstWorkspace = r.worst()
@@ -141,8 +139,8 @@
 	}
 }
 
-// worst is the workspace with the smallest share served. Refusals over the rate
-// that the rate explains aren't held against the fleet.
+// worst is the workspace with the smallest share served. Refusals that the
+// workspace's rate explains do not count against the fleet.
 func (r *Report) worst() string {
 	worst, least := "", 2.0
 	for name, c := range r.Workspaces {
@@ -156,9 +154,9 @@
 // overRate is the rule of refusals for a workspace's rate.
 const overRate = "over-rate"
 
-// refusedInside replays, for each workspace, one bucket of its rate and burst
+// refusedWithinRate replays, for each workspace, one bucket of its rate and burst
 // for the whole fleet.
-func (l *Lines) refusedInside() map[string]int {
+func (l *Lines) refusedWithinRate() map[string]int {
 	type bucket struct {
 		tokens float64
 		at     time.Time
--- a/logreport/text.go
+++ b/logreport/text.go
@@ -10,8 +10,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// mostSpells is how many spells the text shows, those that cost most first.
-const mostSpells = 20
+// maxEpisodesShown limits the episodes in the text; those with the most lost
+// requests come first.
+const maxEpisodesShown = 20
 
 // WriteText writes the report as tables.
 func (r Report) WriteText(w io.Writer) error {
@@ -37,12 +38,12 @@
 		}
 	}
 	for _, s := range r.Seconds {
-		row(fmt.Sprintf("second %d %s", s.At, counted(s.Rules)), s.Count)
+		row(fmt.Sprintf("second %d %s", s.At, formatCounts(s.Rules)), s.Count)
 	}
 	line("")
-	line("not served, by rule:\t%s", counted(r.Rules))
-	line("failed attempts:\t%s", counted(r.Results))
-	line("refused inside the rate:\t%s", counted(r.RefusedWithinRate))
+	line("not served, by rule:\t%s", formatCounts(r.Rules))
+	line("failed attempts:\t%s", formatCounts(r.Results))
+	line("refused inside the rate:\t%s", formatCounts(r.RefusedWithinRate))
 	line("worst-served workspace:\t%s", r.WorstWorkspace)
 	line("spells:\t%d, with %d failed attempts and %d lost requests; detected after %d ms (median), %d ms (longest)",
 		r.Detection.Episodes, r.Detection.Attempts, r.Detection.Lost, r.Detection.MedianMS, r.Detection.MaxMS)
@@ -51,8 +52,8 @@
 	line("lines unread:\t%d", r.Unread)
 	line("")
 	line("spell of\tfrom\tattempts\tlost\tdetected ms\tresults")
-	for _, s := range dearest(r.Episodes) {
-		line("%s\t%s\t%d\t%d\t%d\t%s", s.Server, s.From.Format("15:04:05.000"), s.Attempts, s.Lost, s.DetectionMS, counted(s.Results))
+	for _, s := range costliest(r.Episodes) {
+		line("%s\t%s\t%d\t%d\t%d\t%s", s.Server, s.From.Format("15:04:05.000"), s.Attempts, s.Lost, s.DetectionMS, formatCounts(s.Results))
 	}
 	return errors.Wrap(t.Flush(), "report")
 }
@@ -69,16 +70,16 @@
 	return names
 }
 
-func dearest(spells []FailureEpisode) []FailureEpisode {
-	all := append([]FailureEpisode(nil), spells...)
+func costliest(episodes []FailureEpisode) []FailureEpisode {
+	all := append([]FailureEpisode(nil), episodes...)
 	sort.SliceStable(all, func(i, j int) bool {
 		return all[i].Lost > all[j].Lost || (all[i].Lost == all[j].Lost && all[i].Attempts > all[j].Attempts)
 	})
-	return all[:min(len(all), mostSpells)]
+	return all[:min(len(all), maxEpisodesShown)]
 }
 
-// counted is "12 of this, 3 of that", the most first.
-func counted(counts map[string]int) string {
+// formatCounts lists names with their counts, largest first.
+func formatCounts(counts map[string]int) string {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
