--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -169,9 +169,9 @@
 		{second(4), func() { killed.process.Kill() }},
 		{second(4.5), func() { r.startEntry("luzon-1") }},
 		{second(6), func() { r.loseAnswers(8) }},
-		{second(8), func() { must.NoError(r.t, frozen.process.Freeze()) }},
+		{second(8), func() { must.NoError(r.t, frozen.process.Suspend()) }},
 		{second(9), r.withdraw},
-		{second(13), func() { must.NoError(r.t, frozen.process.Thaw()) }},
+		{second(13), func() { must.NoError(r.t, frozen.process.Resume()) }},
 		{second(14), func() { r.cut(deaf.toPeers, standin.LinkState{Forward: standin.Cut}) }},
 		{second(17), func() { r.cut(deaf.toPeers, standin.LinkState{}) }},
 		{second(17), func() { r.cut(mute.toPeers, standin.LinkState{Backward: standin.Cut}) }},
@@ -207,7 +207,7 @@
 func (r *faultRun) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	k, err := r.operator.WithdrawKey(ctx, operator.KeySelector{Key: r.leaver})
+	k, err := r.operator.RevokeKey(ctx, operator.KeySelector{Key: r.leaver})
 	must.NoError(r.t, err)
 	must.Eq(r.t, operator.Accepted, k.Outcome)
 	r.withdrawn = time.Now()
--- a/logreport/lines.go
+++ b/logreport/lines.go
@@ -120,7 +120,7 @@
 			request: d.Request, ended: d.Time, took: took,
 			server: d.Server, service: d.Service, result: d.Result,
 		})
-	case event.LinesLeftOut.Number:
+	case event.LogLinesDropped.Number:
 		if l.leftOut == nil {
 			l.leftOut = make(map[string]uint64)
 		}
