--- a/logreport/report.go
+++ b/logreport/report.go
@@ -27,7 +27,8 @@
 	// RefusedWithinRate counts, per workspace, the requests that were refused for
 	// the rate although one bucket for the whole fleet would have paid for them.
 	RefusedWithinRate map[string]int `json:"refused_inside"`
-	// WorstWorkspace is the workspace with the smallest share served.
+	// WorstWorkspace is the workspace with the smallest share served, apart from
+	// those that exceeded their rate.
 	WorstWorkspace string `json:"worst_workspace"`
 	// LeftOut is the number of lines that instances dropped, Unread of those
 	// that could not be parsed.
