--- a/internal/edgecommand/command.go
+++ b/internal/edgecommand/command.go
@@ -36,10 +36,10 @@
 
 type options struct {
 	Settings string `long:"settings" description:"settings file, JSON with comments; default: the file named by FOXTAILSPOKE_SETTINGS"`
-	Check    bool   `long:"check" description:"check the settings and end"`
+	Check    bool   `long:"check" description:"check the settings and exit"`
 
-	Status  statusCommand  `command:"status" description:"shows what a running instance knows of the fleet"`
-	Explain explainCommand `command:"explain" description:"tells from log lines who was served, and why others weren't"`
+	Status  statusCommand  `command:"status" description:"shows the fleet state as seen by a running instance"`
+	Explain explainCommand `command:"explain" description:"reports from log files which requests were served and why others were not"`
 }
 
 // Run runs the daemon and returns its exit status.
--- a/internal/edgecommand/explain.go
+++ b/internal/edgecommand/explain.go
@@ -14,7 +14,7 @@
 type explainCommand struct {
 	JSON bool `long:"json" description:"write the report as JSON"`
 	Args struct {
-		Logs []string `positional-arg-name:"LOG" description:"files of log lines; - or none for standard input"`
+		Logs []string `positional-arg-name:"LOG" description:"log files; reads standard input if none is given or for -"`
 	} `positional-args:"yes"`
 }
 
--- a/internal/edgecommand/status_test.go
+++ b/internal/edgecommand/status_test.go
@@ -23,7 +23,7 @@
 	return status, out.String(), err.String()
 }
 
-func TestStatusIsShown(t *testing.T) {
+func TestStatusOutput(t *testing.T) {
 	s := edge.Status{
 		Instance: "edge-1", DataCentre: "luz-a", Ready: true, Version: 12, ConfigAgeMS: 230, ServersAgeMS: -1,
 		Reader: "10.1.0.31", RateShare: 0.5, Evacuated: []string{"luz-c"},
@@ -54,7 +54,7 @@
 	must.Eq(t, s, back)
 }
 
-func TestStatusOfWhatIsNoInstance(t *testing.T) {
+func TestStatusOfNonInstanceAddress(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(server.URL, "http://")
 	code, _, stderr := run("status", address)
--- a/logreport/episodes.go
+++ b/logreport/episodes.go
@@ -49,9 +49,9 @@
 // episodes groups failed attempts by server and time.
 func (l *Lines) episodes() []FailureEpisode {
 	lost := make(map[string]bool)
-	for _, q := range l.requests {
-		if o := q.outcome(); o == failed || o == refused {
-			lost[q.id] = true
+	for _, req := range l.requests {
+		if o := req.outcome(); o == failed || o == refused {
+			lost[req.id] = true
 		}
 	}
 	starts := l.starts()
@@ -89,11 +89,11 @@
 	for _, a := range l.attempts {
 		starts[a.server] = append(starts[a.server], a.ended.Add(-a.took))
 	}
-	for _, q := range l.requests {
-		if o := q.outcome(); q.server != "" && (o == served || o == late) {
+	for _, req := range l.requests {
+		if o := req.outcome(); req.server != "" && (o == served || o == late) {
 			// A retried request starts before its last attempt, so the
 			// start is too early then, never too late.
-			starts[q.server] = append(starts[q.server], q.ended.Add(-q.took))
+			starts[req.server] = append(starts[req.server], req.ended.Add(-req.took))
 		}
 	}
 	for _, s := range starts {
@@ -138,9 +138,9 @@
 	return d
 }
 
-// falselyAvoided finds servers that got no request for minAvoidedTime after a
+// excludedHealthy finds servers that got no request for minAvoidedTime after a
 // single failed attempt and whose next attempt succeeded.
-func (l *Lines) falselyAvoided(episodes []FailureEpisode) []AvoidedServer {
+func (l *Lines) excludedHealthy(episodes []FailureEpisode) []AvoidedServer {
 	starts := l.starts()
 	failures := make(map[string][]time.Time)
 	for _, a := range l.attempts {
--- a/logreport/lines.go
+++ b/logreport/lines.go
@@ -57,10 +57,10 @@
 type Lines struct {
 	requests []request
 	attempts []attempt
-	// leftOut is the number of lines dropped, by instance.
-	leftOut map[string]uint64
-	// unread counts lines that could not be parsed.
-	unread int
+	// droppedLines is the number of lines dropped, by instance.
+	droppedLines map[string]uint64
+	// unparsedLines counts lines that could not be parsed.
+	unparsedLines int
 }
 
 // logLine is the JSON form of a line. Absent fields are zero.
@@ -98,7 +98,7 @@
 		}
 		var d logLine
 		if err := json.Unmarshal(s.Bytes()[start:], &d); err != nil {
-			l.unread++
+			l.unparsedLines++
 			continue
 		}
 		l.add(d)
@@ -121,10 +121,10 @@
 			server: d.Server, service: d.Service, result: d.Result,
 		})
 	case event.LogLinesDropped.Number:
-		if l.leftOut == nil {
-			l.leftOut = make(map[string]uint64)
+		if l.droppedLines == nil {
+			l.droppedLines = make(map[string]uint64)
 		}
-		l.leftOut[d.Instance] = max(l.leftOut[d.Instance], d.Count)
+		l.droppedLines[d.Instance] = max(l.droppedLines[d.Instance], d.Count)
 	}
 }
 
@@ -142,8 +142,8 @@
 	late
 	refused
 	failed
-	// notOwed: the request was invalid, or its caller disconnected.
-	notOwed
+	// clientError: the request was invalid, or its caller disconnected.
+	clientError
 )
 
 // outcome classifies a request. 408, 421, 429 and 503 guarantee that it was
@@ -159,7 +159,7 @@
 	case r.status >= 500:
 		return failed
 	default:
-		return notOwed
+		return clientError
 	}
 }
 
--- a/logreport/report.go
+++ b/logreport/report.go
@@ -22,38 +22,40 @@
 	// Detection is the median and the longest time from an episode's first
 	// failure to the last request before instances stopped sending.
 	Detection Detection `json:"detection"`
-	// FalselyAvoided are healthy servers excluded after a single failure.
-	FalselyAvoided []AvoidedServer `json:"falsely_avoided"`
+	// ExcludedHealthy are healthy servers excluded after a single failure.
+	ExcludedHealthy []AvoidedServer `json:"falsely_avoided"`
 	// RefusedWithinRate counts, per workspace, the requests that were refused for
 	// the rate although one bucket for the whole fleet would have paid for them.
 	RefusedWithinRate map[string]int `json:"refused_inside"`
 	// WorstWorkspace is the workspace with the smallest share served, apart from
 	// those that exceeded their rate.
 	WorstWorkspace string `json:"worst_workspace"`
-	// LeftOut is the number of lines that instances dropped, Unread of those
-	// that could not be parsed.
-	LeftOut uint64 `json:"lines_left_out"`
-	Unread  int    `json:"lines_unread"`
+	// DroppedLines is the number of lines that instances dropped, UnparsedLines the
+	// number that could not be parsed.
+	DroppedLines  uint64 `json:"lines_left_out"`
+	UnparsedLines int    `json:"lines_unread"`
 }
 
 // Count of requests by how they ended.
 type Count struct {
-	Served  int `json:"served"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	NotOwed int `json:"not_owed"`
+	Served       int `json:"served"`
+	Late         int `json:"late"`
+	Refused      int `json:"refused"`
+	Failed       int `json:"failed"`
+	ClientErrors int `json:"not_owed"`
 }
 
-// Owed is the number of requests that should have been served.
-func (c Count) Owed() int { return c.Served + c.Late + c.Refused + c.Failed }
+// Eligible is the number of requests that should have been served: all but those
+// that were invalid or whose callers disconnected.
+func (c Count) Eligible() int { return c.Served + c.Late + c.Refused + c.Failed }
 
-// Share of the owed requests that were served, late ones included.
+// Share is the fraction of the eligible requests that were served, late ones
+// included.
 func (c Count) Share() float64 {
-	if c.Owed() == 0 {
+	if c.Eligible() == 0 {
 		return 1
 	}
-	return float64(c.Served+c.Late) / float64(c.Owed())
+	return float64(c.Served+c.Late) / float64(c.Eligible())
 }
 
 func (c Count) with(o outcome) Count {
@@ -66,8 +68,8 @@
 		c.Refused++
 	case failed:
 		c.Failed++
-	case notOwed:
-		c.NotOwed++
+	case clientError:
+		c.ClientErrors++
 	}
 	return c
 }
@@ -86,15 +88,15 @@
 	r := Report{
 		Routes: map[string]Count{}, Workspaces: map[string]Count{}, Services: map[string]Count{},
 		Servers: map[string]Count{}, Rules: map[string]int{}, Results: map[string]int{},
-		RefusedWithinRate: l.refusedWithinRate(), Unread: l.unread,
+		RefusedWithinRate: l.refusedWithinRate(), UnparsedLines: l.unparsedLines,
 	}
-	for _, n := range l.leftOut {
-		r.LeftOut += n
+	for _, n := range l.droppedLines {
+		r.DroppedLines += n
 	}
 	seconds := make(map[int]*Second)
-	for _, q := range l.requests {
-		r.count(q)
-		r.countSecond(seconds, int(q.ended.Sub(l.requests[0].ended)/time.Second), q)
+	for _, req := range l.requests {
+		r.count(req)
+		r.countSecond(seconds, int(req.ended.Sub(l.requests[0].ended)/time.Second), req)
 	}
 	for _, s := range seconds {
 		r.Seconds = append(r.Seconds, *s)
@@ -105,38 +107,38 @@
 	}
 	r.Episodes = l.episodes()
 	r.Detection = detection(r.Episodes)
-	r.FalselyAvoided = l.falselyAvoided(r.Episodes)
+	r.ExcludedHealthy = l.excludedHealthy(r.Episodes)
 	r.WorstWorkspace = r.worst()
 	return r
 }
 
-func (r *Report) count(q request) {
-	o := q.outcome()
+func (r *Report) count(req request) {
+	o := req.outcome()
 	r.All = r.All.with(o)
 	add := func(m map[string]Count, key string) {
 		if key != "" {
 			m[key] = m[key].with(o)
 		}
 	}
-	add(r.Routes, q.route)
-	add(r.Workspaces, q.workspace)
-	add(r.Services, q.service)
-	add(r.Servers, q.server)
+	add(r.Routes, req.route)
+	add(r.Workspaces, req.workspace)
+	add(r.Services, req.service)
+	add(r.Servers, req.server)
 	if o == refused || o == failed {
-		r.Rules[q.rule]++
+		r.Rules[req.rule]++
 	}
 }
 
-func (r *Report) countSecond(seconds map[int]*Second, at int, q request) {
+func (r *Report) countSecond(seconds map[int]*Second, at int, req request) {
 	s, ok := seconds[at]
 	if !ok {
 		s = &Second{At: at, Rules: map[string]int{}}
 		seconds[at] = s
 	}
-	o := q.outcome()
+	o := req.outcome()
 	s.Count = s.Count.with(o)
 	if o == refused || o == failed {
-		s.Rules[q.rule]++
+		s.Rules[req.rule]++
 	}
 }
 
@@ -167,26 +169,26 @@
 		return byStart[i].ended.Add(-byStart[i].took).Before(byStart[j].ended.Add(-byStart[j].took))
 	})
 	buckets := make(map[string]*bucket)
-	inside := make(map[string]int)
-	for _, q := range byStart {
-		if q.workspace == "" || q.rate == 0 {
+	withinRate := make(map[string]int)
+	for _, req := range byStart {
+		if req.workspace == "" || req.rate == 0 {
 			continue
 		}
-		start := q.ended.Add(-q.took)
-		b, ok := buckets[q.workspace]
+		start := req.ended.Add(-req.took)
+		b, ok := buckets[req.workspace]
 		if !ok {
-			b = &bucket{q.burst, start}
-			buckets[q.workspace] = b
+			b = &bucket{req.burst, start}
+			buckets[req.workspace] = b
 		}
-		b.tokens = min(b.tokens+q.rate*start.Sub(b.at).Seconds(), q.burst)
+		b.tokens = min(b.tokens+req.rate*start.Sub(b.at).Seconds(), req.burst)
 		b.at = start
 		switch {
-		case q.rule == overRate && b.tokens >= 1:
-			inside[q.workspace]++
-		case q.rule == overRate || q.outcome() == refused:
+		case req.rule == overRate && b.tokens >= 1:
+			withinRate[req.workspace]++
+		case req.rule == overRate || req.outcome() == refused:
 			continue
 		}
 		b.tokens--
 	}
-	return inside
+	return withinRate
 }
--- a/logreport/text.go
+++ b/logreport/text.go
@@ -21,7 +21,7 @@
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(t, format+"\n", values...) }
 	line("\tserved\tlate\trefused\tfailed\tnot owed\tshare")
 	row := func(name string, c Count) {
-		line("%s\t%d\t%d\t%d\t%d\t%d\t%.3f", name, c.Served, c.Late, c.Refused, c.Failed, c.NotOwed, c.Share())
+		line("%s\t%d\t%d\t%d\t%d\t%d\t%.3f", name, c.Served, c.Late, c.Refused, c.Failed, c.ClientErrors, c.Share())
 	}
 	row("all", r.All)
 	for _, part := range []struct {
@@ -33,7 +33,7 @@
 		{"workspace", r.Workspaces},
 		{"server", r.Servers},
 	} {
-		for _, name := range worstFirst(part.counts) {
+		for _, name := range sortedByShare(part.counts) {
 			row(part.name+" "+name, part.counts[name])
 		}
 	}
@@ -47,9 +47,9 @@
 	line("worst-served workspace:\t%s", r.WorstWorkspace)
 	line("spells:\t%d, with %d failed attempts and %d lost requests; detected after %d ms (median), %d ms (longest)",
 		r.Detection.Episodes, r.Detection.Attempts, r.Detection.Lost, r.Detection.MedianMS, r.Detection.MaxMS)
-	line("left out though well:\t%d", len(r.FalselyAvoided))
-	line("lines left out:\t%d", r.LeftOut)
-	line("lines unread:\t%d", r.Unread)
+	line("left out though well:\t%d", len(r.ExcludedHealthy))
+	line("lines left out:\t%d", r.DroppedLines)
+	line("lines unread:\t%d", r.UnparsedLines)
 	line("")
 	line("spell of\tfrom\tattempts\tlost\tdetected ms\tresults")
 	for _, s := range costliest(r.Episodes) {
@@ -58,7 +58,8 @@
 	return errors.Wrap(t.Flush(), "report")
 }
 
-func worstFirst(counts map[string]Count) []string {
+// sortedByShare returns the names in ascending order of their share served.
+func sortedByShare(counts map[string]Count) []string {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
