--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -20,10 +20,10 @@
 	"foxtailspoke/storage"
 )
 
-// A change of many rows is cut into several versions. Instances serve by each
-// of them for a moment, so each must be whole: no plan without its services,
-// no workspace without its plan.
-func TestStagesAreWholeLists(t *testing.T) {
+// A change of many rows is split into several versions. Instances apply each of
+// them for a short time, so each must be valid: no plan may refer to a missing
+// service, and no workspace to a missing plan.
+func TestStagesAreValidLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		from, to := namedLists(rng), namedLists(rng)
@@ -54,7 +54,7 @@
 	})
 }
 
-// namedLists draws lists whose plans and services come and go as well.
+// namedLists draws lists that also differ in their plans and services.
 func namedLists(rng *rand.Rand) lists.Lists {
 	l := lists.Empty()
 	for range 1 + rng.IntN(3) {
@@ -66,13 +66,13 @@
 	return l
 }
 
-// One of two operators gets in between the other's reading and writing. The
-// loser must learn who won with what, and nothing of its own may be there.
+// One of two operators commits between the other's read and write. The other
+// must get the winner's audit entry, and its own change must have no effect.
 func TestRaceNamesTheWinner(t *testing.T) {
 	ctx := context.Background()
 	store := tables.New()
 	table := &faultyTable{store: store, lose: func() loss { return answered }}
-	maria, ercan := New(table, Settings{Who: "maria"}), New(table, Settings{Who: "ercan"})
+	maria, ercan := New(table, Settings{OperatorName: "maria"}), New(table, Settings{OperatorName: "ercan"})
 	rng := rand.New(rand.NewPCG(1, 1))
 	first, second := randomLists(rng), randomLists(rng)
 	lost, err := maria.Propose(ctx, first)
@@ -84,20 +84,21 @@
 	must.Eq(t, Accepted, a.Outcome)
 	b, err := maria.Commit(ctx, lost)
 	must.NoError(t, err)
-	must.Eq(t, Raced, b.Outcome)
+	must.Eq(t, Conflict, b.Outcome)
 	must.Eq(t, 1, b.Version)
-	must.Len(t, 1, b.Winners)
-	must.Eq(t, "ercan", b.Winners[0].Who)
-	must.SliceContains(t, b.Winners[0].Changes, "+ plan p: service s (1 a second, burst 1)")
-	must.Eq(t, second.Digest(), b.Winners[0].Digest)
+	must.Len(t, 1, b.ConflictingChanges)
+	must.Eq(t, "ercan", b.ConflictingChanges[0].Who)
+	must.SliceContains(t, b.ConflictingChanges[0].Changes, "+ plan p: service s (1 a second, burst 1)")
+	must.Eq(t, second.Digest(), b.ConflictingChanges[0].Digest)
 }
 
-// A key is printed once. Nothing that is kept, encoded or formatted has it.
-func TestKeyIsNowhereButRevealed(t *testing.T) {
+// A key is revealed only once: it must not appear in stored rows, JSON or
+// formatted values.
+func TestKeyIsNotLeaked(t *testing.T) {
 	ctx := context.Background()
 	store := tables.New()
 	table := &faultyTable{store: store, lose: func() loss { return answered }}
-	o := New(table, Settings{Who: "maria"})
+	o := New(table, Settings{OperatorName: "maria"})
 	p, err := o.Propose(ctx, randomLists(rand.New(rand.NewPCG(2, 2))))
 	must.NoError(t, err)
 	_, err = o.Commit(ctx, p)
