--- a/internal/edgecommand/explain.go
+++ b/internal/edgecommand/explain.go
@@ -10,11 +10,11 @@
 	"foxtailspoke/logreport"
 )
 
-// explainCommand reports on the lines of any number of instances.
+// explainCommand prints a report on the logs of any number of instances.
 type explainCommand struct {
 	JSON bool `long:"json" description:"write the report as JSON"`
 	Args struct {
-		Logs []string `positional-arg-name:"LOG" description:"files of log lines; - or none for standard input"`
+		Logs []string `positional-arg-name:"LOG" description:"log files; reads standard input if none is given or for -"`
 	} `positional-args:"yes"`
 }
 
