--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -38,7 +38,7 @@
 	listFiles
 	Yes      bool          `long:"yes" description:"Don't ask before the change"`
 	DryRun   bool          `long:"dry-run" description:"Show the difference and change nothing"`
-	MadeFrom *uint64       `long:"made-from" value-name:"VERSION" description:"Refuse unless this version of the lists is in force"`
+	BaseVersion *uint64       `long:"made-from" value-name:"VERSION" description:"Refuse unless this version of the lists is in force"`
 	Wait     time.Duration `long:"wait" default:"30s" description:"How long to wait until the change is in force everywhere; 0 doesn't wait"`
 }
 
@@ -93,8 +93,8 @@
 		return operator.Proposal{}, err
 	}
 	p, err := conn.operator.Propose(ctx, l)
-	if err == nil && c.MadeFrom != nil && *c.MadeFrom != p.Base.Version {
-		return p, exit(exitRaced, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.MadeFrom)
+	if err == nil && c.BaseVersion != nil && *c.BaseVersion != p.Base.Version {
+		return p, exit(exitRaced, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.BaseVersion)
 	}
 	return p, err
 }
