--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -44,7 +44,7 @@
 
 type applyResult struct {
 	Changes   []lists.Change     `json:"changes"`
-	Withdrawn []operator.KeyInfo `json:"withdrawnKeys,omitempty"`
+	RevokedKeys []operator.KeyInfo `json:"withdrawnKeys,omitempty"`
 	DryRun    bool               `json:"dryRun,omitempty"`
 	From      uint64             `json:"from"`
 	*operator.Applied
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	r := applyResult{Changes: p.Changes, Withdrawn: p.RevokedKeys, DryRun: c.DryRun, From: p.Base.Version}
+	r := applyResult{Changes: p.Changes, RevokedKeys: p.RevokedKeys, DryRun: c.DryRun, From: p.Base.Version}
 	c.show(p)
 	if c.DryRun {
 		return c.app.endJSON(r, nil)
