--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -46,7 +46,7 @@
 	Changes   []lists.Change     `json:"changes"`
 	RevokedKeys []operator.KeyInfo `json:"withdrawnKeys,omitempty"`
 	DryRun    bool               `json:"dryRun,omitempty"`
-	From      uint64             `json:"from"`
+	BaseVersion      uint64             `json:"from"`
 	*operator.Applied
 	InForce *operator.InForce `json:"inForce,omitempty"`
 }
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	r := applyResult{Changes: p.Changes, RevokedKeys: p.RevokedKeys, DryRun: c.DryRun, From: p.Base.Version}
+	r := applyResult{Changes: p.Changes, RevokedKeys: p.RevokedKeys, DryRun: c.DryRun, BaseVersion: p.Base.Version}
 	c.show(p)
 	if c.DryRun {
 		return c.app.endJSON(r, nil)
