--- a/internal/cli/options.go
+++ b/internal/cli/options.go
@@ -36,7 +36,7 @@
 	TokenFile string        `long:"token-file" value-name:"FILE" description:"File with the operators' token for entry instances; else $FOXTAILSPOKE_TOKEN_FILE, else the settings file's \"tokenFile\""`
 	Entries   []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance, asked instead of those that the platform lists; works while the platform is away. May be repeated"`
 	Settings  string        `long:"settings" value-name:"FILE" description:"Settings in JSON with comments; else $FOXTAILSPOKE_SETTINGS. Example: {\"platform\": \"http://10.0.0.1:7000\", \"tokenFile\": \"operator.token\", \"as\": \"maria\"}"`
-	As        string        `long:"as" value-name:"NAME" description:"Who you are, for the audit trail; else the settings file's \"as\", else $USER"`
+	OperatorName        string        `long:"as" value-name:"NAME" description:"Who you are, for the audit trail; else the settings file's \"as\", else $USER"`
 	Output    string        `long:"output" choice:"text" choice:"json" default:"text" description:"How to print the result"`
 	Timeout   time.Duration `long:"timeout" default:"20s" description:"How long to try to reach the platform and to resolve a lost answer"`
 }
@@ -55,7 +55,7 @@
 	}
 	s.platform = first(a.global.Platform, a.getenv(envPlatform), s.platform)
 	s.tokenFile = first(a.global.TokenFile, a.getenv(envTokenFile), s.tokenFile)
-	s.as = first(a.global.As, s.as, a.getenv(envUser))
+	s.as = first(a.global.OperatorName, s.as, a.getenv(envUser))
 	return s, nil
 }
 
