--- a/internal/cli/options.go
+++ b/internal/cli/options.go
@@ -34,7 +34,7 @@
 type globalOptions struct {
 	Platform  string        `long:"platform" value-name:"URL" description:"The platform's address; else $FOXTAILSPOKE_PLATFORM, else the settings file's \"platform\""`
 	TokenFile string        `long:"token-file" value-name:"FILE" description:"File with the operators' token for entry instances; else $FOXTAILSPOKE_TOKEN_FILE, else the settings file's \"tokenFile\""`
-	Entries   []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance, asked instead of those that the platform lists; works while the platform is away. May be repeated"`
+	EntryAddresses   []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance, asked instead of those that the platform lists; works while the platform is away. May be repeated"`
 	Settings  string        `long:"settings" value-name:"FILE" description:"Settings in JSON with comments; else $FOXTAILSPOKE_SETTINGS. Example: {\"platform\": \"http://10.0.0.1:7000\", \"tokenFile\": \"operator.token\", \"as\": \"maria\"}"`
 	OperatorName        string        `long:"as" value-name:"NAME" description:"Who you are, for the audit trail; else the settings file's \"as\", else $USER"`
 	Output    string        `long:"output" choice:"text" choice:"json" default:"text" description:"How to print the result"`
@@ -127,8 +127,8 @@
 
 // instances returns where the entry instances are looked up.
 func (a *app) instances(p *client.Client) storage.Instances {
-	if len(a.global.Entries) > 0 {
-		return fleet.Addresses(a.global.Entries)
+	if len(a.global.EntryAddresses) > 0 {
+		return fleet.Addresses(a.global.EntryAddresses)
 	}
 	return p
 }
