--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -31,7 +31,7 @@
 type explainResult struct {
 	Decisions []explained `json:"decisions"`
 	Complete  bool        `json:"complete"`
-	Asked     int         `json:"instancesAsked"`
+	Queried     int         `json:"instancesAsked"`
 	Silent    int         `json:"instancesSilent"`
 	Batches   int         `json:"batchesRead"`
 	Unread    int         `json:"batchesUnread"`
@@ -77,7 +77,7 @@
 
 func resultOf(e operator.Explanation) explainResult {
 	r := explainResult{
-		Decisions: []explained{}, Complete: e.Complete(), Asked: e.Queried, Silent: e.Unresponsive, Batches: e.Batches,
+		Decisions: []explained{}, Complete: e.Complete(), Queried: e.Queried, Silent: e.Unresponsive, Batches: e.Batches,
 		Unread: e.UnreadableBatches, Skipped: e.Skipped, Dropped: e.Dropped, Error: e.StoreError,
 	}
 	for _, record := range e.Records {
