--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -32,7 +32,7 @@
 	Decisions []explained `json:"decisions"`
 	Complete  bool        `json:"complete"`
 	Queried     int         `json:"instancesAsked"`
-	Silent    int         `json:"instancesSilent"`
+	Unresponsive    int         `json:"instancesSilent"`
 	Batches   int         `json:"batchesRead"`
 	Unread    int         `json:"batchesUnread"`
 	Skipped   int         `json:"batchesSkipped"`
@@ -77,7 +77,7 @@
 
 func resultOf(e operator.Explanation) explainResult {
 	r := explainResult{
-		Decisions: []explained{}, Complete: e.Complete(), Queried: e.Queried, Silent: e.Unresponsive, Batches: e.Batches,
+		Decisions: []explained{}, Complete: e.Complete(), Queried: e.Queried, Unresponsive: e.Unresponsive, Batches: e.Batches,
 		Unread: e.UnreadableBatches, Skipped: e.Skipped, Dropped: e.Dropped, Error: e.StoreError,
 	}
 	for _, record := range e.Records {
