--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -36,7 +36,7 @@
 	Batches   int         `json:"batchesRead"`
 	UnreadableBatches    int         `json:"batchesUnread"`
 	SkippedBatches   int         `json:"batchesSkipped"`
-	Dropped   uint64      `json:"recordsDropped"`
+	DroppedRecords   uint64      `json:"recordsDropped"`
 	Error     string      `json:"storeError,omitempty"`
 }
 
@@ -78,7 +78,7 @@
 func resultOf(e operator.Explanation) explainResult {
 	r := explainResult{
 		Decisions: []explained{}, Complete: e.Complete(), Queried: e.Queried, Unresponsive: e.Unresponsive, Batches: e.Batches,
-		UnreadableBatches: e.UnreadableBatches, SkippedBatches: e.Skipped, Dropped: e.Dropped, Error: e.StoreError,
+		UnreadableBatches: e.UnreadableBatches, SkippedBatches: e.Skipped, DroppedRecords: e.Dropped, Error: e.StoreError,
 	}
 	for _, record := range e.Records {
 		r.Decisions = append(r.Decisions, explained{Sentence: record.Sentence(), Record: record})
