--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -37,7 +37,7 @@
 	UnreadableBatches    int         `json:"batchesUnread"`
 	SkippedBatches   int         `json:"batchesSkipped"`
 	DroppedRecords   uint64      `json:"recordsDropped"`
-	Error     string      `json:"storeError,omitempty"`
+	StoreError     string      `json:"storeError,omitempty"`
 }
 
 type explained struct {
@@ -78,7 +78,7 @@
 func resultOf(e operator.Explanation) explainResult {
 	r := explainResult{
 		Decisions: []explained{}, Complete: e.Complete(), Queried: e.Queried, Unresponsive: e.Unresponsive, Batches: e.Batches,
-		UnreadableBatches: e.UnreadableBatches, SkippedBatches: e.Skipped, DroppedRecords: e.Dropped, Error: e.StoreError,
+		UnreadableBatches: e.UnreadableBatches, SkippedBatches: e.Skipped, DroppedRecords: e.Dropped, StoreError: e.StoreError,
 	}
 	for _, record := range e.Records {
 		r.Decisions = append(r.Decisions, explained{Sentence: record.Sentence(), Record: record})
