--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -23,7 +23,7 @@
 
 // A newcomer's first session: check, apply, give a key, see it, explain a
 // refusal, withdraw the key, read the trail.
-func TestFirstSession(t *testing.T) {
+func TestOperatorWorkflow(t *testing.T) {
 	b := newBench(t)
 	must.StrContains(t, b.must(exitDone, append([]string{"check"}, exampleLists()...)...), "10 workspaces, 3 plans, 4 services")
 	code, stdout, _ := b.run("n\n", append([]string{"apply"}, exampleLists()...)...)
