--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -152,7 +152,7 @@
 
 // Maria looks at the difference; Ercan applies his meanwhile; Maria says yes.
 // She must lose and learn who won with what.
-func TestRaceAtThePrompt(t *testing.T) {
+func TestConcurrentApplyDuringConfirmation(t *testing.T) {
 	b := newBench(t)
 	b.must(exitDone, append([]string{"apply", "--yes"}, exampleLists()...)...)
 	theirs := b.edited(`"rate": 20`, `"rate": 25`)
