--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -177,7 +177,7 @@
 // The platform carries out a change and its answer is lost; the next write is
 // lost itself. Both must end as accepted, once. While it stays away, nobody
 // may claim either.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	b := newBench(t)
 	apply := func(rate string) []string {
 		return append([]string{"apply", "--yes", "--timeout", "4s"}, b.edited(`"rate": 20`, `"rate": `+rate)...)
