--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -216,7 +216,7 @@
 
 // The platform is away. An operator names an entry instance and sees what it
 // knows; without one there is nothing to show, and the exit code says so.
-func TestStatusWhilePlatformIsAway(t *testing.T) {
+func TestStatusWithoutPlatform(t *testing.T) {
 	b := newBench(t)
 	must.NoError(t, b.platform.UpdateFaults(func(f *standin.PlatformFaults) {
 		f.Table.Down, f.Instances.Down = standin.DownClosed, standin.DownClosed
