--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -94,7 +94,7 @@
 	}
 	p, err := conn.operator.Propose(ctx, l)
 	if err == nil && c.BaseVersion != nil && *c.BaseVersion != p.Base.Version {
-		return p, exit(exitRaced, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.BaseVersion)
+		return p, exit(exitConflict, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.BaseVersion)
 	}
 	return p, err
 }
@@ -166,9 +166,9 @@
 		}
 	}
 	if a.Stages.Accepted > 0 {
-		return exit(exitRaced, "Another change came between:%s\n%s", b.String(), partly(a))
+		return exit(exitConflict, "Another change came between:%s\n%s", b.String(), partly(a))
 	}
-	return exit(exitRaced, "Nothing was applied: after you read version %d, another change came first:%s\nLook at it by \"foxtailspoke get\", and apply again.", p.Base.Version, b.String())
+	return exit(exitConflict, "Nothing was applied: after you read version %d, another change came first:%s\nLook at it by \"foxtailspoke get\", and apply again.", p.Base.Version, b.String())
 }
 
 // partly tells what stands of a change that takes several versions.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,15 +17,15 @@
 
 // Exit codes, for shells.
 const (
-	exitDone = iota
+	exitOK = iota
 	// exitFailed: something else went wrong; see the message.
 	exitFailed
 	// exitUsage: the command line is wrong.
 	exitUsage
-	// exitFaults: a list or the settings have faults. Nothing was applied.
-	exitFaults
-	// exitRaced: another operator's change came first. Nothing was applied.
-	exitRaced
+	// exitInvalid: a list or the settings have faults. Nothing was applied.
+	exitInvalid
+	// exitConflict: another operator's change came first. Nothing was applied.
+	exitConflict
 	// exitUnresolved: the answer was lost and it isn't known yet whether
 	// the change took effect.
 	exitUnresolved
@@ -95,7 +95,7 @@
 	if _, err := parser.ParseArgs(args); err != nil {
 		return a.fail(err)
 	}
-	return exitDone
+	return exitOK
 }
 
 // fail prints why the command ended and returns the exit code.
@@ -103,7 +103,7 @@
 	var usage *flags.Error
 	if errors.As(err, &usage) && usage.Type == flags.ErrHelp {
 		fmt.Fprintln(a.streams.Out, usage.Message)
-		return exitDone
+		return exitOK
 	}
 	if usage != nil {
 		fmt.Fprintf(a.streams.Err, "%s\nSee foxtailspoke --help.\n", usage.Message)
@@ -139,7 +139,7 @@
 	case errors.As(err, &coded):
 		return coded.code
 	case errors.As(err, &faults):
-		return exitFaults
+		return exitInvalid
 	case errors.Is(err, storage.ErrUnavailable):
 		return exitUnavailable
 	case errors.Is(err, operator.ErrUnknownWorkspace), errors.Is(err, operator.ErrUnknownKey):
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -65,7 +65,7 @@
 	}
 	switch k.Outcome {
 	case operator.Conflict:
-		return exit(exitRaced, "No key was given: other operators keep changing workspace %s.", c.Workspace)
+		return exit(exitConflict, "No key was given: other operators keep changing workspace %s.", c.Workspace)
 	case operator.Unresolved:
 		return exit(exitUnresolved, "The platform's answer was lost, so the key isn't shown. If \"foxtailspoke audit --attempt %s\" finds it later, withdraw it by \"foxtailspoke keys withdraw %s\". Then give another.", k.Attempt, k.Info.ID)
 	case operator.Accepted, operator.NothingToDo:
@@ -124,7 +124,7 @@
 func (c *withdrawCommand) told(k operator.KeyChange) error {
 	switch k.Outcome {
 	case operator.Conflict:
-		return exit(exitRaced, "The key %s was not withdrawn: it was changed at the same time.", k.Info.ID)
+		return exit(exitConflict, "The key %s was not withdrawn: it was changed at the same time.", k.Info.ID)
 	case operator.Unresolved:
 		return exit(exitUnresolved, "The platform's answer was lost. It isn't known whether key %s is withdrawn; withdraw it again.", k.Info.ID)
 	case operator.NothingToDo:
