--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -36,24 +36,24 @@
 type applyCommand struct {
 	app *app
 	listFiles
-	Yes      bool          `long:"yes" description:"Don't ask before the change"`
-	DryRun   bool          `long:"dry-run" description:"Show the difference and change nothing"`
+	Yes         bool          `long:"yes" description:"Don't ask before the change"`
+	DryRun      bool          `long:"dry-run" description:"Show the difference and change nothing"`
 	BaseVersion *uint64       `long:"made-from" value-name:"VERSION" description:"Refuse unless this version of the lists is in force"`
-	Wait     time.Duration `long:"wait" default:"30s" description:"How long to wait until the change is in force everywhere; 0 doesn't wait"`
+	Wait        time.Duration `long:"wait" default:"30s" description:"How long to wait until the change is in force everywhere; 0 doesn't wait"`
 }
 
 type applyResult struct {
-	Changes   []lists.Change     `json:"changes"`
+	Changes     []lists.Change     `json:"changes"`
 	RevokedKeys []operator.KeyInfo `json:"withdrawnKeys,omitempty"`
-	DryRun    bool               `json:"dryRun,omitempty"`
-	BaseVersion      uint64             `json:"from"`
+	DryRun      bool               `json:"dryRun,omitempty"`
+	BaseVersion uint64             `json:"from"`
 	*operator.Applied
 	InForce *operator.InForce `json:"inForce,omitempty"`
 }
 
 // Execute implements flags.Commander.
 func (c *applyCommand) Execute([]string) error {
-	conn, err := c.app.connectToChange()
+	conn, err := c.app.connectForChange()
 	if err != nil {
 		return err
 	}
@@ -63,47 +63,47 @@
 		return err
 	}
 	r := applyResult{Changes: p.Changes, RevokedKeys: p.RevokedKeys, DryRun: c.DryRun, BaseVersion: p.Base.Version}
-	c.show(p)
+	c.printChanges(p)
 	if c.DryRun {
-		return c.app.endJSON(r, nil)
+		return c.app.finishJSON(r, nil)
 	}
 	if !p.Empty() && !c.Yes && !c.app.confirm("Apply?") {
-		return exit(exitDeclined, "Nothing was applied.")
+		return newExitError(exitDeclined, "Nothing was applied.")
 	}
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	applied, err := conn.operator.Commit(ctx, p)
 	if err != nil {
 		return err
 	}
 	r.Applied = &applied
-	r.InForce, err = c.after(conn, p, applied)
-	return c.app.endJSON(r, err)
+	r.InForce, err = c.awaitResult(conn, p, applied)
+	return c.app.finishJSON(r, err)
 }
 
 func (c *applyCommand) propose(conn connection) (operator.Proposal, error) {
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
-	capacity, err := c.capacity(ctx, conn)
+	counts, err := c.serverCounts(ctx, conn)
 	if err != nil {
 		return operator.Proposal{}, err
 	}
-	l, err := c.read(capacity)
+	l, err := c.read(counts)
 	if err != nil {
 		return operator.Proposal{}, err
 	}
 	p, err := conn.operator.Propose(ctx, l)
 	if err == nil && c.BaseVersion != nil && *c.BaseVersion != p.Base.Version {
-		return p, exit(exitConflict, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.BaseVersion)
+		return p, newExitError(exitConflict, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.BaseVersion)
 	}
 	return p, err
 }
 
-// capacity counts the backend servers against which floors are checked. A
+// serverCounts counts the backend servers against which floors are checked. A
 // floor that is in force already passes even if servers are away just now:
 // otherwise an outage would keep operators from changing anything.
-func (c *applyCommand) capacity(ctx context.Context, conn connection) (lists.ServerCounts, error) {
-	capacity, err := capacityOf(ctx, conn.platform)
+func (c *applyCommand) serverCounts(ctx context.Context, conn connection) (lists.ServerCounts, error) {
+	counts, err := countServers(ctx, conn.platform)
 	if err != nil {
 		return nil, err
 	}
@@ -112,16 +112,16 @@
 		return nil, err
 	}
 	for name, s := range current.Lists.Services {
-		if live := capacity[name]; live < s.Floor {
+		if live := counts[name]; live < s.Floor {
 			c.app.notef("Service %s has %d live backend servers, fewer than its floor %d in force.\n", name, live, s.Floor)
-			capacity[name] = s.Floor
+			counts[name] = s.Floor
 		}
 	}
-	return capacity, nil
+	return counts, nil
 }
 
-// show prints the difference.
-func (c *applyCommand) show(p operator.Proposal) {
+// printChanges prints the difference.
+func (c *applyCommand) printChanges(p operator.Proposal) {
 	if c.app.json() {
 		return
 	}
@@ -138,17 +138,17 @@
 	}
 }
 
-// after tells how the change ended and waits for it.
-func (c *applyCommand) after(conn connection, p operator.Proposal, a operator.Applied) (*operator.InForce, error) {
+// awaitResult tells how the change ended and waits for it.
+func (c *applyCommand) awaitResult(conn connection, p operator.Proposal, a operator.Applied) (*operator.InForce, error) {
 	switch a.Outcome {
 	case operator.NothingToDo:
 		return nil, nil
 	case operator.Conflict:
-		return nil, c.lost(p, a)
+		return nil, c.conflictError(p, a)
 	case operator.Unresolved:
-		return nil, exit(exitUnresolved, "The platform's answer was lost. It isn't known whether version %d took effect, and it still may.\nFind out by: foxtailspoke audit --attempt %s. %s", a.Version, a.Attempt, partly(a))
+		return nil, newExitError(exitUnresolved, "The platform's answer was lost. It isn't known whether version %d took effect, and it still may.\nFind out by: foxtailspoke audit --attempt %s. %s", a.Version, a.Attempt, stagesNote(a))
 	case operator.Stopped:
-		return nil, exit(exitUnavailable, "The platform doesn't answer any more. %s", partly(a))
+		return nil, newExitError(exitUnavailable, "The platform doesn't answer any more. %s", stagesNote(a))
 	case operator.Accepted:
 	}
 	if !c.app.json() {
@@ -157,7 +157,7 @@
 	return c.app.waitInForce(conn, a.Revision, c.Wait)
 }
 
-func (c *applyCommand) lost(p operator.Proposal, a operator.Applied) error {
+func (c *applyCommand) conflictError(p operator.Proposal, a operator.Applied) error {
 	var b strings.Builder
 	for _, w := range a.ConflictingChanges {
 		b.WriteString("\n  " + auditLine(w))
@@ -166,22 +166,22 @@
 		}
 	}
 	if a.Stages.Accepted > 0 {
-		return exit(exitConflict, "Another change came between:%s\n%s", b.String(), partly(a))
+		return newExitError(exitConflict, "Another change came between:%s\n%s", b.String(), stagesNote(a))
 	}
-	return exit(exitConflict, "Nothing was applied: after you read version %d, another change came first:%s\nLook at it by \"foxtailspoke get\", and apply again.", p.Base.Version, b.String())
+	return newExitError(exitConflict, "Nothing was applied: after you read version %d, another change came first:%s\nLook at it by \"foxtailspoke get\", and apply again.", p.Base.Version, b.String())
 }
 
-// partly tells what stands of a change that takes several versions.
-func partly(a operator.Applied) string {
+// stagesNote tells what stands of a change that takes several versions.
+func stagesNote(a operator.Applied) string {
 	if a.Stages.Accepted == 0 {
 		return ""
 	}
 	return fmt.Sprintf("The change is so large that it takes %d versions; the first %d are accepted and stand. Apply again to send the rest.", a.Stages.Of, a.Stages.Accepted)
 }
 
-// endJSON prints a result as JSON if asked for. The error then only sets the
+// finishJSON prints a result as JSON if asked for. The error then only sets the
 // exit code, as the result tells it all.
-func (a *app) endJSON(result any, err error) error {
+func (a *app) finishJSON(result any, err error) error {
 	if !a.json() {
 		return err
 	}
@@ -189,15 +189,15 @@
 		return e
 	}
 	if err != nil {
-		return &silentError{err}
+		return &reportedError{err}
 	}
 	return nil
 }
 
-// silentError has been told already.
-type silentError struct{ error }
+// reportedError has been told already.
+type reportedError struct{ error }
 
-func (e *silentError) Unwrap() error { return e.error }
+func (e *reportedError) Unwrap() error { return e.error }
 
 // waitInForce waits until a revision is in force everywhere and says so, or
 // what is missing.
@@ -206,19 +206,19 @@
 		return nil, nil
 	}
 	if conn.fleet == nil {
-		return nil, exit(exitNotInForce, "It is accepted, but whether it is in force everywhere can't be asked without --token-file.")
+		return nil, newExitError(exitNotInForce, "It is accepted, but whether it is in force everywhere can't be asked without --token-file.")
 	}
 	if r == 0 {
-		return nil, exit(exitNotInForce, "It is accepted, but its revision was lost with the answer, and the platform doesn't answer now. See \"foxtailspoke status\".")
+		return nil, newExitError(exitNotInForce, "It is accepted, but its revision was lost with the answer, and the platform doesn't answer now. See \"foxtailspoke status\".")
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, wait)
 	defer cancel()
 	f, err := conn.operator.WaitInForce(ctx, conn.fleet, r)
 	if errors.Is(err, operator.ErrNoEntry) {
-		return &f, exit(exitNotInForce, "It is accepted, but no entry instance answered within %s, so nobody can tell whether it is in force everywhere.", wait)
+		return &f, newExitError(exitNotInForce, "It is accepted, but no entry instance answered within %s, so nobody can tell whether it is in force everywhere.", wait)
 	}
 	if !f.InForce {
-		return &f, exit(exitNotInForce, "It is accepted, but not in force everywhere after %s. %d witnesses know it; missing: %s", wait, len(f.KnownBy), names(f.Missing))
+		return &f, newExitError(exitNotInForce, "It is accepted, but not in force everywhere after %s. %d witnesses know it; missing: %s", wait, len(f.KnownBy), missingWitnesses(f.Missing))
 	}
 	if !a.json() {
 		a.printf("It is in force everywhere.\n")
@@ -226,7 +226,7 @@
 	return &f, nil
 }
 
-func names(list []string) string {
+func missingWitnesses(list []string) string {
 	if len(list) == 0 {
 		return "only time"
 	}
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -16,8 +16,8 @@
 
 type auditCommand struct {
 	app     *app
-	Since   span   `long:"since" default:"7d" description:"How far back to look, such as 12h or 30d"`
-	Attempt string `long:"attempt" value-name:"ID" description:"Only this attempt; exit code 8 if it isn't there"`
+	Since   durationFlag `long:"since" default:"7d" description:"How far back to look, such as 12h or 30d"`
+	Attempt string       `long:"attempt" value-name:"ID" description:"Only this attempt; exit code 8 if it isn't there"`
 }
 
 // Execute implements flags.Commander.
@@ -27,14 +27,14 @@
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	entries, err := conn.operator.Audit(ctx, operator.AuditQuery{Since: c.Since.ago(), Attempt: c.Attempt})
 	if err != nil {
 		return err
 	}
 	if c.Attempt != "" && len(entries) == 0 {
-		return exit(exitNotFound, "The attempt %s has not taken effect so far.", c.Attempt)
+		return newExitError(exitNotFound, "The attempt %s has not taken effect so far.", c.Attempt)
 	}
 	if c.app.json() {
 		return c.app.printJSON(entries)
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -42,28 +42,28 @@
 
 // Execute implements flags.Commander.
 func (c *checkCommand) Execute([]string) error {
-	capacity, err := c.capacity()
+	counts, err := c.serverCounts()
 	if err != nil {
 		return err
 	}
-	l, err := c.read(capacity)
+	l, err := c.read(counts)
 	if err != nil {
 		return err
 	}
-	r := checkResult{len(l.Workspaces), len(l.Plans), len(l.Services), capacity != nil}
+	r := checkResult{len(l.Workspaces), len(l.Plans), len(l.Services), counts != nil}
 	if c.app.json() {
 		return c.app.printJSON(r)
 	}
 	c.app.printf("Both lists are correct: %d workspaces, %d plans, %d services.\n", r.Workspaces, r.Plans, r.Services)
-	if capacity == nil {
+	if counts == nil {
 		c.app.notef("Floors weren't compared with the number of backend servers, because the platform wasn't asked.\n")
 	}
 	return nil
 }
 
-// capacity asks the platform unless the check is offline or no platform is
+// serverCounts asks the platform unless the check is offline or no platform is
 // named.
-func (c *checkCommand) capacity() (lists.ServerCounts, error) {
+func (c *checkCommand) serverCounts() (lists.ServerCounts, error) {
 	if c.Offline {
 		return nil, nil
 	}
@@ -75,41 +75,41 @@
 		return nil, err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
-	return capacityOf(ctx, conn.platform)
+	return countServers(ctx, conn.platform)
 }
 
-// capacityOf counts the live backend servers of each service.
-func capacityOf(ctx context.Context, p storage.Instances) (lists.ServerCounts, error) {
+// countServers counts the live backend servers of each service.
+func countServers(ctx context.Context, p storage.Instances) (lists.ServerCounts, error) {
 	all, err := p.List(ctx, 0)
 	if err != nil {
 		return nil, errors.Wrap(err, "list backend servers")
 	}
-	capacity := lists.ServerCounts{}
+	counts := lists.ServerCounts{}
 	for _, i := range all.Changed {
 		if i.Kind == storage.BackendServer && i.State == storage.Live {
-			capacity[i.Service]++
+			counts[i.Service]++
 		}
 	}
-	return capacity, nil
+	return counts, nil
 }
 
 // read reads and checks both files. All faults come as one error.
-func (f *listFiles) read(capacity lists.ServerCounts) (lists.Lists, error) {
-	customers, err := source(f.Files.Customers)
+func (f *listFiles) read(counts lists.ServerCounts) (lists.Lists, error) {
+	customers, err := readSource(f.Files.Customers)
 	if err != nil {
 		return lists.Lists{}, err
 	}
-	plans, err := source(f.Files.Plans)
+	plans, err := readSource(f.Files.Plans)
 	if err != nil {
 		return lists.Lists{}, err
 	}
-	l, faults := lists.Check(customers, plans, capacity)
+	l, faults := lists.Check(customers, plans, counts)
 	return l, faults.Err()
 }
 
-func source(path string) (lists.Source, error) {
+func readSource(path string) (lists.Source, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return lists.Source{}, errors.Wrap(err, "read list")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -80,7 +80,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-func exit(code int, format string, args ...any) error {
+func newExitError(code int, format string, args ...any) error {
 	return &exitError{code: code, err: errors.Newf(format, args...)}
 }
 
@@ -90,16 +90,16 @@
 	parser := flags.NewNamedParser("foxtailspoke", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = longHelp
 	if err := a.addCommands(parser); err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	if _, err := parser.ParseArgs(args); err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	return exitOK
 }
 
-// fail prints why the command ended and returns the exit code.
-func (a *app) fail(err error) int {
+// reportError prints why the command ended and returns the exit code.
+func (a *app) reportError(err error) int {
 	var usage *flags.Error
 	if errors.As(err, &usage) && usage.Type == flags.ErrHelp {
 		fmt.Fprintln(a.streams.Out, usage.Message)
@@ -110,19 +110,19 @@
 		return exitUsage
 	}
 	code := exitCode(err)
-	var told *silentError
-	if errors.As(err, &told) {
+	var reported *reportedError
+	if errors.As(err, &reported) {
 		return code
 	}
 	if a.global.Output == outputJSON {
-		a.failJSON(code, err)
+		a.printErrorJSON(code, err)
 		return code
 	}
 	fmt.Fprintln(a.streams.Err, err.Error())
 	return code
 }
 
-func (a *app) failJSON(code int, err error) {
+func (a *app) printErrorJSON(code int, err error) {
 	out := struct {
 		Error  string            `json:"error"`
 		Code   int               `json:"code"`
@@ -133,11 +133,11 @@
 }
 
 func exitCode(err error) int {
-	var coded *exitError
+	var exitErr *exitError
 	var faults jsonc.Diagnostics
 	switch {
-	case errors.As(err, &coded):
-		return coded.code
+	case errors.As(err, &exitErr):
+		return exitErr.code
 	case errors.As(err, &faults):
 		return exitInvalid
 	case errors.Is(err, storage.ErrUnavailable):
@@ -180,10 +180,10 @@
 	if err != nil {
 		return err
 	}
-	if _, err := add(keys, "give", "Give a key to a workspace", giveHelp, &giveCommand{app: a}); err != nil {
+	if _, err := add(keys, "give", "Give a key to a workspace", issueHelp, &issueCommand{app: a}); err != nil {
 		return err
 	}
-	if _, err := add(keys, "withdraw", "Take a key back", withdrawHelp, &withdrawCommand{app: a}); err != nil {
+	if _, err := add(keys, "withdraw", "Take a key back", revokeHelp, &revokeCommand{app: a}); err != nil {
 		return err
 	}
 	_, err = add(keys, "list", "List keys", listHelp, &listCommand{app: a})
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -20,27 +20,27 @@
 
 type explainCommand struct {
 	app       *app
-	Workspace string `long:"workspace" value-name:"NAME" description:"Explain this workspace's requests"`
-	Since     span   `long:"since" default:"1h" description:"How far back to look"`
-	Limit     int    `long:"limit" default:"50" description:"At most so many requests, the newest first; 0 means all"`
+	Workspace string       `long:"workspace" value-name:"NAME" description:"Explain this workspace's requests"`
+	Since     durationFlag `long:"since" default:"1h" description:"How far back to look"`
+	Limit     int          `long:"limit" default:"50" description:"At most so many requests, the newest first; 0 means all"`
 	Args      struct {
 		Request string `positional-arg-name:"REQUEST-ID" description:"The request's id, from the refusal's body"`
 	} `positional-args:"yes"`
 }
 
 type explainResult struct {
-	Decisions []explained `json:"decisions"`
-	Complete  bool        `json:"complete"`
-	Queried     int         `json:"instancesAsked"`
-	Unresponsive    int         `json:"instancesSilent"`
-	Batches   int         `json:"batchesRead"`
-	UnreadableBatches    int         `json:"batchesUnread"`
-	SkippedBatches   int         `json:"batchesSkipped"`
-	DroppedRecords   uint64      `json:"recordsDropped"`
-	StoreError     string      `json:"storeError,omitempty"`
+	Decisions         []explainedDecision `json:"decisions"`
+	Complete          bool                `json:"complete"`
+	Queried           int                 `json:"instancesAsked"`
+	Unresponsive      int                 `json:"instancesSilent"`
+	Batches           int                 `json:"batchesRead"`
+	UnreadableBatches int                 `json:"batchesUnread"`
+	SkippedBatches    int                 `json:"batchesSkipped"`
+	DroppedRecords    uint64              `json:"recordsDropped"`
+	StoreError        string              `json:"storeError,omitempty"`
 }
 
-type explained struct {
+type explainedDecision struct {
 	Sentence string `json:"sentence"`
 	decision.Record
 }
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	q := decision.Query{Request: c.Args.Request, Workspace: c.Workspace, Limit: c.Limit}
 	if q.Request == "" {
@@ -63,30 +63,30 @@
 		return err
 	}
 	if !c.app.json() {
-		c.print(e)
+		c.printText(e)
 	}
-	return c.app.endJSON(resultOf(e), c.verdict(e))
+	return c.app.finishJSON(newExplainResult(e), c.notFoundError(e))
 }
 
-func (c *explainCommand) verdict(e operator.Explanation) error {
+func (c *explainCommand) notFoundError(e operator.Explanation) error {
 	if len(e.Records) > 0 || c.Args.Request == "" {
 		return nil
 	}
-	return exit(exitNotFound, "Nothing is recorded of the request %s. Plain successes are kept in part only.", c.Args.Request)
+	return newExitError(exitNotFound, "Nothing is recorded of the request %s. Plain successes are kept in part only.", c.Args.Request)
 }
 
-func resultOf(e operator.Explanation) explainResult {
+func newExplainResult(e operator.Explanation) explainResult {
 	r := explainResult{
-		Decisions: []explained{}, Complete: e.Complete(), Queried: e.Queried, Unresponsive: e.Unresponsive, Batches: e.Batches,
+		Decisions: []explainedDecision{}, Complete: e.Complete(), Queried: e.Queried, Unresponsive: e.Unresponsive, Batches: e.Batches,
 		UnreadableBatches: e.UnreadableBatches, SkippedBatches: e.Skipped, DroppedRecords: e.Dropped, StoreError: e.StoreError,
 	}
 	for _, record := range e.Records {
-		r.Decisions = append(r.Decisions, explained{Sentence: record.Sentence(), Record: record})
+		r.Decisions = append(r.Decisions, explainedDecision{Sentence: record.Sentence(), Record: record})
 	}
 	return r
 }
 
-func (c *explainCommand) print(e operator.Explanation) {
+func (c *explainCommand) printText(e operator.Explanation) {
 	for _, r := range e.Records {
 		c.app.printf("%s  [%s] %s\n  %s\n", r.At.UTC().Format(time.RFC3339), r.Rule, r.Request, r.Sentence())
 	}
@@ -98,16 +98,16 @@
 	}
 	c.app.notef("This may not be all:")
 	for _, gap := range []struct {
-		n    int
-		what string
+		count       int
+		description string
 	}{
 		{e.Unresponsive, "instances didn't answer"},
 		{e.UnreadableBatches, "batches couldn't be read"},
 		{e.Skipped, "older batches were left out"},
 		{int(e.Dropped), "records were lost before they were stored"},
 	} {
-		if gap.n > 0 {
-			c.app.notef(" %d %s;", gap.n, gap.what)
+		if gap.count > 0 {
+			c.app.notef(" %d %s;", gap.count, gap.description)
 		}
 	}
 	if e.StoreError != "" {
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	s, err := conn.operator.Current(ctx)
 	if err != nil {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -17,13 +17,13 @@
 $ foxtailspoke keys list --workspace cebu-boatyard
 $ foxtailspoke keys withdraw 3f2a90c1b7d4`
 
-const giveHelp = `Gives a new key to a workspace and prints it, once, on standard output.
+const issueHelp = `Gives a new key to a workspace and prints it, once, on standard output.
 
 Examples:
 $ foxtailspoke keys give --workspace cebu-boatyard --label till-3
 $ foxtailspoke keys give --workspace cebu-boatyard > key.txt`
 
-const withdrawHelp = `Takes a key back and waits until no instance accepts it any more. The key is
+const revokeHelp = `Takes a key back and waits until no instance accepts it any more. The key is
 named by its id, by its label, or read from standard input. It is never an
 argument, because arguments show in the list of processes.
 
@@ -37,7 +37,7 @@
 Example:
 $ foxtailspoke keys list --output json`
 
-type giveCommand struct {
+type issueCommand struct {
 	app       *app
 	Workspace string        `long:"workspace" value-name:"NAME" required:"yes" description:"Who gets the key"`
 	Label     string        `long:"label" description:"Tells this key from others of the workspace"`
@@ -51,13 +51,13 @@
 }
 
 // Execute implements flags.Commander.
-func (c *giveCommand) Execute([]string) error {
-	conn, err := c.app.connectToChange()
+func (c *issueCommand) Execute([]string) error {
+	conn, err := c.app.connectForChange()
 	if err != nil {
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	k, err := conn.operator.IssueKey(ctx, c.Workspace, c.Label)
 	if err != nil {
@@ -65,28 +65,28 @@
 	}
 	switch k.Outcome {
 	case operator.Conflict:
-		return exit(exitConflict, "No key was given: other operators keep changing workspace %s.", c.Workspace)
+		return newExitError(exitConflict, "No key was given: other operators keep changing workspace %s.", c.Workspace)
 	case operator.Unresolved:
-		return exit(exitUnresolved, "The platform's answer was lost, so the key isn't shown. If \"foxtailspoke audit --attempt %s\" finds it later, withdraw it by \"foxtailspoke keys withdraw %s\". Then give another.", k.Attempt, k.Info.ID)
+		return newExitError(exitUnresolved, "The platform's answer was lost, so the key isn't shown. If \"foxtailspoke audit --attempt %s\" finds it later, withdraw it by \"foxtailspoke keys withdraw %s\". Then give another.", k.Attempt, k.Info.ID)
 	case operator.Accepted, operator.NothingToDo:
 	}
 	if !c.app.json() {
 		c.app.printf("%s\n", k.Secret.Reveal())
 		c.app.notef("Key %s is given to workspace %s. It isn't shown again.\n", k.Info.ID, c.Workspace)
 	}
-	inForce, err := c.app.quietly().waitInForce(conn, k.Revision, c.Wait)
-	return c.app.endJSON(keyResult{Key: k.Secret.Reveal(), KeyChange: k, InForce: inForce}, err)
+	inForce, err := c.app.withResultsOnStderr().waitInForce(conn, k.Revision, c.Wait)
+	return c.app.finishJSON(keyResult{Key: k.Secret.Reveal(), KeyChange: k, InForce: inForce}, err)
 }
 
-// quietly returns an app that prints results beside the standard output, for
+// withResultsOnStderr returns an app that prints results beside the standard output, for
 // commands whose standard output is read by scripts.
-func (a *app) quietly() *app {
-	quiet := *a
-	quiet.streams.Out = a.streams.Err
-	return &quiet
+func (a *app) withResultsOnStderr() *app {
+	redirected := *a
+	redirected.streams.Out = a.streams.Err
+	return &redirected
 }
 
-type withdrawCommand struct {
+type revokeCommand struct {
 	app       *app
 	Workspace string        `long:"workspace" value-name:"NAME" description:"Whose label it is"`
 	Label     string        `long:"label" description:"Names the key by its label"`
@@ -98,35 +98,35 @@
 }
 
 // Execute implements flags.Commander.
-func (c *withdrawCommand) Execute([]string) error {
+func (c *revokeCommand) Execute([]string) error {
 	s, err := c.selector()
 	if err != nil {
 		return err
 	}
-	conn, err := c.app.connectToChange()
+	conn, err := c.app.connectForChange()
 	if err != nil {
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	k, err := conn.operator.RevokeKey(ctx, s)
 	if err != nil {
 		return err
 	}
-	if err := c.told(k); err != nil {
-		return c.app.endJSON(keyResult{KeyChange: k}, err)
+	if err := c.reportOutcome(k); err != nil {
+		return c.app.finishJSON(keyResult{KeyChange: k}, err)
 	}
 	inForce, err := c.app.waitInForce(conn, k.Revision, c.Wait)
-	return c.app.endJSON(keyResult{KeyChange: k, InForce: inForce}, err)
+	return c.app.finishJSON(keyResult{KeyChange: k, InForce: inForce}, err)
 }
 
-func (c *withdrawCommand) told(k operator.KeyChange) error {
+func (c *revokeCommand) reportOutcome(k operator.KeyChange) error {
 	switch k.Outcome {
 	case operator.Conflict:
-		return exit(exitConflict, "The key %s was not withdrawn: it was changed at the same time.", k.Info.ID)
+		return newExitError(exitConflict, "The key %s was not withdrawn: it was changed at the same time.", k.Info.ID)
 	case operator.Unresolved:
-		return exit(exitUnresolved, "The platform's answer was lost. It isn't known whether key %s is withdrawn; withdraw it again.", k.Info.ID)
+		return newExitError(exitUnresolved, "The platform's answer was lost. It isn't known whether key %s is withdrawn; withdraw it again.", k.Info.ID)
 	case operator.NothingToDo:
 		c.app.notef("Key %s was withdrawn by somebody else meanwhile.\n", k.Info.ID)
 	case operator.Accepted:
@@ -137,25 +137,25 @@
 	return nil
 }
 
-func (c *withdrawCommand) selector() (operator.KeySelector, error) {
-	ways := 0
+func (c *revokeCommand) selector() (operator.KeySelector, error) {
+	selectors := 0
 	for _, used := range []bool{c.Args.ID != "", c.Label != "", c.Stdin} {
 		if used {
-			ways++
+			selectors++
 		}
 	}
-	if ways != 1 {
-		return operator.KeySelector{}, exit(exitUsage, "Name the key in one way: by its ID, by --label, or by --stdin.")
+	if selectors != 1 {
+		return operator.KeySelector{}, newExitError(exitUsage, "Name the key in one way: by its ID, by --label, or by --stdin.")
 	}
 	if strings.HasPrefix(c.Args.ID, operator.KeyPrefix) {
-		return operator.KeySelector{}, exit(exitUsage, "That is a key, and now it is in the list of processes and perhaps in the shell's history. Use its id, or --stdin.")
+		return operator.KeySelector{}, newExitError(exitUsage, "That is a key, and now it is in the list of processes and perhaps in the shell's history. Use its id, or --stdin.")
 	}
 	s := operator.KeySelector{ID: c.Args.ID, Workspace: c.Workspace, Label: c.Label}
 	if c.Stdin {
 		line, _ := bufio.NewReader(c.app.streams.In).ReadString('\n')
 		s.Key = strings.TrimSpace(line)
 		if s.Key == "" {
-			return s, exit(exitUsage, "No key on standard input.")
+			return s, newExitError(exitUsage, "No key on standard input.")
 		}
 	}
 	return s, nil
@@ -173,7 +173,7 @@
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	keys, err := conn.operator.ListKeys(ctx, c.Workspace)
 	if err != nil {
--- a/internal/cli/options.go
+++ b/internal/cli/options.go
@@ -32,20 +32,20 @@
 )
 
 type globalOptions struct {
-	Platform  string        `long:"platform" value-name:"URL" description:"The platform's address; else $FOXTAILSPOKE_PLATFORM, else the settings file's \"platform\""`
-	TokenFile string        `long:"token-file" value-name:"FILE" description:"File with the operators' token for entry instances; else $FOXTAILSPOKE_TOKEN_FILE, else the settings file's \"tokenFile\""`
-	EntryAddresses   []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance, asked instead of those that the platform lists; works while the platform is away. May be repeated"`
-	Settings  string        `long:"settings" value-name:"FILE" description:"Settings in JSON with comments; else $FOXTAILSPOKE_SETTINGS. Example: {\"platform\": \"http://10.0.0.1:7000\", \"tokenFile\": \"operator.token\", \"as\": \"maria\"}"`
-	OperatorName        string        `long:"as" value-name:"NAME" description:"Who you are, for the audit trail; else the settings file's \"as\", else $USER"`
-	Output    string        `long:"output" choice:"text" choice:"json" default:"text" description:"How to print the result"`
-	Timeout   time.Duration `long:"timeout" default:"20s" description:"How long to try to reach the platform and to resolve a lost answer"`
+	Platform       string        `long:"platform" value-name:"URL" description:"The platform's address; else $FOXTAILSPOKE_PLATFORM, else the settings file's \"platform\""`
+	TokenFile      string        `long:"token-file" value-name:"FILE" description:"File with the operators' token for entry instances; else $FOXTAILSPOKE_TOKEN_FILE, else the settings file's \"tokenFile\""`
+	EntryAddresses []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance, asked instead of those that the platform lists; works while the platform is away. May be repeated"`
+	Settings       string        `long:"settings" value-name:"FILE" description:"Settings in JSON with comments; else $FOXTAILSPOKE_SETTINGS. Example: {\"platform\": \"http://10.0.0.1:7000\", \"tokenFile\": \"operator.token\", \"as\": \"maria\"}"`
+	OperatorName   string        `long:"as" value-name:"NAME" description:"Who you are, for the audit trail; else the settings file's \"as\", else $USER"`
+	Output         string        `long:"output" choice:"text" choice:"json" default:"text" description:"How to print the result"`
+	Timeout        time.Duration `long:"timeout" default:"20s" description:"How long to try to reach the platform and to resolve a lost answer"`
 }
 
 // settings are the options after the environment and the settings file.
 type settings struct {
-	platform  string
-	tokenFile string
-	as        string
+	platform     string
+	tokenFile    string
+	operatorName string
 }
 
 func (a *app) settings() (settings, error) {
@@ -53,14 +53,14 @@
 	if err != nil {
 		return settings{}, err
 	}
-	s.platform = first(a.global.Platform, a.getenv(envPlatform), s.platform)
-	s.tokenFile = first(a.global.TokenFile, a.getenv(envTokenFile), s.tokenFile)
-	s.as = first(a.global.OperatorName, s.as, a.getenv(envUser))
+	s.platform = firstNonEmpty(a.global.Platform, a.getenv(envPlatform), s.platform)
+	s.tokenFile = firstNonEmpty(a.global.TokenFile, a.getenv(envTokenFile), s.tokenFile)
+	s.operatorName = firstNonEmpty(a.global.OperatorName, s.operatorName, a.getenv(envUser))
 	return s, nil
 }
 
 func (a *app) settingsFile() (settings, error) {
-	file := first(a.global.Settings, a.getenv(envSettings))
+	file := firstNonEmpty(a.global.Settings, a.getenv(envSettings))
 	if file == "" {
 		return settings{}, nil
 	}
@@ -69,19 +69,19 @@
 		return settings{}, errors.Wrap(err, "settings")
 	}
 	var s settings
-	text := func(to *string) func(jsonc.Value) {
-		return func(v jsonc.Value) { *to, _ = v.Text() }
+	readText := func(target *string) func(jsonc.Value) {
+		return func(v jsonc.Value) { *target, _ = v.Text() }
 	}
 	doc, root := jsonc.Parse(file, data)
 	root.Object(
-		jsonc.Field{Name: "platform", Read: text(&s.platform)},
-		jsonc.Field{Name: "tokenFile", Read: text(&s.tokenFile)},
-		jsonc.Field{Name: "as", Read: text(&s.as)},
+		jsonc.Field{Name: "platform", Read: readText(&s.platform)},
+		jsonc.Field{Name: "tokenFile", Read: readText(&s.tokenFile)},
+		jsonc.Field{Name: "as", Read: readText(&s.operatorName)},
 	)
 	return s, doc.Diagnostics().Err()
 }
 
-func first(values ...string) string {
+func firstNonEmpty(values ...string) string {
 	for _, v := range values {
 		if v != "" {
 			return v
@@ -99,7 +99,7 @@
 }
 
 // errNoPlatform tells how to name the platform.
-var errNoPlatform = exit(exitUsage, "no platform: use --platform URL or set $%s", envPlatform)
+var errNoPlatform = newExitError(exitUsage, "no platform: use --platform URL or set $%s", envPlatform)
 
 func (a *app) connect() (connection, error) {
 	s, err := a.settings()
@@ -111,9 +111,9 @@
 	}
 	p, err := client.New(s.platform, client.Settings{})
 	if err != nil {
-		return connection{}, exit(exitUsage, "platform %q: %v", s.platform, err)
+		return connection{}, newExitError(exitUsage, "platform %q: %v", s.platform, err)
 	}
-	c := connection{platform: p, operator: operator.New(p, operator.Settings{OperatorName: s.as})}
+	c := connection{platform: p, operator: operator.New(p, operator.Settings{OperatorName: s.operatorName})}
 	if s.tokenFile == "" {
 		return c, nil
 	}
@@ -133,20 +133,20 @@
 	return p
 }
 
-// connectToChange also demands a name for the audit trail.
-func (a *app) connectToChange() (connection, error) {
+// connectForChange also demands a name for the audit trail.
+func (a *app) connectForChange() (connection, error) {
 	s, err := a.settings()
 	if err != nil {
 		return connection{}, err
 	}
-	if s.as == "" {
-		return connection{}, exit(exitUsage, "nobody to write into the audit trail: use --as NAME")
+	if s.operatorName == "" {
+		return connection{}, newExitError(exitUsage, "nobody to write into the audit trail: use --as NAME")
 	}
 	return a.connect()
 }
 
-// limited bounds the time for the platform.
-func (a *app) limited() (context.Context, context.CancelFunc) {
+// withTimeout bounds the time for the platform.
+func (a *app) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(a.ctx, a.global.Timeout)
 }
 
@@ -167,28 +167,28 @@
 
 func (a *app) json() bool { return a.global.Output == outputJSON }
 
-// span is a time on the command line, such as 90m, 36h or 7d.
-type span time.Duration
+// durationFlag is a time on the command line, such as 90m, 36h or 7d.
+type durationFlag time.Duration
 
 const day = 24 * time.Hour
 
 // UnmarshalFlag implements flags.Unmarshaler.
-func (s *span) UnmarshalFlag(value string) error {
+func (s *durationFlag) UnmarshalFlag(value string) error {
 	if days, ok := strings.CutSuffix(value, "d"); ok {
 		n, err := strconv.Atoi(days)
 		if err != nil || n < 0 {
 			return errors.Newf("%q isn't a number of days", value)
 		}
-		*s = span(time.Duration(n) * day)
+		*s = durationFlag(time.Duration(n) * day)
 		return nil
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil || d < 0 {
 		return errors.Newf("%q isn't a time such as 90m, 36h or 7d", value)
 	}
-	*s = span(d)
+	*s = durationFlag(d)
 	return nil
 }
 
 // ago returns the time that lies the span back.
-func (s span) ago() time.Time { return time.Now().Add(-time.Duration(s)) }
+func (s durationFlag) ago() time.Time { return time.Now().Add(-time.Duration(s)) }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	defer conn.platform.Close()
-	ctx, cancel := c.app.limited()
+	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	s, err := conn.operator.Status(ctx, conn.fleet)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if s.TableError != "" {
 		c.app.notef("The platform's table couldn't be read: %s\n", s.TableError)
 	} else {
-		c.table(s)
+		c.printTable(s)
 	}
 	switch {
 	case conn.fleet == nil:
@@ -51,12 +51,12 @@
 		c.app.notef("Entry instances couldn't be listed: %s\n", s.EntriesError)
 	}
 	for _, e := range s.Entries {
-		c.entry(e)
+		c.printEntry(e)
 	}
 	return nil
 }
 
-func (c *statusCommand) table(s operator.Status) {
+func (c *statusCommand) printTable(s operator.Status) {
 	c.app.printf("Lists version %d at revision %d: %d workspaces, %d plans, %d services, %d keys.\n",
 		s.ListsVersion, s.Revision, s.Workspaces, s.Plans, s.Services, s.Keys)
 	for _, service := range slices.Sorted(maps.Keys(s.Ejected)) {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (c *statusCommand) entry(e operator.EntryStatus) {
+func (c *statusCommand) printEntry(e operator.EntryStatus) {
 	i := e.Instance
 	if e.Status == nil {
 		c.app.printf("%s in %s (%s): no answer: %s\n", i.ID, i.DataCentre, i.State, e.Error)
@@ -77,24 +77,24 @@
 		i.ID, i.DataCentre, s.Serving, s.ListsVersion, s.Revision, s.Confirmation.Source,
 		time.Duration(s.Confirmation.AgeSeconds*float64(time.Second)).Round(time.Millisecond))
 	for _, service := range s.Services {
-		c.service(service)
+		c.printService(service)
 	}
 	for _, w := range s.WorkspacesNearLimit {
 		c.app.printf("    workspace %s, service %s: %s tokens left of burst %s here (%d of 60 parts), %d refused\n",
-			w.Workspace, w.Service, short(w.Tokens), short(w.Burst), w.Parts, w.Refused)
+			w.Workspace, w.Service, formatDecimal(w.Tokens), formatDecimal(w.Burst), w.Parts, w.Refused)
 	}
 }
 
-func (c *statusCommand) service(s oas.ServiceStatus) {
+func (c *statusCommand) printService(s oas.ServiceStatus) {
 	if s.Usable < s.Floor {
 		c.app.printf("    service %s: %d of %d backend servers usable, below the floor %d\n", s.Name, s.Usable, s.Servers, s.Floor)
 	}
 	for _, l := range s.Lowered {
-		c.app.printf("    service %s: %s at weight %s: %s\n", s.Name, l.Server, short(l.Weight), strings.TrimSuffix(l.Reason, "."))
+		c.app.printf("    service %s: %s at weight %s: %s\n", s.Name, l.Server, formatDecimal(l.Weight), strings.TrimSuffix(l.Reason, "."))
 	}
 }
 
-// short writes a number with at most two decimals.
-func short(f float64) string {
+// formatDecimal writes a number with at most two decimals.
+func formatDecimal(f float64) string {
 	return strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(f, 'f', 2, 64), "0"), ".")
 }
