--- a/node/fake_platform_test.go
+++ b/node/fake_platform_test.go
@@ -72,7 +72,7 @@
 }
 
 // callPlatform carries out a platform call after one hop and delivers its result,
-// or failed after readTime if the platform cannot be reached.
+// or failed after readTimeout if the platform cannot be reached.
 func (f *fleet) callPlatform(i *instance, call func() Event, failed Event) {
 	ended := false
 	end := func(e Event) {
