--- a/edge/placement_test.go
+++ b/edge/placement_test.go
@@ -28,7 +28,7 @@
 		if ip == f.ip(1) {
 			return rowstore.Busy
 		}
-		return rowstore.None
+		return rowstore.NoFault
 	})
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	time.Sleep(evacuationDelay)
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -58,7 +58,7 @@
 		if ip == f.ip(1) {
 			return rowstore.Busy
 		}
-		return rowstore.None
+		return rowstore.NoFault
 	})
 	f.configure(1000, "another")
 	eventually(t, 2*time.Second, "the new configuration is active", func() bool {
@@ -119,7 +119,7 @@
 		if ip == f.ip(2) {
 			return rowstore.Reset
 		}
-		return rowstore.None
+		return rowstore.NoFault
 	})
 	n := f.start(nil)
 	eventually(t, 5*time.Second, "the new instance serves", func() bool {
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -133,7 +133,7 @@
 	some := w.pick(2) == 0
 	w.store.SetFault(func(string) rowstore.Fault {
 		if some && w.pick(2) == 0 {
-			return rowstore.None
+			return rowstore.NoFault
 		}
 		return f
 	})
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -22,8 +22,8 @@
 
 // The faults.
 const (
-	// None answers as usual.
-	None Fault = iota
+	// NoFault answers as usual.
+	NoFault Fault = iota
 	// Busy answers 503 without doing anything.
 	Busy
 	// TooMany answers 429 without doing anything.
@@ -224,7 +224,7 @@
 	case Silent:
 		<-r.Context().Done()
 		return
-	case None, Lost:
+	case NoFault, Lost:
 	}
 	status, answer := s.answer(r, body)
 	if fault == Lost {
@@ -242,7 +242,7 @@
 	defer s.mu.Unlock()
 	s.calls++
 	if s.fault == nil {
-		return None, s.delay
+		return NoFault, s.delay
 	}
 	ip, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
