--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -14,7 +14,7 @@
 // restoreStore restores the store from a backup, during a moment in which it
 // answers no call.
 func (f *fleet) restoreStore(c rowstore.Copy) {
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(300 * time.Millisecond)
 	f.store.Restore(c)
 	f.store.SetFault(nil)
@@ -76,7 +76,7 @@
 	c := f.store.Copy()
 	f.writeUnrelatedRows(20)
 	time.Sleep(time.Second)
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	f.store.Restore(c)
 	f.addRoute()
 	f.writeUnrelatedRows(60)
--- a/edge/placement_test.go
+++ b/edge/placement_test.go
@@ -26,7 +26,7 @@
 	f.startAll(3)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(1) {
-			return rowstore.Busy
+			return rowstore.Unavailable
 		}
 		return rowstore.NoFault
 	})
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -56,7 +56,7 @@
 	f.startAll(3)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(1) {
-			return rowstore.Busy
+			return rowstore.Unavailable
 		}
 		return rowstore.NoFault
 	})
@@ -180,7 +180,7 @@
 	f.configure(1000, key)
 	f.start(func(s *settings.Settings) { s.Bounds.RevokeS = 30 })
 	eventually(t, 3*time.Second, "ready", func() bool { return f.ready(0) })
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(2500 * time.Millisecond)
 	f.store.Remove("servers", "i-1")
 	f.store.SetFault(nil)
--- a/internal/soak/drills_test.go
+++ b/internal/soak/drills_test.go
@@ -52,7 +52,7 @@
 // writers had written since then is written again a little later.
 func (w *world) restore(copied rowstore.Copy, away, rewrite time.Duration) {
 	w.disturb()
-	w.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	w.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(away)
 	lost := w.store.Restore(copied)
 	w.store.SetFault(nil)
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -24,8 +24,8 @@
 const (
 	// NoFault answers as usual.
 	NoFault Fault = iota
-	// Busy answers 503 without doing anything.
-	Busy
+	// Unavailable answers 503 without doing anything.
+	Unavailable
 	// TooMany answers 429 without doing anything.
 	TooMany
 	// Reset closes the connection without doing anything.
@@ -213,7 +213,7 @@
 		return
 	}
 	switch fault {
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case TooMany:
