--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -26,8 +26,8 @@
 	NoFault Fault = iota
 	// Unavailable answers 503 without doing anything.
 	Unavailable
-	// TooMany answers 429 without doing anything.
-	TooMany
+	// TooManyRequests answers 429 without doing anything.
+	TooManyRequests
 	// Reset closes the connection without doing anything.
 	Reset
 	// Silent never answers.
@@ -216,7 +216,7 @@
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case TooMany:
+	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case Reset:
