--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -84,7 +84,7 @@
 	b := f.backend("i-1", nil)
 	f.configure(1000, key)
 	f.startAll(2)
-	for _, fault := range []rowstore.Fault{rowstore.Silent, rowstore.Reset, rowstore.TooManyRequests} {
+	for _, fault := range []rowstore.Fault{rowstore.Silent, rowstore.ConnectionReset, rowstore.TooManyRequests} {
 		f.store.SetFault(func(string) rowstore.Fault { return fault })
 		time.Sleep(time.Second)
 		r, _ := f.lookup(0)
@@ -117,7 +117,7 @@
 	f.startAll(2)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(2) {
-			return rowstore.Reset
+			return rowstore.ConnectionReset
 		}
 		return rowstore.NoFault
 	})
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -28,8 +28,8 @@
 	Unavailable
 	// TooManyRequests answers 429 without doing anything.
 	TooManyRequests
-	// Reset closes the connection without doing anything.
-	Reset
+	// ConnectionReset closes the connection without doing anything.
+	ConnectionReset
 	// Silent never answers.
 	Silent
 	// Lost does what was asked and closes the connection without an answer.
@@ -219,7 +219,7 @@
 	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
-	case Reset:
+	case ConnectionReset:
 		panic(http.ErrAbortHandler)
 	case Silent:
 		<-r.Context().Done()
