--- a/edge/stop_test.go
+++ b/edge/stop_test.go
@@ -64,7 +64,7 @@
 	f.backend("i-1", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	f.configure(1000, key)
 	f.startAll(1)
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Silent })
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.NoResponse })
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -84,7 +84,7 @@
 	b := f.backend("i-1", nil)
 	f.configure(1000, key)
 	f.startAll(2)
-	for _, fault := range []rowstore.Fault{rowstore.Silent, rowstore.ConnectionReset, rowstore.TooManyRequests} {
+	for _, fault := range []rowstore.Fault{rowstore.NoResponse, rowstore.ConnectionReset, rowstore.TooManyRequests} {
 		f.store.SetFault(func(string) rowstore.Fault { return fault })
 		time.Sleep(time.Second)
 		r, _ := f.lookup(0)
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -30,8 +30,8 @@
 	TooManyRequests
 	// ConnectionReset closes the connection without doing anything.
 	ConnectionReset
-	// Silent never answers.
-	Silent
+	// NoResponse never answers.
+	NoResponse
 	// Lost does what was asked and closes the connection without an answer.
 	Lost
 )
@@ -221,7 +221,7 @@
 		return
 	case ConnectionReset:
 		panic(http.ErrAbortHandler)
-	case Silent:
+	case NoResponse:
 		<-r.Context().Done()
 		return
 	case NoFault, Lost:
