--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -128,7 +128,7 @@
 
 // breakStore fails the store for all instances, or for a call in two.
 func (w *world) breakStore(d time.Duration) {
-	faults := []rowstore.Fault{rowstore.Unavailable, rowstore.TooManyRequests, rowstore.ConnectionReset, rowstore.NoResponse, rowstore.Lost}
+	faults := []rowstore.Fault{rowstore.Unavailable, rowstore.TooManyRequests, rowstore.ConnectionReset, rowstore.NoResponse, rowstore.ResponseLost}
 	f := faults[w.pick(len(faults))]
 	some := w.pick(2) == 0
 	w.store.SetFault(func(string) rowstore.Fault {
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -32,8 +32,8 @@
 	ConnectionReset
 	// NoResponse never answers.
 	NoResponse
-	// Lost does what was asked and closes the connection without an answer.
-	Lost
+	// ResponseLost does what was asked and closes the connection without an answer.
+	ResponseLost
 )
 
 // Row is one row.
@@ -224,10 +224,10 @@
 	case NoResponse:
 		<-r.Context().Done()
 		return
-	case NoFault, Lost:
+	case NoFault, ResponseLost:
 	}
 	status, answer := s.answer(r, body)
-	if fault == Lost {
+	if fault == ResponseLost {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
