--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -13,7 +13,7 @@
 
 // restoreStore restores the store from a backup, during a moment in which it
 // answers no call.
-func (f *fleet) restoreStore(c rowstore.Copy) {
+func (f *fleet) restoreStore(c rowstore.Snapshot) {
 	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(300 * time.Millisecond)
 	f.store.Restore(c)
--- a/internal/soak/drills_test.go
+++ b/internal/soak/drills_test.go
@@ -50,7 +50,7 @@
 
 // restore has the store away for a moment and come back from a copy; what its own
 // writers had written since then is written again a little later.
-func (w *world) restore(copied rowstore.Copy, away, rewrite time.Duration) {
+func (w *world) restore(copied rowstore.Snapshot, away, rewrite time.Duration) {
 	w.disturb()
 	w.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(away)
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -96,24 +96,24 @@
 	s.oldest = s.ver
 }
 
-// Copy is the state of a store at one moment.
-type Copy struct {
+// Snapshot is the state of a store at one moment.
+type Snapshot struct {
 	rows    map[id]Row
 	history []Row
 	ver     uint64
 }
 
 // Copy returns the store's present state.
-func (s *Store) Copy() Copy {
+func (s *Store) Copy() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{rows: maps.Clone(s.rows), history: slices.Clone(s.history), ver: s.ver}
+	return Snapshot{rows: maps.Clone(s.rows), history: slices.Clone(s.history), ver: s.ver}
 }
 
 // Restore returns to a copy: what was written since is lost, versions are given
 // out again, and a new era begins. It returns what the platform's own writers had
 // written since the copy, for Rewrite.
-func (s *Store) Restore(c Copy) []Row {
+func (s *Store) Restore(c Snapshot) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var lost []Row
