--- a/internal/soak/drills_test.go
+++ b/internal/soak/drills_test.go
@@ -35,7 +35,7 @@
 		return least + time.Duration(rng.Int64N(int64(most-least)))
 	}
 	for end := time.Now().Add(d); ; {
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		time.Sleep(between(500*time.Millisecond, 3*time.Second))
 		if time.Now().After(end) {
 			return
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -103,8 +103,8 @@
 	ver     uint64
 }
 
-// Copy returns the store's present state.
-func (s *Store) Copy() Snapshot {
+// Snapshot returns the store's present state.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{rows: maps.Clone(s.rows), history: slices.Clone(s.history), ver: s.ver}
