--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -203,7 +203,7 @@
 	f.configure(1000, key)
 	f.startAll(2)
 	f.configure(1000, "another")
-	f.store.Forget()
+	f.store.TruncateHistory()
 	for i := range 2 {
 		eventually(t, 2*time.Second, "the new configuration is active", func() bool {
 			r, _ := f.lookup(i)
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -67,7 +67,7 @@
 		w.store.SetDelay(w.between(100*time.Millisecond, 600*time.Millisecond))
 		time.AfterFunc(2*time.Second, func() { w.store.SetDelay(0) })
 	case 6:
-		w.store.Forget()
+		w.store.TruncateHistory()
 	case 7:
 		w.configure()
 	case 8:
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -88,8 +88,8 @@
 	s.delay = d
 }
 
-// Forget drops the history, so that changes since before now can't be read.
-func (s *Store) Forget() {
+// TruncateHistory drops the history, so that changes since before now can't be read.
+func (s *Store) TruncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
