--- a/internal/soak/drills_test.go
+++ b/internal/soak/drills_test.go
@@ -57,7 +57,7 @@
 	lost := w.store.Restore(copied)
 	w.store.SetFault(nil)
 	time.Sleep(rewrite)
-	w.store.Rewrite(lost)
+	w.store.Reapply(lost)
 	w.disturb()
 	w.mu.Lock()
 	w.restores++
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -133,9 +133,9 @@
 	return lost
 }
 
-// Rewrite writes rows again that were lost, but for those that were written anew
+// Reapply writes rows again that were lost, but for those that were written anew
 // since the store's return.
-func (s *Store) Rewrite(lost []Row) {
+func (s *Store) Reapply(lost []Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range lost {
