--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -221,9 +221,9 @@
 	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
 	f.restoreStore(c)
-	before := f.store.Calls()
+	before := f.store.RequestCount()
 	time.Sleep(2 * time.Second)
 	// Half of the calls if each instance read for itself, which takes two
 	// attempts to read changes and three tables, plus the usual polling.
-	must.LessEq(t, 12*5/2+10, f.store.Calls()-before)
+	must.LessEq(t, 12*5/2+10, f.store.RequestCount()-before)
 }
--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -23,7 +23,7 @@
 	f.configure(0, key)
 	f.startAll(fleetSize)
 	time.Sleep(time.Second)
-	before := f.store.Calls()
+	before := f.store.RequestCount()
 	f.configure(0, "new-key")
 	for n := range fleetSize {
 		eventually(t, time.Second, "the new key works", func() bool {
@@ -36,8 +36,8 @@
 	time.Sleep(time.Second)
 	// The regular calls are five a second, and two and a half seconds may have
 	// passed.
-	t.Logf("%d calls", f.store.Calls()-before)
-	must.LessEq(t, 18, f.store.Calls()-before)
+	t.Logf("%d calls", f.store.RequestCount()-before)
+	must.LessEq(t, 18, f.store.RequestCount()-before)
 }
 
 // The whole fleet starts for the first time, and callers arrive some seconds
@@ -55,6 +55,6 @@
 	}
 	// The calls include those that write the rows of all instances.
 	eventually(t, 8*time.Second, "listed", func() bool { return len(f.store.Rows("instances")) == fleetSize })
-	t.Logf("%d calls", f.store.Calls())
-	must.LessEq(t, 3*fleetSize/2, f.store.Calls())
+	t.Logf("%d calls", f.store.RequestCount())
+	must.LessEq(t, 3*fleetSize/2, f.store.RequestCount())
 }
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -41,9 +41,9 @@
 	f.configure(1000, key)
 	f.startAll(8)
 	time.Sleep(2 * time.Second)
-	before := f.store.Calls()
+	before := f.store.RequestCount()
 	time.Sleep(3 * time.Second)
-	must.Less(t, 3*8, f.store.Calls()-before)
+	must.Less(t, 3*8, f.store.RequestCount()-before)
 }
 
 // The store refuses one instance and serves the others. That instance must keep
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// Calls is how many calls were made.
-func (s *Store) Calls() int {
+// RequestCount is how many calls were made.
+func (s *Store) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
