--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -135,7 +135,7 @@
 	case !f.Table.OldCopy:
 		p.oldCopy = nil
 	case p.oldCopy == nil:
-		p.oldCopy = p.tables.Copy()
+		p.oldCopy = p.tables.Clone()
 	}
 }
 
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -95,8 +95,8 @@
 	return result, nil
 }
 
-// Copy returns tables with the same content that don't change with s.
-func (s *Store) Copy() *Store {
+// Clone returns tables with the same content that don't change with s.
+func (s *Store) Clone() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := New()
