--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -17,9 +17,9 @@
 // acted on its end.
 var ErrEnded = errors.New("instance has ended")
 
-// List is the list of instances. It is safe for concurrent use. Every method
+// Registry is the list of instances. It is safe for concurrent use. Every method
 // takes now, a reading of one monotonic clock.
-type List struct {
+type Registry struct {
 	mu       sync.Mutex
 	endAfter time.Duration
 	entries  map[string]*entry
@@ -42,14 +42,14 @@
 
 // New returns an empty list. An instance that was silent for endAfter is
 // shown as ended; 0 leaves silent instances as they are.
-func New(endAfter time.Duration) *List {
-	return &List{endAfter: endAfter, entries: map[string]*entry{}}
+func New(endAfter time.Duration) *Registry {
+	return &Registry{endAfter: endAfter, entries: map[string]*entry{}}
 }
 
 // Announce takes down an instance's state. A state never goes back: an
 // announcement that was overtaken by a later state counts as a sign of life
 // only.
-func (l *List) Announce(now time.Duration, i storage.Instance) error {
+func (l *Registry) Announce(now time.Duration, i storage.Instance) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endSilent(now)
@@ -75,7 +75,7 @@
 
 // Show returns what changed after version since, as the list showed it lag
 // ago. While frozen it shows nothing new.
-func (l *List) Show(now time.Duration, since uint64, lag time.Duration, frozen bool) storage.InstanceChanges {
+func (l *Registry) Show(now time.Duration, since uint64, lag time.Duration, frozen bool) storage.InstanceChanges {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endSilent(now)
@@ -98,7 +98,7 @@
 	return c
 }
 
-func (l *List) change(now time.Duration, e *entry, i storage.Instance) {
+func (l *Registry) change(now time.Duration, e *entry, i storage.Instance) {
 	if e.instance == i {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // endSilent declares the instances ended that were silent for too long.
-func (l *List) endSilent(now time.Duration) {
+func (l *Registry) endSilent(now time.Duration) {
 	if l.endAfter <= 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // visible returns the version that the list had at a time.
-func (l *List) visible(at time.Duration) uint64 {
+func (l *Registry) visible(at time.Duration) uint64 {
 	n, _ := slices.BinarySearchFunc(l.log, at, func(e event, at time.Duration) int {
 		if e.at <= at {
 			return -1
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -37,7 +37,7 @@
 	faults  *faultSwitch[PlatformFaults]
 	tables  *tables.Store
 	objects *objectStore
-	list    *instances.List
+	list    *instances.Registry
 	start   time.Time
 	api     *server
 	control *server
