--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// Show returns what changed after version since, as the list showed it lag
+// Changes returns what changed after version since, as the list showed it lag
 // ago. While frozen it shows nothing new.
-func (l *Registry) Show(now time.Duration, since uint64, lag time.Duration, frozen bool) storage.InstanceChanges {
+func (l *Registry) Changes(now time.Duration, since uint64, lag time.Duration, frozen bool) storage.InstanceChanges {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endSilent(now)
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -34,15 +34,15 @@
 	must.NoError(t, l.Announce(5*second, in("a", storage.Leaving)))
 	lag := 2 * second
 
-	must.Eq(t, storage.InstanceChanges{Full: true}, l.Show(1999*time.Millisecond, 0, lag, false))
-	c := l.Show(3*second, 0, lag, false)
+	must.Eq(t, storage.InstanceChanges{Full: true}, l.Changes(1999*time.Millisecond, 0, lag, false))
+	c := l.Changes(3*second, 0, lag, false)
 	must.Eq(t, []string{"a:live", "b:live"}, states(c))
 	must.Eq(t, 2, c.Version)
-	must.Eq(t, storage.InstanceChanges{Version: 2}, l.Show(7*second, 2, lag, true))
-	must.Eq(t, []string{"a:leaving"}, states(l.Show(7*second, 2, lag, false)))
-	must.Eq(t, []string{"b:live", "a:leaving"}, states(l.Show(7*second, 0, lag, false)))
-	must.Eq(t, 3, l.Show(7*second, 0, time.Hour, false).Version, must.Sprint("a longer lag takes nothing back"))
-	must.Eq(t, storage.InstanceChanges{Version: 3}, l.Show(7*second, 99, lag, false))
+	must.Eq(t, storage.InstanceChanges{Version: 2}, l.Changes(7*second, 2, lag, true))
+	must.Eq(t, []string{"a:leaving"}, states(l.Changes(7*second, 2, lag, false)))
+	must.Eq(t, []string{"b:live", "a:leaving"}, states(l.Changes(7*second, 0, lag, false)))
+	must.Eq(t, 3, l.Changes(7*second, 0, time.Hour, false).Version, must.Sprint("a longer lag takes nothing back"))
+	must.Eq(t, storage.InstanceChanges{Version: 3}, l.Changes(7*second, 99, lag, false))
 }
 
 // An instance is frozen and wakes after the platform has declared it ended.
@@ -52,11 +52,11 @@
 	must.NoError(t, l.Announce(0, in("frozen", storage.Live)))
 	must.NoError(t, l.Announce(0, in("well", storage.Live)))
 	must.NoError(t, l.Announce(9*second, in("well", storage.Live)))
-	must.Eq(t, []string{"frozen:live", "well:live"}, states(l.Show(9*second, 0, 0, false)))
-	must.Eq(t, []string{"frozen:ended"}, states(l.Show(10*second, 2, 0, false)))
+	must.Eq(t, []string{"frozen:live", "well:live"}, states(l.Changes(9*second, 0, 0, false)))
+	must.Eq(t, []string{"frozen:ended"}, states(l.Changes(10*second, 2, 0, false)))
 	must.ErrorIs(t, l.Announce(11*second, in("frozen", storage.Live)), instances.ErrEnded)
 	must.NoError(t, l.Announce(11*second, in("frozen", storage.Ended)))
-	must.Eq(t, []string{"well:live", "frozen:ended"}, states(l.Show(11*second, 0, 0, false)))
+	must.Eq(t, []string{"well:live", "frozen:ended"}, states(l.Changes(11*second, 0, 0, false)))
 }
 
 // The announcement that a server leaves overtakes one from before. The list
@@ -66,11 +66,11 @@
 	for _, s := range []storage.State{storage.Live, storage.Leaving, storage.Live} {
 		must.NoError(t, l.Announce(0, in("a", s)))
 	}
-	must.Eq(t, []string{"a:leaving"}, states(l.Show(0, 0, 0, false)))
+	must.Eq(t, []string{"a:leaving"}, states(l.Changes(0, 0, 0, false)))
 	moved := in("a", storage.Live)
 	moved.Address = "127.0.0.1:1"
 	must.NoError(t, l.Announce(0, moved))
-	c := l.Show(0, 2, 0, false)
+	c := l.Changes(0, 2, 0, false)
 	must.Eq(t, []string{"a:leaving"}, states(c))
 	must.Eq(t, "127.0.0.1:1", c.Changed[0].Address)
 }
--- a/internal/standin/platform_handler.go
+++ b/internal/standin/platform_handler.go
@@ -65,7 +65,7 @@
 
 func (h platformHandler) ListInstances(_ context.Context, params oas.ListInstancesParams) (*oas.InstanceChanges, error) {
 	faults := h.p.Faults().Instances
-	c := h.p.list.Show(time.Since(h.p.start), params.Since.Or(0), time.Duration(faults.Lag), faults.Frozen)
+	c := h.p.list.Changes(time.Since(h.p.start), params.Since.Or(0), time.Duration(faults.Lag), faults.Frozen)
 	return convert.InstanceChangesToAPI(c), nil
 }
 
