--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -22,20 +22,20 @@
 type Registry struct {
 	mu       sync.Mutex
 	endAfter time.Duration
-	entries  map[string]*entry
-	// log has every change; its version is its index plus one.
-	log []event
-	// shown is the highest version ever shown. It never goes down.
-	shown uint64
+	records  map[string]*record
+	// changeLog has every change; its version is its index plus one.
+	changeLog []change
+	// publishedVersion is the highest version ever publishedVersion. It never goes down.
+	publishedVersion uint64
 }
 
-type entry struct {
+type record struct {
 	instance storage.Instance
-	// announced is when the instance last announced itself.
-	announced time.Duration
+	// lastAnnounced is when the instance last lastAnnounced itself.
+	lastAnnounced time.Duration
 }
 
-type event struct {
+type change struct {
 	at       time.Duration
 	instance storage.Instance
 }
@@ -43,7 +43,7 @@
 // New returns an empty list. An instance that was silent for endAfter is
 // shown as ended; 0 leaves silent instances as they are.
 func New(endAfter time.Duration) *Registry {
-	return &Registry{endAfter: endAfter, entries: map[string]*entry{}}
+	return &Registry{endAfter: endAfter, records: map[string]*record{}}
 }
 
 // Announce takes down an instance's state. A state never goes back: an
@@ -53,10 +53,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endSilent(now)
-	e, ok := l.entries[i.ID]
+	e, ok := l.records[i.ID]
 	if !ok {
-		l.entries[i.ID] = &entry{instance: i, announced: now}
-		l.log = append(l.log, event{now, i})
+		l.records[i.ID] = &record{instance: i, lastAnnounced: now}
+		l.changeLog = append(l.changeLog, change{now, i})
 		return nil
 	}
 	if e.instance.State == storage.Ended {
@@ -65,11 +65,11 @@
 		}
 		return errors.Wrapf(ErrEnded, "%q", i.ID)
 	}
-	e.announced = now
-	if rank(i.State) < rank(e.instance.State) {
+	e.lastAnnounced = now
+	if lifecycleRank(i.State) < lifecycleRank(e.instance.State) {
 		i.State = e.instance.State
 	}
-	l.change(now, e, i)
+	l.update(now, e, i)
 	return nil
 }
 
@@ -80,30 +80,30 @@
 	defer l.mu.Unlock()
 	l.endSilent(now)
 	if !frozen {
-		l.shown = max(l.shown, l.visible(now-lag))
+		l.publishedVersion = max(l.publishedVersion, l.versionAt(now-lag))
 	}
-	c := storage.InstanceChanges{Version: l.shown, Full: since == 0}
-	newest := map[string]int{}
-	for n := since; n < l.shown; n++ {
-		newest[l.log[n].instance.ID] = int(n)
+	c := storage.InstanceChanges{Version: l.publishedVersion, Full: since == 0}
+	latest := map[string]int{}
+	for n := since; n < l.publishedVersion; n++ {
+		latest[l.changeLog[n].instance.ID] = int(n)
 	}
-	order := make([]int, 0, len(newest))
-	for _, n := range newest {
-		order = append(order, n)
+	indexes := make([]int, 0, len(latest))
+	for _, n := range latest {
+		indexes = append(indexes, n)
 	}
-	slices.Sort(order)
-	for _, n := range order {
-		c.Changed = append(c.Changed, l.log[n].instance)
+	slices.Sort(indexes)
+	for _, n := range indexes {
+		c.Changed = append(c.Changed, l.changeLog[n].instance)
 	}
 	return c
 }
 
-func (l *Registry) change(now time.Duration, e *entry, i storage.Instance) {
+func (l *Registry) update(now time.Duration, e *record, i storage.Instance) {
 	if e.instance == i {
 		return
 	}
 	e.instance = i
-	l.log = append(l.log, event{now, i})
+	l.changeLog = append(l.changeLog, change{now, i})
 }
 
 // endSilent declares the instances ended that were silent for too long.
@@ -112,23 +112,23 @@
 		return
 	}
 	var silent []string
-	for id, e := range l.entries {
-		if e.instance.State != storage.Ended && now-e.announced >= l.endAfter {
+	for id, e := range l.records {
+		if e.instance.State != storage.Ended && now-e.lastAnnounced >= l.endAfter {
 			silent = append(silent, id)
 		}
 	}
 	slices.Sort(silent)
 	for _, id := range silent {
-		e := l.entries[id]
+		e := l.records[id]
 		ended := e.instance
 		ended.State = storage.Ended
-		l.change(now, e, ended)
+		l.update(now, e, ended)
 	}
 }
 
-// visible returns the version that the list had at a time.
-func (l *Registry) visible(at time.Duration) uint64 {
-	n, _ := slices.BinarySearchFunc(l.log, at, func(e event, at time.Duration) int {
+// versionAt returns the version that the list had at a time.
+func (l *Registry) versionAt(at time.Duration) uint64 {
+	n, _ := slices.BinarySearchFunc(l.changeLog, at, func(e change, at time.Duration) int {
 		if e.at <= at {
 			return -1
 		}
@@ -137,7 +137,7 @@
 	return uint64(n)
 }
 
-func rank(s storage.State) int {
+func lifecycleRank(s storage.State) int {
 	switch s {
 	case storage.Ended:
 		return 2
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -1,7 +1,7 @@
-// Package rowstore is a stand-in of the platform's store: rows in tables with
-// one counter of versions, transactions, changes since a version, and the
-// faults of the real one, each switched by a call. It keeps everything in
-// memory.
+// Package rowstore is an in-memory test double of the platform's row store. It
+// serves paged reads, transactions and the changes after a given version over
+// HTTP. All tables share one version counter. Tests inject the faults of the
+// real store per client address.
 package rowstore
 
 import (
@@ -17,26 +17,27 @@
 	"time"
 )
 
-// Fault is what happens to a call instead of an answer.
+// Fault is the way in which a request fails.
 type Fault int
 
-// The faults.
 const (
-	// NoFault answers as usual.
+	// NoFault processes the request normally.
 	NoFault Fault = iota
-	// Unavailable answers 503 without doing anything.
+	// Unavailable responds with status 503 without processing the request.
 	Unavailable
-	// TooManyRequests answers 429 without doing anything.
+	// TooManyRequests responds with status 429 without processing the request.
 	TooManyRequests
-	// ConnectionReset closes the connection without doing anything.
+	// ConnectionReset closes the connection without processing the request.
 	ConnectionReset
-	// NoResponse never answers.
+	// NoResponse neither processes the request nor responds, and keeps the
+	// connection open until the client closes it.
 	NoResponse
-	// ResponseLost does what was asked and closes the connection without an answer.
+	// ResponseLost processes the request and closes the connection without a
+	// response.
 	ResponseLost
 )
 
-// Row is one row.
+// Row is one row of a table.
 type Row struct {
 	Table     string `json:"table"`
 	Part      string `json:"part"`
@@ -46,140 +47,151 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is an in-memory row store that implements http.Handler. It is safe for
+// concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	rows    map[id]Row
-	history []Row
-	oldest  uint64
-	ver     uint64
-	era     uint64
-	// restored is the version of the copy that the store last came back from.
-	restored uint64
-	start    time.Time
-	delay    time.Duration
-	fault    func(ip string) Fault
-	calls    int
+	mu   sync.Mutex
+	rows map[rowID]Row
+	// history holds all changes after version historyStart.
+	history      []Row
+	historyStart uint64
+	ver          uint64
+	// era is incremented by every Restore.
+	era uint64
+	// restoredVer is the version of the snapshot that was restored last.
+	restoredVer uint64
+	startTime   time.Time
+	delay       time.Duration
+	faultFor    func(ip string) Fault
+	requests    int
+	// readOnly holds the tables that clients cannot write.
 	readOnly map[string]bool
 }
 
-type id struct{ table, part, key string }
+type rowID struct{ table, part, key string }
 
-// New returns an empty store. Callers may not write the tables named.
+// New returns an empty store. Clients cannot write the readOnly tables; only
+// Put, Remove and Reapply change them.
 func New(readOnly ...string) *Store {
-	s := &Store{rows: make(map[id]Row), start: time.Now(), readOnly: make(map[string]bool)}
+	s := &Store{rows: make(map[rowID]Row), startTime: time.Now(), readOnly: make(map[string]bool)}
 	for _, t := range readOnly {
 		s.readOnly[t] = true
 	}
 	return s
 }
 
-// SetFault decides what happens to the calls of each address from now on.
+// SetFault sets the function that selects the fault of each subsequent request
+// by the client's IP address; nil disables faults. f is called with the store
+// locked and must not call the store's methods.
 func (s *Store) SetFault(f func(ip string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = f
+	s.faultFor = f
 }
 
-// SetDelay makes each answer take so long.
+// SetDelay sets the delay before each request is processed.
 func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// TruncateHistory drops the history, so that changes since before now can't be read.
+// TruncateHistory discards all recorded changes. Reading changes after a
+// version older than the current one then fails with status 410.
 func (s *Store) TruncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.oldest = s.ver
+	s.historyStart = s.ver
 }
 
-// Snapshot is the state of a store at one moment.
+// Snapshot is the state of a store at one point in time.
 type Snapshot struct {
-	rows    map[id]Row
+	rows    map[rowID]Row
 	history []Row
 	ver     uint64
 }
 
-// Snapshot returns the store's present state.
+// Snapshot returns a copy of the store's current state.
 func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{rows: maps.Clone(s.rows), history: slices.Clone(s.history), ver: s.ver}
 }
 
-// Restore returns to a copy: what was written since is lost, versions are given
-// out again, and a new era begins. It returns what the platform's own writers had
-// written since the copy, for Rewrite.
-func (s *Store) Restore(c Snapshot) []Row {
+// Restore resets the store to a snapshot: later writes are lost, their versions
+// are assigned again, and a new era begins. It returns the lost changes of
+// read-only tables, which the platform itself had written, for Reapply.
+func (s *Store) Restore(snapshot Snapshot) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var lost []Row
 	for k, r := range s.rows {
-		if s.readOnly[k.table] && c.rows[k].Ver != r.Ver {
+		if s.readOnly[k.table] && snapshot.rows[k].Ver != r.Ver {
 			lost = append(lost, r)
 		}
 	}
-	for k, r := range c.rows {
+	for k, r := range snapshot.rows {
 		if _, kept := s.rows[k]; s.readOnly[k.table] && !kept {
 			lost = append(lost, Row{Table: k.table, Part: k.part, Key: k.key, Ver: r.Ver, Tombstone: true})
 		}
 	}
-	s.rows, s.history, s.ver = maps.Clone(c.rows), slices.Clone(c.history), c.ver
-	s.restored = c.ver
+	s.rows, s.history, s.ver = maps.Clone(snapshot.rows), slices.Clone(snapshot.history), snapshot.ver
+	s.restoredVer = snapshot.ver
 	s.era++
 	return lost
 }
 
-// Reapply writes rows again that were lost, but for those that were written anew
-// since the store's return.
+// Reapply writes lost rows again, under new versions. It skips rows that were
+// written since the last Restore.
 func (s *Store) Reapply(lost []Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range lost {
-		if s.rows[id{r.Table, r.Part, r.Key}].Ver > s.restored {
+		if s.rows[rowID{r.Table, r.Part, r.Key}].Ver > s.restoredVer {
 			continue
 		}
 		s.ver++
 		r.Ver = s.ver
-		s.set(r)
+		s.apply(r)
 	}
 }
 
-// RequestCount is how many calls were made.
+// RequestCount returns the number of requests received, including failed ones.
 func (s *Store) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.requests
 }
 
-// Put writes a row as the platform's own writers do.
+// Put writes a row as the platform itself does: unconditionally, and also in
+// read-only tables.
 func (s *Store) Put(table, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ver++
-	s.set(Row{Table: table, Key: key, Value: value, Ver: s.ver})
+	s.apply(Row{Table: table, Key: key, Value: value, Ver: s.ver})
 }
 
-// Remove removes a row as the platform's own writers do.
+// Remove deletes a row as the platform itself does: unconditionally, and also
+// in read-only tables.
 func (s *Store) Remove(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ver++
-	s.set(Row{Table: table, Key: key, Ver: s.ver, Tombstone: true})
+	s.apply(Row{Table: table, Key: key, Ver: s.ver, Tombstone: true})
 }
 
-// Rows returns a table.
+// Rows returns the rows of a table that belong to no part, in ascending order
+// of their keys.
 func (s *Store) Rows(table string) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table(table, "")
+	return s.tableRows(table, "")
 }
 
-func (s *Store) set(r Row) {
-	k := id{r.Table, r.Part, r.Key}
+func (s *Store) apply(r Row) {
+	k := rowID{r.Table, r.Part, r.Key}
 	if r.Tombstone {
 		delete(s.rows, k)
 	} else {
@@ -188,7 +200,7 @@
 	s.history = append(s.history, r)
 }
 
-func (s *Store) table(table, part string) []Row {
+func (s *Store) tableRows(table, part string) []Row {
 	rows := []Row{}
 	for k, r := range s.rows {
 		if k.table == table && k.part == part {
@@ -201,12 +213,13 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Read first: net/http tells that a caller has left only after that.
+	// net/http detects that the client has disconnected only after the body
+	// has been read.
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	fault, delay := s.arrival(r)
+	fault, delay := s.beginRequest(r)
 	select {
 	case <-time.After(delay):
 	case <-r.Context().Done():
@@ -226,32 +239,33 @@
 		return
 	case NoFault, ResponseLost:
 	}
-	status, answer := s.answer(r, body)
+	status, resp := s.handle(r, body)
 	if fault == ResponseLost {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Store-Era", strconv.FormatUint(answer.era, 10))
+	w.Header().Set("Store-Era", strconv.FormatUint(resp.era, 10))
 	w.WriteHeader(status)
-	// A caller that has gone needs no answer.
-	_ = json.NewEncoder(w).Encode(answer)
+	// A write error means that the client has disconnected.
+	_ = json.NewEncoder(w).Encode(resp)
 }
 
-func (s *Store) arrival(r *http.Request) (Fault, time.Duration) {
+// beginRequest counts a request and returns its fault and delay.
+func (s *Store) beginRequest(r *http.Request) (Fault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
-	if s.fault == nil {
+	s.requests++
+	if s.faultFor == nil {
 		return NoFault, s.delay
 	}
 	ip, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		ip = r.RemoteAddr
 	}
-	return s.fault(ip), s.delay
+	return s.faultFor(ip), s.delay
 }
 
-type answerDocument struct {
+type response struct {
 	Rows    []Row   `json:"rows"`
 	HasMore bool    `json:"has_more"`
 	Ver     uint64  `json:"ver"`
@@ -259,60 +273,64 @@
 	era     uint64
 }
 
-func (s *Store) answer(r *http.Request, body []byte) (int, answerDocument) {
+func (s *Store) handle(r *http.Request, body []byte) (int, response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := r.URL.Query()
 	switch r.URL.Path {
 	case "/api/rows-get":
-		return http.StatusOK, s.page(q.Get("table"), q.Get("part"), q.Get("from"), q.Get("limit"))
+		return http.StatusOK, s.readPage(q.Get("table"), q.Get("part"), q.Get("from"), q.Get("limit"))
 	case "/api/rows-feed":
-		return s.changes(q.Get("table"), q.Get("after"))
+		return s.readChanges(q.Get("table"), q.Get("after"))
 	case "/api/rows-tx":
 		return s.transact(body)
 	default:
-		return http.StatusNotFound, s.now()
+		return http.StatusNotFound, s.emptyResponse()
 	}
 }
 
-func (s *Store) now() answerDocument {
-	return answerDocument{Rows: []Row{}, Ver: s.ver, NowS: time.Since(s.start).Seconds(), era: s.era}
+// emptyResponse returns a response without rows at the current version.
+func (s *Store) emptyResponse() response {
+	return response{Rows: []Row{}, Ver: s.ver, NowS: time.Since(s.startTime).Seconds(), era: s.era}
 }
 
-func (s *Store) page(table, part, from, limit string) answerDocument {
-	a := s.now()
-	most, err := strconv.Atoi(limit)
-	if err != nil || most <= 0 {
-		most = 500
+func (s *Store) readPage(table, part, from, limit string) response {
+	resp := s.emptyResponse()
+	maxRows, err := strconv.Atoi(limit)
+	if err != nil || maxRows <= 0 {
+		maxRows = 500
 	}
-	for _, r := range s.table(table, part) {
+	for _, r := range s.tableRows(table, part) {
 		if r.Key < from {
 			continue
 		}
-		if len(a.Rows) == most {
-			a.HasMore = true
+		if len(resp.Rows) == maxRows {
+			resp.HasMore = true
 			break
 		}
-		a.Rows = append(a.Rows, r)
+		resp.Rows = append(resp.Rows, r)
 	}
-	return a
+	return resp
 }
 
-func (s *Store) changes(table, after string) (int, answerDocument) {
-	a := s.now()
+// readChanges returns a table's changes after a version. It fails with status
+// 410 if the history does not reach back that far or the version does not exist
+// yet, as after a restore.
+func (s *Store) readChanges(table, after string) (int, response) {
+	resp := s.emptyResponse()
 	since, err := strconv.ParseUint(after, 10, 64)
 	if err != nil {
-		return http.StatusBadRequest, a
+		return http.StatusBadRequest, resp
 	}
-	if since < s.oldest || since > s.ver {
-		return http.StatusGone, a
+	if since < s.historyStart || since > s.ver {
+		return http.StatusGone, resp
 	}
 	for _, r := range s.history {
 		if r.Table == table && r.Ver > since {
-			a.Rows = append(a.Rows, r)
+			resp.Rows = append(resp.Rows, r)
 		}
 	}
-	return http.StatusOK, a
+	return http.StatusOK, resp
 }
 
 type transaction struct {
@@ -321,29 +339,29 @@
 	Remove   []Row `json:"remove"`
 }
 
-func (s *Store) transact(body []byte) (int, answerDocument) {
+func (s *Store) transact(body []byte) (int, response) {
 	var t transaction
 	if err := json.Unmarshal(body, &t); err != nil {
-		return http.StatusBadRequest, s.now()
+		return http.StatusBadRequest, s.emptyResponse()
 	}
 	for _, row := range append(append([]Row{}, t.Put...), t.Remove...) {
 		if s.readOnly[row.Table] {
-			return http.StatusForbidden, s.now()
+			return http.StatusForbidden, s.emptyResponse()
 		}
 	}
 	for _, e := range t.Expected {
-		if s.rows[id{e.Table, e.Part, e.Key}].Ver != e.Ver {
-			return http.StatusPreconditionFailed, s.now()
+		if s.rows[rowID{e.Table, e.Part, e.Key}].Ver != e.Ver {
+			return http.StatusPreconditionFailed, s.emptyResponse()
 		}
 	}
 	s.ver++
 	for _, row := range t.Put {
 		row.Ver = s.ver
-		s.set(row)
+		s.apply(row)
 	}
 	for _, row := range t.Remove {
 		row.Ver, row.Tombstone = s.ver, true
-		s.set(row)
+		s.apply(row)
 	}
-	return http.StatusOK, s.now()
+	return http.StatusOK, s.emptyResponse()
 }
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -30,9 +30,9 @@
 type table struct {
 	revision storage.Revision
 	rows     map[string]storage.Row
-	// log has an entry per change, by ascending revision. An entry counts
+	// changeLog has an entry per change, by ascending revision. An entry counts
 	// only while its row has the entry's revision.
-	log []change
+	changeLog []change
 }
 
 type change struct {
@@ -58,7 +58,7 @@
 		return storage.Changes{}, errors.Wrapf(ErrMalformed, "no table %q", r.Table)
 	}
 	c := storage.Changes{Revision: t.revision, Full: r.Since == 0}
-	for _, entry := range t.log[t.after(r.Since):] {
+	for _, entry := range t.changeLog[t.indexAfter(r.Since):] {
 		row := t.rows[entry.key]
 		if row.Revision != entry.revision || !strings.HasPrefix(row.Key, r.Prefix) {
 			continue
@@ -75,10 +75,10 @@
 func (s *Store) Write(txn storage.Txn) (storage.WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.check(txn); err != nil {
+	if err := s.validate(txn); err != nil {
 		return storage.WriteResult{}, err
 	}
-	if current, ok := s.conditionsHold(txn.Conditions); !ok {
+	if current, ok := s.checkConditions(txn.Conditions); !ok {
 		return storage.WriteResult{Outcome: storage.Conflict, Current: current}, nil
 	}
 	result := storage.WriteResult{
@@ -101,7 +101,7 @@
 	defer s.mu.Unlock()
 	out := New()
 	for name, t := range s.tables {
-		out.tables[name] = t.copy()
+		out.tables[name] = t.clone()
 	}
 	return out
 }
@@ -117,7 +117,7 @@
 	return out
 }
 
-func (s *Store) check(txn storage.Txn) error {
+func (s *Store) validate(txn storage.Txn) error {
 	if txn.Attempt == "" {
 		return errors.Wrap(ErrMalformed, "no attempt id")
 	}
@@ -144,25 +144,25 @@
 	return nil
 }
 
-// conditionsHold returns the present rows of the conditions that don't.
-func (s *Store) conditionsHold(conditions []storage.Condition) ([]storage.Row, bool) {
+// checkConditions returns the present rows of the conditions that don't.
+func (s *Store) checkConditions(conditions []storage.Condition) ([]storage.Row, bool) {
 	var current []storage.Row
 	ok := true
 	for _, c := range conditions {
-		row, present := s.tables[c.Table].present(c.Key)
+		row, exists := s.tables[c.Table].liveRow(c.Key)
 		if row.Revision == c.Revision {
 			continue
 		}
 		ok = false
-		if present {
+		if exists {
 			current = append(current, row)
 		}
 	}
 	return current, ok
 }
 
-// present returns a row; its zero value if it is absent or deleted.
-func (t *table) present(key string) (storage.Row, bool) {
+// liveRow returns a row; its zero value if it is absent or deleted.
+func (t *table) liveRow(key string) (storage.Row, bool) {
 	row, ok := t.rows[key]
 	if !ok || row.Deleted {
 		return storage.Row{}, false
@@ -176,15 +176,15 @@
 		row.Value = slices.Clone(p.Value)
 	}
 	t.rows[p.Key] = row
-	t.log = append(t.log, change{t.revision, p.Key})
-	if len(t.log) > 2*len(t.rows)+64 {
+	t.changeLog = append(t.changeLog, change{t.revision, p.Key})
+	if len(t.changeLog) > 2*len(t.rows)+64 {
 		t.compact()
 	}
 }
 
-// after returns the index of the first log entry above a revision.
-func (t *table) after(since storage.Revision) int {
-	i, _ := slices.BinarySearchFunc(t.log, since, func(c change, since storage.Revision) int {
+// indexAfter returns the index of the first log entry above a revision.
+func (t *table) indexAfter(since storage.Revision) int {
+	i, _ := slices.BinarySearchFunc(t.changeLog, since, func(c change, since storage.Revision) int {
 		if c.revision <= since {
 			return -1
 		}
@@ -195,13 +195,13 @@
 
 // compact drops the log entries that no longer count.
 func (t *table) compact() {
-	t.log = slices.DeleteFunc(t.log, func(c change) bool {
+	t.changeLog = slices.DeleteFunc(t.changeLog, func(c change) bool {
 		return t.rows[c.key].Revision != c.revision
 	})
 }
 
-func (t *table) copy() *table {
-	out := &table{revision: t.revision, rows: map[string]storage.Row{}, log: slices.Clone(t.log)}
+func (t *table) clone() *table {
+	out := &table{revision: t.revision, rows: map[string]storage.Row{}, changeLog: slices.Clone(t.changeLog)}
 	for key, row := range t.rows {
 		out.rows[key] = row
 	}
--- a/internal/standin/tables/tables_test.go
+++ b/internal/standin/tables/tables_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-var names = []storage.TableName{storage.Control, storage.Audit, storage.Claims}
+var tableNames = []storage.TableName{storage.Control, storage.Audit, storage.Claims}
 
 // model is the plainest description of the service: a row list per table
 // that is searched from end to end.
@@ -37,7 +37,7 @@
 	return r
 }
 
-func (m model) present(t storage.TableName, key string) storage.Revision {
+func (m model) liveRevision(t storage.TableName, key string) storage.Revision {
 	for _, row := range m[t] {
 		if row.Key == key && !row.Deleted {
 			return row.Revision
@@ -48,12 +48,12 @@
 
 func (m model) write(txn storage.Txn) bool {
 	for _, c := range txn.Conditions {
-		if m.present(c.Table, c.Key) != c.Revision {
+		if m.liveRevision(c.Table, c.Key) != c.Revision {
 			return false
 		}
 	}
 	next := map[storage.TableName]storage.Revision{}
-	for _, t := range names {
+	for _, t := range tableNames {
 		next[t] = m.revision(t) + 1
 	}
 	for _, p := range txn.Puts {
@@ -76,12 +76,12 @@
 }
 
 func drawTxn(t *rapid.T, m model, n int) storage.Txn {
-	table := rapid.SampledFrom(names)
+	table := rapid.SampledFrom(tableNames)
 	key := rapid.SampledFrom([]string{"a/1", "a/2", "b/1", "b"})
 	txn := storage.Txn{Attempt: fmt.Sprint(n)}
 	for range rapid.IntRange(0, 2).Draw(t, "conditions") {
 		c := storage.Condition{Table: table.Draw(t, "table"), Key: key.Draw(t, "key")}
-		c.Revision = m.present(c.Table, c.Key)
+		c.Revision = m.liveRevision(c.Table, c.Key)
 		if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
 			c.Revision += storage.Revision(rapid.IntRange(0, 2).Draw(t, "off"))
 		}
@@ -101,7 +101,7 @@
 	return txn
 }
 
-func TestStoreIsLikeModel(t *testing.T) {
+func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, m := tables.New(), model{}
 		for n := range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -117,24 +117,24 @@
 			if result.Outcome == storage.Committed {
 				must.Eq(t, touched, result.Revisions)
 			}
-			for _, name := range names {
+			for _, name := range tableNames {
 				must.Eq(t, m.revision(name), s.Revisions()[name])
 			}
 			r := storage.ReadRequest{
-				Table:  rapid.SampledFrom(names).Draw(t, "table"),
+				Table:  rapid.SampledFrom(tableNames).Draw(t, "table"),
 				Since:  storage.Revision(rapid.IntRange(0, n+1).Draw(t, "since")),
 				Prefix: rapid.SampledFrom([]string{"", "a/", "b", "c"}).Draw(t, "prefix"),
 			}
 			c, err := s.Read(r)
 			must.NoError(t, err)
-			sameChanges(t, m.read(r), c)
+			requireSameChanges(t, m.read(r), c)
 		}
 	})
 }
 
-// sameChanges compares rows without the order of those of one revision, and
+// requireSameChanges compares rows without the order of those of one revision, and
 // checks that revisions ascend.
-func sameChanges(t *rapid.T, want, got storage.Changes) {
+func requireSameChanges(t *rapid.T, want, got storage.Changes) {
 	must.True(t, slices.IsSortedFunc(got.Rows, func(a, b storage.Row) int { return int(a.Revision) - int(b.Revision) }))
 	byKey := func(a, b storage.Row) int { return strings.Compare(a.Key, b.Key) }
 	slices.SortFunc(want.Rows, byKey)
@@ -173,7 +173,7 @@
 	must.Eq(t, want, s.Revisions())
 }
 
-func TestMalformedTransactions(t *testing.T) {
+func TestMalformedRequestsRejected(t *testing.T) {
 	ok := storage.Put{Table: storage.Control, Key: "k"}
 	for name, txn := range map[string]storage.Txn{
 		"no attempt":         {Puts: []storage.Put{ok}},
