--- a/edge/era_test.go
+++ b/edge/era_test.go
@@ -13,8 +13,8 @@
 
 // restoreStore restores the store from a backup, during a moment in which it
 // answers no call.
-func (f *fleet) restoreStore(c rowstore.Copy) {
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+func (f *fleet) restoreStore(c rowstore.Snapshot) {
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(300 * time.Millisecond)
 	f.store.Restore(c)
 	f.store.SetFault(nil)
@@ -52,7 +52,7 @@
 	f.configure(1000, key)
 	f.backend("one", nil)
 	f.startAll(3)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
 	f.restoreStore(c)
@@ -73,10 +73,10 @@
 	f.configure(1000, key)
 	f.backend("one", nil)
 	f.startAll(3)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	f.writeUnrelatedRows(20)
 	time.Sleep(time.Second)
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	f.store.Restore(c)
 	f.addRoute()
 	f.writeUnrelatedRows(60)
@@ -96,7 +96,7 @@
 	leaving := f.backend("leaving", nil)
 	f.backend("staying", nil)
 	f.startAll(3)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
 	f.restoreStore(c)
@@ -124,7 +124,7 @@
 			leaving := f.backend("leaving", nil)
 			f.backend("staying", nil)
 			f.startAll(3)
-			c := f.store.Copy()
+			c := f.store.Snapshot()
 			leave(f, leaving)
 			time.Sleep(time.Second)
 			f.restoreStore(c)
@@ -150,7 +150,7 @@
 	cut := f.backend("cut", nil)
 	f.backend("other", nil)
 	f.startAll(3)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	f.store.Remove("servers", cut.id)
 	time.Sleep(time.Second)
 	f.restoreStore(c)
@@ -172,7 +172,7 @@
 	away := f.backendIn("away", "i-away", nil)
 	f.backend("i-stays", nil)
 	f.startAll(3)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	time.Sleep(time.Second)
 	before := away.total()
@@ -195,7 +195,7 @@
 	f := newFleet(t)
 	f.configure(1000, key)
 	f.backend("one", nil)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	const n = 6
 	for i := range n {
 		f.start(func(s *settings.Settings) { s.DataCentre = []string{"dc", "away"}[i%2] })
@@ -217,13 +217,13 @@
 	f.configure(1000, key)
 	f.backend("one", nil)
 	f.startAll(12)
-	c := f.store.Copy()
+	c := f.store.Snapshot()
 	f.writeUnrelatedRows(200)
 	time.Sleep(time.Second)
 	f.restoreStore(c)
-	before := f.store.Calls()
+	before := f.store.RequestCount()
 	time.Sleep(2 * time.Second)
 	// Half of the calls if each instance read for itself, which takes two
 	// attempts to read changes and three tables, plus the usual polling.
-	must.LessEq(t, 12*5/2+10, f.store.Calls()-before)
+	must.LessEq(t, 12*5/2+10, f.store.RequestCount()-before)
 }
--- a/edge/placement_test.go
+++ b/edge/placement_test.go
@@ -26,9 +26,9 @@
 	f.startAll(3)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(1) {
-			return rowstore.Busy
+			return rowstore.Unavailable
 		}
-		return rowstore.None
+		return rowstore.NoFault
 	})
 	f.store.Put("op", "evacuate/away", []byte("{}"))
 	time.Sleep(evacuationDelay)
--- a/edge/store_test.go
+++ b/edge/store_test.go
@@ -41,9 +41,9 @@
 	f.configure(1000, key)
 	f.startAll(8)
 	time.Sleep(2 * time.Second)
-	before := f.store.Calls()
+	before := f.store.RequestCount()
 	time.Sleep(3 * time.Second)
-	must.Less(t, 3*8, f.store.Calls()-before)
+	must.Less(t, 3*8, f.store.RequestCount()-before)
 }
 
 // The store refuses one instance and serves the others. That instance must keep
@@ -56,9 +56,9 @@
 	f.startAll(3)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(1) {
-			return rowstore.Busy
+			return rowstore.Unavailable
 		}
-		return rowstore.None
+		return rowstore.NoFault
 	})
 	f.configure(1000, "another")
 	eventually(t, 2*time.Second, "the new configuration is active", func() bool {
@@ -84,7 +84,7 @@
 	b := f.backend("i-1", nil)
 	f.configure(1000, key)
 	f.startAll(2)
-	for _, fault := range []rowstore.Fault{rowstore.Silent, rowstore.Reset, rowstore.TooMany} {
+	for _, fault := range []rowstore.Fault{rowstore.NoResponse, rowstore.ConnectionReset, rowstore.TooManyRequests} {
 		f.store.SetFault(func(string) rowstore.Fault { return fault })
 		time.Sleep(time.Second)
 		r, _ := f.lookup(0)
@@ -117,9 +117,9 @@
 	f.startAll(2)
 	f.store.SetFault(func(ip string) rowstore.Fault {
 		if ip == f.ip(2) {
-			return rowstore.Reset
+			return rowstore.ConnectionReset
 		}
-		return rowstore.None
+		return rowstore.NoFault
 	})
 	n := f.start(nil)
 	eventually(t, 5*time.Second, "the new instance serves", func() bool {
@@ -180,7 +180,7 @@
 	f.configure(1000, key)
 	f.start(func(s *settings.Settings) { s.Bounds.RevokeS = 30 })
 	eventually(t, 3*time.Second, "ready", func() bool { return f.ready(0) })
-	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	f.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(2500 * time.Millisecond)
 	f.store.Remove("servers", "i-1")
 	f.store.SetFault(nil)
@@ -203,7 +203,7 @@
 	f.configure(1000, key)
 	f.startAll(2)
 	f.configure(1000, "another")
-	f.store.Forget()
+	f.store.TruncateHistory()
 	for i := range 2 {
 		eventually(t, 2*time.Second, "the new configuration is active", func() bool {
 			r, _ := f.lookup(i)
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -67,7 +67,7 @@
 		w.store.SetDelay(w.between(100*time.Millisecond, 600*time.Millisecond))
 		time.AfterFunc(2*time.Second, func() { w.store.SetDelay(0) })
 	case 6:
-		w.store.Forget()
+		w.store.TruncateHistory()
 	case 7:
 		w.configure()
 	case 8:
@@ -128,12 +128,12 @@
 
 // breakStore fails the store for all instances, or for a call in two.
 func (w *world) breakStore(d time.Duration) {
-	faults := []rowstore.Fault{rowstore.Busy, rowstore.TooMany, rowstore.Reset, rowstore.Silent, rowstore.Lost}
+	faults := []rowstore.Fault{rowstore.Unavailable, rowstore.TooManyRequests, rowstore.ConnectionReset, rowstore.NoResponse, rowstore.ResponseLost}
 	f := faults[w.pick(len(faults))]
 	some := w.pick(2) == 0
 	w.store.SetFault(func(string) rowstore.Fault {
 		if some && w.pick(2) == 0 {
-			return rowstore.None
+			return rowstore.NoFault
 		}
 		return f
 	})
--- a/internal/soak/restores_limits_test.go
+++ b/internal/soak/restores_limits_test.go
@@ -35,7 +35,7 @@
 		return least + time.Duration(rng.Int64N(int64(most-least)))
 	}
 	for end := time.Now().Add(d); ; {
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		time.Sleep(between(500*time.Millisecond, 3*time.Second))
 		if time.Now().After(end) {
 			return
@@ -50,14 +50,14 @@
 
 // restore has the store away for a moment and come back from a copy; what its own
 // writers had written since then is written again a little later.
-func (w *world) restore(copied rowstore.Copy, away, rewrite time.Duration) {
+func (w *world) restore(copied rowstore.Snapshot, away, rewrite time.Duration) {
 	w.disturb()
-	w.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
+	w.store.SetFault(func(string) rowstore.Fault { return rowstore.Unavailable })
 	time.Sleep(away)
 	lost := w.store.Restore(copied)
 	w.store.SetFault(nil)
 	time.Sleep(rewrite)
-	w.store.Rewrite(lost)
+	w.store.Reapply(lost)
 	w.disturb()
 	w.mu.Lock()
 	w.restores++
