--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -190,7 +190,7 @@
 
 // refuse answers a request that wasn't run.
 func refuse(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	w.Header().Set(OutcomeHeader, NotRun)
+	w.Header().Set(OutcomeHeader, OutcomeNotRun)
 	writeEchoed(w, r, status, reason+"\n")
 }
 
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -82,7 +82,7 @@
 	t.Helper()
 	must.NoError(t, r.err)
 	must.Eq(t, status, r.status)
-	must.Eq(t, standin.NotRun, r.header.Get(standin.OutcomeHeader))
+	must.Eq(t, standin.OutcomeNotRun, r.header.Get(standin.OutcomeHeader))
 	must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
 }
 
--- a/internal/standin/contract.go
+++ b/internal/standin/contract.go
@@ -13,7 +13,7 @@
 
 // Values of OutcomeHeader.
 const (
-	NotRun = wire.OutcomeNotRun
+	OutcomeNotRun = wire.OutcomeNotRun
 	GaveUp = wire.OutcomeGaveUp
 )
 
