--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -115,7 +115,7 @@
 	}
 	if end := wait(ctx, r.Context(), duration); end != Done {
 		b.executions.finish(index, b.now(), end, "")
-		w.Header().Set(OutcomeHeader, GaveUp)
+		w.Header().Set(OutcomeHeader, OutcomeGaveUp)
 		writeEchoed(w, r, http.StatusGatewayTimeout, "gave up\n")
 		return
 	}
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -94,7 +94,7 @@
 	notRun(t, expired.send(t, client(t), b.URL()), http.StatusGatewayTimeout)
 	r := call{header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, client(t), b.URL())
 	must.Eq(t, http.StatusGatewayTimeout, r.status)
-	must.Eq(t, standin.GaveUp, r.header.Get(standin.OutcomeHeader))
+	must.Eq(t, standin.OutcomeGaveUp, r.header.Get(standin.OutcomeHeader))
 
 	ctx, cancel := context.WithCancel(t.Context())
 	running := call{method: http.MethodPost, body: "x"}.async(ctx, t, b.URL())
--- a/internal/standin/contract.go
+++ b/internal/standin/contract.go
@@ -14,7 +14,7 @@
 // Values of OutcomeHeader.
 const (
 	OutcomeNotRun = wire.OutcomeNotRun
-	GaveUp = wire.OutcomeGaveUp
+	OutcomeGaveUp = wire.OutcomeGaveUp
 )
 
 // Paths that a backend server keeps for itself.
