--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -138,7 +138,7 @@
 }
 
 // wait returns Done after d, or how the request ended before.
-func wait(ctx, connection context.Context, d time.Duration) End {
+func wait(ctx, connection context.Context, d time.Duration) ExecutionState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// End says how the work on a request ended.
-type End string
+// ExecutionState says how the work on a request ended.
+type ExecutionState string
 
 const (
 	// Running work hasn't ended yet.
-	Running End = "running"
+	Running ExecutionState = "running"
 	// Done work was completed and had its effect.
-	Done End = "done"
+	Done ExecutionState = "done"
 	// TimedOut work was given up when the request's time ran out.
-	TimedOut End = "timed-out"
+	TimedOut ExecutionState = "timed-out"
 	// Cancelled work was given up because the connection was closed.
-	Cancelled End = "cancelled"
+	Cancelled ExecutionState = "cancelled"
 )
 
 // maxExecutions bounds the log of executions.
@@ -35,7 +35,7 @@
 	BodySHA256 string        `json:"bodySha256"`
 	Begin      time.Duration `json:"begin"`
 	Finish     time.Duration `json:"finish"`
-	End        End           `json:"end"`
+	End        ExecutionState           `json:"end"`
 }
 
 // executionLog keeps the executions in the order of their beginnings.
@@ -67,7 +67,7 @@
 
 // finish takes down how it ended. It returns how often the operation has
 // been completed, for an operation with an id.
-func (l *executionLog) finish(index int, now time.Duration, end End, operation string) int {
+func (l *executionLog) finish(index int, now time.Duration, end ExecutionState, operation string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if index >= 0 {
