--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -10,8 +10,8 @@
 type ExecutionState string
 
 const (
-	// Running work hasn't ended yet.
-	Running ExecutionState = "running"
+	// ExecutionRunning work hasn't ended yet.
+	ExecutionRunning ExecutionState = "running"
 	// Done work was completed and had its effect.
 	Done ExecutionState = "done"
 	// TimedOut work was given up when the request's time ran out.
@@ -60,7 +60,7 @@
 		l.dropped++
 		return -1
 	}
-	e.End = Running
+	e.End = ExecutionRunning
 	l.entries = append(l.entries, e)
 	return len(l.entries) - 1
 }
