--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -80,7 +80,7 @@
 			must.Eq(t, c.faults.HalfRatio+c.faults.StallRatio > 0, r.err != nil)
 			c.check(t, r)
 			log, _ := b.Executions()
-			must.Eq(t, standin.Done, log[1].End)
+			must.Eq(t, standin.ExecutionCompleted, log[1].End)
 			must.Eq(t, http.StatusOK, call{path: standin.HealthPath}.send(t, client(t), b.URL()).status)
 		})
 	}
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -113,13 +113,13 @@
 	if q == lateAnswer {
 		ctx = context.WithoutCancel(ctx)
 	}
-	if end := wait(ctx, r.Context(), duration); end != Done {
+	if end := wait(ctx, r.Context(), duration); end != ExecutionCompleted {
 		b.executions.finish(index, b.now(), end, "")
 		w.Header().Set(OutcomeHeader, OutcomeGaveUp)
 		writeEchoed(w, r, http.StatusGatewayTimeout, "gave up\n")
 		return
 	}
-	times := b.executions.finish(index, b.now(), Done, e.Operation)
+	times := b.executions.finish(index, b.now(), ExecutionCompleted, e.Operation)
 	if q == lateAnswer {
 		_ = wait(ctx, ctx, time.Duration(faults.LateBy))
 	}
@@ -143,7 +143,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return Done
+		return ExecutionCompleted
 	case <-ctx.Done():
 	}
 	if connection.Err() != nil {
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -45,7 +45,7 @@
 	must.Eq(t, fmt.Sprintf("%x", sha256.Sum256(nil)), log[0].BodySHA256)
 	must.Eq(t, sum, log[2].BodySHA256)
 	must.Eq(t, "op1", log[2].Operation)
-	must.Eq(t, standin.Done, log[3].End)
+	must.Eq(t, standin.ExecutionCompleted, log[3].End)
 }
 
 // More requests come than the server has room for. It must refuse at once
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -12,8 +12,8 @@
 const (
 	// ExecutionRunning work hasn't ended yet.
 	ExecutionRunning ExecutionState = "running"
-	// Done work was completed and had its effect.
-	Done ExecutionState = "done"
+	// ExecutionCompleted work was completed and had its effect.
+	ExecutionCompleted ExecutionState = "done"
 	// TimedOut work was given up when the request's time ran out.
 	TimedOut ExecutionState = "timed-out"
 	// Cancelled work was given up because the connection was closed.
@@ -74,7 +74,7 @@
 		l.entries[index].Finish = now
 		l.entries[index].End = end
 	}
-	if end == Done && operation != "" {
+	if end == ExecutionCompleted && operation != "" {
 		l.done[operation]++
 	}
 	return l.done[operation]
