--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -149,7 +149,7 @@
 	if connection.Err() != nil {
 		return Cancelled
 	}
-	return TimedOut
+	return ExecutionTimedOut
 }
 
 // requestTime returns a context that ends with the request's time.
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -103,7 +103,7 @@
 	must.Error(t, (<-running).err)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
-	must.Eq(t, standin.TimedOut, log[0].End)
+	must.Eq(t, standin.ExecutionTimedOut, log[0].End)
 	must.Eq(t, standin.Cancelled, log[1].End)
 }
 
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -14,8 +14,8 @@
 	ExecutionRunning ExecutionState = "running"
 	// ExecutionCompleted work was completed and had its effect.
 	ExecutionCompleted ExecutionState = "done"
-	// TimedOut work was given up when the request's time ran out.
-	TimedOut ExecutionState = "timed-out"
+	// ExecutionTimedOut work was given up when the request's time ran out.
+	ExecutionTimedOut ExecutionState = "timed-out"
 	// Cancelled work was given up because the connection was closed.
 	Cancelled ExecutionState = "cancelled"
 )
