--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -120,7 +120,7 @@
 	must.ErrorIs(t, timed.send(t, client(t), b.URL()).err, context.DeadlineExceeded)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
-	must.Eq(t, standin.Cancelled, log[2].End)
+	must.Eq(t, standin.ExecutionCancelled, log[2].End)
 }
 
 // New connections are refused while those that stand go on; then all is well
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -107,7 +107,7 @@
 
 	if q == hang {
 		<-r.Context().Done()
-		b.executions.finish(index, b.now(), Cancelled, "")
+		b.executions.finish(index, b.now(), ExecutionCancelled, "")
 		panic(http.ErrAbortHandler)
 	}
 	if q == lateAnswer {
@@ -147,7 +147,7 @@
 	case <-ctx.Done():
 	}
 	if connection.Err() != nil {
-		return Cancelled
+		return ExecutionCancelled
 	}
 	return ExecutionTimedOut
 }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -104,7 +104,7 @@
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
 	must.Eq(t, standin.ExecutionTimedOut, log[0].End)
-	must.Eq(t, standin.Cancelled, log[1].End)
+	must.Eq(t, standin.ExecutionCancelled, log[1].End)
 }
 
 func TestBackendRefusesMalformedTime(t *testing.T) {
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -16,8 +16,8 @@
 	ExecutionCompleted ExecutionState = "done"
 	// ExecutionTimedOut work was given up when the request's time ran out.
 	ExecutionTimedOut ExecutionState = "timed-out"
-	// Cancelled work was given up because the connection was closed.
-	Cancelled ExecutionState = "cancelled"
+	// ExecutionCancelled work was given up because the connection was closed.
+	ExecutionCancelled ExecutionState = "cancelled"
 )
 
 // maxExecutions bounds the log of executions.
