--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -80,7 +80,7 @@
 			must.Eq(t, c.faults.HalfRatio+c.faults.StallRatio > 0, r.err != nil)
 			c.check(t, r)
 			log, _ := b.Executions()
-			must.Eq(t, standin.ExecutionCompleted, log[1].End)
+			must.Eq(t, standin.ExecutionCompleted, log[1].State)
 			must.Eq(t, http.StatusOK, call{path: standin.HealthPath}.send(t, client(t), b.URL()).status)
 		})
 	}
@@ -120,7 +120,7 @@
 	must.ErrorIs(t, timed.send(t, client(t), b.URL()).err, context.DeadlineExceeded)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
-	must.Eq(t, standin.ExecutionCancelled, log[2].End)
+	must.Eq(t, standin.ExecutionCancelled, log[2].State)
 }
 
 // New connections are refused while those that stand go on; then all is well
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -45,7 +45,7 @@
 	must.Eq(t, fmt.Sprintf("%x", sha256.Sum256(nil)), log[0].BodySHA256)
 	must.Eq(t, sum, log[2].BodySHA256)
 	must.Eq(t, "op1", log[2].Operation)
-	must.Eq(t, standin.ExecutionCompleted, log[3].End)
+	must.Eq(t, standin.ExecutionCompleted, log[3].State)
 }
 
 // More requests come than the server has room for. It must refuse at once
@@ -103,8 +103,8 @@
 	must.Error(t, (<-running).err)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
-	must.Eq(t, standin.ExecutionTimedOut, log[0].End)
-	must.Eq(t, standin.ExecutionCancelled, log[1].End)
+	must.Eq(t, standin.ExecutionTimedOut, log[0].State)
+	must.Eq(t, standin.ExecutionCancelled, log[1].State)
 }
 
 func TestBackendRefusesMalformedTime(t *testing.T) {
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -35,7 +35,7 @@
 	BodySHA256 string        `json:"bodySha256"`
 	Begin      time.Duration `json:"begin"`
 	Finish     time.Duration `json:"finish"`
-	End        ExecutionState           `json:"end"`
+	State        ExecutionState           `json:"end"`
 }
 
 // executionLog keeps the executions in the order of their beginnings.
@@ -60,7 +60,7 @@
 		l.dropped++
 		return -1
 	}
-	e.End = ExecutionRunning
+	e.State = ExecutionRunning
 	l.entries = append(l.entries, e)
 	return len(l.entries) - 1
 }
@@ -72,7 +72,7 @@
 	defer l.mu.Unlock()
 	if index >= 0 {
 		l.entries[index].Finish = now
-		l.entries[index].End = end
+		l.entries[index].State = end
 	}
 	if end == ExecutionCompleted && operation != "" {
 		l.done[operation]++
