--- a/internal/proofs/history_test.go
+++ b/internal/proofs/history_test.go
@@ -68,7 +68,7 @@
 			if isProbe(e) {
 				continue
 			}
-			all = append(all, execution{Execution: e, service: b.service, at: b.started.Add(e.Begin)})
+			all = append(all, execution{Execution: e, service: b.service, at: b.started.Add(e.StartedAt)})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b execution) int { return a.at.Compare(b.at) })
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -102,7 +102,7 @@
 	faults := b.Faults().at(now)
 	q := faults.quirk(e.Workspace, b.random())
 	duration := faults.workTime(b.baseTime(now))
-	e.Begin = now
+	e.StartedAt = now
 	index := b.executions.begin(e)
 
 	if q == hang {
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -33,7 +33,7 @@
 	Operation  string        `json:"operation,omitempty"`
 	BodyLength int64         `json:"bodyLength"`
 	BodySHA256 string        `json:"bodySha256"`
-	Begin      time.Duration `json:"begin"`
+	StartedAt      time.Duration `json:"begin"`
 	Finish     time.Duration `json:"finish"`
 	State        ExecutionState           `json:"end"`
 }
