--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -34,7 +34,7 @@
 	BodyLength int64         `json:"bodyLength"`
 	BodySHA256 string        `json:"bodySha256"`
 	StartedAt      time.Duration `json:"begin"`
-	Finish     time.Duration `json:"finish"`
+	EndedAt     time.Duration `json:"finish"`
 	State        ExecutionState           `json:"end"`
 }
 
@@ -71,7 +71,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if index >= 0 {
-		l.entries[index].Finish = now
+		l.entries[index].EndedAt = now
 		l.entries[index].State = end
 	}
 	if end == ExecutionCompleted && operation != "" {
