--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -18,7 +18,7 @@
 const (
 	DefaultSlots         = 2
 	DefaultLatency       = 5 * time.Millisecond
-	DefaultAnnounceEvery = 2 * time.Second
+	DefaultAnnounceInterval = 2 * time.Second
 )
 
 // BackendOptions of a backend server stand-in. A zero field takes its
@@ -233,7 +233,7 @@
 		o.ColdFactor = 1
 	}
 	if o.AnnounceEvery <= 0 {
-		o.AnnounceEvery = DefaultAnnounceEvery
+		o.AnnounceEvery = DefaultAnnounceInterval
 	}
 	return o
 }
