--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -156,7 +156,7 @@
 func (env *environment) backend(service string) *standin.Backend {
 	b, err := standin.StartBackend(standin.BackendOptions{
 		Service: service, DataCentre: "dc1", Slots: 16, Instances: env.client,
-		AnnounceEvery: 100 * time.Millisecond, Latency: time.Millisecond,
+		AnnounceInterval: 100 * time.Millisecond, Latency: time.Millisecond,
 	})
 	must.NoError(env.t, err)
 	env.t.Cleanup(b.Close)
--- a/entry/path_bench_test.go
+++ b/entry/path_bench_test.go
@@ -30,7 +30,7 @@
 	c, err := client.New(p.URL(), client.Settings{})
 	must.NoError(b, err)
 	server, err := standin.StartBackend(standin.BackendOptions{
-		Service: "lookup", DataCentre: "a", Slots: 64, Latency: time.Nanosecond, Instances: c, AnnounceEvery: time.Second,
+		Service: "lookup", DataCentre: "a", Slots: 64, Latency: time.Nanosecond, Instances: c, AnnounceInterval: time.Second,
 	})
 	must.NoError(b, err)
 	defer server.Close()
--- a/internal/proofs/cluster_test.go
+++ b/internal/proofs/cluster_test.go
@@ -113,7 +113,7 @@
 func (tc *testCluster) startBackend(service, dataCentre string, o standin.BackendOptions) *backend {
 	o.Service, o.DataCentre, o.Region = service, dataCentre, "luzon"
 	o.Instances = tc.client
-	o.AnnounceEvery = time.Second
+	o.AnnounceInterval = time.Second
 	b := &backend{service: service, started: time.Now()}
 	var err error
 	b.Backend, err = standin.StartBackend(o)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -45,7 +45,7 @@
 	ColdFactor   float64
 	// Instances is where the server announces itself; nil if nowhere.
 	Instances     storage.Instances
-	AnnounceEvery time.Duration
+	AnnounceInterval time.Duration
 	// Faults from the start.
 	Faults BackendFaults
 	// Seed of the random faults.
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	if o.Instances != nil {
-		b.announcer = startAnnouncer(o.Instances, b.instance(), o.AnnounceEvery, b.log)
+		b.announcer = startAnnouncer(o.Instances, b.instance(), o.AnnounceInterval, b.log)
 	}
 	return b, nil
 }
@@ -232,8 +232,8 @@
 	if o.ColdFactor <= 0 {
 		o.ColdFactor = 1
 	}
-	if o.AnnounceEvery <= 0 {
-		o.AnnounceEvery = DefaultAnnounceInterval
+	if o.AnnounceInterval <= 0 {
+		o.AnnounceInterval = DefaultAnnounceInterval
 	}
 	return o
 }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -184,7 +184,7 @@
 // must come back under a new id, since its old one can't.
 func TestBackendTakesNewID(t *testing.T) {
 	_, instances := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond})
-	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceEvery: time.Millisecond})
+	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceInterval: time.Millisecond})
 	first := b.ID()
 	eventually(t, "a new id", func() bool { return b.ID() != first })
 }
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -115,7 +115,7 @@
 		ColdFor:       c.ColdFor,
 		ColdRequests:  c.ColdRequests,
 		ColdFactor:    c.ColdFactor,
-		AnnounceEvery: c.Every,
+		AnnounceInterval: c.Every,
 		Seed:          c.Seed,
 		Log:           c.program.log,
 	}
