--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -38,9 +38,9 @@
 	Queue int
 	// Latency is the time that the work on one request takes.
 	Latency time.Duration
-	// ColdFor and ColdRequests set a cold start: work takes ColdFactor times
+	// ColdStartDuration and ColdRequests set a cold start: work takes ColdFactor times
 	// as long for this time, and for this number of requests.
-	ColdFor      time.Duration
+	ColdStartDuration      time.Duration
 	ColdRequests int
 	ColdFactor   float64
 	// Instances is where the server announces itself; nil if nowhere.
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -120,7 +120,7 @@
 func TestBackendStartsCold(t *testing.T) {
 	for name, o := range map[string]standin.BackendOptions{
 		"first requests": {ColdRequests: 1, ColdFactor: 1e6},
-		"first seconds":  {ColdFor: time.Hour, ColdFactor: 1e6},
+		"first seconds":  {ColdStartDuration: time.Hour, ColdFactor: 1e6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -112,7 +112,7 @@
 		Slots:         c.Slots,
 		Queue:         c.Queue,
 		Latency:       c.Latency,
-		ColdFor:       c.ColdFor,
+		ColdStartDuration:       c.ColdFor,
 		ColdRequests:  c.ColdRequests,
 		ColdFactor:    c.ColdFactor,
 		AnnounceInterval: c.Every,
