--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -41,7 +41,7 @@
 	// ColdStartDuration and ColdRequests set a cold start: work takes ColdFactor times
 	// as long for this time, and for this number of requests.
 	ColdStartDuration      time.Duration
-	ColdRequests int
+	ColdStartRequests int
 	ColdFactor   float64
 	// Instances is where the server announces itself; nil if nowhere.
 	Instances     storage.Instances
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -131,7 +131,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.served++
-	if now < b.o.ColdStartDuration || b.served <= b.o.ColdRequests {
+	if now < b.o.ColdStartDuration || b.served <= b.o.ColdStartRequests {
 		return time.Duration(float64(b.o.Latency) * b.o.ColdFactor)
 	}
 	return b.o.Latency
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -119,14 +119,14 @@
 
 func TestBackendStartsCold(t *testing.T) {
 	for name, o := range map[string]standin.BackendOptions{
-		"first requests": {ColdRequests: 1, ColdFactor: 1e6},
+		"first requests": {ColdStartRequests: 1, ColdFactor: 1e6},
 		"first seconds":  {ColdStartDuration: time.Hour, ColdFactor: 1e6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
 			c := call{header: map[string]string{standin.TimeoutHeader: "500"}}
 			must.Eq(t, http.StatusGatewayTimeout, c.send(t, client(t), b.URL()).status)
-			if o.ColdRequests > 0 {
+			if o.ColdStartRequests > 0 {
 				must.Eq(t, http.StatusOK, c.send(t, client(t), b.URL()).status)
 			}
 		})
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -113,7 +113,7 @@
 		Queue:         c.Queue,
 		Latency:       c.Latency,
 		ColdStartDuration:       c.ColdFor,
-		ColdRequests:  c.ColdRequests,
+		ColdStartRequests:  c.ColdRequests,
 		ColdFactor:    c.ColdFactor,
 		AnnounceInterval: c.Every,
 		Seed:          c.Seed,
