--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -42,7 +42,7 @@
 	// as long for this time, and for this number of requests.
 	ColdStartDuration      time.Duration
 	ColdStartRequests int
-	ColdFactor   float64
+	ColdStartFactor   float64
 	// Instances is where the server announces itself; nil if nowhere.
 	Instances     storage.Instances
 	AnnounceInterval time.Duration
@@ -229,8 +229,8 @@
 	if o.Latency <= 0 {
 		o.Latency = DefaultLatency
 	}
-	if o.ColdFactor <= 0 {
-		o.ColdFactor = 1
+	if o.ColdStartFactor <= 0 {
+		o.ColdStartFactor = 1
 	}
 	if o.AnnounceInterval <= 0 {
 		o.AnnounceInterval = DefaultAnnounceInterval
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -132,7 +132,7 @@
 	defer b.mu.Unlock()
 	b.served++
 	if now < b.o.ColdStartDuration || b.served <= b.o.ColdStartRequests {
-		return time.Duration(float64(b.o.Latency) * b.o.ColdFactor)
+		return time.Duration(float64(b.o.Latency) * b.o.ColdStartFactor)
 	}
 	return b.o.Latency
 }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -119,8 +119,8 @@
 
 func TestBackendStartsCold(t *testing.T) {
 	for name, o := range map[string]standin.BackendOptions{
-		"first requests": {ColdStartRequests: 1, ColdFactor: 1e6},
-		"first seconds":  {ColdStartDuration: time.Hour, ColdFactor: 1e6},
+		"first requests": {ColdStartRequests: 1, ColdStartFactor: 1e6},
+		"first seconds":  {ColdStartDuration: time.Hour, ColdStartFactor: 1e6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -114,7 +114,7 @@
 		Latency:       c.Latency,
 		ColdStartDuration:       c.ColdFor,
 		ColdStartRequests:  c.ColdRequests,
-		ColdFactor:    c.ColdFactor,
+		ColdStartFactor:    c.ColdFactor,
 		AnnounceInterval: c.Every,
 		Seed:          c.Seed,
 		Log:           c.program.log,
