--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -12,8 +12,8 @@
 // zero value is none. Ratios are shares of requests from 0 to 1; a request
 // meets at most one of them, so they add up to at most 1.
 type BackendFaults struct {
-	// Factor multiplies the time that work takes; 0 means 1.
-	Factor float64 `json:"factor"`
+	// LatencyFactor multiplies the time that work takes; 0 means 1.
+	LatencyFactor float64 `json:"factor"`
 	// Delay is added to the time that work takes, like "250ms".
 	Delay config.Duration `json:"delay"`
 
@@ -75,7 +75,7 @@
 	if sum > 1 {
 		return errors.New("the ratios add up to more than 1")
 	}
-	if !(f.Factor >= 0) || f.Delay < 0 || f.LateBy < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
+	if !(f.LatencyFactor >= 0) || f.Delay < 0 || f.LateBy < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
 		return errors.New("factor and times can't be negative")
 	}
 	switch f.Health {
@@ -140,8 +140,8 @@
 
 // workTime returns how long the work takes that takes d without faults.
 func (f BackendFaults) workTime(d time.Duration) time.Duration {
-	if f.Factor > 0 {
-		d = time.Duration(float64(d) * f.Factor)
+	if f.LatencyFactor > 0 {
+		d = time.Duration(float64(d) * f.LatencyFactor)
 	}
 	return d + time.Duration(f.Delay)
 }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -112,7 +112,7 @@
 func TestBackendSlowAndHanging(t *testing.T) {
 	timed := call{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
 	b := startBackend(t, standin.BackendOptions{Latency: time.Millisecond})
-	for _, f := range []standin.BackendFaults{{Factor: 1e6}, {Delay: config.Duration(time.Hour)}} {
+	for _, f := range []standin.BackendFaults{{LatencyFactor: 1e6}, {Delay: config.Duration(time.Hour)}} {
 		must.NoError(t, b.SetFaults(f))
 		must.Eq(t, http.StatusGatewayTimeout, timed.send(t, client(t), b.URL()).status)
 	}
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -28,7 +28,7 @@
 
 func TestFlappingComesAndGoes(t *testing.T) {
 	f := BackendFaults{
-		HalfRatio: 1, Factor: 2, FlapPeriod: config.Duration(time.Second), Refuse: true, Health: healthOK,
+		HalfRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), Refuse: true, Health: healthOK,
 	}
 	good := BackendFaults{Refuse: true, Health: healthOK}
 	for at, want := range map[time.Duration]BackendFaults{
