--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -14,8 +14,8 @@
 type BackendFaults struct {
 	// LatencyFactor multiplies the time that work takes; 0 means 1.
 	LatencyFactor float64 `json:"factor"`
-	// Delay is added to the time that work takes, like "250ms".
-	Delay config.Duration `json:"delay"`
+	// AddedLatency is added to the time that work takes, like "250ms".
+	AddedLatency config.Duration `json:"delay"`
 
 	// HalfRatio of answers end before their declared length.
 	HalfRatio float64 `json:"halfRatio"`
@@ -75,7 +75,7 @@
 	if sum > 1 {
 		return errors.New("the ratios add up to more than 1")
 	}
-	if !(f.LatencyFactor >= 0) || f.Delay < 0 || f.LateBy < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
+	if !(f.LatencyFactor >= 0) || f.AddedLatency < 0 || f.LateBy < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
 		return errors.New("factor and times can't be negative")
 	}
 	switch f.Health {
@@ -143,5 +143,5 @@
 	if f.LatencyFactor > 0 {
 		d = time.Duration(float64(d) * f.LatencyFactor)
 	}
-	return d + time.Duration(f.Delay)
+	return d + time.Duration(f.AddedLatency)
 }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -58,7 +58,7 @@
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
 		{"late", standin.BackendFaults{
-			LateRatio: 1, LateBy: config.Duration(20 * time.Millisecond), Delay: config.Duration(20 * time.Millisecond),
+			LateRatio: 1, LateBy: config.Duration(20 * time.Millisecond), AddedLatency: config.Duration(20 * time.Millisecond),
 		}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
@@ -112,7 +112,7 @@
 func TestBackendSlowAndHanging(t *testing.T) {
 	timed := call{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
 	b := startBackend(t, standin.BackendOptions{Latency: time.Millisecond})
-	for _, f := range []standin.BackendFaults{{LatencyFactor: 1e6}, {Delay: config.Duration(time.Hour)}} {
+	for _, f := range []standin.BackendFaults{{LatencyFactor: 1e6}, {AddedLatency: config.Duration(time.Hour)}} {
 		must.NoError(t, b.SetFaults(f))
 		must.Eq(t, http.StatusGatewayTimeout, timed.send(t, client(t), b.URL()).status)
 	}
@@ -178,7 +178,7 @@
 	url := b.ControlURL() + "/control/faults"
 	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"halfRatio":0.5,"delay":"1ms"}`).status)
 	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"hangRatio":0.5}`).status)
-	want := standin.BackendFaults{HalfRatio: 0.5, HangRatio: 0.5, Delay: config.Duration(time.Millisecond)}
+	want := standin.BackendFaults{HalfRatio: 0.5, HangRatio: 0.5, AddedLatency: config.Duration(time.Millisecond)}
 	must.Eq(t, want, b.Faults())
 	for _, bad := range []string{
 		`{"errorRatio":0.1}`, `{"halfRatio":-1}`, `{"factor":-1}`, `{"health":"fine"}`, `{"lateBy":"-1s"}`, `{"x":1}`,
