--- a/entry/callers_test.go
+++ b/entry/callers_test.go
@@ -166,7 +166,7 @@
 	}})
 	e := env.entries[0]
 	eventually(t, "the own service is known", func() bool { return env.get(e, "/own/ready", env.full).status == http.StatusOK })
-	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{HalfRatio: 1}))
+	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{TruncatedRatio: 1}))
 	for _, r := range []reply{env.get(e, "/own/chunks", env.full), env.get(e, "/catalogue/large?size=3000000", env.key)} {
 		must.Eq(t, http.StatusOK, r.status)
 		must.Error(t, r.err)
--- a/entry/trace_test.go
+++ b/entry/trace_test.go
@@ -24,7 +24,7 @@
 	file := filepath.Join(t.TempDir(), "trace")
 	env := newEnvironment(t, options{catalogues: 3, adjust: func(s *settings.Settings) { s.Trace.File = file }})
 	e := env.entries[0]
-	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{ErrorRatio: 0.5, HalfRatio: 0.5}))
+	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{ErrorRatio: 0.5, TruncatedRatio: 0.5}))
 	for i := range 30 {
 		if i == 5 { // the retries of five lookups are within the budget
 			must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{}))
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -17,8 +17,8 @@
 	// AddedLatency is added to the time that work takes, like "250ms".
 	AddedLatency config.Duration `json:"delay"`
 
-	// HalfRatio of answers end before their declared length.
-	HalfRatio float64 `json:"halfRatio"`
+	// TruncatedRatio of answers end before their declared length.
+	TruncatedRatio float64 `json:"halfRatio"`
 	// StallRatio of answers stop halfway, and the connection stays open until
 	// the other side closes it.
 	StallRatio float64 `json:"stallRatio"`
@@ -103,7 +103,7 @@
 // ratios returns the ratio of each quirk, in the order of the constants.
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
-		f.HalfRatio, f.ErrorRatio, f.HangRatio, f.CrossedRatio,
+		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.CrossedRatio,
 		f.NoEchoRatio, f.LateRatio, f.DuplicateRatio, f.StallRatio,
 	}
 }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -27,7 +27,7 @@
 		faults standin.BackendFaults
 		check  func(t *testing.T, r reply)
 	}{
-		{"half", standin.BackendFaults{HalfRatio: 1}, func(t *testing.T, r reply) {
+		{"half", standin.BackendFaults{TruncatedRatio: 1}, func(t *testing.T, r reply) {
 			must.ErrorIs(t, r.err, io.ErrUnexpectedEOF)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
@@ -77,7 +77,7 @@
 				one.timeout = glance
 			}
 			r := one.send(t, client(t), b.URL())
-			must.Eq(t, c.faults.HalfRatio+c.faults.StallRatio > 0, r.err != nil)
+			must.Eq(t, c.faults.TruncatedRatio+c.faults.StallRatio > 0, r.err != nil)
 			c.check(t, r)
 			log, _ := b.Executions()
 			must.Eq(t, standin.ExecutionCompleted, log[1].State)
@@ -178,7 +178,7 @@
 	url := b.ControlURL() + "/control/faults"
 	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"halfRatio":0.5,"delay":"1ms"}`).status)
 	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"hangRatio":0.5}`).status)
-	want := standin.BackendFaults{HalfRatio: 0.5, HangRatio: 0.5, AddedLatency: config.Duration(time.Millisecond)}
+	want := standin.BackendFaults{TruncatedRatio: 0.5, HangRatio: 0.5, AddedLatency: config.Duration(time.Millisecond)}
 	must.Eq(t, want, b.Faults())
 	for _, bad := range []string{
 		`{"errorRatio":0.1}`, `{"halfRatio":-1}`, `{"factor":-1}`, `{"health":"fine"}`, `{"lateBy":"-1s"}`, `{"x":1}`,
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -12,7 +12,7 @@
 
 func TestQuirksFollowRatios(t *testing.T) {
 	f := BackendFaults{
-		HalfRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, CrossedRatio: 0.1,
+		TruncatedRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, CrossedRatio: 0.1,
 		NoEchoRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StallRatio: 0.1, ErrorWorkspace: "w",
 	}
 	found := map[quirk]int{}
@@ -28,7 +28,7 @@
 
 func TestFlappingComesAndGoes(t *testing.T) {
 	f := BackendFaults{
-		HalfRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), Refuse: true, Health: healthOK,
+		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), Refuse: true, Health: healthOK,
 	}
 	good := BackendFaults{Refuse: true, Health: healthOK}
 	for at, want := range map[time.Duration]BackendFaults{
