--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -19,9 +19,9 @@
 
 	// TruncatedRatio of answers end before their declared length.
 	TruncatedRatio float64 `json:"halfRatio"`
-	// StallRatio of answers stop halfway, and the connection stays open until
+	// StalledRatio of answers stop halfway, and the connection stays open until
 	// the other side closes it.
-	StallRatio float64 `json:"stallRatio"`
+	StalledRatio float64 `json:"stallRatio"`
 	// ErrorRatio of answers have status 500, after the work was done.
 	ErrorRatio float64 `json:"errorRatio"`
 	// ErrorWorkspace restricts the errors to one workspace.
@@ -104,7 +104,7 @@
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
 		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.CrossedRatio,
-		f.NoEchoRatio, f.LateRatio, f.DuplicateRatio, f.StallRatio,
+		f.NoEchoRatio, f.LateRatio, f.DuplicateRatio, f.StalledRatio,
 	}
 }
 
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -32,7 +32,7 @@
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
 		}},
-		{"stalled", standin.BackendFaults{StallRatio: 1}, func(t *testing.T, r reply) {
+		{"stalled", standin.BackendFaults{StalledRatio: 1}, func(t *testing.T, r reply) {
 			must.ErrorIs(t, r.err, context.DeadlineExceeded)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
@@ -73,11 +73,11 @@
 				header[standin.TimeoutHeader] = "10"
 			}
 			one := call{path: "/x", header: header}
-			if c.faults.StallRatio > 0 {
+			if c.faults.StalledRatio > 0 {
 				one.timeout = glance
 			}
 			r := one.send(t, client(t), b.URL())
-			must.Eq(t, c.faults.TruncatedRatio+c.faults.StallRatio > 0, r.err != nil)
+			must.Eq(t, c.faults.TruncatedRatio+c.faults.StalledRatio > 0, r.err != nil)
 			c.check(t, r)
 			log, _ := b.Executions()
 			must.Eq(t, standin.ExecutionCompleted, log[1].State)
