--- a/entry/disconnect_test.go
+++ b/entry/disconnect_test.go
@@ -180,7 +180,7 @@
 		}
 	}
 	sendTraffic()
-	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{ErrorRatio: 0.4, CrossedRatio: 0.3, TruncatedRatio: 0.3}))
+	must.NoError(t, env.catalogue.SetFaults(standin.BackendFaults{ErrorRatio: 0.4, MismatchedRatio: 0.3, TruncatedRatio: 0.3}))
 	sendTraffic()
 	must.NoError(t, env.platform.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{Down: standin.DownClosed}}}))
 	sendTraffic()
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -29,8 +29,8 @@
 	// HangRatio of requests get no answer and keep their slot until the
 	// connection is closed, whatever their time.
 	HangRatio float64 `json:"hangRatio"`
-	// CrossedRatio of requests get another request's answer.
-	CrossedRatio float64 `json:"crossedRatio"`
+	// MismatchedRatio of requests get another request's answer.
+	MismatchedRatio float64 `json:"crossedRatio"`
 	// NoEchoRatio of answers lack the attempt's id.
 	NoEchoRatio float64 `json:"noEchoRatio"`
 	// LateRatio of answers come LateBy after the work was done, whatever the
@@ -103,7 +103,7 @@
 // ratios returns the ratio of each quirk, in the order of the constants.
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
-		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.CrossedRatio,
+		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.MismatchedRatio,
 		f.NoEchoRatio, f.LateRatio, f.DuplicateRatio, f.StalledRatio,
 	}
 }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -48,7 +48,7 @@
 		{"error for another", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
-		{"crossed", standin.BackendFaults{CrossedRatio: 1}, func(t *testing.T, r reply) {
+		{"crossed", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.Eq(t, "a0", r.header.Get(standin.AttemptHeader))
 			must.StrContains(t, r.body, "/before")
