--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -31,8 +31,8 @@
 	HangRatio float64 `json:"hangRatio"`
 	// MismatchedRatio of requests get another request's answer.
 	MismatchedRatio float64 `json:"crossedRatio"`
-	// NoEchoRatio of answers lack the attempt's id.
-	NoEchoRatio float64 `json:"noEchoRatio"`
+	// MissingAttemptRatio of answers lack the attempt's id.
+	MissingAttemptRatio float64 `json:"noEchoRatio"`
 	// LateRatio of answers come LateBy after the work was done, whatever the
 	// request's time, and also if it was cancelled.
 	LateRatio float64         `json:"lateRatio"`
@@ -104,7 +104,7 @@
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
 		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.MismatchedRatio,
-		f.NoEchoRatio, f.LateRatio, f.DuplicateRatio, f.StalledRatio,
+		f.MissingAttemptRatio, f.LateRatio, f.DuplicateRatio, f.StalledRatio,
 	}
 }
 
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -53,7 +53,7 @@
 			must.Eq(t, "a0", r.header.Get(standin.AttemptHeader))
 			must.StrContains(t, r.body, "/before")
 		}},
-		{"no echo", standin.BackendFaults{NoEchoRatio: 1}, func(t *testing.T, r reply) {
+		{"no echo", standin.BackendFaults{MissingAttemptRatio: 1}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -13,7 +13,7 @@
 func TestQuirksFollowRatios(t *testing.T) {
 	f := BackendFaults{
 		TruncatedRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, MismatchedRatio: 0.1,
-		NoEchoRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, ErrorWorkspace: "w",
+		MissingAttemptRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, ErrorWorkspace: "w",
 	}
 	found := map[quirk]int{}
 	for i := range 1000 {
