--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -36,7 +36,7 @@
 	// LateRatio of answers come LateBy after the work was done, whatever the
 	// request's time, and also if it was cancelled.
 	LateRatio float64         `json:"lateRatio"`
-	LateBy    config.Duration `json:"lateBy"`
+	LateDelay    config.Duration `json:"lateBy"`
 	// DuplicateRatio of answers are sent twice on their connection.
 	DuplicateRatio float64 `json:"duplicateRatio"`
 
@@ -75,7 +75,7 @@
 	if sum > 1 {
 		return errors.New("the ratios add up to more than 1")
 	}
-	if !(f.LatencyFactor >= 0) || f.AddedLatency < 0 || f.LateBy < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
+	if !(f.LatencyFactor >= 0) || f.AddedLatency < 0 || f.LateDelay < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
 		return errors.New("factor and times can't be negative")
 	}
 	switch f.Health {
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -58,7 +58,7 @@
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
 		{"late", standin.BackendFaults{
-			LateRatio: 1, LateBy: config.Duration(20 * time.Millisecond), AddedLatency: config.Duration(20 * time.Millisecond),
+			LateRatio: 1, LateDelay: config.Duration(20 * time.Millisecond), AddedLatency: config.Duration(20 * time.Millisecond),
 		}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -121,7 +121,7 @@
 	}
 	times := b.executions.finish(index, b.now(), ExecutionCompleted, e.Operation)
 	if q == lateAnswer {
-		_ = wait(ctx, ctx, time.Duration(faults.LateBy))
+		_ = wait(ctx, ctx, time.Duration(faults.LateDelay))
 	}
 	b.answer(w, r, q, answerTo(e, b.o.Service, times, r.URL.Query().Get("size")))
 }
