--- a/entry/probe_test.go
+++ b/entry/probe_test.go
@@ -15,7 +15,7 @@
 func TestServerHealthyByItsReportOnlyStaysOut(t *testing.T) {
 	env := newEnvironment(t, options{catalogues: 4})
 	e := env.entries[0]
-	env.fault(standin.BackendFaults{ErrorRatio: 1, Health: "ok"})
+	env.fault(standin.BackendFaults{ErrorRatio: 1, HealthOverride: "ok"})
 	ejected := func() bool {
 		status, err := env.operators(e).GetStatus(context.Background())
 		must.NoError(t, err)
--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -164,10 +164,10 @@
 	killed, frozen, inboundCut, repliesCut, platformCut := r.entries[0], r.entries[1], r.entries[2], r.entries[3], r.entries[4]
 	return []step{
 		{second(2), func() {
-			r.setBackendFaults(catalogue, standin.BackendFaults{TruncatedRatio: 0.2, MismatchedRatio: 0.1, LateRatio: 0.1, LateDelay: config.Duration(3 * time.Second), MissingAttemptRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, Health: "ok"})
+			r.setBackendFaults(catalogue, standin.BackendFaults{TruncatedRatio: 0.2, MismatchedRatio: 0.1, LateRatio: 0.1, LateDelay: config.Duration(3 * time.Second), MissingAttemptRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, HealthOverride: "ok"})
 		}},
 		{second(2.5), func() {
-			r.setBackendFaults(hanging, standin.BackendFaults{HangRatio: 0.5, TruncatedRatio: 0.2, Health: "ok"})
+			r.setBackendFaults(hanging, standin.BackendFaults{HangRatio: 0.5, TruncatedRatio: 0.2, HealthOverride: "ok"})
 		}},
 		{second(4), func() { killed.process.Kill() }},
 		{second(4.5), func() { r.startEntry("luzon-1") }},
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -44,9 +44,9 @@
 	// period, on for the next.
 	FlapPeriod config.Duration `json:"flapPeriod"`
 
-	// Health is "ok" or "bad" to report that whatever is the case; empty
+	// HealthOverride is "ok" or "bad" to report that whatever is the case; empty
 	// reports what the server believes. It never knows of its faults.
-	Health string `json:"health"`
+	HealthOverride string `json:"health"`
 	// ReportLag is how old the health and load reports are.
 	ReportLag config.Duration `json:"reportLag"`
 	// HideLoad reports an idle server.
@@ -78,11 +78,11 @@
 	if !(f.LatencyFactor >= 0) || f.AddedLatency < 0 || f.LateDelay < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
 		return errors.New("factor and times can't be negative")
 	}
-	switch f.Health {
+	switch f.HealthOverride {
 	case "", healthOK, healthBad:
 		return nil
 	}
-	return errors.Newf("health: %q is neither ok nor bad", f.Health)
+	return errors.Newf("health: %q is neither ok nor bad", f.HealthOverride)
 }
 
 // quirk is the way in which one answer goes wrong.
@@ -130,7 +130,7 @@
 		return f
 	}
 	return BackendFaults{
-		Health:      f.Health,
+		HealthOverride:      f.HealthOverride,
 		ReportLag:   f.ReportLag,
 		HideLoad:    f.HideLoad,
 		Refuse:      f.Refuse,
--- a/internal/standin/backend_report.go
+++ b/internal/standin/backend_report.go
@@ -26,8 +26,8 @@
 // and it never knows of the server's own faults.
 func (b *Backend) health() string {
 	f := b.Faults()
-	if f.Health != "" {
-		return f.Health
+	if f.HealthOverride != "" {
+		return f.HealthOverride
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -204,8 +204,8 @@
 	}{
 		{standin.BackendFaults{}, "draining", 1},
 		{standin.BackendFaults{ReportLag: hour}, "ok", 0},
-		{standin.BackendFaults{Health: "ok", HideLoad: true}, "ok", 0},
-		{standin.BackendFaults{Health: "bad"}, "bad", 1},
+		{standin.BackendFaults{HealthOverride: "ok", HideLoad: true}, "ok", 0},
+		{standin.BackendFaults{HealthOverride: "bad"}, "bad", 1},
 	} {
 		must.NoError(t, b.SetFaults(c.faults))
 		health := call{path: standin.HealthPath}.send(t, client(t), b.URL())
