--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -49,8 +49,8 @@
 	HealthOverride string `json:"health"`
 	// ReportLag is how old the health and load reports are.
 	ReportLag config.Duration `json:"reportLag"`
-	// HideLoad reports an idle server.
-	HideLoad bool `json:"hideLoad"`
+	// ReportZeroLoad reports an idle server.
+	ReportZeroLoad bool `json:"hideLoad"`
 
 	// Refuse refuses new connections; those that stand go on.
 	Refuse bool `json:"refuse"`
@@ -132,7 +132,7 @@
 	return BackendFaults{
 		HealthOverride:      f.HealthOverride,
 		ReportLag:   f.ReportLag,
-		HideLoad:    f.HideLoad,
+		ReportZeroLoad:    f.ReportZeroLoad,
 		Refuse:      f.Refuse,
 		StopReading: f.StopReading,
 	}
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -204,7 +204,7 @@
 	}{
 		{standin.BackendFaults{}, "draining", 1},
 		{standin.BackendFaults{ReportLag: hour}, "ok", 0},
-		{standin.BackendFaults{HealthOverride: "ok", HideLoad: true}, "ok", 0},
+		{standin.BackendFaults{HealthOverride: "ok", ReportZeroLoad: true}, "ok", 0},
 		{standin.BackendFaults{HealthOverride: "bad"}, "bad", 1},
 	} {
 		must.NoError(t, b.SetFaults(c.faults))
