--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -52,8 +52,8 @@
 	// ReportZeroLoad reports an idle server.
 	ReportZeroLoad bool `json:"hideLoad"`
 
-	// Refuse refuses new connections; those that stand go on.
-	Refuse bool `json:"refuse"`
+	// RefuseConnections refuses new connections; those that stand go on.
+	RefuseConnections bool `json:"refuse"`
 	// StopReading reads nothing from any connection.
 	StopReading bool `json:"stopReading"`
 }
@@ -133,7 +133,7 @@
 		HealthOverride:      f.HealthOverride,
 		ReportLag:   f.ReportLag,
 		ReportZeroLoad:    f.ReportZeroLoad,
-		Refuse:      f.Refuse,
+		RefuseConnections:      f.RefuseConnections,
 		StopReading: f.StopReading,
 	}
 }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -130,15 +130,15 @@
 	standing := client(t)
 	must.Eq(t, http.StatusOK, call{}.send(t, standing, b.URL()).status)
 	for range 3 {
-		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.Refuse = true }))
+		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 		eventually(t, "refused", func() bool {
 			return errors.Is(call{}.send(t, client(t), b.URL()).err, syscall.ECONNREFUSED)
 		})
 		must.Eq(t, http.StatusOK, call{}.send(t, standing, b.URL()).status)
-		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.Refuse = false }))
+		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = false }))
 		eventually(t, "taken", func() bool { return call{}.send(t, client(t), b.URL()).status == http.StatusOK })
 	}
-	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.Refuse = true }))
+	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 }
 
 // The server's process is stuck: it takes connections and reads nothing. Once
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -33,7 +33,7 @@
 // gates returns what connections may do.
 func (b *Backend) gates() gates {
 	f, changed := b.faults.get()
-	return gates{refuse: f.Refuse, stopReading: f.StopReading, changed: changed}
+	return gates{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -28,9 +28,9 @@
 
 func TestFlappingComesAndGoes(t *testing.T) {
 	f := BackendFaults{
-		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), Refuse: true, HealthOverride: healthOK,
+		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), RefuseConnections: true, HealthOverride: healthOK,
 	}
-	good := BackendFaults{Refuse: true, HealthOverride: healthOK}
+	good := BackendFaults{RefuseConnections: true, HealthOverride: healthOK}
 	for at, want := range map[time.Duration]BackendFaults{
 		0: good, 999 * time.Millisecond: good, time.Second: f, 2 * time.Second: good, 3 * time.Second: f,
 	} {
