--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -19,8 +19,8 @@
 	Seen []string `json:"seen"`
 }
 
-// RawReport is the answer to GET /control/raw.
-type RawReport struct {
+// RawHeadersReport is the answer to GET /control/raw.
+type RawHeadersReport struct {
 	// Headers are the latest requests' header blocks, as received.
 	Headers []string `json:"headers"`
 	// Incomplete counts the requests whose block couldn't be kept whole.
@@ -55,7 +55,7 @@
 }
 
 // RawHeaders returns the latest requests' header blocks, as received.
-func (b *Backend) RawHeaders() RawReport { return b.raw.report() }
+func (b *Backend) RawHeaders() RawHeadersReport { return b.raw.report() }
 
 // WatchSecrets lets the server look for secrets, such as callers' keys, in
 // everything that it receives from now on.
--- a/internal/standin/raw.go
+++ b/internal/standin/raw.go
@@ -42,10 +42,10 @@
 	return slices.Sorted(maps.Keys(l.seen))
 }
 
-func (l *rawLog) report() RawReport {
+func (l *rawLog) report() RawHeadersReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	report := RawReport{Incomplete: l.incomplete, Headers: []string{}}
+	report := RawHeadersReport{Incomplete: l.incomplete, Headers: []string{}}
 	for _, h := range l.headers {
 		report.Headers = append(report.Headers, string(h))
 	}
