--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -15,8 +15,8 @@
 
 // SecretsReport is the answer to GET /control/secrets.
 type SecretsReport struct {
-	// Seen are the secrets that came in on any connection, anywhere.
-	Seen []string `json:"seen"`
+	// Detected are the secrets that came in on any connection, anywhere.
+	Detected []string `json:"seen"`
 }
 
 // RawHeadersReport is the answer to GET /control/raw.
@@ -37,7 +37,7 @@
 }
 
 func (b *Backend) showSecrets(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, SecretsReport{Seen: b.SecretsSeen()})
+	writeJSON(w, SecretsReport{Detected: b.SecretsSeen()})
 }
 
 func (b *Backend) watchSecrets(w http.ResponseWriter, r *http.Request) {
