--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -294,7 +294,7 @@
 func (r *faultRun) checkSecrets() {
 	seen := map[string]bool{}
 	for _, b := range r.backends {
-		for _, s := range b.SecretsSeen() {
+		for _, s := range b.DetectedSecrets() {
 			seen[s] = true
 		}
 	}
--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -37,7 +37,7 @@
 }
 
 func (b *Backend) showSecrets(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, SecretsReport{Detected: b.SecretsSeen()})
+	writeJSON(w, SecretsReport{Detected: b.DetectedSecrets()})
 }
 
 func (b *Backend) watchSecrets(w http.ResponseWriter, r *http.Request) {
@@ -61,5 +61,5 @@
 // everything that it receives from now on.
 func (b *Backend) WatchSecrets(secrets ...string) { b.raw.watch(secrets) }
 
-// SecretsSeen returns the watched secrets that came in, sorted.
-func (b *Backend) SecretsSeen() []string { return b.raw.secretsSeen() }
+// DetectedSecrets returns the watched secrets that came in, sorted.
+func (b *Backend) DetectedSecrets() []string { return b.raw.secretsSeen() }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -231,7 +231,7 @@
 
 	must.Eq(t, http.StatusOK, call{path: "/fsk_path"}.send(t, client(t), b.URL()).status)
 
-	must.Eq(t, []string{"fsk_body", "fsk_header", "fsk_path"}, b.SecretsSeen())
+	must.Eq(t, []string{"fsk_body", "fsk_header", "fsk_path"}, b.DetectedSecrets())
 	raw := b.RawHeaders()
 	must.Zero(t, raw.Incomplete)
 	must.Len(t, 2, raw.Headers)
