--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -17,7 +17,7 @@
 	"foxtailspoke/internal/standin"
 )
 
-func TestBackendAnswers(t *testing.T) {
+func TestBackendResponses(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	sum := fmt.Sprintf("%x", sha256.Sum256([]byte("glue")))
 	order := call{
