--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -51,7 +51,7 @@
 // More requests come than the server has room for. It must refuse at once
 // and say that they weren't run, and that has to stay true; one that waits in
 // the queue is refused when its time runs out, and another gets its place.
-func TestBackendSheds(t *testing.T) {
+func TestBackendShedsLoad(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
 		Slots: 1, Queue: 1, Faults: standin.BackendFaults{HangRatio: 1},
 	})
