--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -88,7 +88,7 @@
 
 // A request's time runs out, or its connection is closed, while the server
 // works on it. The server gives up and its slot is free again.
-func TestBackendGivesUp(t *testing.T) {
+func TestBackendAbortsExecution(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Latency: time.Hour})
 	expired := call{header: map[string]string{standin.TimeoutHeader: "0"}}
 	notRun(t, expired.send(t, client(t), b.URL()), http.StatusGatewayTimeout)
