--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -107,7 +107,7 @@
 	must.Eq(t, standin.ExecutionCancelled, log[1].State)
 }
 
-func TestBackendRefusesMalformedTime(t *testing.T) {
+func TestBackendRejectsMalformedTimeout(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	for _, value := range []string{"-1", "1s", "+1", "0x1", "99999999999999999999", "3600001"} {
 		r := call{header: map[string]string{standin.TimeoutHeader: value}}.send(t, client(t), b.URL())
