--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -117,7 +117,7 @@
 	must.Len(t, 0, log)
 }
 
-func TestBackendStartsCold(t *testing.T) {
+func TestBackendColdStart(t *testing.T) {
 	for name, o := range map[string]standin.BackendOptions{
 		"first requests": {ColdStartRequests: 1, ColdStartFactor: 1e6},
 		"first seconds":  {ColdStartDuration: time.Hour, ColdStartFactor: 1e6},
