--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -135,7 +135,7 @@
 
 // A body ends before its declared length. A request that isn't whole must
 // not run, or half an order would be taken.
-func TestBackendDoesNotRunHalfRequest(t *testing.T) {
+func TestBackendDoesNotExecuteTruncatedRequest(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	conn, err := net.Dial("tcp", b.Address())
 	must.NoError(t, err)
