--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -182,7 +182,7 @@
 
 // The platform declares a server ended that was only slow to announce. It
 // must come back under a new id, since its old one can't.
-func TestBackendTakesNewID(t *testing.T) {
+func TestBackendRegistersUnderNewID(t *testing.T) {
 	_, instances := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond})
 	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceInterval: time.Millisecond})
 	first := b.ID()
