--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -190,7 +190,7 @@
 }
 
 // Health and load reports are old, hide what is the case, or claim it.
-func TestBackendReportsMislead(t *testing.T) {
+func TestBackendReportFaults(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Faults: standin.BackendFaults{HangRatio: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	running := call{}.async(ctx, t, b.URL())
