--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -221,7 +221,7 @@
 
 // A key must never get as far as a backend server. The stand-in sees all
 // bytes that come in, and keeps the headers, so that a test can tell.
-func TestBackendSeesSecrets(t *testing.T) {
+func TestBackendDetectsSecrets(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
 	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
