--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -21,7 +21,7 @@
 // Each way in which a server goes wrong while its health report is fine.
 // Whatever comes back, the work was done, and what the caller's side can see
 // of it is what tells it from a good answer.
-func TestBackendAnswersGoWrong(t *testing.T) {
+func TestBackendResponseFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.BackendFaults
