--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -88,7 +88,7 @@
 
 // The same answer comes twice on one connection. The copy would be taken for
 // the answer to the next request.
-func TestBackendSendsAnswerTwice(t *testing.T) {
+func TestBackendDuplicatesResponse(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Faults: standin.BackendFaults{DuplicateRatio: 1}})
 	conn, err := net.Dial("tcp", b.Address())
 	must.NoError(t, err)
