--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -161,7 +161,7 @@
 // The server stops reading while it works on a request. It can still write,
 // so the answer comes; here twice, for which the server takes the connection
 // over and must not wait for a read that never ends.
-func TestBackendAnswersWithoutReading(t *testing.T) {
+func TestBackendRespondsWithoutReading(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
 		Latency: 30 * time.Millisecond, Faults: standin.BackendFaults{DuplicateRatio: 1},
 	})
