--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -10,7 +10,7 @@
 	"foxtailspoke/config"
 )
 
-func TestQuirksFollowRatios(t *testing.T) {
+func TestResponseFaultsFollowRatios(t *testing.T) {
 	f := BackendFaults{
 		TruncatedRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, MismatchedRatio: 0.1,
 		MissingAttemptRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, ErrorWorkspace: "w",
