--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -26,7 +26,7 @@
 	must.Eq(t, noQuirk, f.quirk("other", 0.15))
 }
 
-func TestFlappingComesAndGoes(t *testing.T) {
+func TestFlappingFaults(t *testing.T) {
 	f := BackendFaults{
 		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), RefuseConnections: true, HealthOverride: healthOK,
 	}
