--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -18,7 +18,7 @@
 const (
 	DefaultSlots         = 2
 	DefaultLatency       = 5 * time.Millisecond
-	DefaultAnnounceEvery = 2 * time.Second
+	DefaultAnnounceInterval = 2 * time.Second
 )
 
 // BackendOptions of a backend server stand-in. A zero field takes its
@@ -38,14 +38,14 @@
 	Queue int
 	// Latency is the time that the work on one request takes.
 	Latency time.Duration
-	// ColdFor and ColdRequests set a cold start: work takes ColdFactor times
+	// ColdStartDuration and ColdRequests set a cold start: work takes ColdFactor times
 	// as long for this time, and for this number of requests.
-	ColdFor      time.Duration
-	ColdRequests int
-	ColdFactor   float64
+	ColdStartDuration      time.Duration
+	ColdStartRequests int
+	ColdStartFactor   float64
 	// Instances is where the server announces itself; nil if nowhere.
 	Instances     storage.Instances
-	AnnounceEvery time.Duration
+	AnnounceInterval time.Duration
 	// Faults from the start.
 	Faults BackendFaults
 	// Seed of the random faults.
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	if o.Instances != nil {
-		b.announcer = startAnnouncer(o.Instances, b.instance(), o.AnnounceEvery, b.log)
+		b.announcer = startAnnouncer(o.Instances, b.instance(), o.AnnounceInterval, b.log)
 	}
 	return b, nil
 }
@@ -229,11 +229,11 @@
 	if o.Latency <= 0 {
 		o.Latency = DefaultLatency
 	}
-	if o.ColdFactor <= 0 {
-		o.ColdFactor = 1
+	if o.ColdStartFactor <= 0 {
+		o.ColdStartFactor = 1
 	}
-	if o.AnnounceEvery <= 0 {
-		o.AnnounceEvery = DefaultAnnounceEvery
+	if o.AnnounceInterval <= 0 {
+		o.AnnounceInterval = DefaultAnnounceInterval
 	}
 	return o
 }
--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -15,12 +15,12 @@
 
 // SecretsReport is the answer to GET /control/secrets.
 type SecretsReport struct {
-	// Seen are the secrets that came in on any connection, anywhere.
-	Seen []string `json:"seen"`
+	// Detected are the secrets that came in on any connection, anywhere.
+	Detected []string `json:"seen"`
 }
 
-// RawReport is the answer to GET /control/raw.
-type RawReport struct {
+// RawHeadersReport is the answer to GET /control/raw.
+type RawHeadersReport struct {
 	// Headers are the latest requests' header blocks, as received.
 	Headers []string `json:"headers"`
 	// Incomplete counts the requests whose block couldn't be kept whole.
@@ -37,7 +37,7 @@
 }
 
 func (b *Backend) showSecrets(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, SecretsReport{Seen: b.SecretsSeen()})
+	writeJSON(w, SecretsReport{Detected: b.DetectedSecrets()})
 }
 
 func (b *Backend) watchSecrets(w http.ResponseWriter, r *http.Request) {
@@ -55,11 +55,11 @@
 }
 
 // RawHeaders returns the latest requests' header blocks, as received.
-func (b *Backend) RawHeaders() RawReport { return b.raw.report() }
+func (b *Backend) RawHeaders() RawHeadersReport { return b.raw.report() }
 
 // WatchSecrets lets the server look for secrets, such as callers' keys, in
 // everything that it receives from now on.
 func (b *Backend) WatchSecrets(secrets ...string) { b.raw.watch(secrets) }
 
-// SecretsSeen returns the watched secrets that came in, sorted.
-func (b *Backend) SecretsSeen() []string { return b.raw.secretsSeen() }
+// DetectedSecrets returns the watched secrets that came in, sorted.
+func (b *Backend) DetectedSecrets() []string { return b.raw.secretsSeen() }
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -12,16 +12,16 @@
 // zero value is none. Ratios are shares of requests from 0 to 1; a request
 // meets at most one of them, so they add up to at most 1.
 type BackendFaults struct {
-	// Factor multiplies the time that work takes; 0 means 1.
-	Factor float64 `json:"factor"`
-	// Delay is added to the time that work takes, like "250ms".
-	Delay config.Duration `json:"delay"`
-
-	// HalfRatio of answers end before their declared length.
-	HalfRatio float64 `json:"halfRatio"`
-	// StallRatio of answers stop halfway, and the connection stays open until
+	// LatencyFactor multiplies the time that work takes; 0 means 1.
+	LatencyFactor float64 `json:"factor"`
+	// AddedLatency is added to the time that work takes, like "250ms".
+	AddedLatency config.Duration `json:"delay"`
+
+	// TruncatedRatio of answers end before their declared length.
+	TruncatedRatio float64 `json:"halfRatio"`
+	// StalledRatio of answers stop halfway, and the connection stays open until
 	// the other side closes it.
-	StallRatio float64 `json:"stallRatio"`
+	StalledRatio float64 `json:"stallRatio"`
 	// ErrorRatio of answers have status 500, after the work was done.
 	ErrorRatio float64 `json:"errorRatio"`
 	// ErrorWorkspace restricts the errors to one workspace.
@@ -29,14 +29,14 @@
 	// HangRatio of requests get no answer and keep their slot until the
 	// connection is closed, whatever their time.
 	HangRatio float64 `json:"hangRatio"`
-	// CrossedRatio of requests get another request's answer.
-	CrossedRatio float64 `json:"crossedRatio"`
-	// NoEchoRatio of answers lack the attempt's id.
-	NoEchoRatio float64 `json:"noEchoRatio"`
+	// MismatchedRatio of requests get another request's answer.
+	MismatchedRatio float64 `json:"crossedRatio"`
+	// MissingAttemptRatio of answers lack the attempt's id.
+	MissingAttemptRatio float64 `json:"noEchoRatio"`
 	// LateRatio of answers come LateBy after the work was done, whatever the
 	// request's time, and also if it was cancelled.
 	LateRatio float64         `json:"lateRatio"`
-	LateBy    config.Duration `json:"lateBy"`
+	LateDelay    config.Duration `json:"lateBy"`
 	// DuplicateRatio of answers are sent twice on their connection.
 	DuplicateRatio float64 `json:"duplicateRatio"`
 
@@ -44,16 +44,16 @@
 	// period, on for the next.
 	FlapPeriod config.Duration `json:"flapPeriod"`
 
-	// Health is "ok" or "bad" to report that whatever is the case; empty
+	// HealthOverride is "ok" or "bad" to report that whatever is the case; empty
 	// reports what the server believes. It never knows of its faults.
-	Health string `json:"health"`
+	HealthOverride string `json:"health"`
 	// ReportLag is how old the health and load reports are.
 	ReportLag config.Duration `json:"reportLag"`
-	// HideLoad reports an idle server.
-	HideLoad bool `json:"hideLoad"`
+	// ReportZeroLoad reports an idle server.
+	ReportZeroLoad bool `json:"hideLoad"`
 
-	// Refuse refuses new connections; those that stand go on.
-	Refuse bool `json:"refuse"`
+	// RefuseConnections refuses new connections; those that stand go on.
+	RefuseConnections bool `json:"refuse"`
 	// StopReading reads nothing from any connection.
 	StopReading bool `json:"stopReading"`
 }
@@ -75,14 +75,14 @@
 	if sum > 1 {
 		return errors.New("the ratios add up to more than 1")
 	}
-	if !(f.Factor >= 0) || f.Delay < 0 || f.LateBy < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
+	if !(f.LatencyFactor >= 0) || f.AddedLatency < 0 || f.LateDelay < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
 		return errors.New("factor and times can't be negative")
 	}
-	switch f.Health {
+	switch f.HealthOverride {
 	case "", healthOK, healthBad:
 		return nil
 	}
-	return errors.Newf("health: %q is neither ok nor bad", f.Health)
+	return errors.Newf("health: %q is neither ok nor bad", f.HealthOverride)
 }
 
 // quirk is the way in which one answer goes wrong.
@@ -103,8 +103,8 @@
 // ratios returns the ratio of each quirk, in the order of the constants.
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
-		f.HalfRatio, f.ErrorRatio, f.HangRatio, f.CrossedRatio,
-		f.NoEchoRatio, f.LateRatio, f.DuplicateRatio, f.StallRatio,
+		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.MismatchedRatio,
+		f.MissingAttemptRatio, f.LateRatio, f.DuplicateRatio, f.StalledRatio,
 	}
 }
 
@@ -130,18 +130,18 @@
 		return f
 	}
 	return BackendFaults{
-		Health:      f.Health,
+		HealthOverride:      f.HealthOverride,
 		ReportLag:   f.ReportLag,
-		HideLoad:    f.HideLoad,
-		Refuse:      f.Refuse,
+		ReportZeroLoad:    f.ReportZeroLoad,
+		RefuseConnections:      f.RefuseConnections,
 		StopReading: f.StopReading,
 	}
 }
 
 // workTime returns how long the work takes that takes d without faults.
 func (f BackendFaults) workTime(d time.Duration) time.Duration {
-	if f.Factor > 0 {
-		d = time.Duration(float64(d) * f.Factor)
+	if f.LatencyFactor > 0 {
+		d = time.Duration(float64(d) * f.LatencyFactor)
 	}
-	return d + time.Duration(f.Delay)
+	return d + time.Duration(f.AddedLatency)
 }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -21,18 +21,18 @@
 // Each way in which a server goes wrong while its health report is fine.
 // Whatever comes back, the work was done, and what the caller's side can see
 // of it is what tells it from a good answer.
-func TestBackendAnswersGoWrong(t *testing.T) {
+func TestBackendResponseFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.BackendFaults
 		check  func(t *testing.T, r reply)
 	}{
-		{"half", standin.BackendFaults{HalfRatio: 1}, func(t *testing.T, r reply) {
+		{"half", standin.BackendFaults{TruncatedRatio: 1}, func(t *testing.T, r reply) {
 			must.ErrorIs(t, r.err, io.ErrUnexpectedEOF)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
 		}},
-		{"stalled", standin.BackendFaults{StallRatio: 1}, func(t *testing.T, r reply) {
+		{"stalled", standin.BackendFaults{StalledRatio: 1}, func(t *testing.T, r reply) {
 			must.ErrorIs(t, r.err, context.DeadlineExceeded)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
@@ -48,17 +48,17 @@
 		{"error for another", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
-		{"crossed", standin.BackendFaults{CrossedRatio: 1}, func(t *testing.T, r reply) {
+		{"crossed", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.Eq(t, "a0", r.header.Get(standin.AttemptHeader))
 			must.StrContains(t, r.body, "/before")
 		}},
-		{"no echo", standin.BackendFaults{NoEchoRatio: 1}, func(t *testing.T, r reply) {
+		{"no echo", standin.BackendFaults{MissingAttemptRatio: 1}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
 		{"late", standin.BackendFaults{
-			LateRatio: 1, LateBy: config.Duration(20 * time.Millisecond), Delay: config.Duration(20 * time.Millisecond),
+			LateRatio: 1, LateDelay: config.Duration(20 * time.Millisecond), AddedLatency: config.Duration(20 * time.Millisecond),
 		}, func(t *testing.T, r reply) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
@@ -73,14 +73,14 @@
 				header[standin.TimeoutHeader] = "10"
 			}
 			one := call{path: "/x", header: header}
-			if c.faults.StallRatio > 0 {
+			if c.faults.StalledRatio > 0 {
 				one.timeout = glance
 			}
 			r := one.send(t, client(t), b.URL())
-			must.Eq(t, c.faults.HalfRatio+c.faults.StallRatio > 0, r.err != nil)
+			must.Eq(t, c.faults.TruncatedRatio+c.faults.StalledRatio > 0, r.err != nil)
 			c.check(t, r)
 			log, _ := b.Executions()
-			must.Eq(t, standin.Done, log[1].End)
+			must.Eq(t, standin.ExecutionCompleted, log[1].State)
 			must.Eq(t, http.StatusOK, call{path: standin.HealthPath}.send(t, client(t), b.URL()).status)
 		})
 	}
@@ -88,7 +88,7 @@
 
 // The same answer comes twice on one connection. The copy would be taken for
 // the answer to the next request.
-func TestBackendSendsAnswerTwice(t *testing.T) {
+func TestBackendDuplicatesResponse(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Faults: standin.BackendFaults{DuplicateRatio: 1}})
 	conn, err := net.Dial("tcp", b.Address())
 	must.NoError(t, err)
@@ -112,7 +112,7 @@
 func TestBackendSlowAndHanging(t *testing.T) {
 	timed := call{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
 	b := startBackend(t, standin.BackendOptions{Latency: time.Millisecond})
-	for _, f := range []standin.BackendFaults{{Factor: 1e6}, {Delay: config.Duration(time.Hour)}} {
+	for _, f := range []standin.BackendFaults{{LatencyFactor: 1e6}, {AddedLatency: config.Duration(time.Hour)}} {
 		must.NoError(t, b.SetFaults(f))
 		must.Eq(t, http.StatusGatewayTimeout, timed.send(t, client(t), b.URL()).status)
 	}
@@ -120,7 +120,7 @@
 	must.ErrorIs(t, timed.send(t, client(t), b.URL()).err, context.DeadlineExceeded)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
-	must.Eq(t, standin.Cancelled, log[2].End)
+	must.Eq(t, standin.ExecutionCancelled, log[2].State)
 }
 
 // New connections are refused while those that stand go on; then all is well
@@ -130,15 +130,15 @@
 	standing := client(t)
 	must.Eq(t, http.StatusOK, call{}.send(t, standing, b.URL()).status)
 	for range 3 {
-		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.Refuse = true }))
+		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 		eventually(t, "refused", func() bool {
 			return errors.Is(call{}.send(t, client(t), b.URL()).err, syscall.ECONNREFUSED)
 		})
 		must.Eq(t, http.StatusOK, call{}.send(t, standing, b.URL()).status)
-		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.Refuse = false }))
+		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = false }))
 		eventually(t, "taken", func() bool { return call{}.send(t, client(t), b.URL()).status == http.StatusOK })
 	}
-	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.Refuse = true }))
+	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 }
 
 // The server's process is stuck: it takes connections and reads nothing. Once
@@ -161,7 +161,7 @@
 // The server stops reading while it works on a request. It can still write,
 // so the answer comes; here twice, for which the server takes the connection
 // over and must not wait for a read that never ends.
-func TestBackendAnswersWithoutReading(t *testing.T) {
+func TestBackendRespondsWithoutReading(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
 		Latency: 30 * time.Millisecond, Faults: standin.BackendFaults{DuplicateRatio: 1},
 	})
@@ -178,7 +178,7 @@
 	url := b.ControlURL() + "/control/faults"
 	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"halfRatio":0.5,"delay":"1ms"}`).status)
 	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"hangRatio":0.5}`).status)
-	want := standin.BackendFaults{HalfRatio: 0.5, HangRatio: 0.5, Delay: config.Duration(time.Millisecond)}
+	want := standin.BackendFaults{TruncatedRatio: 0.5, HangRatio: 0.5, AddedLatency: config.Duration(time.Millisecond)}
 	must.Eq(t, want, b.Faults())
 	for _, bad := range []string{
 		`{"errorRatio":0.1}`, `{"halfRatio":-1}`, `{"factor":-1}`, `{"health":"fine"}`, `{"lateBy":"-1s"}`, `{"x":1}`,
--- a/internal/standin/backend_report.go
+++ b/internal/standin/backend_report.go
@@ -26,8 +26,8 @@
 // and it never knows of the server's own faults.
 func (b *Backend) health() string {
 	f := b.Faults()
-	if f.Health != "" {
-		return f.Health
+	if f.HealthOverride != "" {
+		return f.HealthOverride
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,7 +40,7 @@
 func (b *Backend) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	f := b.Faults()
 	load := b.slots.at(b.now() - time.Duration(f.ReportLag))
-	if f.HideLoad {
+	if f.ReportZeroLoad {
 		load = Load{Slots: load.Slots}
 	}
 	writeJSON(w, load)
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -33,7 +33,7 @@
 // gates returns what connections may do.
 func (b *Backend) gates() gates {
 	f, changed := b.faults.get()
-	return gates{refuse: f.Refuse, stopReading: f.StopReading, changed: changed}
+	return gates{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
@@ -102,26 +102,26 @@
 	faults := b.Faults().at(now)
 	q := faults.quirk(e.Workspace, b.random())
 	duration := faults.workTime(b.baseTime(now))
-	e.Begin = now
+	e.StartedAt = now
 	index := b.executions.begin(e)
 
 	if q == hang {
 		<-r.Context().Done()
-		b.executions.finish(index, b.now(), Cancelled, "")
+		b.executions.finish(index, b.now(), ExecutionCancelled, "")
 		panic(http.ErrAbortHandler)
 	}
 	if q == lateAnswer {
 		ctx = context.WithoutCancel(ctx)
 	}
-	if end := wait(ctx, r.Context(), duration); end != Done {
+	if end := wait(ctx, r.Context(), duration); end != ExecutionCompleted {
 		b.executions.finish(index, b.now(), end, "")
-		w.Header().Set(OutcomeHeader, GaveUp)
+		w.Header().Set(OutcomeHeader, OutcomeGaveUp)
 		writeEchoed(w, r, http.StatusGatewayTimeout, "gave up\n")
 		return
 	}
-	times := b.executions.finish(index, b.now(), Done, e.Operation)
+	times := b.executions.finish(index, b.now(), ExecutionCompleted, e.Operation)
 	if q == lateAnswer {
-		_ = wait(ctx, ctx, time.Duration(faults.LateBy))
+		_ = wait(ctx, ctx, time.Duration(faults.LateDelay))
 	}
 	b.answer(w, r, q, answerTo(e, b.o.Service, times, r.URL.Query().Get("size")))
 }
@@ -131,25 +131,25 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.served++
-	if now < b.o.ColdFor || b.served <= b.o.ColdRequests {
-		return time.Duration(float64(b.o.Latency) * b.o.ColdFactor)
+	if now < b.o.ColdStartDuration || b.served <= b.o.ColdStartRequests {
+		return time.Duration(float64(b.o.Latency) * b.o.ColdStartFactor)
 	}
 	return b.o.Latency
 }
 
 // wait returns Done after d, or how the request ended before.
-func wait(ctx, connection context.Context, d time.Duration) End {
+func wait(ctx, connection context.Context, d time.Duration) ExecutionState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return Done
+		return ExecutionCompleted
 	case <-ctx.Done():
 	}
 	if connection.Err() != nil {
-		return Cancelled
+		return ExecutionCancelled
 	}
-	return TimedOut
+	return ExecutionTimedOut
 }
 
 // requestTime returns a context that ends with the request's time.
@@ -190,7 +190,7 @@
 
 // refuse answers a request that wasn't run.
 func refuse(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	w.Header().Set(OutcomeHeader, NotRun)
+	w.Header().Set(OutcomeHeader, OutcomeNotRun)
 	writeEchoed(w, r, status, reason+"\n")
 }
 
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -17,7 +17,7 @@
 	"foxtailspoke/internal/standin"
 )
 
-func TestBackendAnswers(t *testing.T) {
+func TestBackendResponses(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	sum := fmt.Sprintf("%x", sha256.Sum256([]byte("glue")))
 	order := call{
@@ -45,13 +45,13 @@
 	must.Eq(t, fmt.Sprintf("%x", sha256.Sum256(nil)), log[0].BodySHA256)
 	must.Eq(t, sum, log[2].BodySHA256)
 	must.Eq(t, "op1", log[2].Operation)
-	must.Eq(t, standin.Done, log[3].End)
+	must.Eq(t, standin.ExecutionCompleted, log[3].State)
 }
 
 // More requests come than the server has room for. It must refuse at once
 // and say that they weren't run, and that has to stay true; one that waits in
 // the queue is refused when its time runs out, and another gets its place.
-func TestBackendSheds(t *testing.T) {
+func TestBackendShedsLoad(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
 		Slots: 1, Queue: 1, Faults: standin.BackendFaults{HangRatio: 1},
 	})
@@ -82,19 +82,19 @@
 	t.Helper()
 	must.NoError(t, r.err)
 	must.Eq(t, status, r.status)
-	must.Eq(t, standin.NotRun, r.header.Get(standin.OutcomeHeader))
+	must.Eq(t, standin.OutcomeNotRun, r.header.Get(standin.OutcomeHeader))
 	must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
 }
 
 // A request's time runs out, or its connection is closed, while the server
 // works on it. The server gives up and its slot is free again.
-func TestBackendGivesUp(t *testing.T) {
+func TestBackendAbortsExecution(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Latency: time.Hour})
 	expired := call{header: map[string]string{standin.TimeoutHeader: "0"}}
 	notRun(t, expired.send(t, client(t), b.URL()), http.StatusGatewayTimeout)
 	r := call{header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, client(t), b.URL())
 	must.Eq(t, http.StatusGatewayTimeout, r.status)
-	must.Eq(t, standin.GaveUp, r.header.Get(standin.OutcomeHeader))
+	must.Eq(t, standin.OutcomeGaveUp, r.header.Get(standin.OutcomeHeader))
 
 	ctx, cancel := context.WithCancel(t.Context())
 	running := call{method: http.MethodPost, body: "x"}.async(ctx, t, b.URL())
@@ -103,11 +103,11 @@
 	must.Error(t, (<-running).err)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
-	must.Eq(t, standin.TimedOut, log[0].End)
-	must.Eq(t, standin.Cancelled, log[1].End)
+	must.Eq(t, standin.ExecutionTimedOut, log[0].State)
+	must.Eq(t, standin.ExecutionCancelled, log[1].State)
 }
 
-func TestBackendRefusesMalformedTime(t *testing.T) {
+func TestBackendRejectsMalformedTimeout(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	for _, value := range []string{"-1", "1s", "+1", "0x1", "99999999999999999999", "3600001"} {
 		r := call{header: map[string]string{standin.TimeoutHeader: value}}.send(t, client(t), b.URL())
@@ -117,16 +117,16 @@
 	must.Len(t, 0, log)
 }
 
-func TestBackendStartsCold(t *testing.T) {
+func TestBackendColdStart(t *testing.T) {
 	for name, o := range map[string]standin.BackendOptions{
-		"first requests": {ColdRequests: 1, ColdFactor: 1e6},
-		"first seconds":  {ColdFor: time.Hour, ColdFactor: 1e6},
+		"first requests": {ColdStartRequests: 1, ColdStartFactor: 1e6},
+		"first seconds":  {ColdStartDuration: time.Hour, ColdStartFactor: 1e6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
 			c := call{header: map[string]string{standin.TimeoutHeader: "500"}}
 			must.Eq(t, http.StatusGatewayTimeout, c.send(t, client(t), b.URL()).status)
-			if o.ColdRequests > 0 {
+			if o.ColdStartRequests > 0 {
 				must.Eq(t, http.StatusOK, c.send(t, client(t), b.URL()).status)
 			}
 		})
@@ -135,7 +135,7 @@
 
 // A body ends before its declared length. A request that isn't whole must
 // not run, or half an order would be taken.
-func TestBackendDoesNotRunHalfRequest(t *testing.T) {
+func TestBackendDoesNotExecuteTruncatedRequest(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	conn, err := net.Dial("tcp", b.Address())
 	must.NoError(t, err)
@@ -182,15 +182,15 @@
 
 // The platform declares a server ended that was only slow to announce. It
 // must come back under a new id, since its old one can't.
-func TestBackendTakesNewID(t *testing.T) {
+func TestBackendRegistersUnderNewID(t *testing.T) {
 	_, instances := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond})
-	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceEvery: time.Millisecond})
+	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceInterval: time.Millisecond})
 	first := b.ID()
 	eventually(t, "a new id", func() bool { return b.ID() != first })
 }
 
 // Health and load reports are old, hide what is the case, or claim it.
-func TestBackendReportsMislead(t *testing.T) {
+func TestBackendReportFaults(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Faults: standin.BackendFaults{HangRatio: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	running := call{}.async(ctx, t, b.URL())
@@ -204,8 +204,8 @@
 	}{
 		{standin.BackendFaults{}, "draining", 1},
 		{standin.BackendFaults{ReportLag: hour}, "ok", 0},
-		{standin.BackendFaults{Health: "ok", HideLoad: true}, "ok", 0},
-		{standin.BackendFaults{Health: "bad"}, "bad", 1},
+		{standin.BackendFaults{HealthOverride: "ok", ReportZeroLoad: true}, "ok", 0},
+		{standin.BackendFaults{HealthOverride: "bad"}, "bad", 1},
 	} {
 		must.NoError(t, b.SetFaults(c.faults))
 		health := call{path: standin.HealthPath}.send(t, client(t), b.URL())
@@ -221,7 +221,7 @@
 
 // A key must never get as far as a backend server. The stand-in sees all
 // bytes that come in, and keeps the headers, so that a test can tell.
-func TestBackendSeesSecrets(t *testing.T) {
+func TestBackendDetectsSecrets(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
 	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
@@ -231,7 +231,7 @@
 
 	must.Eq(t, http.StatusOK, call{path: "/fsk_path"}.send(t, client(t), b.URL()).status)
 
-	must.Eq(t, []string{"fsk_body", "fsk_header", "fsk_path"}, b.SecretsSeen())
+	must.Eq(t, []string{"fsk_body", "fsk_header", "fsk_path"}, b.DetectedSecrets())
 	raw := b.RawHeaders()
 	must.Zero(t, raw.Incomplete)
 	must.Len(t, 2, raw.Headers)
--- a/internal/standin/contract.go
+++ b/internal/standin/contract.go
@@ -13,8 +13,8 @@
 
 // Values of OutcomeHeader.
 const (
-	NotRun = wire.OutcomeNotRun
-	GaveUp = wire.OutcomeGaveUp
+	OutcomeNotRun = wire.OutcomeNotRun
+	OutcomeGaveUp = wire.OutcomeGaveUp
 )
 
 // Paths that a backend server keeps for itself.
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// End says how the work on a request ended.
-type End string
+// ExecutionState says how the work on a request ended.
+type ExecutionState string
 
 const (
-	// Running work hasn't ended yet.
-	Running End = "running"
-	// Done work was completed and had its effect.
-	Done End = "done"
-	// TimedOut work was given up when the request's time ran out.
-	TimedOut End = "timed-out"
-	// Cancelled work was given up because the connection was closed.
-	Cancelled End = "cancelled"
+	// ExecutionRunning work hasn't ended yet.
+	ExecutionRunning ExecutionState = "running"
+	// ExecutionCompleted work was completed and had its effect.
+	ExecutionCompleted ExecutionState = "done"
+	// ExecutionTimedOut work was given up when the request's time ran out.
+	ExecutionTimedOut ExecutionState = "timed-out"
+	// ExecutionCancelled work was given up because the connection was closed.
+	ExecutionCancelled ExecutionState = "cancelled"
 )
 
 // maxExecutions bounds the log of executions.
@@ -33,9 +33,9 @@
 	Operation  string        `json:"operation,omitempty"`
 	BodyLength int64         `json:"bodyLength"`
 	BodySHA256 string        `json:"bodySha256"`
-	Begin      time.Duration `json:"begin"`
-	Finish     time.Duration `json:"finish"`
-	End        End           `json:"end"`
+	StartedAt      time.Duration `json:"begin"`
+	EndedAt     time.Duration `json:"finish"`
+	State        ExecutionState           `json:"end"`
 }
 
 // executionLog keeps the executions in the order of their beginnings.
@@ -60,21 +60,21 @@
 		l.dropped++
 		return -1
 	}
-	e.End = Running
+	e.State = ExecutionRunning
 	l.entries = append(l.entries, e)
 	return len(l.entries) - 1
 }
 
 // finish takes down how it ended. It returns how often the operation has
 // been completed, for an operation with an id.
-func (l *executionLog) finish(index int, now time.Duration, end End, operation string) int {
+func (l *executionLog) finish(index int, now time.Duration, end ExecutionState, operation string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if index >= 0 {
-		l.entries[index].Finish = now
-		l.entries[index].End = end
+		l.entries[index].EndedAt = now
+		l.entries[index].State = end
 	}
-	if end == Done && operation != "" {
+	if end == ExecutionCompleted && operation != "" {
 		l.done[operation]++
 	}
 	return l.done[operation]
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -10,10 +10,10 @@
 	"foxtailspoke/config"
 )
 
-func TestQuirksFollowRatios(t *testing.T) {
+func TestResponseFaultsFollowRatios(t *testing.T) {
 	f := BackendFaults{
-		HalfRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, CrossedRatio: 0.1,
-		NoEchoRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StallRatio: 0.1, ErrorWorkspace: "w",
+		TruncatedRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, MismatchedRatio: 0.1,
+		MissingAttemptRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, ErrorWorkspace: "w",
 	}
 	found := map[quirk]int{}
 	for i := range 1000 {
@@ -26,11 +26,11 @@
 	must.Eq(t, noQuirk, f.quirk("other", 0.15))
 }
 
-func TestFlappingComesAndGoes(t *testing.T) {
+func TestFlappingFaults(t *testing.T) {
 	f := BackendFaults{
-		HalfRatio: 1, Factor: 2, FlapPeriod: config.Duration(time.Second), Refuse: true, Health: healthOK,
+		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), RefuseConnections: true, HealthOverride: healthOK,
 	}
-	good := BackendFaults{Refuse: true, Health: healthOK}
+	good := BackendFaults{RefuseConnections: true, HealthOverride: healthOK}
 	for at, want := range map[time.Duration]BackendFaults{
 		0: good, 999 * time.Millisecond: good, time.Second: f, 2 * time.Second: good, 3 * time.Second: f,
 	} {
