--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -19,8 +19,8 @@
 type Flow string
 
 const (
-	// Open lets bytes through; so does the empty string.
-	Open Flow = "open"
+	// FlowOpen lets bytes through; so does the empty string.
+	FlowOpen Flow = "open"
 	// Cut holds bytes, and the end of a connection, without a sign to
 	// either side.
 	Cut Flow = "cut"
@@ -39,7 +39,7 @@
 
 func (s LinkState) validate() error {
 	for _, f := range []Flow{s.Forward, s.Backward} {
-		if f != "" && f != Open && f != Cut {
+		if f != "" && f != FlowOpen && f != Cut {
 			return errors.Newf("%q is neither open nor cut", f)
 		}
 	}
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -103,7 +103,7 @@
 	for _, forward := range []bool{true, false} {
 		l, near, behind := linked(t)
 		from, to := near, behind
-		cut := standin.LinkState{Forward: standin.Cut, Backward: standin.Open}
+		cut := standin.LinkState{Forward: standin.Cut, Backward: standin.FlowOpen}
 		if !forward {
 			from, to = behind, near
 			cut = standin.LinkState{Backward: standin.Cut}
@@ -220,7 +220,7 @@
 	must.Eq(t, http.StatusOK, post("/a-b", `{"forward":"cut","backward":"open"}`))
 	must.Eq(t, http.StatusOK, post("/a-b", `{"backwardDelay":"5ms"}`))
 	want := standin.LinkState{
-		Forward: standin.Cut, Backward: standin.Open, BackwardDelay: config.Duration(5 * time.Millisecond),
+		Forward: standin.Cut, Backward: standin.FlowOpen, BackwardDelay: config.Duration(5 * time.Millisecond),
 	}
 	must.Eq(t, want, ls.Link("a-b").State())
 	must.Eq(t, standin.LinkState{}, ls.Link("b-a").State())
