--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -146,9 +146,9 @@
 // breakLink delays a link, cuts it one way, or silences it, for a while.
 func (w *world) breakLink(l *standin.Link) {
 	states := []standin.LinkState{
-		{Forward: standin.Cut},
-		{Backward: standin.Cut},
-		{Forward: standin.Cut, Backward: standin.Cut},
+		{Forward: standin.FlowCut},
+		{Backward: standin.FlowCut},
+		{Forward: standin.FlowCut, Backward: standin.FlowCut},
 		{ForwardDelay: config.Duration(w.between(20*time.Millisecond, 400*time.Millisecond))},
 		{BackwardDelay: config.Duration(w.between(20*time.Millisecond, 400*time.Millisecond))},
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -21,9 +21,9 @@
 const (
 	// FlowOpen lets bytes through; so does the empty string.
 	FlowOpen Flow = "open"
-	// Cut holds bytes, and the end of a connection, without a sign to
+	// FlowCut holds bytes, and the end of a connection, without a sign to
 	// either side.
-	Cut Flow = "cut"
+	FlowCut Flow = "cut"
 )
 
 // LinkState is the state of a link's two directions. Forward is from the
@@ -39,7 +39,7 @@
 
 func (s LinkState) validate() error {
 	for _, f := range []Flow{s.Forward, s.Backward} {
-		if f != "" && f != FlowOpen && f != Cut {
+		if f != "" && f != FlowOpen && f != FlowCut {
 			return errors.Newf("%q is neither open nor cut", f)
 		}
 	}
@@ -52,7 +52,7 @@
 // whole reports whether both directions are open. No TCP connection can be
 // made otherwise.
 func (s LinkState) whole() bool {
-	return s.Forward != Cut && s.Backward != Cut
+	return s.Forward != FlowCut && s.Backward != FlowCut
 }
 
 // LinkOptions of one link.
--- a/internal/standin/link_pump.go
+++ b/internal/standin/link_pump.go
@@ -109,7 +109,7 @@
 func (p *pair) write(to *net.TCPConn, chunks <-chan chunk, direction func(LinkState) (Flow, time.Duration)) {
 	open := func(s LinkState) bool {
 		flow, _ := direction(s)
-		return flow != Cut
+		return flow != FlowCut
 	}
 	for c := range chunks {
 		_, delay := direction(p.link.State())
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -103,10 +103,10 @@
 	for _, forward := range []bool{true, false} {
 		l, near, behind := linked(t)
 		from, to := near, behind
-		cut := standin.LinkState{Forward: standin.Cut, Backward: standin.FlowOpen}
+		cut := standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowOpen}
 		if !forward {
 			from, to = behind, near
-			cut = standin.LinkState{Backward: standin.Cut}
+			cut = standin.LinkState{Backward: standin.FlowCut}
 		}
 		send(t, from, "1")
 		receives(t, to, "1")
@@ -124,7 +124,7 @@
 // side until the link is restored.
 func TestLinkHoldsEndOfConnection(t *testing.T) {
 	l, near, behind := linked(t)
-	must.NoError(t, l.Set(standin.LinkState{Forward: standin.Cut}))
+	must.NoError(t, l.Set(standin.LinkState{Forward: standin.FlowCut}))
 	send(t, near, "last")
 	must.NoError(t, near.(*net.TCPConn).CloseWrite())
 	receivesNothing(t, behind)
@@ -143,7 +143,7 @@
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
-	for _, s := range []standin.LinkState{{Forward: standin.Cut}, {Backward: standin.Cut}} {
+	for _, s := range []standin.LinkState{{Forward: standin.FlowCut}, {Backward: standin.FlowCut}} {
 		must.NoError(t, l.Set(s))
 		near := dial(t, l.Address())
 		send(t, near, "hello")
@@ -197,7 +197,7 @@
 // The links are closed while they hold bytes: nothing waits for ever.
 func TestLinkClosesDuringCut(t *testing.T) {
 	l, near, _ := linked(t)
-	must.NoError(t, l.Set(standin.LinkState{Forward: standin.Cut, Backward: standin.Cut}))
+	must.NoError(t, l.Set(standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowCut}))
 	send(t, near, "held")
 	waiting := dial(t, l.Address())
 	l.Close()
@@ -220,7 +220,7 @@
 	must.Eq(t, http.StatusOK, post("/a-b", `{"forward":"cut","backward":"open"}`))
 	must.Eq(t, http.StatusOK, post("/a-b", `{"backwardDelay":"5ms"}`))
 	want := standin.LinkState{
-		Forward: standin.Cut, Backward: standin.FlowOpen, BackwardDelay: config.Duration(5 * time.Millisecond),
+		Forward: standin.FlowCut, Backward: standin.FlowOpen, BackwardDelay: config.Duration(5 * time.Millisecond),
 	}
 	must.Eq(t, want, ls.Link("a-b").State())
 	must.Eq(t, standin.LinkState{}, ls.Link("b-a").State())
@@ -230,7 +230,7 @@
 	must.Eq(t, http.StatusBadRequest, post("", `{"b-a":{"forward":"cut"},"nosuch":{}}`))
 	must.Eq(t, standin.LinkState{}, ls.Link("b-a").State())
 	must.Eq(t, http.StatusOK, post("", `{"b-a":{"forward":"cut"},"a-b":{}}`))
-	must.Eq(t, standin.LinkState{Forward: standin.Cut}, ls.Link("b-a").State())
+	must.Eq(t, standin.LinkState{Forward: standin.FlowCut}, ls.Link("b-a").State())
 	must.Eq(t, standin.LinkState{}, ls.Link("a-b").State())
 
 	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x", To: address}, {Name: "x", To: address}}, nil)
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -129,7 +129,7 @@
 // lost, and reads fail, until the link is restored and the writer recognises
 // its own write. The other way, nothing takes effect.
 func TestOneWayCutToPlatform(t *testing.T) {
-	for _, cut := range []standin.LinkState{{Backward: standin.Cut}, {Forward: standin.Cut}} {
+	for _, cut := range []standin.LinkState{{Backward: standin.FlowCut}, {Forward: standin.FlowCut}} {
 		p, _ := startPlatform(t, standin.PlatformOptions{})
 		l, err := standin.StartLink(standin.LinkOptions{Name: "up", To: p.Address()}, nil)
 		must.NoError(t, err)
@@ -147,7 +147,7 @@
 		must.Eq(t, storage.Unknown, r.Outcome)
 		_, err = c.Read(t.Context(), read)
 		must.ErrorIs(t, err, storage.ErrUnavailable)
-		if cut.Forward == standin.Cut {
+		if cut.Forward == standin.FlowCut {
 			must.Zero(t, p.Tables().Revisions()[storage.Control])
 			continue
 		}
