--- a/internal/proofs/cluster_test.go
+++ b/internal/proofs/cluster_test.go
@@ -172,7 +172,7 @@
 }
 
 func (tc *testCluster) link(name, to string) *standin.Link {
-	l, err := standin.StartLink(standin.LinkOptions{Name: name, To: to}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: name, Target: to}, nil)
 	must.NoError(tc.t, err)
 	tc.t.Cleanup(l.Close)
 	return l
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -131,7 +131,7 @@
 func (w *world) ip(n int) string { return fmt.Sprintf("127.%d.0.%d", w.net, n+1) }
 
 func (w *world) link(to string) *standin.Link {
-	l, err := standin.StartLink(standin.LinkOptions{Name: to, To: to}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: to, Target: to}, nil)
 	must.NoError(w.t, err)
 	return l
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -60,8 +60,8 @@
 	Name string `json:"name"`
 	// Listen is "ip:port"; empty means DefaultListen.
 	Listen string `json:"listen"`
-	// To is where connections go: "ip:port".
-	To string `json:"to"`
+	// Target is where connections go: "ip:port".
+	Target string `json:"to"`
 }
 
 // Link is a running TCP relay whose directions can be cut and delayed
@@ -151,7 +151,7 @@
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.DialContext(l.ctx, "tcp", l.o.To)
+	conn, err := dialer.DialContext(l.ctx, "tcp", l.o.Target)
 	if err != nil {
 		l.log.Debug("link can't connect", "link", l.o.Name, "error", err)
 		_ = near.SetLinger(0)
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -45,7 +45,7 @@
 func linked(t *testing.T) (l *standin.Link, near, behind net.Conn) {
 	t.Helper()
 	address, conns := far(t)
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near = dial(t, l.Address())
@@ -140,7 +140,7 @@
 // side, as a handshake wouldn't. It does after the link is restored.
 func TestLinkConnectsWhenWhole(t *testing.T) {
 	address, conns := far(t)
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	for _, s := range []standin.LinkState{{Forward: standin.FlowCut}, {Backward: standin.FlowCut}} {
@@ -179,7 +179,7 @@
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, dead.Close())
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: dead.Addr().String()}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: dead.Addr().String()}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near, err := net.Dial("tcp", l.Address())
@@ -211,7 +211,7 @@
 
 func TestLinksOverHTTP(t *testing.T) {
 	address, _ := far(t)
-	ls, err := standin.StartLinks("", []standin.LinkOptions{{Name: "a-b", To: address}, {Name: "b-a", To: address}}, nil)
+	ls, err := standin.StartLinks("", []standin.LinkOptions{{Name: "a-b", Target: address}, {Name: "b-a", Target: address}}, nil)
 	must.NoError(t, err)
 	t.Cleanup(ls.Close)
 	url := ls.ControlURL() + "/control/links"
@@ -233,7 +233,7 @@
 	must.Eq(t, standin.LinkState{Forward: standin.FlowCut}, ls.Link("b-a").State())
 	must.Eq(t, standin.LinkState{}, ls.Link("a-b").State())
 
-	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x", To: address}, {Name: "x", To: address}}, nil)
+	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x", Target: address}, {Name: "x", Target: address}}, nil)
 	must.Error(t, err)
 	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x"}}, nil)
 	must.Error(t, err)
@@ -243,7 +243,7 @@
 // the next connection works.
 func TestResetEndsOpenConnectionsOnBothSides(t *testing.T) {
 	address, conns := far(t)
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near := dial(t, l.Address())
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -39,7 +39,7 @@
 }
 
 func (ls *Links) add(o LinkOptions, log *slog.Logger) error {
-	if o.Name == "" || o.To == "" {
+	if o.Name == "" || o.Target == "" {
 		return errors.New("a link needs a name and an address to go to")
 	}
 	if ls.links[o.Name] != nil {
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -131,7 +131,7 @@
 func TestOneWayCutToPlatform(t *testing.T) {
 	for _, cut := range []standin.LinkState{{Backward: standin.FlowCut}, {Forward: standin.FlowCut}} {
 		p, _ := startPlatform(t, standin.PlatformOptions{})
-		l, err := standin.StartLink(standin.LinkOptions{Name: "up", To: p.Address()}, nil)
+		l, err := standin.StartLink(standin.LinkOptions{Name: "up", Target: p.Address()}, nil)
 		must.NoError(t, err)
 		t.Cleanup(l.Close)
 		c, err := platformclient.New("http://"+l.Address(), platformclient.Settings{Timeout: 2 * glance})
