--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -200,7 +200,7 @@
 	must.NoError(r.t, b.SetFaults(f))
 }
 
-func (r *faultRun) setLink(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.Set(s)) }
+func (r *faultRun) setLink(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.SetState(s)) }
 
 func (r *faultRun) loseAnswers(n int) {
 	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = n }))
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -160,7 +160,7 @@
 }
 
 func (w *world) set(l *standin.Link, s standin.LinkState) {
-	if err := l.Set(s); err != nil {
+	if err := l.SetState(s); err != nil {
 		w.t.Error(err)
 	}
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -110,8 +110,8 @@
 	return s
 }
 
-// Set changes the state of the directions.
-func (l *Link) Set(s LinkState) error {
+// SetState changes the state of the directions.
+func (l *Link) SetState(s LinkState) error {
 	return l.state.update(func(current *LinkState) error {
 		*current = s
 		return nil
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -110,12 +110,12 @@
 		}
 		send(t, from, "1")
 		receives(t, to, "1")
-		must.NoError(t, l.Set(cut))
+		must.NoError(t, l.SetState(cut))
 		send(t, from, "held")
 		receivesNothing(t, to)
 		send(t, to, "heard")
 		receives(t, from, "heard")
-		must.NoError(t, l.Set(standin.LinkState{}))
+		must.NoError(t, l.SetState(standin.LinkState{}))
 		receives(t, to, "held")
 	}
 }
@@ -124,11 +124,11 @@
 // side until the link is restored.
 func TestLinkHoldsEndOfConnection(t *testing.T) {
 	l, near, behind := linked(t)
-	must.NoError(t, l.Set(standin.LinkState{Forward: standin.FlowCut}))
+	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut}))
 	send(t, near, "last")
 	must.NoError(t, near.(*net.TCPConn).CloseWrite())
 	receivesNothing(t, behind)
-	must.NoError(t, l.Set(standin.LinkState{}))
+	must.NoError(t, l.SetState(standin.LinkState{}))
 	receives(t, behind, "last")
 	_, err := behind.Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
@@ -144,12 +144,12 @@
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	for _, s := range []standin.LinkState{{Forward: standin.FlowCut}, {Backward: standin.FlowCut}} {
-		must.NoError(t, l.Set(s))
+		must.NoError(t, l.SetState(s))
 		near := dial(t, l.Address())
 		send(t, near, "hello")
 		receivesNothing(t, near)
 		must.Zero(t, len(conns))
-		must.NoError(t, l.Set(standin.LinkState{}))
+		must.NoError(t, l.SetState(standin.LinkState{}))
 		receives(t, accepted(t, conns), "hello")
 	}
 }
@@ -157,7 +157,7 @@
 func TestLinkDelays(t *testing.T) {
 	l, near, behind := linked(t)
 	const delay = 40 * time.Millisecond
-	must.NoError(t, l.Set(standin.LinkState{ForwardDelay: config.Duration(delay)}))
+	must.NoError(t, l.SetState(standin.LinkState{ForwardDelay: config.Duration(delay)}))
 	began := time.Now()
 	send(t, near, "x")
 	receives(t, behind, "x")
@@ -197,7 +197,7 @@
 // The links are closed while they hold bytes: nothing waits for ever.
 func TestLinkClosesDuringCut(t *testing.T) {
 	l, near, _ := linked(t)
-	must.NoError(t, l.Set(standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowCut}))
+	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowCut}))
 	send(t, near, "held")
 	waiting := dial(t, l.Address())
 	l.Close()
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -107,7 +107,7 @@
 		return
 	}
 	for name, s := range states {
-		_ = ls.links[name].Set(s)
+		_ = ls.links[name].SetState(s)
 	}
 	writeJSON(w, ls.states())
 }
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -141,7 +141,7 @@
 		_, err = c.Read(t.Context(), read)
 		must.NoError(t, err)
 
-		must.NoError(t, l.Set(cut))
+		must.NoError(t, l.SetState(cut))
 		r, err := c.Write(t.Context(), storage.Txn{Attempt: "mine", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 		must.NoError(t, err)
 		must.Eq(t, storage.Unknown, r.Outcome)
@@ -151,7 +151,7 @@
 			must.Zero(t, p.Tables().Revisions()[storage.Control])
 			continue
 		}
-		must.NoError(t, l.Set(standin.LinkState{}))
+		must.NoError(t, l.SetState(standin.LinkState{}))
 		eventually(t, "reads again", func() bool {
 			changes, err := c.Read(t.Context(), read)
 			return err == nil && len(changes.Rows) == 1 && changes.Rows[0].Attempt == "mine"
