--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -77,7 +77,7 @@
 		w.disturb()
 		w.breakLink(w.links()[w.pick(len(w.links()))])
 	case 11:
-		w.links()[w.pick(len(w.links()))].Reset()
+		w.links()[w.pick(len(w.links()))].ResetConnections()
 	case 12:
 		w.evacuate("dc-1", w.between(time.Second, 6*time.Second))
 	case 13:
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -118,9 +118,9 @@
 	})
 }
 
-// Reset resets the connections that are open, on both sides. New ones can be
+// ResetConnections resets the connections that are open, on both sides. New ones can be
 // made at once.
-func (l *Link) Reset() {
+func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -251,7 +251,7 @@
 	send(t, near, "a")
 	_, err = io.ReadFull(behind, make([]byte, 1))
 	must.NoError(t, err)
-	l.Reset()
+	l.ResetConnections()
 	for _, conn := range []net.Conn{near, behind} {
 		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
 		_, err := conn.Read(make([]byte, 1))
