--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,8 +12,8 @@
 	"foxtailspoke/internal/standin/tables"
 )
 
-// DefaultListen takes a free port on the loopback interface.
-const DefaultListen = "127.0.0.1:0"
+// DefaultListenAddress takes a free port on the loopback interface.
+const DefaultListenAddress = "127.0.0.1:0"
 
 // PlatformOptions of a platform stand-in.
 type PlatformOptions struct {
@@ -157,7 +157,7 @@
 
 func orDefault(listen string) string {
 	if listen == "" {
-		return DefaultListen
+		return DefaultListenAddress
 	}
 	return listen
 }
