--- a/internal/proofs/cluster_test.go
+++ b/internal/proofs/cluster_test.go
@@ -92,7 +92,7 @@
 	tc.write("secret", "a secret of all instances")
 	tc.write("token", operatorToken)
 	var err error
-	tc.platform, err = standin.StartPlatform(standin.PlatformOptions{EndAfter: o.endAfter})
+	tc.platform, err = standin.StartPlatform(standin.PlatformOptions{InstanceTimeout: o.endAfter})
 	must.NoError(t, err)
 	t.Cleanup(tc.platform.Close)
 	tc.client, err = client.New(tc.platform.URL(), client.Settings{Timeout: platformTimeout})
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -183,7 +183,7 @@
 // The platform declares a server ended that was only slow to announce. It
 // must come back under a new id, since its old one can't.
 func TestBackendTakesNewID(t *testing.T) {
-	_, instances := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond})
+	_, instances := startPlatform(t, standin.PlatformOptions{InstanceTimeout: time.Nanosecond})
 	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceEvery: time.Millisecond})
 	first := b.ID()
 	eventually(t, "a new id", func() bool { return b.ID() != first })
--- a/internal/standin/command/platform.go
+++ b/internal/standin/command/platform.go
@@ -51,7 +51,7 @@
 	o := standin.PlatformOptions{
 		Listen:   c.Listen,
 		Control:  c.Control,
-		EndAfter: c.EndAfter,
+		InstanceTimeout: c.EndAfter,
 		Seed:     c.Seed,
 		Log:      c.program.log,
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -20,9 +20,9 @@
 	// Listen and Control are "ip:port"; empty means DefaultListen.
 	Listen  string
 	Control string
-	// EndAfter is how long an instance may be silent before the list shows
+	// InstanceTimeout is how long an instance may be silent before the list shows
 	// it as ended; 0 means for ever.
-	EndAfter time.Duration
+	InstanceTimeout time.Duration
 	// Faults from the start.
 	Faults PlatformFaults
 	// Seed of the random faults.
@@ -63,7 +63,7 @@
 	p := &Platform{
 		tables:  tables.New(),
 		objects: newObjectStore(),
-		list:    instances.New(o.EndAfter),
+		list:    instances.New(o.InstanceTimeout),
 		start:   time.Now(),
 		rand:    rand.New(rand.NewPCG(o.Seed, 0)),
 	}
--- a/storage/client/client_test.go
+++ b/storage/client/client_test.go
@@ -165,7 +165,7 @@
 }
 
 func TestInstancesOverHTTP(t *testing.T) {
-	p, c := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond}, client.Settings{})
+	p, c := startPlatform(t, standin.PlatformOptions{InstanceTimeout: time.Nanosecond}, client.Settings{})
 	full := storage.Instance{
 		ID: "i 1/x", Kind: storage.BackendServer, Service: "s", DataCentre: "a", Region: "r", Address: "1:1",
 		PeerAddress: "1:2", OperatorAddress: "1:3", Slots: 6, State: storage.Live,
