--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -270,7 +270,7 @@
 	must.Greater(t, 20, served["diagnosis"], must.Sprint("uploads served"))
 	must.Greater(t, 100, r.revisions.seen)
 	counts := r.platform.Counts()
-	must.Positive(t, counts.LostAnswers)
+	must.Positive(t, counts.DroppedResponses)
 
 	reportFaults := func(what string, faults []string) {
 		t.Helper()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -54,7 +54,7 @@
 type PlatformCounts struct {
 	Reads       int `json:"reads"`
 	Writes      int `json:"writes"`
-	LostAnswers int `json:"lostAnswers"`
+	DroppedResponses int `json:"lostAnswers"`
 	LostWrites  int `json:"lostWrites"`
 }
 
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -109,7 +109,7 @@
 		return
 	}
 	next.ServeHTTP(discardAnswer{header: http.Header{}}, r)
-	p.count(func(c *PlatformCounts) { c.LostAnswers++ })
+	p.count(func(c *PlatformCounts) { c.DroppedResponses++ })
 	panic(http.ErrAbortHandler)
 }
 
