--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -55,7 +55,7 @@
 	Reads       int `json:"reads"`
 	Writes      int `json:"writes"`
 	DroppedResponses int `json:"lostAnswers"`
-	LostWrites  int `json:"lostWrites"`
+	DroppedWrites  int `json:"lostWrites"`
 }
 
 // StartPlatform starts a platform stand-in. Close ends it.
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -101,7 +101,7 @@
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	s := serviceOf(r)
 	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).LoseWrites }) {
-		p.count(func(c *PlatformCounts) { c.LostWrites++ })
+		p.count(func(c *PlatformCounts) { c.DroppedWrites++ })
 		panic(http.ErrAbortHandler)
 	}
 	if !p.loseAnswer(s) {
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -82,7 +82,7 @@
 		must.Eq(t, storage.Unknown, r.Outcome)
 		must.Eq(t, storage.Revision(i), p.Tables().Revisions()[storage.Control])
 	}
-	must.Eq(t, standin.PlatformCounts{Writes: 3, DroppedResponses: 2, LostWrites: 1}, p.Counts())
+	must.Eq(t, standin.PlatformCounts{Writes: 3, DroppedResponses: 2, DroppedWrites: 1}, p.Counts())
 }
 
 // The store is slow: a writer gives up, and its write takes effect after
