--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -183,14 +183,14 @@
 		return append([]string{"apply", "--yes", "--timeout", "4s"}, b.edited(`"rate": 20`, `"rate": `+rate)...)
 	}
 	for i, faults := range []func(*standin.PlatformFaults){
-		func(f *standin.PlatformFaults) { f.Table.LoseAnswers = 1 },
+		func(f *standin.PlatformFaults) { f.Table.DropResponses = 1 },
 		func(f *standin.PlatformFaults) { f.Table.LoseWrites = 1 },
 	} {
 		must.NoError(t, b.platform.UpdateFaults(faults))
 		must.StrContains(t, b.must(exitDone, apply(fmt.Sprint(30+i))...), fmt.Sprintf("Version %d is accepted", i+1))
 	}
 	must.Eq(t, 2, strings.Count(b.must(exitDone, "audit"), "changed the lists"))
-	must.NoError(t, b.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = 1000 }))
+	must.NoError(t, b.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.DropResponses = 1000 }))
 	out := b.must(exitUnresolved, apply("40")...)
 	must.StrContains(t, out, "It isn't known whether version 3 took effect")
 	must.NoError(t, b.platform.SetFaults(standin.PlatformFaults{}))
--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -203,7 +203,7 @@
 func (r *faultRun) setLink(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.SetState(s)) }
 
 func (r *faultRun) loseAnswers(n int) {
-	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = n }))
+	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.DropResponses = n }))
 }
 
 func (r *faultRun) setPlatformDown(mode standin.DownMode) {
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -38,9 +38,9 @@
 	// Delay before the service does anything, like "250ms". A write takes
 	// effect after it also if its writer has gone away in the meantime.
 	Delay config.Duration `json:"delay"`
-	// LoseAnswers is for how many of the next writes the answer is lost
+	// DropResponses is for how many of the next writes the answer is lost
 	// after they took effect.
-	LoseAnswers int `json:"loseAnswers"`
+	DropResponses int `json:"loseAnswers"`
 	// LoseAnswersRatio of writes lose their answer, from 0 to 1.
 	LoseAnswersRatio float64 `json:"loseAnswersRatio"`
 	// LoseWrites is how many of the next writes are lost before they take
@@ -76,7 +76,7 @@
 		default:
 			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
 		}
-		if s.Delay < 0 || min(s.LoseAnswers, s.LoseWrites, s.MaxReads, s.MaxWrites) < 0 {
+		if s.Delay < 0 || min(s.DropResponses, s.LoseWrites, s.MaxReads, s.MaxWrites) < 0 {
 			return errors.New("delays, counts and limits can't be negative")
 		}
 		if !(s.LoseAnswersRatio >= 0 && s.LoseAnswersRatio <= 1) {
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -114,7 +114,7 @@
 }
 
 func (p *Platform) loseAnswer(s service) bool {
-	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).LoseAnswers }) {
+	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).DropResponses }) {
 		return true
 	}
 	faults := p.Faults()
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -31,7 +31,7 @@
 	must.Eq(t, http.StatusOK, set(`{"table":{"loseAnswers":2},"instances":{"lag":"2s"}}`))
 	must.Eq(t, http.StatusOK, set(`{"table":{"down":"silent"}}`))
 	f := p.Faults()
-	must.Eq(t, 2, f.Table.LoseAnswers)
+	must.Eq(t, 2, f.Table.DropResponses)
 	must.Eq(t, standin.DownSilent, f.Table.Down)
 	must.StrContains(t, control(t, http.MethodGet, url, "").body, `"lag":"2s"`)
 
@@ -65,7 +65,7 @@
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}))
 	write("after")
 	must.Eq(t, 1, revision())
-	must.NoError(t, p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = 1 }))
+	must.NoError(t, p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.DropResponses = 1 }))
 	must.Eq(t, 1, revision())
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{}))
 	must.Eq(t, 2, revision())
@@ -75,7 +75,7 @@
 // table knows the difference.
 func TestLostWriteLooksLikeLostAnswer(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
-	for i, f := range []standin.ServiceFaults{{LoseWrites: 1}, {LoseAnswers: 1}, {LoseAnswersRatio: 1}} {
+	for i, f := range []standin.ServiceFaults{{LoseWrites: 1}, {DropResponses: 1}, {LoseAnswersRatio: 1}} {
 		must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: f}}))
 		r, err := c.Write(t.Context(), storage.Txn{Attempt: "a", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 		must.NoError(t, err)
--- a/storage/client/client_test.go
+++ b/storage/client/client_test.go
@@ -73,7 +73,7 @@
 func TestLostResponseIsUnknown(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{})
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{
-		Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{LoseAnswers: 1}},
+		Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{DropResponses: 1}},
 	}))
 	txn := putTxn("mine", "lists", "v1", storage.Condition{Table: storage.Control, Key: "lists"})
 
