--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -41,8 +41,8 @@
 	// DropResponses is for how many of the next writes the answer is lost
 	// after they took effect.
 	DropResponses int `json:"loseAnswers"`
-	// LoseAnswersRatio of writes lose their answer, from 0 to 1.
-	LoseAnswersRatio float64 `json:"loseAnswersRatio"`
+	// DropResponseRatio of writes lose their answer, from 0 to 1.
+	DropResponseRatio float64 `json:"loseAnswersRatio"`
 	// LoseWrites is how many of the next writes are lost before they take
 	// effect. Their writers see what they see by LoseAnswers.
 	LoseWrites int `json:"loseWrites"`
@@ -79,7 +79,7 @@
 		if s.Delay < 0 || min(s.DropResponses, s.LoseWrites, s.MaxReads, s.MaxWrites) < 0 {
 			return errors.New("delays, counts and limits can't be negative")
 		}
-		if !(s.LoseAnswersRatio >= 0 && s.LoseAnswersRatio <= 1) {
+		if !(s.DropResponseRatio >= 0 && s.DropResponseRatio <= 1) {
 			return errors.New("loseAnswersRatio must be from 0 to 1")
 		}
 	}
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -118,7 +118,7 @@
 		return true
 	}
 	faults := p.Faults()
-	ratio := faults.of(s).LoseAnswersRatio
+	ratio := faults.of(s).DropResponseRatio
 	if ratio == 0 {
 		return false
 	}
