--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -184,7 +184,7 @@
 	}
 	for i, faults := range []func(*standin.PlatformFaults){
 		func(f *standin.PlatformFaults) { f.Table.DropResponses = 1 },
-		func(f *standin.PlatformFaults) { f.Table.LoseWrites = 1 },
+		func(f *standin.PlatformFaults) { f.Table.DropWrites = 1 },
 	} {
 		must.NoError(t, b.platform.UpdateFaults(faults))
 		must.StrContains(t, b.must(exitDone, apply(fmt.Sprint(30+i))...), fmt.Sprintf("Version %d is accepted", i+1))
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -43,9 +43,9 @@
 	DropResponses int `json:"loseAnswers"`
 	// DropResponseRatio of writes lose their answer, from 0 to 1.
 	DropResponseRatio float64 `json:"loseAnswersRatio"`
-	// LoseWrites is how many of the next writes are lost before they take
+	// DropWrites is how many of the next writes are lost before they take
 	// effect. Their writers see what they see by LoseAnswers.
-	LoseWrites int `json:"loseWrites"`
+	DropWrites int `json:"loseWrites"`
 	// MaxReads and MaxWrites a second; those above get status 429 and have
 	// no effect. 0 is no limit.
 	MaxReads  int `json:"maxReads"`
@@ -76,7 +76,7 @@
 		default:
 			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
 		}
-		if s.Delay < 0 || min(s.DropResponses, s.LoseWrites, s.MaxReads, s.MaxWrites) < 0 {
+		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReads, s.MaxWrites) < 0 {
 			return errors.New("delays, counts and limits can't be negative")
 		}
 		if !(s.DropResponseRatio >= 0 && s.DropResponseRatio <= 1) {
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -75,7 +75,7 @@
 // table knows the difference.
 func TestLostWriteLooksLikeLostAnswer(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
-	for i, f := range []standin.ServiceFaults{{LoseWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
+	for i, f := range []standin.ServiceFaults{{DropWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
 		must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: f}}))
 		r, err := c.Write(t.Context(), storage.Txn{Attempt: "a", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 		must.NoError(t, err)
--- a/storage/client/history_test.go
+++ b/storage/client/history_test.go
@@ -176,7 +176,7 @@
 // linearizable.
 func TestHistoryIsLinearizable(t *testing.T) {
 	faults := standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{
-		DropResponseRatio: 0.1, LoseWrites: 5,
+		DropResponseRatio: 0.1, DropWrites: 5,
 	}}}
 	delayTable := func(p *standin.Platform, longTimeout *client.Client) {
 		_ = p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.Delay = config.Duration(29 * time.Millisecond) })
