--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -55,9 +55,9 @@
 // TableFaults are those of the table service.
 type TableFaults struct {
 	ServiceFaults
-	// OldCopy answers reads from a copy of the tables made when this was
+	// StaleReads answers reads from a copy of the tables made when this was
 	// switched on. It breaks what the platform promises.
-	OldCopy bool `json:"oldCopy"`
+	StaleReads bool `json:"oldCopy"`
 }
 
 // InstanceFaults are those of the list of instances.
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -132,7 +132,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case !f.Table.OldCopy:
+	case !f.Table.StaleReads:
 		p.oldCopy = nil
 	case p.oldCopy == nil:
 		p.oldCopy = p.tables.Copy()
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -62,7 +62,7 @@
 		return changes.Revision
 	}
 	write("before")
-	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}))
+	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{StaleReads: true}}))
 	write("after")
 	must.Eq(t, 1, revision())
 	must.NoError(t, p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.DropResponses = 1 }))
--- a/storage/client/history_test.go
+++ b/storage/client/history_test.go
@@ -191,6 +191,6 @@
 // Checks that the linearizability check can fail: reads served from a stale copy
 // during concurrent writes must be reported as a violation.
 func TestStaleReadsAreNotLinearizable(t *testing.T) {
-	staleReads := standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}
+	staleReads := standin.PlatformFaults{Table: standin.TableFaults{StaleReads: true}}
 	must.Eq(t, porcupine.Illegal, checkHistory(t, 1, staleReads, nil))
 }
