--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -184,7 +184,7 @@
 		{second(23), func() { r.setLink(platformCut.toPlatform, standin.LinkState{}) }},
 		{second(23), func() { r.setPlatformDown(standin.DownClosed) }},
 		{second(25), func() { r.setPlatformDown(standin.DownSilent) }},
-		{second(28), func() { r.setPlatformDown(standin.Up) }},
+		{second(28), func() { r.setPlatformDown(standin.DownNone) }},
 		{second(29), func() { r.loseAnswers(4) }},
 		{second(29), func() {
 			r.setBackendFaults(catalogue, standin.BackendFaults{})
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -13,8 +13,8 @@
 type DownMode string
 
 const (
-	// Up is no failure.
-	Up DownMode = ""
+	// DownNone is no failure.
+	DownNone DownMode = ""
 	// DownClosed closes the connection without an answer.
 	DownClosed DownMode = "closed"
 	// DownSilent never answers and keeps the connection open.
@@ -72,7 +72,7 @@
 func (f PlatformFaults) validate() error {
 	for _, s := range []ServiceFaults{f.Table.ServiceFaults, f.Objects, f.Instances.ServiceFaults} {
 		switch s.Down {
-		case Up, DownClosed, DownSilent, DownError:
+		case DownNone, DownClosed, DownSilent, DownError:
 		default:
 			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
 		}
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -26,7 +26,7 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		faults, changed := p.faults.get()
 		f := *faults.of(s)
-		if f.Down != Up {
+		if f.Down != DownNone {
 			fail(w, r, f.Down, changed)
 			return
 		}
