--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -46,9 +46,9 @@
 	// DropWrites is how many of the next writes are lost before they take
 	// effect. Their writers see what they see by LoseAnswers.
 	DropWrites int `json:"loseWrites"`
-	// MaxReads and MaxWrites a second; those above get status 429 and have
+	// MaxReadsPerSecond and MaxWrites a second; those above get status 429 and have
 	// no effect. 0 is no limit.
-	MaxReads  int `json:"maxReads"`
+	MaxReadsPerSecond  int `json:"maxReads"`
 	MaxWrites int `json:"maxWrites"`
 }
 
@@ -76,7 +76,7 @@
 		default:
 			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
 		}
-		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReads, s.MaxWrites) < 0 {
+		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReadsPerSecond, s.MaxWrites) < 0 {
 			return errors.New("delays, counts and limits can't be negative")
 		}
 		if !(s.DropResponseRatio >= 0 && s.DropResponseRatio <= 1) {
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -61,7 +61,7 @@
 	if write {
 		return p.writeLimits[s].allow(now, f.MaxWrites)
 	}
-	return p.readLimits[s].allow(now, f.MaxReads)
+	return p.readLimits[s].allow(now, f.MaxReadsPerSecond)
 }
 
 // fail answers as a service that is down.
