--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -49,7 +49,7 @@
 	// MaxReadsPerSecond and MaxWrites a second; those above get status 429 and have
 	// no effect. 0 is no limit.
 	MaxReadsPerSecond  int `json:"maxReads"`
-	MaxWrites int `json:"maxWrites"`
+	MaxWritesPerSecond int `json:"maxWrites"`
 }
 
 // TableFaults are those of the table service.
@@ -76,7 +76,7 @@
 		default:
 			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
 		}
-		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReadsPerSecond, s.MaxWrites) < 0 {
+		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReadsPerSecond, s.MaxWritesPerSecond) < 0 {
 			return errors.New("delays, counts and limits can't be negative")
 		}
 		if !(s.DropResponseRatio >= 0 && s.DropResponseRatio <= 1) {
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -59,7 +59,7 @@
 	defer p.mu.Unlock()
 	now := time.Since(p.start)
 	if write {
-		return p.writeLimits[s].allow(now, f.MaxWrites)
+		return p.writeLimits[s].allow(now, f.MaxWritesPerSecond)
 	}
 	return p.readLimits[s].allow(now, f.MaxReadsPerSecond)
 }
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -105,7 +105,7 @@
 // effect; a writer that isn't told so exactly must take it as unknown.
 func TestStoreAboveItsLimit(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
-	limited := standin.ServiceFaults{MaxReadsPerSecond: 1, MaxWrites: 1}
+	limited := standin.ServiceFaults{MaxReadsPerSecond: 1, MaxWritesPerSecond: 1}
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: limited}, Objects: limited}))
 	outcomes := map[storage.WriteOutcome]int{}
 	unavailable := 0
