--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -52,10 +52,10 @@
 
 // PlatformCounts are the requests seen since the start.
 type PlatformCounts struct {
-	Reads       int `json:"reads"`
-	Writes      int `json:"writes"`
+	Reads            int `json:"reads"`
+	Writes           int `json:"writes"`
 	DroppedResponses int `json:"lostAnswers"`
-	DroppedWrites  int `json:"lostWrites"`
+	DroppedWrites    int `json:"lostWrites"`
 }
 
 // StartPlatform starts a platform stand-in. Close ends it.
