--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -13,28 +13,28 @@
 	"foxtailspoke/storage/client"
 )
 
-// reportTimeout bounds one announcement.
-const reportTimeout = 2 * time.Second
+// announceTimeout bounds one announcement.
+const announceTimeout = 2 * time.Second
 
 // announcer repeats a backend server's announcement to the platform.
 type announcer struct {
-	list   storage.Instances
-	every  time.Duration
+	instances   storage.Instances
+	interval  time.Duration
 	log    *slog.Logger
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	// sending orders the announcements.
-	sending sync.Mutex
+	// announceMu orders the announcements.
+	announceMu sync.Mutex
 	mu      sync.Mutex
 	self    storage.Instance
 }
 
-func startAnnouncer(list storage.Instances, self storage.Instance, every time.Duration, log *slog.Logger) *announcer {
+func startAnnouncer(instances storage.Instances, self storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &announcer{
-		list:   list,
-		every:  every,
+		instances:   instances,
+		interval:  interval,
 		log:    log,
 		cancel: cancel,
 		done:   make(chan struct{}),
@@ -65,7 +65,7 @@
 
 func (a *announcer) run(ctx context.Context) {
 	defer close(a.done)
-	ticker := time.NewTicker(a.every)
+	ticker := time.NewTicker(a.interval)
 	defer ticker.Stop()
 	for {
 		a.announce(ctx)
@@ -78,23 +78,23 @@
 }
 
 func (a *announcer) announce(ctx context.Context) {
-	a.sending.Lock()
-	defer a.sending.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	a.announceMu.Lock()
+	defer a.announceMu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	err := a.list.Announce(ctx, a.current())
+	err := a.instances.Announce(ctx, a.current())
 	if errors.Is(err, client.ErrEnded) {
-		a.restart()
-		err = a.list.Announce(ctx, a.current())
+		a.renewID()
+		err = a.instances.Announce(ctx, a.current())
 	}
 	if err != nil {
 		a.log.Debug("announcement failed", "error", err)
 	}
 }
 
-// restart takes a new id. A server that was frozen for so long that the
+// renewID takes a new id. A server that was frozen for so long that the
 // platform declared it ended may not come back under its old one.
-func (a *announcer) restart() {
+func (a *announcer) renewID() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.self.ID = uuid.NewString()
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_serve.go
@@ -100,7 +100,7 @@
 // answer is.
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	s := serviceOf(r)
-	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).DropWrites }) {
+	if p.faults.consume(func(f *PlatformFaults) *int { return &f.of(s).DropWrites }) {
 		p.count(func(c *PlatformCounts) { c.DroppedWrites++ })
 		panic(http.ErrAbortHandler)
 	}
@@ -114,7 +114,7 @@
 }
 
 func (p *Platform) loseAnswer(s service) bool {
-	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).DropResponses }) {
+	if p.faults.consume(func(f *PlatformFaults) *int { return &f.of(s).DropResponses }) {
 		return true
 	}
 	faults := p.Faults()
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -18,12 +18,12 @@
 	changed chan struct{}
 	// validate refuses a set of faults that makes no sense.
 	validate func(T) error
-	// applied is called with every new set, before anybody else sees it.
-	applied func(T)
+	// onUpdate is called with every new set, before anybody else sees it.
+	onUpdate func(T)
 }
 
-func newFaultSwitch[T any](validate func(T) error, applied func(T)) *faultSwitch[T] {
-	return &faultSwitch[T]{changed: make(chan struct{}), validate: validate, applied: applied}
+func newFaultSwitch[T any](validate func(T) error, onUpdate func(T)) *faultSwitch[T] {
+	return &faultSwitch[T]{changed: make(chan struct{}), validate: validate, onUpdate: onUpdate}
 }
 
 // get returns the faults and a channel that is closed when they change.
@@ -44,15 +44,15 @@
 	if err := s.validate(next); err != nil {
 		return err
 	}
-	s.applied(next)
+	s.onUpdate(next)
 	s.faults = next
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return nil
 }
 
-// take uses up one of a counted fault: it returns whether any was left.
-func (s *faultSwitch[T]) take(counter func(*T) *int) bool {
+// consume uses up one of a counted fault: it returns whether any was left.
+func (s *faultSwitch[T]) consume(counter func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := counter(&s.faults)
@@ -74,8 +74,8 @@
 		err = s.update(func(faults *T) error { return decoder.Decode(faults) })
 	case http.MethodDelete:
 		err = s.update(func(faults *T) error {
-			var none T
-			*faults = none
+			var zero T
+			*faults = zero
 			return nil
 		})
 	default:
