--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// whole reports whether both directions are open. No TCP connection can be
+// bothOpen reports whether both directions are open. No TCP connection can be
 // made otherwise.
-func (s LinkState) whole() bool {
+func (s LinkState) bothOpen() bool {
 	return s.Forward != FlowCut && s.Backward != FlowCut
 }
 
@@ -71,16 +71,16 @@
 // it is restored. A connection that is made while either direction is cut
 // reaches the relay only: its other half is made after the link is restored.
 type Link struct {
-	o        LinkOptions
+	options        LinkOptions
 	log      *slog.Logger
 	state    *faultSwitch[LinkState]
 	listener net.Listener
 	ctx      context.Context
 	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	wg  sync.WaitGroup
 
 	mu    sync.Mutex
-	pairs map[*pair]struct{}
+	conns map[*relayedConn]struct{}
 }
 
 // StartLink starts a link. Close ends it.
@@ -90,14 +90,14 @@
 		return nil, errors.Wrapf(err, "link %s", o.Name)
 	}
 	l := &Link{
-		o:        o,
+		options:        o,
 		log:      logOr(log),
 		state:    newFaultSwitch(LinkState.validate, func(LinkState) {}),
 		listener: listener,
-		pairs:    make(map[*pair]struct{}),
+		conns:    make(map[*relayedConn]struct{}),
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.running.Go(l.accept)
+	l.wg.Go(l.accept)
 	return l, nil
 }
 
@@ -123,8 +123,8 @@
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.reset()
+	for c := range l.conns {
+		c.reset()
 	}
 }
 
@@ -132,7 +132,7 @@
 func (l *Link) Close() {
 	l.cancel()
 	_ = l.listener.Close()
-	l.running.Wait()
+	l.wg.Wait()
 }
 
 func (l *Link) accept() {
@@ -141,58 +141,58 @@
 		if err != nil {
 			return
 		}
-		l.running.Go(func() { l.relay(conn.(*net.TCPConn)) })
+		l.wg.Go(func() { l.relay(conn.(*net.TCPConn)) })
 	}
 }
 
-func (l *Link) relay(near *net.TCPConn) {
-	defer near.Close()
-	if !l.awaitState(LinkState.whole, nil) {
+func (l *Link) relay(client *net.TCPConn) {
+	defer client.Close()
+	if !l.awaitState(LinkState.bothOpen, nil) {
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.DialContext(l.ctx, "tcp", l.o.Target)
+	conn, err := dialer.DialContext(l.ctx, "tcp", l.options.Target)
 	if err != nil {
-		l.log.Debug("link can't connect", "link", l.o.Name, "error", err)
-		_ = near.SetLinger(0)
+		l.log.Debug("link can't connect", "link", l.options.Name, "error", err)
+		_ = client.SetLinger(0)
 		return
 	}
-	far := conn.(*net.TCPConn)
-	defer far.Close()
+	target := conn.(*net.TCPConn)
+	defer target.Close()
 	stop := context.AfterFunc(l.ctx, func() {
-		_ = near.Close()
-		_ = far.Close()
+		_ = client.Close()
+		_ = target.Close()
 	})
 	defer stop()
-	p := newPair(l, near, far)
-	l.keep(p)
-	defer l.forget(p)
-	p.run()
+	relayed := newRelayedConn(l, client, target)
+	l.addConn(relayed)
+	defer l.removeConn(relayed)
+	relayed.run()
 }
 
-func (l *Link) keep(p *pair) {
+func (l *Link) addConn(c *relayedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pairs[p] = struct{}{}
+	l.conns[c] = struct{}{}
 }
 
-func (l *Link) forget(p *pair) {
+func (l *Link) removeConn(c *relayedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.pairs, p)
+	delete(l.conns, c)
 }
 
 // awaitState waits until the state is as wanted. It returns false if the
 // link was closed or the channel was, if there is one.
-func (l *Link) awaitState(wanted func(LinkState) bool, given <-chan struct{}) bool {
+func (l *Link) awaitState(accept func(LinkState) bool, abort <-chan struct{}) bool {
 	for {
 		s, changed := l.state.get()
-		if wanted(s) {
+		if accept(s) {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-given:
+		case <-abort:
 			return false
 		case <-l.ctx.Done():
 			return false
--- a/internal/standin/link_pump.go
+++ b/internal/standin/link_pump.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// chunkSize and maxChunks bound what a direction of a connection holds.
-	chunkSize = 16 << 10
-	maxChunks = 64
+	// chunkSizeBytes and maxChunks bound what a direction of a connection holds.
+	chunkSizeBytes = 16 << 10
+	maxQueuedChunks = 64
 )
 
-// pair is the two halves of one relayed connection.
-type pair struct {
+// relayedConn is the two halves of one relayed connection.
+type relayedConn struct {
 	link      *Link
-	near, far *net.TCPConn
-	// over is closed when both sides have ended their sending: what is held
+	client, target *net.TCPConn
+	// bothEnded is closed when both sides have ended their sending: what is held
 	// then has nobody left to wait for it.
-	over chan struct{}
+	bothEnded chan struct{}
 
 	mu    sync.Mutex
-	ended int
+	endedDirections int
 	// wasReset keeps the usual end of one side from reaching the other.
 	wasReset bool
 }
@@ -29,105 +29,105 @@
 // chunk is what one read brought. The last one of a direction is the end.
 type chunk struct {
 	data []byte
-	at   time.Time
-	end  bool
+	readAt   time.Time
+	last  bool
 }
 
-func newPair(l *Link, near, far *net.TCPConn) *pair {
-	return &pair{link: l, near: near, far: far, over: make(chan struct{})}
+func newRelayedConn(l *Link, client, target *net.TCPConn) *relayedConn {
+	return &relayedConn{link: l, client: client, target: target, bothEnded: make(chan struct{})}
 }
 
 // reset ends the connection on both sides without its usual end.
-func (p *pair) reset() {
+func (p *relayedConn) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.wasReset = true
-	for _, c := range []*net.TCPConn{p.near, p.far} {
+	for _, c := range []*net.TCPConn{p.client, p.target} {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
 }
 
 // run relays until both directions have ended.
-func (p *pair) run() {
+func (p *relayedConn) run() {
 	var directions sync.WaitGroup
 	directions.Go(func() {
-		p.pump(p.near, p.far, func(s LinkState) (Flow, time.Duration) {
+		p.relayDirection(p.client, p.target, func(s LinkState) (Flow, time.Duration) {
 			return s.Forward, time.Duration(s.ForwardDelay)
 		})
 	})
 	directions.Go(func() {
-		p.pump(p.far, p.near, func(s LinkState) (Flow, time.Duration) {
+		p.relayDirection(p.target, p.client, func(s LinkState) (Flow, time.Duration) {
 			return s.Backward, time.Duration(s.BackwardDelay)
 		})
 	})
 	directions.Wait()
 }
 
-// pump relays one direction. Reading goes on while bytes are held, so that
+// relayDirection relays one direction. Reading goes on while bytes are held, so that
 // the end of a connection is noticed.
-func (p *pair) pump(from, to *net.TCPConn, direction func(LinkState) (Flow, time.Duration)) {
-	chunks := make(chan chunk, maxChunks)
-	broken := make(chan struct{})
-	var reading sync.WaitGroup
-	reading.Go(func() { p.read(from, chunks, broken) })
-	p.write(to, chunks, direction)
-	close(broken)
+func (p *relayedConn) relayDirection(from, to *net.TCPConn, flowOf func(LinkState) (Flow, time.Duration)) {
+	chunks := make(chan chunk, maxQueuedChunks)
+	writerDone := make(chan struct{})
+	var reader sync.WaitGroup
+	reader.Go(func() { p.readChunks(from, chunks, writerDone) })
+	p.writeChunks(to, chunks, flowOf)
+	close(writerDone)
 	_ = from.CloseRead()
-	reading.Wait()
+	reader.Wait()
 }
 
-func (p *pair) read(from *net.TCPConn, chunks chan<- chunk, broken <-chan struct{}) {
+func (p *relayedConn) readChunks(from *net.TCPConn, chunks chan<- chunk, writerDone <-chan struct{}) {
 	for {
-		buffer := make([]byte, chunkSize)
+		buffer := make([]byte, chunkSizeBytes)
 		n, err := from.Read(buffer)
-		c := chunk{data: buffer[:n], at: time.Now(), end: err != nil}
-		if c.end {
-			p.end()
+		c := chunk{data: buffer[:n], readAt: time.Now(), last: err != nil}
+		if c.last {
+			p.directionEnded()
 		}
 		select {
 		case chunks <- c:
-		case <-broken:
+		case <-writerDone:
 			return
 		}
-		if c.end {
+		if c.last {
 			return
 		}
 	}
 }
 
-func (p *pair) end() {
+func (p *relayedConn) directionEnded() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended++
-	if p.ended == 2 {
-		close(p.over)
+	p.endedDirections++
+	if p.endedDirections == 2 {
+		close(p.bothEnded)
 	}
 }
 
-// write sends what was read, as the link's state allows.
-func (p *pair) write(to *net.TCPConn, chunks <-chan chunk, direction func(LinkState) (Flow, time.Duration)) {
+// writeChunks sends what was read, as the link's state allows.
+func (p *relayedConn) writeChunks(to *net.TCPConn, chunks <-chan chunk, flowOf func(LinkState) (Flow, time.Duration)) {
 	open := func(s LinkState) bool {
-		flow, _ := direction(s)
+		flow, _ := flowOf(s)
 		return flow != FlowCut
 	}
 	for c := range chunks {
-		_, delay := direction(p.link.State())
-		p.sleep(time.Until(c.at.Add(delay)))
-		if !p.link.awaitState(open, p.over) {
+		_, delay := flowOf(p.link.State())
+		p.sleep(time.Until(c.readAt.Add(delay)))
+		if !p.link.awaitState(open, p.bothEnded) {
 			return
 		}
 		if _, err := to.Write(c.data); err != nil {
 			return
 		}
-		if c.end {
+		if c.last {
 			p.closeWrite(to)
 			return
 		}
 	}
 }
 
-func (p *pair) closeWrite(to *net.TCPConn) {
+func (p *relayedConn) closeWrite(to *net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.wasReset {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (p *pair) sleep(d time.Duration) {
+func (p *relayedConn) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -74,7 +74,7 @@
 	mux.HandleFunc("GET /control/links", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, ls.states())
 	})
-	mux.HandleFunc("POST /control/links", ls.setSeveral)
+	mux.HandleFunc("POST /control/links", ls.setStates)
 	mux.HandleFunc("/control/links/{name}", func(w http.ResponseWriter, r *http.Request) {
 		l := ls.links[r.PathValue("name")]
 		if l == nil {
@@ -94,13 +94,13 @@
 	return out
 }
 
-func (ls *Links) setSeveral(w http.ResponseWriter, r *http.Request) {
+func (ls *Links) setStates(w http.ResponseWriter, r *http.Request) {
 	var states map[string]LinkState
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBody))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&states)
 	if err == nil {
-		err = ls.check(states)
+		err = ls.validateStates(states)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -112,8 +112,8 @@
 	writeJSON(w, ls.states())
 }
 
-// check lets a call that names one link wrongly change none.
-func (ls *Links) check(states map[string]LinkState) error {
+// validateStates lets a call that names one link wrongly change none.
+func (ls *Links) validateStates(states map[string]LinkState) error {
 	for name, s := range states {
 		if ls.links[name] == nil {
 			return errors.Newf("there is no link %q", name)
