--- a/internal/standin/announce.go
+++ b/internal/standin/announcer.go
@@ -18,27 +18,27 @@
 
 // announcer repeats a backend server's announcement to the platform.
 type announcer struct {
-	instances   storage.Instances
+	instances storage.Instances
 	interval  time.Duration
-	log    *slog.Logger
-	cancel context.CancelFunc
-	done   chan struct{}
+	log       *slog.Logger
+	cancel    context.CancelFunc
+	done      chan struct{}
 
 	// announceMu orders the announcements.
 	announceMu sync.Mutex
-	mu      sync.Mutex
-	self    storage.Instance
+	mu         sync.Mutex
+	self       storage.Instance
 }
 
 func startAnnouncer(instances storage.Instances, self storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &announcer{
-		instances:   instances,
+		instances: instances,
 		interval:  interval,
-		log:    log,
-		cancel: cancel,
-		done:   make(chan struct{}),
-		self:   self,
+		log:       log,
+		cancel:    cancel,
+		done:      make(chan struct{}),
+		self:      self,
 	}
 	go a.run(ctx)
 	return a
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -71,13 +71,13 @@
 // it is restored. A connection that is made while either direction is cut
 // reaches the relay only: its other half is made after the link is restored.
 type Link struct {
-	options        LinkOptions
+	options  LinkOptions
 	log      *slog.Logger
 	state    *faultSwitch[LinkState]
 	listener net.Listener
 	ctx      context.Context
 	cancel   context.CancelFunc
-	wg  sync.WaitGroup
+	wg       sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*relayedConn]struct{}
@@ -90,7 +90,7 @@
 		return nil, errors.Wrapf(err, "link %s", o.Name)
 	}
 	l := &Link{
-		options:        o,
+		options:  o,
 		log:      logOr(log),
 		state:    newFaultSwitch(LinkState.validate, func(LinkState) {}),
 		listener: listener,
--- a/internal/standin/link_pump.go
+++ b/internal/standin/link_conn.go
@@ -8,19 +8,19 @@
 
 const (
 	// chunkSizeBytes and maxChunks bound what a direction of a connection holds.
-	chunkSizeBytes = 16 << 10
+	chunkSizeBytes  = 16 << 10
 	maxQueuedChunks = 64
 )
 
 // relayedConn is the two halves of one relayed connection.
 type relayedConn struct {
-	link      *Link
+	link           *Link
 	client, target *net.TCPConn
 	// bothEnded is closed when both sides have ended their sending: what is held
 	// then has nobody left to wait for it.
 	bothEnded chan struct{}
 
-	mu    sync.Mutex
+	mu              sync.Mutex
 	endedDirections int
 	// wasReset keeps the usual end of one side from reaching the other.
 	wasReset bool
@@ -28,9 +28,9 @@
 
 // chunk is what one read brought. The last one of a direction is the end.
 type chunk struct {
-	data []byte
-	readAt   time.Time
-	last  bool
+	data   []byte
+	readAt time.Time
+	last   bool
 }
 
 func newRelayedConn(l *Link, client, target *net.TCPConn) *relayedConn {
@@ -38,26 +38,26 @@
 }
 
 // reset ends the connection on both sides without its usual end.
-func (p *relayedConn) reset() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.wasReset = true
-	for _, c := range []*net.TCPConn{p.client, p.target} {
+func (r *relayedConn) reset() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.wasReset = true
+	for _, c := range []*net.TCPConn{r.client, r.target} {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
 }
 
 // run relays until both directions have ended.
-func (p *relayedConn) run() {
+func (r *relayedConn) run() {
 	var directions sync.WaitGroup
 	directions.Go(func() {
-		p.relayDirection(p.client, p.target, func(s LinkState) (Flow, time.Duration) {
+		r.relayDirection(r.client, r.target, func(s LinkState) (Flow, time.Duration) {
 			return s.Forward, time.Duration(s.ForwardDelay)
 		})
 	})
 	directions.Go(func() {
-		p.relayDirection(p.target, p.client, func(s LinkState) (Flow, time.Duration) {
+		r.relayDirection(r.target, r.client, func(s LinkState) (Flow, time.Duration) {
 			return s.Backward, time.Duration(s.BackwardDelay)
 		})
 	})
@@ -66,24 +66,24 @@
 
 // relayDirection relays one direction. Reading goes on while bytes are held, so that
 // the end of a connection is noticed.
-func (p *relayedConn) relayDirection(from, to *net.TCPConn, flowOf func(LinkState) (Flow, time.Duration)) {
+func (r *relayedConn) relayDirection(from, to *net.TCPConn, flowOf func(LinkState) (Flow, time.Duration)) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	writerDone := make(chan struct{})
 	var reader sync.WaitGroup
-	reader.Go(func() { p.readChunks(from, chunks, writerDone) })
-	p.writeChunks(to, chunks, flowOf)
+	reader.Go(func() { r.readChunks(from, chunks, writerDone) })
+	r.writeChunks(to, chunks, flowOf)
 	close(writerDone)
 	_ = from.CloseRead()
 	reader.Wait()
 }
 
-func (p *relayedConn) readChunks(from *net.TCPConn, chunks chan<- chunk, writerDone <-chan struct{}) {
+func (r *relayedConn) readChunks(from *net.TCPConn, chunks chan<- chunk, writerDone <-chan struct{}) {
 	for {
 		buffer := make([]byte, chunkSizeBytes)
 		n, err := from.Read(buffer)
 		c := chunk{data: buffer[:n], readAt: time.Now(), last: err != nil}
 		if c.last {
-			p.directionEnded()
+			r.directionEnded()
 		}
 		select {
 		case chunks <- c:
@@ -96,46 +96,46 @@
 	}
 }
 
-func (p *relayedConn) directionEnded() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.endedDirections++
-	if p.endedDirections == 2 {
-		close(p.bothEnded)
+func (r *relayedConn) directionEnded() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.endedDirections++
+	if r.endedDirections == 2 {
+		close(r.bothEnded)
 	}
 }
 
 // writeChunks sends what was read, as the link's state allows.
-func (p *relayedConn) writeChunks(to *net.TCPConn, chunks <-chan chunk, flowOf func(LinkState) (Flow, time.Duration)) {
+func (r *relayedConn) writeChunks(to *net.TCPConn, chunks <-chan chunk, flowOf func(LinkState) (Flow, time.Duration)) {
 	open := func(s LinkState) bool {
 		flow, _ := flowOf(s)
 		return flow != FlowCut
 	}
 	for c := range chunks {
-		_, delay := flowOf(p.link.State())
-		p.sleep(time.Until(c.readAt.Add(delay)))
-		if !p.link.awaitState(open, p.bothEnded) {
+		_, delay := flowOf(r.link.State())
+		r.sleep(time.Until(c.readAt.Add(delay)))
+		if !r.link.awaitState(open, r.bothEnded) {
 			return
 		}
 		if _, err := to.Write(c.data); err != nil {
 			return
 		}
 		if c.last {
-			p.closeWrite(to)
+			r.closeWrite(to)
 			return
 		}
 	}
 }
 
-func (p *relayedConn) closeWrite(to *net.TCPConn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.wasReset {
+func (r *relayedConn) closeWrite(to *net.TCPConn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.wasReset {
 		_ = to.CloseWrite()
 	}
 }
 
-func (p *relayedConn) sleep(d time.Duration) {
+func (r *relayedConn) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -143,6 +143,6 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-p.link.ctx.Done():
+	case <-r.link.ctx.Done():
 	}
 }
