--- a/internal/proofs/faults_test.go
+++ b/internal/proofs/faults_test.go
@@ -175,16 +175,16 @@
 		{second(8), func() { must.NoError(r.t, frozen.process.Suspend()) }},
 		{second(9), r.withdraw},
 		{second(13), func() { must.NoError(r.t, frozen.process.Resume()) }},
-		{second(14), func() { r.setLink(inboundCut.toPeers, standin.LinkState{Forward: standin.Cut}) }},
+		{second(14), func() { r.setLink(inboundCut.toPeers, standin.LinkState{Forward: standin.FlowCut}) }},
 		{second(17), func() { r.setLink(inboundCut.toPeers, standin.LinkState{}) }},
-		{second(17), func() { r.setLink(repliesCut.toPeers, standin.LinkState{Backward: standin.Cut}) }},
-		{second(17.5), func() { r.setLink(platformCut.toPlatform, standin.LinkState{Forward: standin.Cut}) }},
+		{second(17), func() { r.setLink(repliesCut.toPeers, standin.LinkState{Backward: standin.FlowCut}) }},
+		{second(17.5), func() { r.setLink(platformCut.toPlatform, standin.LinkState{Forward: standin.FlowCut}) }},
 		{second(20), func() { r.setLink(repliesCut.toPeers, standin.LinkState{}) }},
-		{second(21), func() { r.setLink(platformCut.toPlatform, standin.LinkState{Backward: standin.Cut}) }},
+		{second(21), func() { r.setLink(platformCut.toPlatform, standin.LinkState{Backward: standin.FlowCut}) }},
 		{second(23), func() { r.setLink(platformCut.toPlatform, standin.LinkState{}) }},
 		{second(23), func() { r.setPlatformDown(standin.DownClosed) }},
 		{second(25), func() { r.setPlatformDown(standin.DownSilent) }},
-		{second(28), func() { r.setPlatformDown(standin.Up) }},
+		{second(28), func() { r.setPlatformDown(standin.DownNone) }},
 		{second(29), func() { r.loseAnswers(4) }},
 		{second(29), func() {
 			r.setBackendFaults(catalogue, standin.BackendFaults{})
@@ -200,10 +200,10 @@
 	must.NoError(r.t, b.SetFaults(f))
 }
 
-func (r *faultRun) setLink(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.Set(s)) }
+func (r *faultRun) setLink(l *standin.Link, s standin.LinkState) { must.NoError(r.t, l.SetState(s)) }
 
 func (r *faultRun) loseAnswers(n int) {
-	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = n }))
+	must.NoError(r.t, r.platform.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.DropResponses = n }))
 }
 
 func (r *faultRun) setPlatformDown(mode standin.DownMode) {
@@ -270,7 +270,7 @@
 	must.Greater(t, 20, served["diagnosis"], must.Sprint("uploads served"))
 	must.Greater(t, 100, r.revisions.seen)
 	counts := r.platform.Counts()
-	must.Positive(t, counts.LostAnswers)
+	must.Positive(t, counts.DroppedResponses)
 
 	reportFaults := func(what string, faults []string) {
 		t.Helper()
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -77,7 +77,7 @@
 		w.disturb()
 		w.breakLink(w.links()[w.pick(len(w.links()))])
 	case 11:
-		w.links()[w.pick(len(w.links()))].Reset()
+		w.links()[w.pick(len(w.links()))].ResetConnections()
 	case 12:
 		w.evacuate("dc-1", w.between(time.Second, 6*time.Second))
 	case 13:
@@ -146,9 +146,9 @@
 // breakLink delays a link, cuts it one way, or silences it, for a while.
 func (w *world) breakLink(l *standin.Link) {
 	states := []standin.LinkState{
-		{Forward: standin.Cut},
-		{Backward: standin.Cut},
-		{Forward: standin.Cut, Backward: standin.Cut},
+		{Forward: standin.FlowCut},
+		{Backward: standin.FlowCut},
+		{Forward: standin.FlowCut, Backward: standin.FlowCut},
 		{ForwardDelay: config.Duration(w.between(20*time.Millisecond, 400*time.Millisecond))},
 		{BackwardDelay: config.Duration(w.between(20*time.Millisecond, 400*time.Millisecond))},
 	}
@@ -160,7 +160,7 @@
 }
 
 func (w *world) set(l *standin.Link, s standin.LinkState) {
-	if err := l.Set(s); err != nil {
+	if err := l.SetState(s); err != nil {
 		w.t.Error(err)
 	}
 }
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -45,7 +45,7 @@
 func linked(t *testing.T) (l *standin.Link, near, behind net.Conn) {
 	t.Helper()
 	address, conns := far(t)
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near = dial(t, l.Address())
@@ -103,19 +103,19 @@
 	for _, forward := range []bool{true, false} {
 		l, near, behind := linked(t)
 		from, to := near, behind
-		cut := standin.LinkState{Forward: standin.Cut, Backward: standin.Open}
+		cut := standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowOpen}
 		if !forward {
 			from, to = behind, near
-			cut = standin.LinkState{Backward: standin.Cut}
+			cut = standin.LinkState{Backward: standin.FlowCut}
 		}
 		send(t, from, "1")
 		receives(t, to, "1")
-		must.NoError(t, l.Set(cut))
+		must.NoError(t, l.SetState(cut))
 		send(t, from, "held")
 		receivesNothing(t, to)
 		send(t, to, "heard")
 		receives(t, from, "heard")
-		must.NoError(t, l.Set(standin.LinkState{}))
+		must.NoError(t, l.SetState(standin.LinkState{}))
 		receives(t, to, "held")
 	}
 }
@@ -124,11 +124,11 @@
 // side until the link is restored.
 func TestLinkHoldsEndOfConnection(t *testing.T) {
 	l, near, behind := linked(t)
-	must.NoError(t, l.Set(standin.LinkState{Forward: standin.Cut}))
+	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut}))
 	send(t, near, "last")
 	must.NoError(t, near.(*net.TCPConn).CloseWrite())
 	receivesNothing(t, behind)
-	must.NoError(t, l.Set(standin.LinkState{}))
+	must.NoError(t, l.SetState(standin.LinkState{}))
 	receives(t, behind, "last")
 	_, err := behind.Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
@@ -140,16 +140,16 @@
 // side, as a handshake wouldn't. It does after the link is restored.
 func TestLinkConnectsWhenWhole(t *testing.T) {
 	address, conns := far(t)
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
-	for _, s := range []standin.LinkState{{Forward: standin.Cut}, {Backward: standin.Cut}} {
-		must.NoError(t, l.Set(s))
+	for _, s := range []standin.LinkState{{Forward: standin.FlowCut}, {Backward: standin.FlowCut}} {
+		must.NoError(t, l.SetState(s))
 		near := dial(t, l.Address())
 		send(t, near, "hello")
 		receivesNothing(t, near)
 		must.Zero(t, len(conns))
-		must.NoError(t, l.Set(standin.LinkState{}))
+		must.NoError(t, l.SetState(standin.LinkState{}))
 		receives(t, accepted(t, conns), "hello")
 	}
 }
@@ -157,7 +157,7 @@
 func TestLinkDelays(t *testing.T) {
 	l, near, behind := linked(t)
 	const delay = 40 * time.Millisecond
-	must.NoError(t, l.Set(standin.LinkState{ForwardDelay: config.Duration(delay)}))
+	must.NoError(t, l.SetState(standin.LinkState{ForwardDelay: config.Duration(delay)}))
 	began := time.Now()
 	send(t, near, "x")
 	receives(t, behind, "x")
@@ -179,7 +179,7 @@
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, dead.Close())
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: dead.Addr().String()}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: dead.Addr().String()}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near, err := net.Dial("tcp", l.Address())
@@ -197,7 +197,7 @@
 // The links are closed while they hold bytes: nothing waits for ever.
 func TestLinkClosesDuringCut(t *testing.T) {
 	l, near, _ := linked(t)
-	must.NoError(t, l.Set(standin.LinkState{Forward: standin.Cut, Backward: standin.Cut}))
+	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowCut}))
 	send(t, near, "held")
 	waiting := dial(t, l.Address())
 	l.Close()
@@ -211,7 +211,7 @@
 
 func TestLinksOverHTTP(t *testing.T) {
 	address, _ := far(t)
-	ls, err := standin.StartLinks("", []standin.LinkOptions{{Name: "a-b", To: address}, {Name: "b-a", To: address}}, nil)
+	ls, err := standin.StartLinks("", []standin.LinkOptions{{Name: "a-b", Target: address}, {Name: "b-a", Target: address}}, nil)
 	must.NoError(t, err)
 	t.Cleanup(ls.Close)
 	url := ls.ControlURL() + "/control/links"
@@ -220,7 +220,7 @@
 	must.Eq(t, http.StatusOK, post("/a-b", `{"forward":"cut","backward":"open"}`))
 	must.Eq(t, http.StatusOK, post("/a-b", `{"backwardDelay":"5ms"}`))
 	want := standin.LinkState{
-		Forward: standin.Cut, Backward: standin.Open, BackwardDelay: config.Duration(5 * time.Millisecond),
+		Forward: standin.FlowCut, Backward: standin.FlowOpen, BackwardDelay: config.Duration(5 * time.Millisecond),
 	}
 	must.Eq(t, want, ls.Link("a-b").State())
 	must.Eq(t, standin.LinkState{}, ls.Link("b-a").State())
@@ -230,10 +230,10 @@
 	must.Eq(t, http.StatusBadRequest, post("", `{"b-a":{"forward":"cut"},"nosuch":{}}`))
 	must.Eq(t, standin.LinkState{}, ls.Link("b-a").State())
 	must.Eq(t, http.StatusOK, post("", `{"b-a":{"forward":"cut"},"a-b":{}}`))
-	must.Eq(t, standin.LinkState{Forward: standin.Cut}, ls.Link("b-a").State())
+	must.Eq(t, standin.LinkState{Forward: standin.FlowCut}, ls.Link("b-a").State())
 	must.Eq(t, standin.LinkState{}, ls.Link("a-b").State())
 
-	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x", To: address}, {Name: "x", To: address}}, nil)
+	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x", Target: address}, {Name: "x", Target: address}}, nil)
 	must.Error(t, err)
 	_, err = standin.StartLinks("", []standin.LinkOptions{{Name: "x"}}, nil)
 	must.Error(t, err)
@@ -243,7 +243,7 @@
 // the next connection works.
 func TestResetEndsOpenConnectionsOnBothSides(t *testing.T) {
 	address, conns := far(t)
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", To: address}, nil)
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near := dial(t, l.Address())
@@ -251,7 +251,7 @@
 	send(t, near, "a")
 	_, err = io.ReadFull(behind, make([]byte, 1))
 	must.NoError(t, err)
-	l.Reset()
+	l.ResetConnections()
 	for _, conn := range []net.Conn{near, behind} {
 		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
 		_, err := conn.Read(make([]byte, 1))
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,17 +12,17 @@
 	"foxtailspoke/internal/standin/tables"
 )
 
-// DefaultListen takes a free port on the loopback interface.
-const DefaultListen = "127.0.0.1:0"
+// DefaultListenAddress takes a free port on the loopback interface.
+const DefaultListenAddress = "127.0.0.1:0"
 
 // PlatformOptions of a platform stand-in.
 type PlatformOptions struct {
 	// Listen and Control are "ip:port"; empty means DefaultListen.
 	Listen  string
 	Control string
-	// EndAfter is how long an instance may be silent before the list shows
+	// InstanceTimeout is how long an instance may be silent before the list shows
 	// it as ended; 0 means for ever.
-	EndAfter time.Duration
+	InstanceTimeout time.Duration
 	// Faults from the start.
 	Faults PlatformFaults
 	// Seed of the random faults.
@@ -52,10 +52,10 @@
 
 // PlatformCounts are the requests seen since the start.
 type PlatformCounts struct {
-	Reads       int `json:"reads"`
-	Writes      int `json:"writes"`
-	LostAnswers int `json:"lostAnswers"`
-	LostWrites  int `json:"lostWrites"`
+	Reads            int `json:"reads"`
+	Writes           int `json:"writes"`
+	DroppedResponses int `json:"lostAnswers"`
+	DroppedWrites    int `json:"lostWrites"`
 }
 
 // StartPlatform starts a platform stand-in. Close ends it.
@@ -63,7 +63,7 @@
 	p := &Platform{
 		tables:  tables.New(),
 		objects: newObjectStore(),
-		list:    instances.New(o.EndAfter),
+		list:    instances.New(o.InstanceTimeout),
 		start:   time.Now(),
 		rand:    rand.New(rand.NewPCG(o.Seed, 0)),
 	}
@@ -157,7 +157,7 @@
 
 func orDefault(listen string) string {
 	if listen == "" {
-		return DefaultListen
+		return DefaultListenAddress
 	}
 	return listen
 }
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -13,8 +13,8 @@
 type DownMode string
 
 const (
-	// Up is no failure.
-	Up DownMode = ""
+	// DownNone is no failure.
+	DownNone DownMode = ""
 	// DownClosed closes the connection without an answer.
 	DownClosed DownMode = "closed"
 	// DownSilent never answers and keeps the connection open.
@@ -38,26 +38,26 @@
 	// Delay before the service does anything, like "250ms". A write takes
 	// effect after it also if its writer has gone away in the meantime.
 	Delay config.Duration `json:"delay"`
-	// LoseAnswers is for how many of the next writes the answer is lost
+	// DropResponses is for how many of the next writes the answer is lost
 	// after they took effect.
-	LoseAnswers int `json:"loseAnswers"`
-	// LoseAnswersRatio of writes lose their answer, from 0 to 1.
-	LoseAnswersRatio float64 `json:"loseAnswersRatio"`
-	// LoseWrites is how many of the next writes are lost before they take
+	DropResponses int `json:"loseAnswers"`
+	// DropResponseRatio of writes lose their answer, from 0 to 1.
+	DropResponseRatio float64 `json:"loseAnswersRatio"`
+	// DropWrites is how many of the next writes are lost before they take
 	// effect. Their writers see what they see by LoseAnswers.
-	LoseWrites int `json:"loseWrites"`
-	// MaxReads and MaxWrites a second; those above get status 429 and have
+	DropWrites int `json:"loseWrites"`
+	// MaxReadsPerSecond and MaxWrites a second; those above get status 429 and have
 	// no effect. 0 is no limit.
-	MaxReads  int `json:"maxReads"`
-	MaxWrites int `json:"maxWrites"`
+	MaxReadsPerSecond  int `json:"maxReads"`
+	MaxWritesPerSecond int `json:"maxWrites"`
 }
 
 // TableFaults are those of the table service.
 type TableFaults struct {
 	ServiceFaults
-	// OldCopy answers reads from a copy of the tables made when this was
+	// StaleReads answers reads from a copy of the tables made when this was
 	// switched on. It breaks what the platform promises.
-	OldCopy bool `json:"oldCopy"`
+	StaleReads bool `json:"oldCopy"`
 }
 
 // InstanceFaults are those of the list of instances.
@@ -72,14 +72,14 @@
 func (f PlatformFaults) validate() error {
 	for _, s := range []ServiceFaults{f.Table.ServiceFaults, f.Objects, f.Instances.ServiceFaults} {
 		switch s.Down {
-		case Up, DownClosed, DownSilent, DownError:
+		case DownNone, DownClosed, DownSilent, DownError:
 		default:
 			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
 		}
-		if s.Delay < 0 || min(s.LoseAnswers, s.LoseWrites, s.MaxReads, s.MaxWrites) < 0 {
+		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReadsPerSecond, s.MaxWritesPerSecond) < 0 {
 			return errors.New("delays, counts and limits can't be negative")
 		}
-		if !(s.LoseAnswersRatio >= 0 && s.LoseAnswersRatio <= 1) {
+		if !(s.DropResponseRatio >= 0 && s.DropResponseRatio <= 1) {
 			return errors.New("loseAnswersRatio must be from 0 to 1")
 		}
 	}
--- a/internal/standin/platform_serve.go
+++ b/internal/standin/platform_middleware.go
@@ -26,7 +26,7 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		faults, changed := p.faults.get()
 		f := *faults.of(s)
-		if f.Down != Up {
+		if f.Down != DownNone {
 			fail(w, r, f.Down, changed)
 			return
 		}
@@ -59,9 +59,9 @@
 	defer p.mu.Unlock()
 	now := time.Since(p.start)
 	if write {
-		return p.writeLimits[s].allow(now, f.MaxWrites)
+		return p.writeLimits[s].allow(now, f.MaxWritesPerSecond)
 	}
-	return p.readLimits[s].allow(now, f.MaxReads)
+	return p.readLimits[s].allow(now, f.MaxReadsPerSecond)
 }
 
 // fail answers as a service that is down.
@@ -100,8 +100,8 @@
 // answer is.
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	s := serviceOf(r)
-	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).LoseWrites }) {
-		p.count(func(c *PlatformCounts) { c.LostWrites++ })
+	if p.faults.consume(func(f *PlatformFaults) *int { return &f.of(s).DropWrites }) {
+		p.count(func(c *PlatformCounts) { c.DroppedWrites++ })
 		panic(http.ErrAbortHandler)
 	}
 	if !p.loseAnswer(s) {
@@ -109,16 +109,16 @@
 		return
 	}
 	next.ServeHTTP(discardAnswer{header: http.Header{}}, r)
-	p.count(func(c *PlatformCounts) { c.LostAnswers++ })
+	p.count(func(c *PlatformCounts) { c.DroppedResponses++ })
 	panic(http.ErrAbortHandler)
 }
 
 func (p *Platform) loseAnswer(s service) bool {
-	if p.faults.take(func(f *PlatformFaults) *int { return &f.of(s).LoseAnswers }) {
+	if p.faults.consume(func(f *PlatformFaults) *int { return &f.of(s).DropResponses }) {
 		return true
 	}
 	faults := p.Faults()
-	ratio := faults.of(s).LoseAnswersRatio
+	ratio := faults.of(s).DropResponseRatio
 	if ratio == 0 {
 		return false
 	}
@@ -132,7 +132,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case !f.Table.OldCopy:
+	case !f.Table.StaleReads:
 		p.oldCopy = nil
 	case p.oldCopy == nil:
 		p.oldCopy = p.tables.Clone()
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -31,7 +31,7 @@
 	must.Eq(t, http.StatusOK, set(`{"table":{"loseAnswers":2},"instances":{"lag":"2s"}}`))
 	must.Eq(t, http.StatusOK, set(`{"table":{"down":"silent"}}`))
 	f := p.Faults()
-	must.Eq(t, 2, f.Table.LoseAnswers)
+	must.Eq(t, 2, f.Table.DropResponses)
 	must.Eq(t, standin.DownSilent, f.Table.Down)
 	must.StrContains(t, control(t, http.MethodGet, url, "").body, `"lag":"2s"`)
 
@@ -62,10 +62,10 @@
 		return changes.Revision
 	}
 	write("before")
-	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{OldCopy: true}}))
+	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{StaleReads: true}}))
 	write("after")
 	must.Eq(t, 1, revision())
-	must.NoError(t, p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.LoseAnswers = 1 }))
+	must.NoError(t, p.UpdateFaults(func(f *standin.PlatformFaults) { f.Table.DropResponses = 1 }))
 	must.Eq(t, 1, revision())
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{}))
 	must.Eq(t, 2, revision())
@@ -75,14 +75,14 @@
 // table knows the difference.
 func TestLostWriteLooksLikeLostAnswer(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
-	for i, f := range []standin.ServiceFaults{{LoseWrites: 1}, {LoseAnswers: 1}, {LoseAnswersRatio: 1}} {
+	for i, f := range []standin.ServiceFaults{{DropWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
 		must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: f}}))
 		r, err := c.Write(t.Context(), storage.Txn{Attempt: "a", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 		must.NoError(t, err)
 		must.Eq(t, storage.Unknown, r.Outcome)
 		must.Eq(t, storage.Revision(i), p.Tables().Revisions()[storage.Control])
 	}
-	must.Eq(t, standin.PlatformCounts{Writes: 3, LostAnswers: 2, LostWrites: 1}, p.Counts())
+	must.Eq(t, standin.PlatformCounts{Writes: 3, DroppedResponses: 2, DroppedWrites: 1}, p.Counts())
 }
 
 // The store is slow: a writer gives up, and its write takes effect after
@@ -105,7 +105,7 @@
 // effect; a writer that isn't told so exactly must take it as unknown.
 func TestStoreAboveItsLimit(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
-	limited := standin.ServiceFaults{MaxReads: 1, MaxWrites: 1}
+	limited := standin.ServiceFaults{MaxReadsPerSecond: 1, MaxWritesPerSecond: 1}
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: limited}, Objects: limited}))
 	outcomes := map[storage.WriteOutcome]int{}
 	unavailable := 0
@@ -129,9 +129,9 @@
 // lost, and reads fail, until the link is restored and the writer recognises
 // its own write. The other way, nothing takes effect.
 func TestOneWayCutToPlatform(t *testing.T) {
-	for _, cut := range []standin.LinkState{{Backward: standin.Cut}, {Forward: standin.Cut}} {
+	for _, cut := range []standin.LinkState{{Backward: standin.FlowCut}, {Forward: standin.FlowCut}} {
 		p, _ := startPlatform(t, standin.PlatformOptions{})
-		l, err := standin.StartLink(standin.LinkOptions{Name: "up", To: p.Address()}, nil)
+		l, err := standin.StartLink(standin.LinkOptions{Name: "up", Target: p.Address()}, nil)
 		must.NoError(t, err)
 		t.Cleanup(l.Close)
 		c, err := platformclient.New("http://"+l.Address(), platformclient.Settings{Timeout: 2 * glance})
@@ -141,17 +141,17 @@
 		_, err = c.Read(t.Context(), read)
 		must.NoError(t, err)
 
-		must.NoError(t, l.Set(cut))
+		must.NoError(t, l.SetState(cut))
 		r, err := c.Write(t.Context(), storage.Txn{Attempt: "mine", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 		must.NoError(t, err)
 		must.Eq(t, storage.Unknown, r.Outcome)
 		_, err = c.Read(t.Context(), read)
 		must.ErrorIs(t, err, storage.ErrUnavailable)
-		if cut.Forward == standin.Cut {
+		if cut.Forward == standin.FlowCut {
 			must.Zero(t, p.Tables().Revisions()[storage.Control])
 			continue
 		}
-		must.NoError(t, l.Set(standin.LinkState{}))
+		must.NoError(t, l.SetState(standin.LinkState{}))
 		eventually(t, "reads again", func() bool {
 			changes, err := c.Read(t.Context(), read)
 			return err == nil && len(changes.Rows) == 1 && changes.Rows[0].Attempt == "mine"
--- a/storage/client/client_test.go
+++ b/storage/client/client_test.go
@@ -73,7 +73,7 @@
 func TestLostResponseIsUnknown(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{}, client.Settings{})
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{
-		Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{LoseAnswers: 1}},
+		Table: standin.TableFaults{ServiceFaults: standin.ServiceFaults{DropResponses: 1}},
 	}))
 	txn := putTxn("mine", "lists", "v1", storage.Condition{Table: storage.Control, Key: "lists"})
 
@@ -165,7 +165,7 @@
 }
 
 func TestInstancesOverHTTP(t *testing.T) {
-	p, c := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond}, client.Settings{})
+	p, c := startPlatform(t, standin.PlatformOptions{InstanceTimeout: time.Nanosecond}, client.Settings{})
 	full := storage.Instance{
 		ID: "i 1/x", Kind: storage.BackendServer, Service: "s", DataCentre: "a", Region: "r", Address: "1:1",
 		PeerAddress: "1:2", OperatorAddress: "1:3", Slots: 6, State: storage.Live,
