--- a/internal/cli/bench_test.go
+++ b/internal/cli/fixture_test.go
@@ -21,8 +21,8 @@
 
 const testToken = "test-token"
 
-// bench is a platform with one entry instance, and operators before it.
-type bench struct {
+// fixture is a platform with one entry instance, and operators before it.
+type fixture struct {
 	t        *testing.T
 	platform *standin.Platform
 	entry    *fakeEntry
@@ -69,64 +69,64 @@
 	return &oas.ProblemStatusCode{StatusCode: 500, Response: oas.Problem{Status: 500, Title: err.Error()}}
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	p, err := standin.StartPlatform(standin.PlatformOptions{})
 	must.NoError(t, err)
 	t.Cleanup(p.Close)
-	b := &bench{t: t, platform: p, entry: &fakeEntry{inForce: true}, dir: t.TempDir()}
-	server, err := oas.NewServer(b.entry, api.NewTokenCheck(testToken))
+	f := &fixture{t: t, platform: p, entry: &fakeEntry{inForce: true}, dir: t.TempDir()}
+	server, err := oas.NewServer(f.entry, api.NewTokenCheck(testToken))
 	must.NoError(t, err)
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
-	token := filepath.Join(b.dir, "token")
+	token := filepath.Join(f.dir, "token")
 	must.NoError(t, os.WriteFile(token, []byte(testToken+"\n"), 0o600))
-	b.env = map[string]string{envPlatform: p.URL(), envTokenFile: token, envUser: "maria"}
-	b.entryAddress = strings.TrimPrefix(listener.URL, "http://")
-	b.announce(storage.Instance{ID: "0f8fad5b-entry", Kind: storage.Entry, State: storage.Live, DataCentre: "a", OperatorAddress: b.entryAddress})
+	f.env = map[string]string{envPlatform: p.URL(), envTokenFile: token, envUser: "maria"}
+	f.entryAddress = strings.TrimPrefix(listener.URL, "http://")
+	f.announce(storage.Instance{ID: "0f8fad5b-entry", Kind: storage.Entry, State: storage.Live, DataCentre: "a", OperatorAddress: f.entryAddress})
 	for service, n := range map[string]int{"catalogue": 10, "diagnosis": 10, "ordering": 15, "billing": 15} {
 		for i := range n {
-			b.announce(storage.Instance{ID: service + string(rune('a'+i)), Kind: storage.BackendServer, Service: service, State: storage.Live, Slots: 2})
+			f.announce(storage.Instance{ID: service + string(rune('a'+i)), Kind: storage.BackendServer, Service: service, State: storage.Live, Slots: 2})
 		}
 	}
-	return b
+	return f
 }
 
-func (b *bench) announce(i storage.Instance) {
-	c, err := client.New(b.platform.URL(), client.Settings{})
-	must.NoError(b.t, err)
+func (f *fixture) announce(i storage.Instance) {
+	c, err := client.New(f.platform.URL(), client.Settings{})
+	must.NoError(f.t, err)
 	defer c.Close()
-	must.NoError(b.t, c.Announce(context.Background(), i))
+	must.NoError(f.t, c.Announce(context.Background(), i))
 }
 
 // run carries out a command line and returns the exit code and both outputs.
-func (b *bench) run(stdin string, args ...string) (code int, stdout, stderr string) {
+func (f *fixture) run(stdin string, args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = Run(context.Background(), args, Streams{In: strings.NewReader(stdin), Out: &out, Err: &err},
-		func(name string) string { return b.env[name] })
+		func(name string) string { return f.env[name] })
 	return code, out.String(), err.String()
 }
 
-func (b *bench) must(want int, args ...string) string {
-	b.t.Helper()
-	code, stdout, stderr := b.run("", args...)
-	must.Eq(b.t, want, code, must.Sprintf("%v: %s%s", args, stdout, stderr))
+func (f *fixture) mustRun(want int, args ...string) string {
+	f.t.Helper()
+	code, stdout, stderr := f.run("", args...)
+	must.Eq(f.t, want, code, must.Sprintf("%v: %s%s", args, stdout, stderr))
 	return stdout + stderr
 }
 
-func exampleLists() []string {
+func exampleListFiles() []string {
 	dir := filepath.Join("..", "..", "examples", "dimaculangan")
 	return []string{filepath.Join(dir, "customers.json"), filepath.Join(dir, "plans.json")}
 }
 
-// edited writes the example lists with a replacement and returns their names.
-func (b *bench) edited(old, replacement string) []string {
+// writeEditedLists writes the example lists with a replacement and returns their names.
+func (f *fixture) writeEditedLists(old, replacement string) []string {
 	var files []string
-	for _, path := range exampleLists() {
+	for _, path := range exampleListFiles() {
 		data, err := os.ReadFile(path)
-		must.NoError(b.t, err)
-		copied := filepath.Join(b.dir, filepath.Base(path))
-		must.NoError(b.t, os.WriteFile(copied, bytes.Replace(data, []byte(old), []byte(replacement), 1), 0o600))
+		must.NoError(f.t, err)
+		copied := filepath.Join(f.dir, filepath.Base(path))
+		must.NoError(f.t, os.WriteFile(copied, bytes.Replace(data, []byte(old), []byte(replacement), 1), 0o600))
 		files = append(files, copied)
 	}
 	return files
