--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -14,32 +14,32 @@
 	"foxtailspoke/storage"
 )
 
-const applyHelp = `Checks both lists, shows how they differ from those in force, asks, and puts
-them in force if nobody else changed them meanwhile. Then it waits until no
-instance acts on the old ones any more.
+const applyHelp = `Validates both lists, shows how they differ from those in force, asks for
+confirmation, and applies them unless another operator has changed the lists in
+the meantime. Then it waits until no instance uses the old lists any more.
 
-Removing a workspace withdraws its keys. A change of more than 900 rows is sent
-as several versions, one after the other.
+Removing a workspace revokes its keys. A change of more than 900 rows is
+committed as several consecutive versions.
 
 Examples:
 $ foxtailspoke apply --dry-run customers.json plans.json
 $ foxtailspoke apply customers.json plans.json
 $ foxtailspoke apply --yes --made-from 7 --as maria customers.json plans.json
 
-With --made-from, lists made from an older version than the one in force are
+With --made-from, lists based on another version than the one in force are
 refused (exit code 4). Use it when the files were edited after "foxtailspoke
-get", so that another operator's change isn't taken back unseen.
+get", to avoid reverting another operator's change unnoticed.
 
-After exit code 5 (answer lost), "foxtailspoke audit --attempt ID" tells
+After exit code 5 (response lost), "foxtailspoke audit --attempt ID" shows
 whether the change took effect, and applying again is safe.`
 
 type applyCommand struct {
 	app *app
 	listFiles
-	Yes         bool          `long:"yes" description:"Don't ask before the change"`
-	DryRun      bool          `long:"dry-run" description:"Show the difference and change nothing"`
-	BaseVersion *uint64       `long:"made-from" value-name:"VERSION" description:"Refuse unless this version of the lists is in force"`
-	Wait        time.Duration `long:"wait" default:"30s" description:"How long to wait until the change is in force everywhere; 0 doesn't wait"`
+	Yes         bool          `long:"yes" description:"Apply without confirmation"`
+	DryRun      bool          `long:"dry-run" description:"Show the differences without applying them"`
+	BaseVersion *uint64       `long:"made-from" value-name:"VERSION" description:"Fail unless this version of the lists is in force"`
+	Wait        time.Duration `long:"wait" default:"30s" description:"How long to wait until the change is in force everywhere; 0 disables waiting"`
 }
 
 type applyResult struct {
@@ -94,14 +94,14 @@
 	}
 	p, err := conn.operator.Propose(ctx, l)
 	if err == nil && c.BaseVersion != nil && *c.BaseVersion != p.Base.Version {
-		return p, newExitError(exitConflict, "Nothing was applied: the lists in force are version %d, and yours were made from version %d.", p.Base.Version, *c.BaseVersion)
+		return p, newExitError(exitConflict, "Nothing was applied: the lists in force are version %d, and yours are based on version %d.", p.Base.Version, *c.BaseVersion)
 	}
 	return p, err
 }
 
-// serverCounts counts the backend servers against which floors are checked. A
-// floor that is in force already passes even if servers are away just now:
-// otherwise an outage would keep operators from changing anything.
+// serverCounts returns the numbers of backend servers that floors are validated
+// against. A service with fewer live servers than its floor in force counts as
+// having that floor: otherwise an outage would block all changes.
 func (c *applyCommand) serverCounts(ctx context.Context, conn connection) (lists.ServerCounts, error) {
 	counts, err := countServers(ctx, conn.platform)
 	if err != nil {
@@ -120,13 +120,13 @@
 	return counts, nil
 }
 
-// printChanges prints the difference.
+// printChanges prints the differences unless the output is JSON.
 func (c *applyCommand) printChanges(p operator.Proposal) {
 	if c.app.json() {
 		return
 	}
 	if p.Empty() {
-		c.app.printf("Nothing to do: version %d says the same.\n", p.Base.Version)
+		c.app.printf("Nothing to do: version %d has the same contents.\n", p.Base.Version)
 		return
 	}
 	c.app.printf("Changes to version %d:\n", p.Base.Version)
@@ -134,11 +134,12 @@
 		c.app.printf("  %s\n", change)
 	}
 	for _, k := range p.RevokedKeys {
-		c.app.printf("  - key %s of workspace %s is withdrawn with it\n", k.ID, k.Workspace)
+		c.app.printf("  - key %s of workspace %s is revoked with the workspace\n", k.ID, k.Workspace)
 	}
 }
 
-// awaitResult tells how the change ended and waits for it.
+// awaitResult reports the outcome of the commit. If the change was accepted, it
+// waits until the change is in force.
 func (c *applyCommand) awaitResult(conn connection, p operator.Proposal, a operator.Applied) (*operator.InForce, error) {
 	switch a.Outcome {
 	case operator.NothingToDo:
@@ -146,9 +147,9 @@
 	case operator.Conflict:
 		return nil, c.conflictError(p, a)
 	case operator.Unresolved:
-		return nil, newExitError(exitUnresolved, "The platform's answer was lost. It isn't known whether version %d took effect, and it still may.\nFind out by: foxtailspoke audit --attempt %s. %s", a.Version, a.Attempt, stagesNote(a))
+		return nil, newExitError(exitUnresolved, "The platform's response was lost. It isn't known whether version %d took effect; it may still do so.\nTo find out, run: foxtailspoke audit --attempt %s. %s", a.Version, a.Attempt, stagesNote(a))
 	case operator.Stopped:
-		return nil, newExitError(exitUnavailable, "The platform doesn't answer any more. %s", stagesNote(a))
+		return nil, newExitError(exitUnavailable, "The platform stopped responding. %s", stagesNote(a))
 	case operator.Accepted:
 	}
 	if !c.app.json() {
@@ -166,21 +167,22 @@
 		}
 	}
 	if a.Stages.Accepted > 0 {
-		return newExitError(exitConflict, "Another change came between:%s\n%s", b.String(), stagesNote(a))
+		return newExitError(exitConflict, "Another change was committed before yours was complete:%s\n%s", b.String(), stagesNote(a))
 	}
-	return newExitError(exitConflict, "Nothing was applied: after you read version %d, another change came first:%s\nLook at it by \"foxtailspoke get\", and apply again.", p.Base.Version, b.String())
+	return newExitError(exitConflict, "Nothing was applied: another change was committed after you read version %d:%s\nReview it with \"foxtailspoke get\", and apply again.", p.Base.Version, b.String())
 }
 
-// stagesNote tells what stands of a change that takes several versions.
+// stagesNote describes which part of a change that takes several versions was
+// accepted.
 func stagesNote(a operator.Applied) string {
 	if a.Stages.Accepted == 0 {
 		return ""
 	}
-	return fmt.Sprintf("The change is so large that it takes %d versions; the first %d are accepted and stand. Apply again to send the rest.", a.Stages.Of, a.Stages.Accepted)
+	return fmt.Sprintf("The change is so large that it takes %d versions; the first %d are accepted and remain so. Apply again to commit the rest.", a.Stages.Of, a.Stages.Accepted)
 }
 
-// finishJSON prints a result as JSON if asked for. The error then only sets the
-// exit code, as the result tells it all.
+// finishJSON prints the result if the output is JSON. The error then only sets
+// the exit code, because the result contains the details.
 func (a *app) finishJSON(result any, err error) error {
 	if !a.json() {
 		return err
@@ -194,46 +196,48 @@
 	return nil
 }
 
-// reportedError has been told already.
+// reportedError is an error that needs no message, because the JSON result has
+// been printed.
 type reportedError struct{ error }
 
 func (e *reportedError) Unwrap() error { return e.error }
 
-// waitInForce waits until a revision is in force everywhere and says so, or
-// what is missing.
+// waitInForce waits until a revision is in force everywhere. It reports success
+// or what is missing.
 func (a *app) waitInForce(conn connection, r storage.Revision, wait time.Duration) (*operator.InForce, error) {
 	if wait <= 0 {
 		return nil, nil
 	}
 	if conn.fleet == nil {
-		return nil, newExitError(exitNotInForce, "It is accepted, but whether it is in force everywhere can't be asked without --token-file.")
+		return nil, newExitError(exitNotInForce, "The change is accepted, but whether it is in force everywhere can't be checked without --token-file.")
 	}
 	if r == 0 {
-		return nil, newExitError(exitNotInForce, "It is accepted, but its revision was lost with the answer, and the platform doesn't answer now. See \"foxtailspoke status\".")
+		return nil, newExitError(exitNotInForce, "The change is accepted, but its revision was lost with the response, and the platform is not responding. See \"foxtailspoke status\".")
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, wait)
 	defer cancel()
 	f, err := conn.operator.WaitInForce(ctx, conn.fleet, r)
 	if errors.Is(err, operator.ErrNoEntry) {
-		return &f, newExitError(exitNotInForce, "It is accepted, but no entry instance answered within %s, so nobody can tell whether it is in force everywhere.", wait)
+		return &f, newExitError(exitNotInForce, "The change is accepted, but no entry instance answered within %s, so it isn't known whether it is in force everywhere.", wait)
 	}
 	if !f.InForce {
-		return &f, newExitError(exitNotInForce, "It is accepted, but not in force everywhere after %s. %d witnesses know it; missing: %s", wait, len(f.KnownBy), missingWitnesses(f.Missing))
+		return &f, newExitError(exitNotInForce, "The change is accepted, but not in force everywhere after %s. %d witnesses know it; missing: %s", wait, len(f.KnownBy), missingWitnesses(f.Missing))
 	}
 	if !a.json() {
-		a.printf("It is in force everywhere.\n")
+		a.printf("The change is in force everywhere.\n")
 	}
 	return &f, nil
 }
 
 func missingWitnesses(list []string) string {
 	if len(list) == 0 {
-		return "only time"
+		return "none, but the waiting time has not elapsed"
 	}
 	return strings.Join(list, ", ")
 }
 
-// confirm asks on the terminal. Anything but yes, and the end of input, is no.
+// confirm asks the operator for confirmation. Any input but y or yes, including
+// the end of input, declines.
 func (a *app) confirm(question string) bool {
 	a.notef("%s [y/N] ", question)
 	line, _ := bufio.NewReader(a.streams.In).ReadString('\n')
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -7,17 +7,17 @@
 	"foxtailspoke/operator"
 )
 
-const auditHelp = `Shows who changed what, when, from which version to which, the newest first.
+const auditHelp = `Shows who changed what, when, and from which version to which, newest first.
 
 Examples:
 $ foxtailspoke audit
 $ foxtailspoke audit --since 30d
-$ foxtailspoke audit --attempt 6d1c...   (did a change whose answer was lost take effect?)`
+$ foxtailspoke audit --attempt 6d1c...   (did a change whose response was lost take effect?)`
 
 type auditCommand struct {
 	app     *app
-	Since   durationFlag `long:"since" default:"7d" description:"How far back to look, such as 12h or 30d"`
-	Attempt string       `long:"attempt" value-name:"ID" description:"Only this attempt; exit code 8 if it isn't there"`
+	Since   durationFlag `long:"since" default:"7d" description:"Maximum age of the entries shown, such as 12h or 30d"`
+	Attempt string       `long:"attempt" value-name:"ID" description:"Show only this attempt; exit code 8 if it isn't found"`
 }
 
 // Execute implements flags.Commander.
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// auditLine tells an entry in one line.
+// auditLine formats an entry as one line.
 func auditLine(e operator.AuditEntry) string {
 	line := fmt.Sprintf("%s %s ", e.At.UTC().Format(time.RFC3339), e.Who)
 	label := ""
@@ -62,9 +62,9 @@
 	case operator.ApplyLists:
 		line += fmt.Sprintf("changed the lists from version %d to %d", e.From, e.To)
 	case operator.KeyIssued:
-		line += fmt.Sprintf("gave key %s%s to workspace %s", e.Key, label, e.Workspace)
+		line += fmt.Sprintf("issued key %s%s to workspace %s", e.Key, label, e.Workspace)
 	case operator.KeyRevoked:
-		line += fmt.Sprintf("withdrew key %s%s of workspace %s", e.Key, label, e.Workspace)
+		line += fmt.Sprintf("revoked key %s%s of workspace %s", e.Key, label, e.Workspace)
 	default:
 		line += string(e.Action)
 	}
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -10,15 +10,15 @@
 	"foxtailspoke/storage"
 )
 
-const checkHelp = `Checks both lists and prints every fault with its file, line and field.
-Floors are compared with the backend servers that the platform lists, if it
-is named; --offline leaves that out.
+const checkHelp = `Validates both lists and prints every error with its file, line and field.
+If a platform is configured, floors are compared with the number of backend
+servers that it lists; --offline skips this check.
 
 Examples:
 $ foxtailspoke check --offline customers.json plans.json
-$ foxtailspoke check customers.json plans.json && echo good`
+$ foxtailspoke check customers.json plans.json && echo valid`
 
-// listFiles are the arguments of check and apply.
+// listFiles holds the arguments of check and apply.
 type listFiles struct {
 	Files struct {
 		Customers string `positional-arg-name:"CUSTOMERS" description:"The customers' list"`
@@ -29,14 +29,15 @@
 type checkCommand struct {
 	app *app
 	listFiles
-	Offline bool `long:"offline" description:"Don't ask the platform for the number of backend servers"`
+	Offline bool `long:"offline" description:"Don't query the platform for the number of backend servers"`
 }
 
 type checkResult struct {
 	Workspaces int `json:"workspaces"`
 	Plans      int `json:"plans"`
 	Services   int `json:"services"`
-	// FloorsCompared tells whether floors were compared with the platform.
+	// FloorsCompared reports whether floors were compared with the number of
+	// backend servers.
 	FloorsCompared bool `json:"floorsCompared"`
 }
 
@@ -54,15 +55,15 @@
 	if c.app.json() {
 		return c.app.printJSON(r)
 	}
-	c.app.printf("Both lists are correct: %d workspaces, %d plans, %d services.\n", r.Workspaces, r.Plans, r.Services)
+	c.app.printf("Both lists are valid: %d workspaces, %d plans, %d services.\n", r.Workspaces, r.Plans, r.Services)
 	if counts == nil {
-		c.app.notef("Floors weren't compared with the number of backend servers, because the platform wasn't asked.\n")
+		c.app.notef("Floors weren't compared with the number of backend servers, because the platform wasn't queried.\n")
 	}
 	return nil
 }
 
-// serverCounts asks the platform unless the check is offline or no platform is
-// named.
+// serverCounts queries the platform for the numbers of backend servers. It
+// returns nil if the check is offline or no platform is configured.
 func (c *checkCommand) serverCounts() (lists.ServerCounts, error) {
 	if c.Offline {
 		return nil, nil
@@ -80,7 +81,7 @@
 	return countServers(ctx, conn.platform)
 }
 
-// countServers counts the live backend servers of each service.
+// countServers returns the number of live backend servers of each service.
 func countServers(ctx context.Context, p storage.Instances) (lists.ServerCounts, error) {
 	all, err := p.List(ctx, 0)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return counts, nil
 }
 
-// read reads and checks both files. All faults come as one error.
+// read reads and validates both files. It returns all diagnostics as one error.
 func (f *listFiles) read(counts lists.ServerCounts) (lists.Lists, error) {
 	customers, err := readSource(f.Files.Customers)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli has the commands of foxtailspoke, the operators' program. They
-// read the command line and print; what they do is in package operator.
+// Package cli implements the commands of foxtailspoke, the operators' command
+// line. It parses arguments and prints results; the actions themselves are in
+// package operator.
 package cli
 
 import (
@@ -15,36 +16,38 @@
 	"foxtailspoke/storage"
 )
 
-// Exit codes, for shells.
+// Exit codes, documented for scripts in longHelp.
 const (
 	exitOK = iota
-	// exitFailed: something else went wrong; see the message.
+	// exitFailed: any other failure; the message describes it.
 	exitFailed
-	// exitUsage: the command line is wrong.
+	// exitUsage: the command line is invalid.
 	exitUsage
-	// exitInvalid: a list or the settings have faults. Nothing was applied.
+	// exitInvalid: a list or the settings file is invalid. Nothing was applied.
 	exitInvalid
-	// exitConflict: another operator's change came first. Nothing was applied.
+	// exitConflict: another operator's change was committed first, and this
+	// one was not applied, except for the versions reported as accepted.
 	exitConflict
-	// exitUnresolved: the answer was lost and it isn't known yet whether
+	// exitUnresolved: the response was lost, and it isn't known yet whether
 	// the change took effect.
 	exitUnresolved
-	// exitUnavailable: the platform gave no answer. Nothing was changed.
+	// exitUnavailable: the platform did not respond. Nothing was changed,
+	// except for the versions reported as accepted.
 	exitUnavailable
-	// exitNotInForce: the change is accepted, but not known to be in force
-	// everywhere yet.
+	// exitNotInForce: the change is accepted, but it isn't known to be in
+	// force everywhere yet.
 	exitNotInForce
 	// exitNotFound: no such workspace, key, request or attempt.
 	exitNotFound
-	// exitDeclined: the operator answered no.
+	// exitDeclined: the operator did not confirm the change.
 	exitDeclined
 )
 
-const longHelp = `Operators drive foxtailspoke by two lists (the customers' and the plans') and
-by keys. Every change goes straight to the platform's table, so that it works
-with all entry instances down.
+const longHelp = `Operators configure foxtailspoke with two lists (customers and plans) and with
+keys. Every change is written directly to the platform's table, so it works
+even when all entry instances are down.
 
-A first session:
+Getting started:
 $ export FOXTAILSPOKE_PLATFORM=http://10.0.0.1:7000
 $ export FOXTAILSPOKE_TOKEN_FILE=/etc/foxtailspoke/operator.token
 $ foxtailspoke check customers.json plans.json
@@ -53,17 +56,18 @@
 $ foxtailspoke status
 $ foxtailspoke explain --workspace cebu-boatyard --since 1h
 
-Exit codes: 0 done, 1 failed, 2 wrong usage, 3 faults in a list, 4 another
-operator came first, 5 answer lost and not resolved, 6 platform unavailable,
-7 accepted but not known to be in force everywhere, 8 not found, 9 declined.`
+Exit codes: 0 success, 1 other failure, 2 usage error, 3 invalid list or
+settings, 4 conflict with another operator's change, 5 response lost and outcome
+unknown, 6 platform unavailable, 7 accepted but not known to be in force
+everywhere, 8 not found, 9 declined.`
 
-// Streams are the program's standard streams.
+// Streams holds the standard streams of the process.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// app is one run of the program.
+// app is one invocation of the program.
 type app struct {
 	ctx     context.Context
 	streams Streams
@@ -71,7 +75,7 @@
 	global  globalOptions
 }
 
-// exitError ends the program with a code.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	err  error
@@ -84,7 +88,7 @@
 	return &exitError{code: code, err: errors.Newf(format, args...)}
 }
 
-// Run carries out one command line and returns the exit code.
+// Run executes one command line and returns the exit code.
 func Run(ctx context.Context, args []string, s Streams, getenv func(string) string) int {
 	a := &app{ctx: ctx, streams: s, getenv: getenv}
 	parser := flags.NewNamedParser("foxtailspoke", flags.HelpFlag|flags.PassDoubleDash)
@@ -98,7 +102,8 @@
 	return exitOK
 }
 
-// reportError prints why the command ended and returns the exit code.
+// reportError prints the error, unless it has been reported already, and
+// returns the exit code.
 func (a *app) reportError(err error) int {
 	var usage *flags.Error
 	if errors.As(err, &usage) && usage.Type == flags.ErrHelp {
@@ -165,25 +170,25 @@
 		name, short, long string
 		command           any
 	}{
-		{"check", "Check both lists", checkHelp, &checkCommand{app: a}},
-		{"apply", "Put both lists in force", applyHelp, &applyCommand{app: a}},
+		{"check", "Validate both lists", checkHelp, &checkCommand{app: a}},
+		{"apply", "Apply both lists", applyHelp, &applyCommand{app: a}},
 		{"get", "Show the lists in force", getHelp, &getCommand{app: a}},
 		{"audit", "Show who changed what", auditHelp, &auditCommand{app: a}},
-		{"status", "Show the fleet", statusHelp, &statusCommand{app: a}},
-		{"explain", "Tell why a request was served, slowed or refused", explainHelp, &explainCommand{app: a}},
+		{"status", "Show the status of the fleet", statusHelp, &statusCommand{app: a}},
+		{"explain", "Explain why a request was served, delayed or refused", explainHelp, &explainCommand{app: a}},
 	} {
 		if _, err := add(p, c.name, c.short, c.long, c.command); err != nil {
 			return err
 		}
 	}
-	keys, err := add(p, "keys", "Give, withdraw and list keys", keysHelp, &struct{}{})
+	keys, err := add(p, "keys", "Issue, revoke and list keys", keysHelp, &struct{}{})
 	if err != nil {
 		return err
 	}
-	if _, err := add(keys, "give", "Give a key to a workspace", issueHelp, &issueCommand{app: a}); err != nil {
+	if _, err := add(keys, "give", "Issue a key to a workspace", issueHelp, &issueCommand{app: a}); err != nil {
 		return err
 	}
-	if _, err := add(keys, "withdraw", "Take a key back", revokeHelp, &revokeCommand{app: a}); err != nil {
+	if _, err := add(keys, "withdraw", "Revoke a key", revokeHelp, &revokeCommand{app: a}); err != nil {
 		return err
 	}
 	_, err = add(keys, "list", "List keys", listHelp, &listCommand{app: a})
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,8 +21,9 @@
 	"foxtailspoke/storage/client"
 )
 
-// A newcomer's first session: check, apply, give a key, see it, explain a
-// refusal, withdraw the key, read the trail.
+// The common commands work in sequence: check, apply, issue a key, list it,
+// show the status, revoke the key, read the audit trail. Neither the status nor
+// the audit trail contains the key.
 func TestOperatorWorkflow(t *testing.T) {
 	f := newFixture(t)
 	must.StrContains(t, f.mustRun(exitOK, append([]string{"check"}, exampleListFiles()...)...), "10 workspaces, 3 plans, 4 services")
@@ -32,7 +33,7 @@
 	code, stdout, _ = f.run("y\n", append([]string{"apply"}, exampleListFiles()...)...)
 	must.Eq(t, exitOK, code)
 	must.StrContains(t, stdout, "Version 1 is accepted")
-	must.StrContains(t, stdout, "It is in force everywhere.")
+	must.StrContains(t, stdout, "The change is in force everywhere.")
 	must.StrContains(t, f.mustRun(exitOK, append([]string{"apply"}, exampleListFiles()...)...), "Nothing to do")
 
 	code, key, _ := f.run("", "keys", "give", "--workspace", "cebu-boatyard", "--label", "till-3")
@@ -45,22 +46,22 @@
 	status := f.mustRun(exitOK, "status")
 	must.StrContains(t, status, "Lists version 1 at revision 2: 10 workspaces, 3 plans, 4 services, 1 keys.")
 	must.StrContains(t, status, "catalogue-3 at weight 0.25: its answers take 8 times as long")
-	must.StrContains(t, status, "1.5 tokens left of burst 40 here (20 of 60 parts), 7 refused")
+	must.StrContains(t, status, "1.5 tokens left of burst 40 on this instance (20 of 60 parts), 7 refused")
 
-	must.StrContains(t, f.mustRun(exitUsage, "keys", "withdraw", key), "That is a key")
+	must.StrContains(t, f.mustRun(exitUsage, "keys", "withdraw", key), "The argument is a key")
 	code, stdout, _ = f.run(key+"\n", "keys", "withdraw", "--stdin")
 	must.Eq(t, exitOK, code)
-	must.StrContains(t, stdout, "Key "+id+" of workspace cebu-boatyard is withdrawn.")
+	must.StrContains(t, stdout, "Key "+id+" of workspace cebu-boatyard is revoked.")
 	must.StrContains(t, f.mustRun(exitNotFound, "keys", "withdraw", id), "no such key")
-	trail := f.mustRun(exitOK, "audit")
-	must.StrContains(t, trail, "maria changed the lists from version 0 to 1")
-	must.StrContains(t, trail, "maria gave key "+id+" (till-3) to workspace cebu-boatyard")
-	must.StrContains(t, trail, "maria withdrew key "+id)
-	must.False(t, strings.Contains(trail+status, key[len(operator.KeyPrefix):]))
+	audit := f.mustRun(exitOK, "audit")
+	must.StrContains(t, audit, "maria changed the lists from version 0 to 1")
+	must.StrContains(t, audit, "maria issued key "+id+" (till-3) to workspace cebu-boatyard")
+	must.StrContains(t, audit, "maria revoked key "+id)
+	must.False(t, strings.Contains(audit+status, key[len(operator.KeyPrefix):]))
 }
 
-// A refusal is explained from the memory of the instance that decided, and
-// after that instance has gone from the object store.
+// A refusal is explained from the memory of the instance that decided it, and
+// from the object store after that instance has ended.
 func TestExplain(t *testing.T) {
 	f := newFixture(t)
 	at := time.Now().UTC().Add(-time.Minute).Truncate(time.Millisecond)
@@ -96,8 +97,8 @@
 	must.StrContains(t, f.mustRun(exitUsage, "explain"), "name a request or a workspace")
 }
 
-// Faults, races and outages end with their own exit codes, and with nothing
-// applied.
+// Invalid lists, conflicts, unknown names and outages have distinct exit codes.
+// Invalid and conflicting changes are not applied.
 func TestExitCodes(t *testing.T) {
 	f := newFixture(t)
 	apply := func(files []string, more ...string) []string {
@@ -117,7 +118,7 @@
 
 	f.entry.inForce = false
 	must.StrContains(t, f.mustRun(exitNotInForce, apply(exampleListFiles())...), "not in force everywhere after 300ms. 1 witnesses know it; missing: w2")
-	must.StrContains(t, f.mustRun(exitConflict, apply(f.writeEditedLists(`"rate": 20`, `"rate": 21`), "--made-from", "0")...), "version 1, and yours were made from version 0")
+	must.StrContains(t, f.mustRun(exitConflict, apply(f.writeEditedLists(`"rate": 20`, `"rate": 21`), "--made-from", "0")...), "version 1, and yours are based on version 0")
 	must.Eq(t, 1, strings.Count(f.mustRun(exitOK, "audit"), "changed the lists"))
 	must.StrContains(t, f.mustRun(exitNotFound, "keys", "give", "--workspace", "nobody"), "no such workspace")
 	must.StrContains(t, f.mustRun(exitUsage, "apply"), "required argument")
@@ -126,17 +127,17 @@
 
 	must.NoError(t, os.WriteFile(f.env[envTokenFile], []byte("wrong"), 0o600))
 	must.StrContains(t, f.mustRun(exitNotInForce, apply(f.writeEditedLists(`"rate": 20`, `"rate": 23`))...), "no entry instance answered")
-	must.StrContains(t, f.mustRun(exitOK, "status"), "no answer")
+	must.StrContains(t, f.mustRun(exitOK, "status"), "no response")
 	f.env[envTokenFile] = ""
-	must.StrContains(t, f.mustRun(exitNotInForce, apply(f.writeEditedLists(`"rate": 20`, `"rate": 22`))...), "can't be asked without --token-file")
+	must.StrContains(t, f.mustRun(exitNotInForce, apply(f.writeEditedLists(`"rate": 20`, `"rate": 22`))...), "can't be checked without --token-file")
 	f.platform.Close()
 	f.mustRun(exitUnavailable, apply(exampleListFiles(), "--timeout", "200ms")...)
 	delete(f.env, envPlatform)
 	must.StrContains(t, f.mustRun(exitUsage, "get"), "--platform URL")
 }
 
-// hookReader calls f before it gives its text, as an operator who thinks about a
-// question while others act.
+// hookReader calls beforeRead before the first read. It simulates another
+// operator who acts while a confirmation is pending.
 type hookReader struct {
 	io.Reader
 	beforeRead func()
@@ -150,33 +151,34 @@
 	return r.Reader.Read(p)
 }
 
-// Maria looks at the difference; Ercan applies his meanwhile; Maria says yes.
-// She must lose and learn who won with what.
+// Another operator applies a change between the display of the differences and
+// the confirmation. The confirmed change must fail with a conflict that names
+// the other operator and the change.
 func TestConcurrentApplyDuringConfirmation(t *testing.T) {
 	f := newFixture(t)
 	f.mustRun(exitOK, append([]string{"apply", "--yes"}, exampleListFiles()...)...)
-	theirs := f.writeEditedLists(`"rate": 20`, `"rate": 25`)
+	otherFiles := f.writeEditedLists(`"rate": 20`, `"rate": 25`)
 	in := &hookReader{Reader: strings.NewReader("yes\n"), beforeRead: func() {
-		f.mustRun(exitOK, append([]string{"apply", "--yes", "--as", "ercan"}, theirs...)...)
+		f.mustRun(exitOK, append([]string{"apply", "--yes", "--as", "ercan"}, otherFiles...)...)
 	}}
-	mine := filepath.Join(f.dir, "mine.json")
+	plansFile := filepath.Join(f.dir, "mine.json")
 	data, err := os.ReadFile(exampleListFiles()[1])
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(mine, bytes.Replace(data, []byte(`"rate": 20`), []byte(`"rate": 22`), 1), 0o600))
+	must.NoError(t, os.WriteFile(plansFile, bytes.Replace(data, []byte(`"rate": 20`), []byte(`"rate": 22`), 1), 0o600))
 	var stdout, stderr bytes.Buffer
-	code := Run(context.Background(), []string{"apply", exampleListFiles()[0], mine}, Streams{In: in, Out: &stdout, Err: &stderr},
+	code := Run(context.Background(), []string{"apply", exampleListFiles()[0], plansFile}, Streams{In: in, Out: &stdout, Err: &stderr},
 		func(name string) string { return f.env[name] })
 	must.Eq(t, exitConflict, code)
 	must.StrContains(t, stdout.String(), "~ plan workshop: service catalogue (20 a second, burst 40) becomes (22 a second, burst 40)")
-	must.StrContains(t, stderr.String(), "Nothing was applied: after you read version 1, another change came first:")
+	must.StrContains(t, stderr.String(), "Nothing was applied: another change was committed after you read version 1:")
 	must.StrContains(t, stderr.String(), "ercan changed the lists from version 1 to 2")
 	must.StrContains(t, stderr.String(), "becomes (25 a second, burst 40)")
 	must.StrContains(t, f.mustRun(exitOK, "get"), `"rate": 25`)
 }
 
-// The platform carries out a change and its answer is lost; the next write is
-// lost itself. Both must end as accepted, once. While it stays away, nobody
-// may claim either.
+// The response to a committed change is lost; then the next write itself is
+// lost. Each change must be reported as accepted and be applied exactly once.
+// While all responses are lost, the outcome must be reported as unknown.
 func TestLostResponses(t *testing.T) {
 	f := newFixture(t)
 	apply := func(rate string) []string {
@@ -200,8 +202,8 @@
 	must.StrContains(t, f.mustRun(exitNotFound, "audit", "--attempt", "none"), "has not taken effect so far")
 }
 
-// A service lost servers and is below its floor. The operator must still be
-// able to change other things, but not to raise that floor.
+// A service has fewer live servers than its floor. Operators must still be able
+// to make other changes, but not to raise that floor.
 func TestOutageDoesNotBlockOtherChanges(t *testing.T) {
 	f := newFixture(t)
 	f.mustRun(exitOK, append([]string{"apply", "--yes"}, exampleListFiles()...)...)
@@ -214,8 +216,8 @@
 	must.StrContains(t, out, "found the floor 7; allowed: at most 6")
 }
 
-// The platform is away. An operator names an entry instance and sees what it
-// knows; without one there is nothing to show, and the exit code says so.
+// While the platform is unavailable, status shows the data of the entry
+// instances given by --entry; without any it ends with exitUnavailable.
 func TestStatusWithoutPlatform(t *testing.T) {
 	f := newFixture(t)
 	must.NoError(t, f.platform.UpdateFaults(func(f *standin.PlatformFaults) {
@@ -227,7 +229,7 @@
 	f.mustRun(exitUnavailable, "status", "--timeout", "300ms")
 }
 
-// What get writes can be applied again as it is.
+// The files that get writes can be applied again unchanged.
 func TestGetRoundTrip(t *testing.T) {
 	f := newFixture(t)
 	f.mustRun(exitOK, append([]string{"apply", "--yes"}, exampleListFiles()...)...)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -7,11 +7,11 @@
 	"foxtailspoke/operator"
 )
 
-const explainHelp = `Tells in plain sentences why a request, or a workspace's requests, were
-served, slowed or refused, with the rule and the figures behind it. It reads
-the memory of the entry instances and the object store.
+const explainHelp = `Explains in plain sentences why a request, or the requests of a workspace, were
+served, delayed or refused, with the rule and the figures behind the decision.
+The records come from the memory of the entry instances and the object store.
 
-Refusals, repeats and slow requests are kept; of the others only a sample is.
+Refused, repeated and slow requests are recorded; the others are sampled.
 
 Examples:
 $ foxtailspoke explain 0f8fad5b.mqn0q5fy.2s
@@ -20,11 +20,11 @@
 
 type explainCommand struct {
 	app       *app
-	Workspace string       `long:"workspace" value-name:"NAME" description:"Explain this workspace's requests"`
-	Since     durationFlag `long:"since" default:"1h" description:"How far back to look"`
-	Limit     int          `long:"limit" default:"50" description:"At most so many requests, the newest first; 0 means all"`
+	Workspace string       `long:"workspace" value-name:"NAME" description:"Explain the requests of this workspace"`
+	Since     durationFlag `long:"since" default:"1h" description:"Maximum age of the requests, such as 90m or 7d"`
+	Limit     int          `long:"limit" default:"50" description:"Maximum number of requests, newest first; 0 means all"`
 	Args      struct {
-		Request string `positional-arg-name:"REQUEST-ID" description:"The request's id, from the refusal's body"`
+		Request string `positional-arg-name:"REQUEST-ID" description:"The request's id, from the body of the refusal"`
 	} `positional-args:"yes"`
 }
 
@@ -72,7 +72,7 @@
 	if len(e.Records) > 0 || c.Args.Request == "" {
 		return nil
 	}
-	return newExitError(exitNotFound, "Nothing is recorded of the request %s. Plain successes are kept in part only.", c.Args.Request)
+	return newExitError(exitNotFound, "Nothing is recorded for the request %s. Fast, successful requests are only sampled.", c.Args.Request)
 }
 
 func newExplainResult(e operator.Explanation) explainResult {
@@ -91,19 +91,19 @@
 		c.app.printf("%s  [%s] %s\n  %s\n", r.At.UTC().Format(time.RFC3339), r.Rule, r.Request, r.Sentence())
 	}
 	if len(e.Records) == 0 && c.Args.Request == "" {
-		c.app.printf("No refusal, repeat or slow request is recorded for workspace %s in this time.\n", c.Workspace)
+		c.app.printf("No refusal, repeat or slow request is recorded for workspace %s in this period.\n", c.Workspace)
 	}
 	if e.Complete() {
 		return
 	}
-	c.app.notef("This may not be all:")
+	c.app.notef("The result may be incomplete:")
 	for _, gap := range []struct {
 		count       int
 		description string
 	}{
 		{e.Unresponsive, "instances didn't answer"},
 		{e.UnreadableBatches, "batches couldn't be read"},
-		{e.Skipped, "older batches were left out"},
+		{e.Skipped, "older batches were skipped"},
 		{int(e.Dropped), "records were lost before they were stored"},
 	} {
 		if gap.count > 0 {
--- a/internal/cli/fixture_test.go
+++ b/internal/cli/fixture_test.go
@@ -21,18 +21,19 @@
 
 const testToken = "test-token"
 
-// fixture is a platform with one entry instance, and operators before it.
+// fixture is a stand-in platform with one fake entry instance and announced
+// backend servers.
 type fixture struct {
 	t        *testing.T
 	platform *standin.Platform
 	entry    *fakeEntry
-	// entryAddress is the fake's operator address.
+	// entryAddress is the operator address of entry.
 	entryAddress string
 	dir          string
 	env          map[string]string
 }
 
-// fakeEntry answers the operator API.
+// fakeEntry implements the operator API.
 type fakeEntry struct {
 	oas.UnimplementedHandler
 	inForce bool
@@ -99,7 +100,7 @@
 	must.NoError(f.t, c.Announce(context.Background(), i))
 }
 
-// run carries out a command line and returns the exit code and both outputs.
+// run executes a command line and returns the exit code and both outputs.
 func (f *fixture) run(stdin string, args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = Run(context.Background(), args, Streams{In: strings.NewReader(stdin), Out: &out, Err: &err},
@@ -107,6 +108,8 @@
 	return code, out.String(), err.String()
 }
 
+// mustRun fails the test unless the command line ends with the wanted exit code.
+// It returns both outputs.
 func (f *fixture) mustRun(want int, args ...string) string {
 	f.t.Helper()
 	code, stdout, stderr := f.run("", args...)
@@ -119,7 +122,8 @@
 	return []string{filepath.Join(dir, "customers.json"), filepath.Join(dir, "plans.json")}
 }
 
-// writeEditedLists writes the example lists with a replacement and returns their names.
+// writeEditedLists writes copies of the example lists with the first occurrence of
+// old in each replaced, and returns their paths.
 func (f *fixture) writeEditedLists(old, replacement string) []string {
 	var files []string
 	for _, path := range exampleListFiles() {
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -10,7 +10,7 @@
 )
 
 const getHelp = `Shows the two lists in force, or writes them to customers.json and plans.json in
-a directory. Comments of the files that were applied aren't kept.
+a directory. Comments in the applied files aren't preserved.
 
 Examples:
 $ foxtailspoke get
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -8,24 +8,24 @@
 	"foxtailspoke/operator"
 )
 
-const keysHelp = `Keys are given to workspaces and withdrawn while traffic runs. A key is
-printed once, when it is given; only its SHA-256 hash is kept. A key's id is
-the start of that hash.
+const keysHelp = `Keys are issued to workspaces and revoked without interrupting traffic. A key is
+printed once, when it is issued; only its SHA-256 hash is stored. A key's id is
+a prefix of that hash.
 
 Examples:
 $ foxtailspoke keys give --workspace cebu-boatyard --label till-3
 $ foxtailspoke keys list --workspace cebu-boatyard
 $ foxtailspoke keys withdraw 3f2a90c1b7d4`
 
-const issueHelp = `Gives a new key to a workspace and prints it, once, on standard output.
+const issueHelp = `Issues a new key to a workspace and prints it once, on standard output.
 
 Examples:
 $ foxtailspoke keys give --workspace cebu-boatyard --label till-3
 $ foxtailspoke keys give --workspace cebu-boatyard > key.txt`
 
-const revokeHelp = `Takes a key back and waits until no instance accepts it any more. The key is
-named by its id, by its label, or read from standard input. It is never an
-argument, because arguments show in the list of processes.
+const revokeHelp = `Revokes a key and waits until no instance accepts it any more. The key is
+selected by its id or its label, or read from standard input. It is never an
+argument, because arguments are visible in the process list.
 
 Examples:
 $ foxtailspoke keys withdraw 3f2a90c1b7d4
@@ -39,9 +39,9 @@
 
 type issueCommand struct {
 	app       *app
-	Workspace string        `long:"workspace" value-name:"NAME" required:"yes" description:"Who gets the key"`
-	Label     string        `long:"label" description:"Tells this key from others of the workspace"`
-	Wait      time.Duration `long:"wait" default:"30s" description:"How long to wait until it works everywhere; 0 doesn't wait"`
+	Workspace string        `long:"workspace" value-name:"NAME" required:"yes" description:"Workspace that the key is issued to"`
+	Label     string        `long:"label" description:"Distinguishes the key from others of the workspace"`
+	Wait      time.Duration `long:"wait" default:"30s" description:"How long to wait until the key works everywhere; 0 disables waiting"`
 }
 
 type keyResult struct {
@@ -65,21 +65,21 @@
 	}
 	switch k.Outcome {
 	case operator.Conflict:
-		return newExitError(exitConflict, "No key was given: other operators keep changing workspace %s.", c.Workspace)
+		return newExitError(exitConflict, "No key was issued: other operators keep changing workspace %s.", c.Workspace)
 	case operator.Unresolved:
-		return newExitError(exitUnresolved, "The platform's answer was lost, so the key isn't shown. If \"foxtailspoke audit --attempt %s\" finds it later, withdraw it by \"foxtailspoke keys withdraw %s\". Then give another.", k.Attempt, k.Info.ID)
+		return newExitError(exitUnresolved, "The platform's response was lost, so the key isn't shown. If \"foxtailspoke audit --attempt %s\" finds it later, revoke it with \"foxtailspoke keys withdraw %s\". Then issue another.", k.Attempt, k.Info.ID)
 	case operator.Accepted, operator.NothingToDo:
 	}
 	if !c.app.json() {
 		c.app.printf("%s\n", k.Secret.Reveal())
-		c.app.notef("Key %s is given to workspace %s. It isn't shown again.\n", k.Info.ID, c.Workspace)
+		c.app.notef("Key %s is issued to workspace %s. It isn't shown again.\n", k.Info.ID, c.Workspace)
 	}
 	inForce, err := c.app.withResultsOnStderr().waitInForce(conn, k.Revision, c.Wait)
 	return c.app.finishJSON(keyResult{Key: k.Secret.Reveal(), KeyChange: k, InForce: inForce}, err)
 }
 
-// withResultsOnStderr returns an app that prints results beside the standard output, for
-// commands whose standard output is read by scripts.
+// withResultsOnStderr returns an app that prints results to standard error, for
+// commands whose standard output must contain only the key.
 func (a *app) withResultsOnStderr() *app {
 	redirected := *a
 	redirected.streams.Out = a.streams.Err
@@ -88,10 +88,10 @@
 
 type revokeCommand struct {
 	app       *app
-	Workspace string        `long:"workspace" value-name:"NAME" description:"Whose label it is"`
-	Label     string        `long:"label" description:"Names the key by its label"`
+	Workspace string        `long:"workspace" value-name:"NAME" description:"Workspace of the key with this --label"`
+	Label     string        `long:"label" description:"Selects the key by its label"`
 	Stdin     bool          `long:"stdin" description:"Read the key itself from standard input"`
-	Wait      time.Duration `long:"wait" default:"30s" description:"How long to wait until nobody accepts it; 0 doesn't wait"`
+	Wait      time.Duration `long:"wait" default:"30s" description:"How long to wait until no instance accepts the key; 0 disables waiting"`
 	Args      struct {
 		ID string `positional-arg-name:"ID" description:"The key's id, at least 6 digits of it"`
 	} `positional-args:"yes"`
@@ -124,14 +124,14 @@
 func (c *revokeCommand) reportOutcome(k operator.KeyChange) error {
 	switch k.Outcome {
 	case operator.Conflict:
-		return newExitError(exitConflict, "The key %s was not withdrawn: it was changed at the same time.", k.Info.ID)
+		return newExitError(exitConflict, "The key %s was not revoked: another change of the key was committed at the same time.", k.Info.ID)
 	case operator.Unresolved:
-		return newExitError(exitUnresolved, "The platform's answer was lost. It isn't known whether key %s is withdrawn; withdraw it again.", k.Info.ID)
+		return newExitError(exitUnresolved, "The platform's response was lost. It isn't known whether key %s is revoked; revoke it again.", k.Info.ID)
 	case operator.NothingToDo:
-		c.app.notef("Key %s was withdrawn by somebody else meanwhile.\n", k.Info.ID)
+		c.app.notef("Key %s was revoked by another operator in the meantime.\n", k.Info.ID)
 	case operator.Accepted:
 		if !c.app.json() {
-			c.app.printf("Key %s of workspace %s is withdrawn.\n", k.Info.ID, k.Info.Workspace)
+			c.app.printf("Key %s of workspace %s is revoked.\n", k.Info.ID, k.Info.Workspace)
 		}
 	}
 	return nil
@@ -145,17 +145,17 @@
 		}
 	}
 	if selectors != 1 {
-		return operator.KeySelector{}, newExitError(exitUsage, "Name the key in one way: by its ID, by --label, or by --stdin.")
+		return operator.KeySelector{}, newExitError(exitUsage, "Select the key in exactly one way: by its ID, by --label, or by --stdin.")
 	}
 	if strings.HasPrefix(c.Args.ID, operator.KeyPrefix) {
-		return operator.KeySelector{}, newExitError(exitUsage, "That is a key, and now it is in the list of processes and perhaps in the shell's history. Use its id, or --stdin.")
+		return operator.KeySelector{}, newExitError(exitUsage, "The argument is a key, which is now visible in the process list and perhaps in the shell history. Use its id, or --stdin.")
 	}
 	s := operator.KeySelector{ID: c.Args.ID, Workspace: c.Workspace, Label: c.Label}
 	if c.Stdin {
 		line, _ := bufio.NewReader(c.app.streams.In).ReadString('\n')
 		s.Key = strings.TrimSpace(line)
 		if s.Key == "" {
-			return s, newExitError(exitUsage, "No key on standard input.")
+			return s, newExitError(exitUsage, "No key was found on standard input.")
 		}
 	}
 	return s, nil
@@ -163,7 +163,7 @@
 
 type listCommand struct {
 	app       *app
-	Workspace string `long:"workspace" value-name:"NAME" description:"Only this workspace's keys"`
+	Workspace string `long:"workspace" value-name:"NAME" description:"List only the keys of this workspace"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/cli/options.go
+++ b/internal/cli/options.go
@@ -23,7 +23,7 @@
 	outputJSON = "json"
 )
 
-// Environment variables that stand in for options.
+// Environment variables that are read if an option is not set.
 const (
 	envPlatform  = "FOXTAILSPOKE_PLATFORM"
 	envTokenFile = "FOXTAILSPOKE_TOKEN_FILE"
@@ -32,16 +32,17 @@
 )
 
 type globalOptions struct {
-	Platform       string        `long:"platform" value-name:"URL" description:"The platform's address; else $FOXTAILSPOKE_PLATFORM, else the settings file's \"platform\""`
-	TokenFile      string        `long:"token-file" value-name:"FILE" description:"File with the operators' token for entry instances; else $FOXTAILSPOKE_TOKEN_FILE, else the settings file's \"tokenFile\""`
-	EntryAddresses []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance, asked instead of those that the platform lists; works while the platform is away. May be repeated"`
-	Settings       string        `long:"settings" value-name:"FILE" description:"Settings in JSON with comments; else $FOXTAILSPOKE_SETTINGS. Example: {\"platform\": \"http://10.0.0.1:7000\", \"tokenFile\": \"operator.token\", \"as\": \"maria\"}"`
-	OperatorName   string        `long:"as" value-name:"NAME" description:"Who you are, for the audit trail; else the settings file's \"as\", else $USER"`
-	Output         string        `long:"output" choice:"text" choice:"json" default:"text" description:"How to print the result"`
-	Timeout        time.Duration `long:"timeout" default:"20s" description:"How long to try to reach the platform and to resolve a lost answer"`
+	Platform       string        `long:"platform" value-name:"URL" description:"URL of the platform; else $FOXTAILSPOKE_PLATFORM, else the settings file's \"platform\""`
+	TokenFile      string        `long:"token-file" value-name:"FILE" description:"File with the operator token for entry instances; else $FOXTAILSPOKE_TOKEN_FILE, else the settings file's \"tokenFile\""`
+	EntryAddresses []string      `long:"entry" value-name:"ADDRESS" description:"Operator address of an entry instance to query instead of those that the platform lists, for use while the platform is unavailable. May be repeated"`
+	Settings       string        `long:"settings" value-name:"FILE" description:"Settings file, JSON with comments; else $FOXTAILSPOKE_SETTINGS. Example: {\"platform\": \"http://10.0.0.1:7000\", \"tokenFile\": \"operator.token\", \"as\": \"maria\"}"`
+	OperatorName   string        `long:"as" value-name:"NAME" description:"Operator name for the audit trail; else the settings file's \"as\", else $USER"`
+	Output         string        `long:"output" choice:"text" choice:"json" default:"text" description:"Output format"`
+	Timeout        time.Duration `long:"timeout" default:"20s" description:"Time limit for requests to the platform, including the resolution of a lost response"`
 }
 
-// settings are the options after the environment and the settings file.
+// settings holds the values merged from options, environment variables and the
+// settings file.
 type settings struct {
 	platform     string
 	tokenFile    string
@@ -90,15 +91,15 @@
 	return ""
 }
 
-// connection is what most commands work with.
+// connection holds the clients that commands use.
 type connection struct {
 	platform *client.Client
 	operator *operator.Operator
-	// fleet is nil without a token.
+	// fleet is nil if no token file is configured.
 	fleet operator.Fleet
 }
 
-// errNoPlatform tells how to name the platform.
+// errNoPlatform reports that no platform is configured.
 var errNoPlatform = newExitError(exitUsage, "no platform: use --platform URL or set $%s", envPlatform)
 
 func (a *app) connect() (connection, error) {
@@ -125,7 +126,8 @@
 	return c, nil
 }
 
-// instances returns where the entry instances are looked up.
+// instances returns the source of the entry instances' addresses: the --entry
+// options if there are any, else the platform.
 func (a *app) instances(p *client.Client) storage.Instances {
 	if len(a.global.EntryAddresses) > 0 {
 		return fleet.Addresses(a.global.EntryAddresses)
@@ -133,19 +135,20 @@
 	return p
 }
 
-// connectForChange also demands a name for the audit trail.
+// connectForChange is connect for commands that make changes. It fails if there
+// is no operator name for the audit trail.
 func (a *app) connectForChange() (connection, error) {
 	s, err := a.settings()
 	if err != nil {
 		return connection{}, err
 	}
 	if s.operatorName == "" {
-		return connection{}, newExitError(exitUsage, "nobody to write into the audit trail: use --as NAME")
+		return connection{}, newExitError(exitUsage, "no operator name for the audit trail: use --as NAME")
 	}
 	return a.connect()
 }
 
-// withTimeout bounds the time for the platform.
+// withTimeout returns a context limited by the --timeout option.
 func (a *app) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(a.ctx, a.global.Timeout)
 }
@@ -154,7 +157,7 @@
 	fmt.Fprintf(a.streams.Out, format, args...)
 }
 
-// notef prints what isn't a result, beside the results.
+// notef prints a message that isn't part of the result to standard error.
 func (a *app) notef(format string, args ...any) {
 	fmt.Fprintf(a.streams.Err, format, args...)
 }
@@ -167,7 +170,7 @@
 
 func (a *app) json() bool { return a.global.Output == outputJSON }
 
-// durationFlag is a time on the command line, such as 90m, 36h or 7d.
+// durationFlag is a duration option that also accepts days: 90m, 36h or 7d.
 type durationFlag time.Duration
 
 const day = 24 * time.Hour
@@ -177,18 +180,18 @@
 	if days, ok := strings.CutSuffix(value, "d"); ok {
 		n, err := strconv.Atoi(days)
 		if err != nil || n < 0 {
-			return errors.Newf("%q isn't a number of days", value)
+			return errors.Newf("%q isn't a valid number of days", value)
 		}
 		*s = durationFlag(time.Duration(n) * day)
 		return nil
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil || d < 0 {
-		return errors.Newf("%q isn't a time such as 90m, 36h or 7d", value)
+		return errors.Newf("%q isn't a duration such as 90m, 36h or 7d", value)
 	}
 	*s = durationFlag(d)
 	return nil
 }
 
-// ago returns the time that lies the span back.
+// ago returns the current time minus the duration.
 func (s durationFlag) ago() time.Time { return time.Now().Add(-time.Duration(s)) }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -11,14 +11,15 @@
 	"foxtailspoke/operator"
 )
 
-const statusHelp = `Shows the lists in force, the ejected backend servers and why, and for every
-entry instance its configuration, lowered backend servers and workspaces near
-their limits. With the instances down it shows what the table tells. While the
-platform is away, name instances with --entry.
+const statusHelp = `Shows the version of the lists in force, the ejected backend servers with the
+reasons, and for every entry instance its configuration, the backend servers at
+reduced weight and the workspaces near their limits. If the instances are down,
+it shows only the data in the table. If the platform is unavailable, specify
+instances with --entry.
 
 Examples:
 $ foxtailspoke status
-$ foxtailspoke status --entry 10.0.1.7:8012      (the platform is away)
+$ foxtailspoke status --entry 10.0.1.7:8012      (the platform is unavailable)
 $ foxtailspoke status --output json | jq '.entries[].status.listsVersion'`
 
 type statusCommand struct{ app *app }
@@ -46,7 +47,7 @@
 	}
 	switch {
 	case conn.fleet == nil:
-		c.app.notef("Entry instances weren't asked: that needs --token-file.\n")
+		c.app.notef("Entry instances weren't queried: that requires --token-file.\n")
 	case s.EntriesError != "":
 		c.app.notef("Entry instances couldn't be listed: %s\n", s.EntriesError)
 	}
@@ -61,7 +62,7 @@
 		s.ListsVersion, s.Revision, s.Workspaces, s.Plans, s.Services, s.Keys)
 	for _, service := range slices.Sorted(maps.Keys(s.Ejected)) {
 		for _, e := range s.Ejected[service] {
-			c.app.printf("Ejected: %s of %s: %s (asked for by %s)\n", e.Server, service, e.Reason, e.By)
+			c.app.printf("Ejected: %s of %s: %s (requested by %s)\n", e.Server, service, e.Reason, e.By)
 		}
 	}
 }
@@ -69,7 +70,7 @@
 func (c *statusCommand) printEntry(e operator.EntryStatus) {
 	i := e.Instance
 	if e.Status == nil {
-		c.app.printf("%s in %s (%s): no answer: %s\n", i.ID, i.DataCentre, i.State, e.Error)
+		c.app.printf("%s in %s (%s): no response: %s\n", i.ID, i.DataCentre, i.State, e.Error)
 		return
 	}
 	s := e.Status
@@ -80,7 +81,7 @@
 		c.printService(service)
 	}
 	for _, w := range s.WorkspacesNearLimit {
-		c.app.printf("    workspace %s, service %s: %s tokens left of burst %s here (%d of 60 parts), %d refused\n",
+		c.app.printf("    workspace %s, service %s: %s tokens left of burst %s on this instance (%d of 60 parts), %d refused\n",
 			w.Workspace, w.Service, formatDecimal(w.Tokens), formatDecimal(w.Burst), w.Parts, w.Refused)
 	}
 }
@@ -94,7 +95,7 @@
 	}
 }
 
-// formatDecimal writes a number with at most two decimals.
+// formatDecimal formats a number with at most two decimals.
 func formatDecimal(f float64) string {
 	return strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(f, 'f', 2, 64), "0"), ".")
 }
