--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -22,7 +22,7 @@
 // backend is a backend server. In a spell it resets four in five requests,
 // after it has run them.
 type backend struct {
-	w    *world
+	cluster    *cluster
 	id   string
 	http *httptest.Server
 	// link is the way to it.
@@ -31,102 +31,102 @@
 	writes atomic.Int64
 
 	mu       sync.Mutex
-	bad      time.Time
-	draining time.Time
+	failUntil      time.Time
+	drainingSince time.Time
 
 	dataCentre string
-	// coldTill is when the server bears its full load, and arrived when requests
+	// warmupEnd is when the server bears its full load, and arrived when requests
 	// came until then.
-	coldTill time.Time
-	arrived  []time.Time
-	limit    limit
+	warmupEnd time.Time
+	warmupArrivals  []time.Time
+	limit    requestLimit
 }
 
-func newBackend(w *world, id, dataCentre string, cold time.Duration) *backend {
-	b := &backend{w: w, id: id, dataCentre: dataCentre}
+func newBackend(c *cluster, id, dataCentre string, warmup time.Duration) *backend {
+	b := &backend{cluster: c, id: id, dataCentre: dataCentre}
 	b.http = httptest.NewServer(b)
-	b.link = w.link(strings.TrimPrefix(b.http.URL, "http://"))
-	b.coldTill = time.Now().Add(cold)
-	b.list("ready")
+	b.link = c.startLink(strings.TrimPrefix(b.http.URL, "http://"))
+	b.warmupEnd = time.Now().Add(warmup)
+	b.register("ready")
 	return b
 }
 
-func (b *backend) list(state string) {
-	v, err := json.Marshal(map[string]any{
+func (b *backend) register(state string) {
+	entry, err := json.Marshal(map[string]any{
 		"service": "s", "address": b.link.Address(), "zone": b.dataCentre, "slots": 4,
-		"warmup_left_s": max(0, time.Until(b.coldTill).Seconds()),
+		"warmup_left_s": max(0, time.Until(b.warmupEnd).Seconds()),
 		"state":         state, "seq": b.writes.Add(1), "born": 1790000000000,
 	})
-	must.NoError(b.w.t, err)
-	b.w.store.Put("servers", b.id, v)
+	must.NoError(b.cluster.t, err)
+	b.cluster.store.Put("servers", b.id, entry)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.draining = time.Time{}
+	b.drainingSince = time.Time{}
 	if state == "draining" {
-		b.draining = time.Now()
+		b.drainingSince = time.Now()
 	}
 }
 
-func (b *backend) spell(d time.Duration) {
+func (b *backend) failFor(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.bad = time.Now().Add(d)
+	b.failUntil = time.Now().Add(d)
 }
 
-func (b *backend) ServeHTTP(wr http.ResponseWriter, r *http.Request) {
+func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Attempt-Id")
-	wr.Header().Set("X-Attempt-Id", id)
+	w.Header().Set("X-Attempt-Id", id)
 	if r.Header.Get("X-Expect-Instance") != b.id {
-		wr.WriteHeader(http.StatusMisdirectedRequest)
+		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	b.w.ran(b, id, r)
+	b.cluster.recordExecution(b, id, r)
 	time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
 	b.mu.Lock()
-	bad := time.Now().Before(b.bad)
+	failing := time.Now().Before(b.failUntil)
 	b.mu.Unlock()
-	if bad && rand.IntN(5) > 0 {
+	if failing && rand.IntN(5) > 0 {
 		panic(http.ErrAbortHandler)
 	}
-	wr.Header().Set("X-Response-Seal", "seal")
-	if limit := b.named(); limit > 0 {
-		wr.Header().Set("Server-Limit", strconv.FormatFloat(limit, 'f', 2, 64))
+	w.Header().Set("X-Response-Seal", "seal")
+	if perSecond := b.announcedLimit(); perSecond > 0 {
+		w.Header().Set("Server-Limit", strconv.FormatFloat(perSecond, 'f', 2, 64))
 	}
-	_, _ = wr.Write([]byte(id + string(body)))
+	_, _ = w.Write([]byte(id + string(body)))
 }
 
-// ran checks what a backend server sees.
-func (w *world) ran(b *backend, id string, r *http.Request) {
+// recordExecution checks what a backend server sees.
+func (c *cluster) recordExecution(b *backend, id string, r *http.Request) {
 	now := time.Now()
 	b.mu.Lock()
-	draining := b.draining
+	drainingSince := b.drainingSince
 	b.mu.Unlock()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.runs[id] = append(w.runs[id], now)
-	req, known := w.requests[id]
-	w.checkPlace(b, id, now)
-	w.checkLimit(b, now)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.executions[id] = append(c.executions[id], now)
+	req, known := c.requests[id]
+	c.checkPlacement(b, id, now)
+	c.checkLimit(b, now)
 	switch {
 	case !known:
-		w.faults = append(w.faults, "a request ran that nobody sent: "+id)
+		c.violations = append(c.violations, "a request ran that nobody sent: "+id)
 		return
 	case r.Header.Get("Authorization") != "" || r.Header.Get("X-Tenant") != workspaceOf(req.key):
-		w.faults = append(w.faults, "a server saw a key, or another workspace: "+id)
+		c.violations = append(c.violations, "a server saw a key, or another workspace: "+id)
 	}
 	if req.key == limitedKey {
-		w.limited = append(w.limited, now)
+		c.limitedExecutions = append(c.limitedExecutions, now)
 	}
-	if gone, ok := w.withdrawn[req.key]; ok && req.sent.After(gone.Add(revoke)) {
-		w.faults = append(w.faults, fmt.Sprintf("%s ran, sent %v after its key was taken away", id, req.sent.Sub(gone)))
+	if withdrawnAt, ok := c.withdrawnAt[req.key]; ok && req.sentAt.After(withdrawnAt.Add(revocationBound)) {
+		c.violations = append(c.violations, fmt.Sprintf("%s ran, sent %v after its key was taken away", id, req.sentAt.Sub(withdrawnAt)))
 	}
-	calm := now.Sub(w.disturbed) > keepsStill+drain
-	if !draining.IsZero() && calm && req.sent.After(draining.Add(drain)) {
-		w.faults = append(w.faults, fmt.Sprintf("%s reached %s %v after it began to drain", id, b.id, now.Sub(draining)))
+	settled := now.Sub(c.lastDisturbance) > settlePeriod+drainBound
+	if !drainingSince.IsZero() && settled && req.sentAt.After(drainingSince.Add(drainBound)) {
+		c.violations = append(c.violations, fmt.Sprintf("%s reached %s %v after it began to drain", id, b.id, now.Sub(drainingSince)))
 	}
 }
 
@@ -137,159 +137,159 @@
 	return "w"
 }
 
-// call is one caller: it asks for addresses, keeps the answer, and sends orders
+// runCaller is one caller: it asks for addresses, keeps the answer, and sends orders
 // and lookups.
-func (w *world) call(caller int) {
+func (c *cluster) runCaller(caller int) {
 	var addresses []string
-	var asked time.Time
+	var resolvedAt time.Time
 	for n := 0; ; n++ {
 		select {
-		case <-w.stop:
+		case <-c.stop:
 			return
 		case <-time.After(time.Duration(10+rand.IntN(30)) * time.Millisecond):
 		}
-		if time.Since(asked) > time.Second || len(addresses) == 0 {
-			if fresh := w.resolve(); len(fresh) > 0 {
-				addresses, asked = fresh, time.Now()
+		if time.Since(resolvedAt) > time.Second || len(addresses) == 0 {
+			if fresh := c.resolve(); len(fresh) > 0 {
+				addresses, resolvedAt = fresh, time.Now()
 			}
 		}
 		if len(addresses) > 0 {
-			w.send(fmt.Sprintf("c%d-%d", caller, n), addresses[rand.IntN(len(addresses))], n%2 == 0, w.keyOf(caller))
+			c.send(fmt.Sprintf("c%d-%d", caller, n), addresses[rand.IntN(len(addresses))], n%2 == 0, c.callerKey(caller))
 		}
 	}
 }
 
-// keyOf returns a caller's key. Two callers share that of the limited workspace
+// callerKey returns a caller's key. Two callers share that of the limited workspace
 // and send several times what it may.
-func (w *world) keyOf(caller int) string {
+func (c *cluster) callerKey(caller int) string {
 	if caller < 2 {
 		return limitedKey
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.key
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.currentKey
 }
 
-func (w *world) resolve() []string {
-	resp, err := w.client.Get("http://" + w.at(rand.IntN(len(w.procs)), 2) + "/api/resolve?name=h&zone=dc-0")
+func (c *cluster) resolve() []string {
+	resp, err := c.client.Get("http://" + c.instanceAddress(rand.IntN(len(c.processes)), 2) + "/api/resolve?name=h&zone=dc-0")
 	if err != nil {
 		return nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var d struct {
+	var answer struct {
 		Addresses []string `json:"addresses"`
 	}
-	if json.NewDecoder(resp.Body).Decode(&d) != nil {
+	if json.NewDecoder(resp.Body).Decode(&answer) != nil {
 		return nil
 	}
-	return d.Addresses
+	return answer.Addresses
 }
 
 // send sends one request and checks what its caller sees.
-func (w *world) send(id, address string, order bool, key string) bool {
+func (c *cluster) send(id, address string, order bool, key string) bool {
 	method, path := http.MethodGet, "/lookup/1"
 	if order {
 		method, path = http.MethodPost, "/order/1"
 	}
 	req, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("+"+id))
-	must.NoError(w.t, err)
+	must.NoError(c.t, err)
 	// A body that can't be read again keeps the client from repeating.
 	req.GetBody = nil
-	sent := &request{key: key, order: order, sent: time.Now()}
-	w.mu.Lock()
-	w.requests[id] = sent
-	w.mu.Unlock()
+	record := &request{key: key, order: order, sentAt: time.Now()}
+	c.mu.Lock()
+	c.requests[id] = record
+	c.mu.Unlock()
 	req.Host = "h"
-	req.Header.Set("Authorization", "Token "+sent.key)
+	req.Header.Set("Authorization", "Token "+record.key)
 	req.Header.Set("X-Attempt-Id", id)
 	req.Header.Set("X-Deadline-Ms", "2000")
-	resp, err := w.client.Do(req)
+	resp, err := c.client.Do(req)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		sent.failed = true
+		record.failed = true
 		return false
 	}
-	sent.status = resp.StatusCode
+	record.status = resp.StatusCode
 	if resp.StatusCode == http.StatusOK && string(body) != id+"+"+id {
-		w.faults = append(w.faults, fmt.Sprintf("%s got the answer %q", id, body))
+		c.violations = append(c.violations, fmt.Sprintf("%s got the answer %q", id, body))
 	}
 	return resp.StatusCode == http.StatusOK
 }
 
-// recovered checks that everybody is served again within the time for it once the
+// verifyRecovery checks that everybody is served again within the time for it once the
 // faults have ended. A key that was given while the store was away works as soon as
 // the instances have read of it.
-func (w *world) recovered() {
-	end := time.Now().Add(recovery)
-	for n := range w.procs {
-		for !w.ready(n) && time.Now().Before(end) {
+func (c *cluster) verifyRecovery() {
+	deadline := time.Now().Add(recoveryTimeout)
+	for n := range c.processes {
+		for !c.ready(n) && time.Now().Before(deadline) {
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	const tries = 40
+	const attempts = 40
 	for round := 0; ; round++ {
 		served := 0
-		for i := range tries {
-			if w.send(fmt.Sprintf("last-%d-%d", round, i), w.at(i%len(w.procs), 0), false, w.keyOf(callers)) {
+		for i := range attempts {
+			if c.send(fmt.Sprintf("last-%d-%d", round, i), c.instanceAddress(i%len(c.processes), 0), false, c.callerKey(callerCount)) {
 				served++
 			}
 		}
-		if served >= tries*9/10 {
+		if served >= attempts*9/10 {
 			return
 		}
-		if time.Now().After(end) {
-			w.mu.Lock()
-			w.faults = append(w.faults, fmt.Sprintf("after the faults only %d of %d lookups were served", served, tries))
-			w.mu.Unlock()
+		if time.Now().After(deadline) {
+			c.mu.Lock()
+			c.violations = append(c.violations, fmt.Sprintf("after the faults only %d of %d lookups were served", served, attempts))
+			c.mu.Unlock()
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// check returns all broken promises.
-func (w *world) check() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	faults := append([]string(nil), w.faults...)
-	for id, r := range w.requests {
-		n := len(w.runs[id])
-		if r.order && n > 1 {
-			faults = append(faults, fmt.Sprintf("order %s ran %d times", id, n))
+// checkRequests returns all broken promises.
+func (c *cluster) checkRequests() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	violations := append([]string(nil), c.violations...)
+	for id, req := range c.requests {
+		n := len(c.executions[id])
+		if req.order && n > 1 {
+			violations = append(violations, fmt.Sprintf("order %s ran %d times", id, n))
 		}
-		notRun := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
-		if notRun && r.order && n > 0 {
-			faults = append(faults, fmt.Sprintf("order %s was refused with %d and ran", id, r.status))
+		notRun := req.status == http.StatusServiceUnavailable || req.status == http.StatusTooManyRequests
+		if notRun && req.order && n > 0 {
+			violations = append(violations, fmt.Sprintf("order %s was refused with %d and ran", id, req.status))
 		}
 	}
-	return append(faults, overRate(w.limited)...)
+	return append(violations, checkRate(c.limitedExecutions)...)
 }
 
-// overRate finds windows in which more ran than the limit and its tolerance.
-func overRate(ran []time.Time) (faults []string) {
-	most := (limitedRate*rateWindow.Seconds()+limitedBurst)*(1+overshoot) + slack
-	slices.SortFunc(ran, time.Time.Compare)
-	for first, last := 0, 0; last < len(ran); last++ {
-		for ran[last].Sub(ran[first]) > rateWindow {
+// checkRate finds windows in which more ran than the limit and its tolerance.
+func checkRate(executions []time.Time) (violations []string) {
+	allowed := (limitedRate*rateWindow.Seconds()+limitedBurst)*(1+rateOvershoot) + rateSlack
+	slices.SortFunc(executions, time.Time.Compare)
+	for first, last := 0, 0; last < len(executions); last++ {
+		for executions[last].Sub(executions[first]) > rateWindow {
 			first++
 		}
-		if n := last - first + 1; float64(n) > most {
-			return []string{fmt.Sprintf("%d requests of the limited workspace ran in one window, %.0f may", n, most)}
+		if n := last - first + 1; float64(n) > allowed {
+			return []string{fmt.Sprintf("%d requests of the limited workspace ran in one window, %.0f may", n, allowed)}
 		}
 	}
 	return nil
 }
 
-func (w *world) counts() (served, refused, failed int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, r := range w.requests {
+func (c *cluster) outcomeCounts() (served, refused, failed int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.requests {
 		switch r.status {
 		case http.StatusOK:
 			served++
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	revoke     = 3 * time.Second
-	drain      = 2 * time.Second
-	servers    = 6
-	callers    = 8
-	recovery   = 8 * time.Second
-	keepsStill = 3 * time.Second
+	revocationBound     = 3 * time.Second
+	drainBound      = 2 * time.Second
+	serverCount    = 6
+	callerCount    = 8
+	recoveryTimeout   = 8 * time.Second
+	settlePeriod = 3 * time.Second
 
 	// A workspace that sends several times what it may: its limit, and the
 	// platform's tolerance in a window.
@@ -37,11 +37,11 @@
 	limitedRate  = 10
 	limitedBurst = 10
 	rateWindow   = 5 * time.Second
-	overshoot    = 0.1
-	slack        = 20
+	rateOvershoot    = 0.1
+	rateSlack        = 20
 )
 
-func build(t *testing.T) string {
+func buildEdge(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "foxtailspoke-edge")
 	out, err := exec.Command("go", "build", "-o", path, "foxtailspoke/cmd/foxtailspoke-edge").CombinedOutput()
@@ -49,42 +49,42 @@
 	return path
 }
 
-// world is a fleet of real processes, the stand-in of the store and backend
+// cluster is a fleet of real processes, the stand-in of the store and backend
 // servers in this process, and callers.
-type world struct {
+type cluster struct {
 	t      *testing.T
 	binary string
 	dir    string
-	net    int
+	subnet    int
 	ports  [5]int
 	store  *rowstore.Store
-	http   *httptest.Server
+	storeServer   *httptest.Server
 	client *http.Client
-	backs  []*backend
-	procs  []*process
-	// toStore and toFront are the links of each instance to the store and of
+	backends  []*backend
+	processes  []*process
+	// storeLinks and callerLinks are the links of each instance to the store and of
 	// callers to it.
-	toStore, toFront []*standin.Link
+	storeLinks, callerLinks []*standin.Link
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	version int
-	key     string
-	// withdrawn is when each key was taken away.
-	withdrawn map[string]time.Time
+	currentKey     string
+	// withdrawnAt is when each key was taken away.
+	withdrawnAt map[string]time.Time
 	requests  map[string]*request
-	runs      map[string][]time.Time
-	// disturbed is when a fault last excused late knowledge.
-	disturbed time.Time
-	faults    []string
-	// evacuated is since when nothing may reach each evacuated data centre.
-	evacuated map[string]time.Time
-	// limited is when requests of the limited workspace ran.
-	limited []time.Time
-	// launched is when each process was started again; restores and limits count
+	executions      map[string][]time.Time
+	// lastDisturbance is when a fault last excused late knowledge.
+	lastDisturbance time.Time
+	violations    []string
+	// evacuatedSince is since when nothing may reach each evacuatedSince data centre.
+	evacuatedSince map[string]time.Time
+	// limitedExecutions is when requests of the limitedExecutions workspace ran.
+	limitedExecutions []time.Time
+	// launchTimes is when each process was started again; restores and limits count
 	// drills of the store and limits that servers named.
-	launched         []time.Time
-	restores, limits int
+	launchTimes         []time.Time
+	restoreCount, limitCount int
 	stop             chan struct{}
 	wg               sync.WaitGroup
 }
@@ -92,54 +92,54 @@
 type request struct {
 	key    string
 	order  bool
-	sent   time.Time
+	sentAt   time.Time
 	status int
 	failed bool
 }
 
 type process struct {
-	n     int
+	index     int
 	cmd   *exec.Cmd
 	done  chan struct{}
-	still bool
+	restarting bool
 }
 
-var worlds int
+var clusterCount int
 
-func newWorld(t *testing.T, binary string, seed uint64) *world {
+func newCluster(t *testing.T, binary string, seed uint64) *cluster {
 	t.Helper()
-	worlds++
-	w := &world{
-		t: t, binary: binary, dir: t.TempDir(), net: 100 + worlds%100, store: rowstore.New("op", "servers"),
-		rng: rand.New(rand.NewPCG(seed, 1)), withdrawn: make(map[string]time.Time),
-		evacuated: make(map[string]time.Time), requests: make(map[string]*request), runs: make(map[string][]time.Time), stop: make(chan struct{}),
+	clusterCount++
+	c := &cluster{
+		t: t, binary: binary, dir: t.TempDir(), subnet: 100 + clusterCount%100, store: rowstore.New("op", "servers"),
+		rng: rand.New(rand.NewPCG(seed, 1)), withdrawnAt: make(map[string]time.Time),
+		evacuatedSince: make(map[string]time.Time), requests: make(map[string]*request), executions: make(map[string][]time.Time), stop: make(chan struct{}),
 	}
-	w.http = httptest.NewServer(w.store)
-	w.client = &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{
-		MaxIdleConnsPerHost: callers, DialContext: w.dialThroughLinks,
+	c.storeServer = httptest.NewServer(c.store)
+	c.client = &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{
+		MaxIdleConnsPerHost: callerCount, DialContext: c.dialThroughLinks,
 	}}
-	for i := range w.ports {
+	for i := range c.ports {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		must.NoError(t, err)
 		// All are held until the last is drawn, so that none is drawn twice.
 		defer func() { _ = l.Close() }()
-		w.ports[i] = l.Addr().(*net.TCPAddr).Port
+		c.ports[i] = l.Addr().(*net.TCPAddr).Port
 	}
-	return w
+	return c
 }
 
-func (w *world) ip(n int) string { return fmt.Sprintf("127.%d.0.%d", w.net, n+1) }
+func (c *cluster) instanceIP(n int) string { return fmt.Sprintf("127.%d.0.%d", c.subnet, n+1) }
 
-func (w *world) link(to string) *standin.Link {
+func (c *cluster) startLink(to string) *standin.Link {
 	l, err := standin.StartLink(standin.LinkOptions{Name: to, To: to}, nil)
-	must.NoError(w.t, err)
+	must.NoError(c.t, err)
 	return l
 }
 
 // dialThroughLinks has callers reach the instances over their links.
-func (w *world) dialThroughLinks(ctx context.Context, network, address string) (net.Conn, error) {
-	for n, l := range w.toFront {
-		if address == w.at(n, 0) {
+func (c *cluster) dialThroughLinks(ctx context.Context, network, address string) (net.Conn, error) {
+	for n, l := range c.callerLinks {
+		if address == c.instanceAddress(n, 0) {
 			address = l.Address()
 		}
 	}
@@ -147,49 +147,49 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// links are all links, each a place where the network can fail.
-func (w *world) links() []*standin.Link {
-	all := append(append([]*standin.Link(nil), w.toStore...), w.toFront...)
-	for _, b := range w.backs {
+// allLinks are all allLinks, each a place where the network can fail.
+func (c *cluster) allLinks() []*standin.Link {
+	all := append(append([]*standin.Link(nil), c.storeLinks...), c.callerLinks...)
+	for _, b := range c.backends {
 		all = append(all, b.link)
 	}
 	return all
 }
 
-func (w *world) at(n, port int) string { return fmt.Sprintf("%s:%d", w.ip(n), w.ports[port]) }
+func (c *cluster) instanceAddress(n, port int) string { return fmt.Sprintf("%s:%d", c.instanceIP(n), c.ports[port]) }
 
-func (w *world) start() {
-	for i := range servers {
-		w.backs = append(w.backs, newBackend(w, fmt.Sprintf("i-%d", i), fmt.Sprintf("dc-%d", i%2), 0))
+func (c *cluster) start() {
+	for i := range serverCount {
+		c.backends = append(c.backends, newBackend(c, fmt.Sprintf("i-%d", i), fmt.Sprintf("dc-%d", i%2), 0))
 	}
-	w.configure()
-	for n := range *processes {
-		w.procs = append(w.procs, &process{n: n})
-		w.toStore = append(w.toStore, w.link(strings.TrimPrefix(w.http.URL, "http://")))
-		w.toFront = append(w.toFront, w.link(w.at(n, 0)))
-		w.launch(w.procs[n])
+	c.publishConfig()
+	for n := range *instanceCount {
+		c.processes = append(c.processes, &process{index: n})
+		c.storeLinks = append(c.storeLinks, c.startLink(strings.TrimPrefix(c.storeServer.URL, "http://")))
+		c.callerLinks = append(c.callerLinks, c.startLink(c.instanceAddress(n, 0)))
+		c.launch(c.processes[n])
 	}
-	end := time.Now().Add(10 * time.Second)
-	for n := range *processes {
-		for !w.ready(n) {
-			must.True(w.t, time.Now().Before(end), must.Sprintf("instance %d isn't ready", n))
+	deadline := time.Now().Add(10 * time.Second)
+	for n := range *instanceCount {
+		for !c.ready(n) {
+			must.True(c.t, time.Now().Before(deadline), must.Sprintf("instance %d isn't ready", n))
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	for c := range callers {
-		w.wg.Go(func() { w.call(c) })
+	for caller := range callerCount {
+		c.wg.Go(func() { c.runCaller(caller) })
 	}
 }
 
-// configure puts a configuration with a new key in force. The old key is taken
+// publishConfig puts a configuration with a new key in force. The old key is taken
 // away by it.
-func (w *world) configure() {
-	w.mu.Lock()
-	old := w.key
-	w.version += 1 + w.rng.IntN(3)
-	w.key = fmt.Sprintf("key-%d", w.version)
-	key, version := w.key, w.version
-	w.mu.Unlock()
+func (c *cluster) publishConfig() {
+	c.mu.Lock()
+	old := c.currentKey
+	c.version += 1 + c.rng.IntN(3)
+	c.currentKey = fmt.Sprintf("key-%d", c.version)
+	key, version := c.currentKey, c.version
+	c.mu.Unlock()
 	route := func(name, prefix, kind string) map[string]any {
 		return map[string]any{
 			"name": name, "host": "h", "prefix": prefix, "route_kind": kind, "timeout_s": 1.5, "aim_s": 0.5,
@@ -199,47 +199,47 @@
 	b, err := json.Marshal(map[string]any{
 		"version":  fmt.Sprintf("%08x", version),
 		"routes":   []any{route("lookup", "/lookup/", "idempotent"), route("order", "/order/", "non_idempotent")},
-		"services": []any{map[string]any{"name": "s", "warmup_s": warmUp.Seconds(), "warmup_per_s": coldRate}},
+		"services": []any{map[string]any{"name": "s", "warmup_s": warmupDuration.Seconds(), "warmup_per_s": warmupRate}},
 		"tenants": []any{
 			map[string]any{"name": "w", "api_keys": []string{key}},
 			map[string]any{"name": "limited", "api_keys": []string{limitedKey}, "rate_per_s": limitedRate, "burst": limitedBurst},
 		},
 	})
-	must.NoError(w.t, err)
-	w.store.Put("op", "config", b)
-	w.mu.Lock()
-	w.withdrawn[old] = time.Now()
-	w.mu.Unlock()
+	must.NoError(c.t, err)
+	c.store.Put("op", "config", b)
+	c.mu.Lock()
+	c.withdrawnAt[old] = time.Now()
+	c.mu.Unlock()
 }
 
-func (w *world) settings(n int) string {
+func (c *cluster) writeSettings(n int) string {
 	b, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("edge-%d", n), "dataCentre": fmt.Sprintf("dc-%d", n%2), "ip": w.ip(n),
+		"name": fmt.Sprintf("edge-%d", n), "dataCentre": fmt.Sprintf("dc-%d", n%2), "ip": c.instanceIP(n),
 		"listen": map[string]string{
-			"callers": w.at(n, 0), "readiness": w.at(n, 1), "directory": w.at(n, 2), "peers": w.at(n, 3), "metrics": w.at(n, 4),
+			"callers": c.instanceAddress(n, 0), "readiness": c.instanceAddress(n, 1), "directory": c.instanceAddress(n, 2), "peers": c.instanceAddress(n, 3), "metrics": c.instanceAddress(n, 4),
 		},
-		"store": map[string]string{"address": w.toStore[n].Address()},
+		"store": map[string]string{"address": c.storeLinks[n].Address()},
 		"bounds": map[string]any{
-			"revokeS": revoke.Seconds(), "graceS": 4, "addressTTLS": 1, "retryRatio": 0.2, "retrySlack": 30, "rateWindowS": rateWindow.Seconds(),
-			"rateOvershoot": overshoot, "rateSlack": slack,
+			"revokeS": revocationBound.Seconds(), "graceS": 4, "addressTTLS": 1, "retryRatio": 0.2, "retrySlack": 30, "rateWindowS": rateWindow.Seconds(),
+			"rateOvershoot": rateOvershoot, "rateSlack": rateSlack,
 		},
-		"seeds": []string{w.at(0, 3), w.at(1, 3)},
+		"seeds": []string{c.instanceAddress(0, 3), c.instanceAddress(1, 3)},
 	})
-	must.NoError(w.t, err)
-	path := filepath.Join(w.dir, fmt.Sprintf("edge-%d.jsonc", n))
-	must.NoError(w.t, os.WriteFile(path, b, 0o600))
+	must.NoError(c.t, err)
+	path := filepath.Join(c.dir, fmt.Sprintf("edge-%d.jsonc", n))
+	must.NoError(c.t, os.WriteFile(path, b, 0o600))
 	return path
 }
 
-func (w *world) launch(p *process) {
-	w.mu.Lock()
-	w.launched = append(w.launched, time.Now())
-	w.mu.Unlock()
-	log, err := os.OpenFile(filepath.Join(w.dir, fmt.Sprintf("edge-%d.log", p.n)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	must.NoError(w.t, err)
-	p.cmd = exec.Command(w.binary, "--settings", w.settings(p.n))
+func (c *cluster) launch(p *process) {
+	c.mu.Lock()
+	c.launchTimes = append(c.launchTimes, time.Now())
+	c.mu.Unlock()
+	log, err := os.OpenFile(filepath.Join(c.dir, fmt.Sprintf("edge-%d.log", p.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	must.NoError(c.t, err)
+	p.cmd = exec.Command(c.binary, "--settings", c.writeSettings(p.index))
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	must.NoError(w.t, p.cmd.Start())
+	must.NoError(c.t, p.cmd.Start())
 	done := make(chan struct{})
 	p.done = done
 	go func() {
@@ -259,8 +259,8 @@
 	}
 }
 
-func (w *world) ready(n int) bool {
-	resp, err := w.client.Get("http://" + w.at(n, 1) + "/api/readyz")
+func (c *cluster) ready(n int) bool {
+	resp, err := c.client.Get("http://" + c.instanceAddress(n, 1) + "/api/readyz")
 	if err != nil {
 		return false
 	}
@@ -268,35 +268,35 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (w *world) end() {
-	close(w.stop)
-	for _, p := range w.procs {
+func (c *cluster) shutdown() {
+	close(c.stop)
+	for _, p := range c.processes {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		<-p.done
 	}
-	w.wg.Wait()
-	w.client.CloseIdleConnections()
-	for _, l := range w.links() {
+	c.wg.Wait()
+	c.client.CloseIdleConnections()
+	for _, l := range c.allLinks() {
 		l.Close()
 	}
-	for _, b := range w.backs {
+	for _, b := range c.backends {
 		b.http.CloseClientConnections()
 		b.http.Close()
 	}
-	w.http.CloseClientConnections()
-	w.http.Close()
+	c.storeServer.CloseClientConnections()
+	c.storeServer.Close()
 }
 
-// keepLogs moves the processes' logs to where they outlast the test.
-func (w *world) keepLogs() string {
+// saveLogs moves the processes' logs to where they outlast the test.
+func (c *cluster) saveLogs() string {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		return err.Error()
 	}
-	for _, p := range w.procs {
-		name := fmt.Sprintf("edge-%d.log", p.n)
-		b, err := os.ReadFile(filepath.Join(w.dir, name))
+	for _, p := range c.processes {
+		name := fmt.Sprintf("edge-%d.log", p.index)
+		b, err := os.ReadFile(filepath.Join(c.dir, name))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, name), b, 0o600)
 		}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -10,157 +10,157 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// underFaults injects faults for a while, one or two at a time.
-func (w *world) underFaults(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); {
-		w.fault()
-		time.Sleep(w.between(100*time.Millisecond, 900*time.Millisecond))
+// injectFaults injects faults for a while, one or two at a time.
+func (c *cluster) injectFaults(d time.Duration) {
+	for deadline := time.Now().Add(d); time.Now().Before(deadline); {
+		c.injectFault()
+		time.Sleep(c.randomDuration(100*time.Millisecond, 900*time.Millisecond))
 	}
-	w.store.SetFault(nil)
-	w.store.SetDelay(0)
-	for _, p := range w.procs {
+	c.store.SetFault(nil)
+	c.store.SetDelay(0)
+	for _, p := range c.processes {
 		p.signal(syscall.SIGCONT)
 	}
-	for _, l := range w.links() {
-		w.set(l, standin.LinkState{})
+	for _, l := range c.allLinks() {
+		c.setLinkState(l, standin.LinkState{})
 	}
-	for _, b := range w.backs {
-		b.spell(0)
-		b.list("ready")
+	for _, b := range c.backends {
+		b.failFor(0)
+		b.register("ready")
 	}
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return shortest + time.Duration(c.rng.Int64N(int64(longest-shortest)))
 }
 
-func (w *world) pick(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rng.IntN(n)
+func (c *cluster) randomInt(n int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rng.IntN(n)
 }
 
-func (w *world) fault() {
-	p := w.procs[w.pick(len(w.procs))]
-	b := w.backs[w.pick(len(w.backs))]
-	switch w.pick(18) {
+func (c *cluster) injectFault() {
+	p := c.processes[c.randomInt(len(c.processes))]
+	b := c.backends[c.randomInt(len(c.backends))]
+	switch c.randomInt(18) {
 	case 0:
-		w.disturb()
-		w.restart(p, syscall.SIGKILL, w.between(0, time.Second))
+		c.recordDisturbance()
+		c.restart(p, syscall.SIGKILL, c.randomDuration(0, time.Second))
 	case 1:
-		w.restart(p, syscall.SIGTERM, 0)
+		c.restart(p, syscall.SIGTERM, 0)
 	case 2:
-		w.disturb()
-		w.pause(p, w.between(200*time.Millisecond, 4*time.Second))
+		c.recordDisturbance()
+		c.pause(p, c.randomDuration(200*time.Millisecond, 4*time.Second))
 	case 3:
-		w.disturb()
-		for _, p := range w.procs {
-			w.restart(p, syscall.SIGKILL, w.between(0, 500*time.Millisecond))
+		c.recordDisturbance()
+		for _, p := range c.processes {
+			c.restart(p, syscall.SIGKILL, c.randomDuration(0, 500*time.Millisecond))
 		}
 	case 4:
-		w.disturb()
-		w.breakStore(w.between(300*time.Millisecond, 5*time.Second))
+		c.recordDisturbance()
+		c.failStore(c.randomDuration(300*time.Millisecond, 5*time.Second))
 	case 5:
-		w.disturb()
-		w.store.SetDelay(w.between(100*time.Millisecond, 600*time.Millisecond))
-		time.AfterFunc(2*time.Second, func() { w.store.SetDelay(0) })
+		c.recordDisturbance()
+		c.store.SetDelay(c.randomDuration(100*time.Millisecond, 600*time.Millisecond))
+		time.AfterFunc(2*time.Second, func() { c.store.SetDelay(0) })
 	case 6:
-		w.store.Forget()
+		c.store.Forget()
 	case 7:
-		w.configure()
+		c.publishConfig()
 	case 8:
-		b.list("draining")
-		time.AfterFunc(4*time.Second, func() { b.list("ready") })
+		b.register("draining")
+		time.AfterFunc(4*time.Second, func() { b.register("ready") })
 	case 9, 10:
-		w.disturb()
-		w.breakLink(w.links()[w.pick(len(w.links()))])
+		c.recordDisturbance()
+		c.disruptLink(c.allLinks()[c.randomInt(len(c.allLinks()))])
 	case 11:
-		w.links()[w.pick(len(w.links()))].Reset()
+		c.allLinks()[c.randomInt(len(c.allLinks()))].Reset()
 	case 12:
-		w.evacuate("dc-1", w.between(time.Second, 6*time.Second))
+		c.evacuate("dc-1", c.randomDuration(time.Second, 6*time.Second))
 	case 13:
-		id := fmt.Sprintf("i-%d", len(w.backs))
-		w.backs = append(w.backs, newBackend(w, id, "dc-0", warmUp))
+		id := fmt.Sprintf("i-%d", len(c.backends))
+		c.backends = append(c.backends, newBackend(c, id, "dc-0", warmupDuration))
 	default:
-		b.spell(w.between(time.Second, 5*time.Second))
+		b.failFor(c.randomDuration(time.Second, 5*time.Second))
 	}
 }
 
-// disturb notes a fault that excuses knowledge being late.
-func (w *world) disturb() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.disturbed = time.Now()
+// recordDisturbance notes a fault that excuses knowledge being late.
+func (c *cluster) recordDisturbance() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastDisturbance = time.Now()
 }
 
 // restart ends a process and starts it again. A second signal for one that is
 // on its way already does nothing.
-func (w *world) restart(p *process, s syscall.Signal, after time.Duration) {
-	if p.still {
+func (c *cluster) restart(p *process, s syscall.Signal, after time.Duration) {
+	if p.restarting {
 		return
 	}
-	p.still = true
+	p.restarting = true
 	p.signal(s)
-	w.wg.Go(func() {
+	c.wg.Go(func() {
 		<-p.done
 		time.Sleep(after)
 		select {
-		case <-w.stop:
+		case <-c.stop:
 			return
 		default:
 		}
-		w.launch(p)
-		w.mu.Lock()
-		p.still = false
-		w.mu.Unlock()
+		c.launch(p)
+		c.mu.Lock()
+		p.restarting = false
+		c.mu.Unlock()
 	})
 }
 
-func (w *world) pause(p *process, d time.Duration) {
+func (c *cluster) pause(p *process, d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	time.AfterFunc(d, func() {
-		w.disturb()
+		c.recordDisturbance()
 		p.signal(syscall.SIGCONT)
 	})
 }
 
-// breakStore fails the store for all instances, or for a call in two.
-func (w *world) breakStore(d time.Duration) {
+// failStore fails the store for all instances, or for a call in two.
+func (c *cluster) failStore(d time.Duration) {
 	faults := []rowstore.Fault{rowstore.Busy, rowstore.TooMany, rowstore.Reset, rowstore.Silent, rowstore.Lost}
-	f := faults[w.pick(len(faults))]
-	some := w.pick(2) == 0
-	w.store.SetFault(func(string) rowstore.Fault {
-		if some && w.pick(2) == 0 {
+	fault := faults[c.randomInt(len(faults))]
+	intermittent := c.randomInt(2) == 0
+	c.store.SetFault(func(string) rowstore.Fault {
+		if intermittent && c.randomInt(2) == 0 {
 			return rowstore.None
 		}
-		return f
+		return fault
 	})
 	time.AfterFunc(d, func() {
-		w.disturb()
-		w.store.SetFault(nil)
+		c.recordDisturbance()
+		c.store.SetFault(nil)
 	})
 }
 
-// breakLink delays a link, cuts it one way, or silences it, for a while.
-func (w *world) breakLink(l *standin.Link) {
+// disruptLink delays a link, cuts it one way, or silences it, for a while.
+func (c *cluster) disruptLink(l *standin.Link) {
 	states := []standin.LinkState{
 		{Forward: standin.Cut},
 		{Backward: standin.Cut},
 		{Forward: standin.Cut, Backward: standin.Cut},
-		{ForwardDelay: config.Duration(w.between(20*time.Millisecond, 400*time.Millisecond))},
-		{BackwardDelay: config.Duration(w.between(20*time.Millisecond, 400*time.Millisecond))},
+		{ForwardDelay: config.Duration(c.randomDuration(20*time.Millisecond, 400*time.Millisecond))},
+		{BackwardDelay: config.Duration(c.randomDuration(20*time.Millisecond, 400*time.Millisecond))},
 	}
-	w.set(l, states[w.pick(len(states))])
-	time.AfterFunc(w.between(300*time.Millisecond, 4*time.Second), func() {
-		w.disturb()
-		w.set(l, standin.LinkState{})
+	c.setLinkState(l, states[c.randomInt(len(states))])
+	time.AfterFunc(c.randomDuration(300*time.Millisecond, 4*time.Second), func() {
+		c.recordDisturbance()
+		c.setLinkState(l, standin.LinkState{})
 	})
 }
 
-func (w *world) set(l *standin.Link, s standin.LinkState) {
+func (c *cluster) setLinkState(l *standin.Link, s standin.LinkState) {
 	if err := l.Set(s); err != nil {
-		w.t.Error(err)
+		c.t.Error(err)
 	}
 }
--- a/internal/soak/placement_test.go
+++ b/internal/soak/placement_test.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// evacuation is how long after it is written an evacuation may go unheeded.
-	evacuation = 2500 * time.Millisecond
+	// evacuationBound is how long after it is written an evacuationBound may go unheeded.
+	evacuationBound = 2500 * time.Millisecond
 
 	// A cold server bears coldRate requests a second, and the platform tolerates
 	// so much more.
-	warmUp        = 2 * time.Second
-	coldRate      = 5.0
-	coldOvershoot = 1.5
-	coldSlack     = 8.0
+	warmupDuration        = 2 * time.Second
+	warmupRate      = 5.0
+	warmupOvershoot = 1.5
+	warmupSlack     = 8.0
 )
 
 // evacuate evacuates a data centre for a while.
-func (w *world) evacuate(dataCentre string, d time.Duration) {
-	w.mu.Lock()
-	_, already := w.evacuated[dataCentre]
-	if !already {
-		w.evacuated[dataCentre] = time.Now()
+func (c *cluster) evacuate(dataCentre string, d time.Duration) {
+	c.mu.Lock()
+	_, evacuated := c.evacuatedSince[dataCentre]
+	if !evacuated {
+		c.evacuatedSince[dataCentre] = time.Now()
 	}
-	w.mu.Unlock()
-	if already {
+	c.mu.Unlock()
+	if evacuated {
 		return
 	}
-	w.store.Put("op", "evacuate/"+dataCentre, []byte("{}"))
+	c.store.Put("op", "evacuate/"+dataCentre, []byte("{}"))
 	time.AfterFunc(d, func() {
-		w.mu.Lock()
-		delete(w.evacuated, dataCentre)
-		w.mu.Unlock()
-		w.store.Remove("op", "evacuate/"+dataCentre)
+		c.mu.Lock()
+		delete(c.evacuatedSince, dataCentre)
+		c.mu.Unlock()
+		c.store.Remove("op", "evacuate/"+dataCentre)
 	})
 }
 
-// checkPlace checks a request that has reached a server against evacuations and
+// checkPlacement checks a request that has reached a server against evacuations and
 // what a cold server bears. The lock must be held.
-func (w *world) checkPlace(b *backend, id string, now time.Time) {
-	since, evacuated := w.evacuated[b.dataCentre]
-	calm := now.Sub(w.disturbed) > keepsStill+evacuation
-	if evacuated && calm && now.Sub(since) > evacuation {
-		w.faults = append(w.faults, fmt.Sprintf("%s reached %s %v after its data centre was evacuated", id, b.id, now.Sub(since)))
+func (c *cluster) checkPlacement(b *backend, id string, now time.Time) {
+	since, evacuated := c.evacuatedSince[b.dataCentre]
+	settled := now.Sub(c.lastDisturbance) > settlePeriod+evacuationBound
+	if evacuated && settled && now.Sub(since) > evacuationBound {
+		c.violations = append(c.violations, fmt.Sprintf("%s reached %s %v after its data centre was evacuated", id, b.id, now.Sub(since)))
 	}
-	if !now.Before(b.coldTill) {
+	if !now.Before(b.warmupEnd) {
 		return
 	}
-	b.arrived = append(b.arrived, now)
+	b.warmupArrivals = append(b.warmupArrivals, now)
 	recent := 0
-	for _, at := range b.arrived {
-		if now.Sub(at) < time.Second {
+	for _, arrival := range b.warmupArrivals {
+		if now.Sub(arrival) < time.Second {
 			recent++
 		}
 	}
-	if float64(recent) > coldRate*coldOvershoot+coldSlack {
-		w.faults = append(w.faults, fmt.Sprintf("%s is the request %d within a second at the cold server %s", id, recent, b.id))
+	if float64(recent) > warmupRate*warmupOvershoot+warmupSlack {
+		c.violations = append(c.violations, fmt.Sprintf("%s is the request %d within a second at the cold server %s", id, recent, b.id))
 	}
 }
