--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -19,27 +19,27 @@
 	"foxtailspoke/internal/standin"
 )
 
-// backend is a backend server. In a spell it resets four in five requests,
-// after it has run them.
+// backend is a backend server. Until failUntil it resets four in five connections
+// after executing the request.
 type backend struct {
-	cluster    *cluster
-	id   string
-	http *httptest.Server
-	// link is the way to it.
+	cluster *cluster
+	id      string
+	http    *httptest.Server
+	// link carries the connections from the instances to the server.
 	link *standin.Link
-	// writes counts its entries in the store.
+	// writes counts the entries written for the server in the store.
 	writes atomic.Int64
 
-	mu       sync.Mutex
-	failUntil      time.Time
+	mu            sync.Mutex
+	failUntil     time.Time
 	drainingSince time.Time
 
 	dataCentre string
-	// warmupEnd is when the server bears its full load, and arrived when requests
-	// came until then.
-	warmupEnd time.Time
-	warmupArrivals  []time.Time
-	limit    requestLimit
+	// warmupEnd is when the server can take its full load. warmupArrivals has the
+	// arrival times of the requests before that.
+	warmupEnd      time.Time
+	warmupArrivals []time.Time
+	limit          requestLimit
 }
 
 func newBackend(c *cluster, id, dataCentre string, warmup time.Duration) *backend {
@@ -99,7 +99,8 @@
 	_, _ = w.Write([]byte(id + string(body)))
 }
 
-// recordExecution checks what a backend server sees.
+// recordExecution records that a backend server executes a request, and checks that
+// it was allowed to receive it.
 func (c *cluster) recordExecution(b *backend, id string, r *http.Request) {
 	now := time.Now()
 	b.mu.Lock()
@@ -113,20 +114,20 @@
 	c.checkLimit(b, now)
 	switch {
 	case !known:
-		c.violations = append(c.violations, "a request ran that nobody sent: "+id)
+		c.violations = append(c.violations, "backend server executed a request that no caller sent: "+id)
 		return
 	case r.Header.Get("Authorization") != "" || r.Header.Get("X-Tenant") != workspaceOf(req.key):
-		c.violations = append(c.violations, "a server saw a key, or another workspace: "+id)
+		c.violations = append(c.violations, "backend server received an API key or the wrong workspace: "+id)
 	}
 	if req.key == limitedKey {
 		c.limitedExecutions = append(c.limitedExecutions, now)
 	}
 	if withdrawnAt, ok := c.withdrawnAt[req.key]; ok && req.sentAt.After(withdrawnAt.Add(revocationBound)) {
-		c.violations = append(c.violations, fmt.Sprintf("%s ran, sent %v after its key was taken away", id, req.sentAt.Sub(withdrawnAt)))
+		c.violations = append(c.violations, fmt.Sprintf("request %s executed although it was sent %v after its key was withdrawn", id, req.sentAt.Sub(withdrawnAt)))
 	}
 	settled := now.Sub(c.lastDisturbance) > settlePeriod+drainBound
 	if !drainingSince.IsZero() && settled && req.sentAt.After(drainingSince.Add(drainBound)) {
-		c.violations = append(c.violations, fmt.Sprintf("%s reached %s %v after it began to drain", id, b.id, now.Sub(drainingSince)))
+		c.violations = append(c.violations, fmt.Sprintf("request %s reached backend server %s %v after it started draining", id, b.id, now.Sub(drainingSince)))
 	}
 }
 
@@ -137,8 +138,8 @@
 	return "w"
 }
 
-// runCaller is one caller: it asks for addresses, keeps the answer, and sends orders
-// and lookups.
+// runCaller runs one caller, which resolves the instances' addresses about once a
+// second and alternates between orders and lookups.
 func (c *cluster) runCaller(caller int) {
 	var addresses []string
 	var resolvedAt time.Time
@@ -159,8 +160,8 @@
 	}
 }
 
-// callerKey returns a caller's key. Two callers share that of the limited workspace
-// and send several times what it may.
+// callerKey returns a caller's key. Two callers share the key of the limited workspace
+// and together send several times its rate limit.
 func (c *cluster) callerKey(caller int) string {
 	if caller < 2 {
 		return limitedKey
@@ -185,7 +186,7 @@
 	return answer.Addresses
 }
 
-// send sends one request and checks what its caller sees.
+// send sends one request, checks the response and reports whether it was served.
 func (c *cluster) send(id, address string, order bool, key string) bool {
 	method, path := http.MethodGet, "/lookup/1"
 	if order {
@@ -193,7 +194,7 @@
 	}
 	req, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("+"+id))
 	must.NoError(c.t, err)
-	// A body that can't be read again keeps the client from repeating.
+	// Without GetBody the client cannot rewind the body, and so does not resend the request.
 	req.GetBody = nil
 	record := &request{key: key, order: order, sentAt: time.Now()}
 	c.mu.Lock()
@@ -217,14 +218,14 @@
 	}
 	record.status = resp.StatusCode
 	if resp.StatusCode == http.StatusOK && string(body) != id+"+"+id {
-		c.violations = append(c.violations, fmt.Sprintf("%s got the answer %q", id, body))
+		c.violations = append(c.violations, fmt.Sprintf("request %s received the wrong response body %q", id, body))
 	}
 	return resp.StatusCode == http.StatusOK
 }
 
-// verifyRecovery checks that everybody is served again within the time for it once the
-// faults have ended. A key that was given while the store was away works as soon as
-// the instances have read of it.
+// verifyRecovery checks that at least nine in ten lookups are served within
+// recoveryTimeout of the end of the faults. It tries repeatedly, because a key published
+// while the store was unavailable works only once the instances have read it.
 func (c *cluster) verifyRecovery() {
 	deadline := time.Now().Add(recoveryTimeout)
 	for n := range c.processes {
@@ -245,7 +246,7 @@
 		}
 		if time.Now().After(deadline) {
 			c.mu.Lock()
-			c.violations = append(c.violations, fmt.Sprintf("after the faults only %d of %d lookups were served", served, attempts))
+			c.violations = append(c.violations, fmt.Sprintf("only %d of %d lookups were served after the faults ended", served, attempts))
 			c.mu.Unlock()
 			return
 		}
@@ -253,26 +254,27 @@
 	}
 }
 
-// checkRequests returns all broken promises.
-func (c *cluster) checkRequests() []string {
+// findViolations returns all violations, including those found while requests ran.
+func (c *cluster) findViolations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	violations := append([]string(nil), c.violations...)
 	for id, req := range c.requests {
 		n := len(c.executions[id])
 		if req.order && n > 1 {
-			violations = append(violations, fmt.Sprintf("order %s ran %d times", id, n))
+			violations = append(violations, fmt.Sprintf("order %s executed %d times", id, n))
 		}
 		notRun := req.status == http.StatusServiceUnavailable || req.status == http.StatusTooManyRequests
 		if notRun && req.order && n > 0 {
-			violations = append(violations, fmt.Sprintf("order %s was refused with %d and ran", id, req.status))
+			violations = append(violations, fmt.Sprintf("order %s was refused with status %d but executed", id, req.status))
 		}
 	}
-	return append(violations, checkRate(c.limitedExecutions)...)
+	return append(violations, findRateViolations(c.limitedExecutions)...)
 }
 
-// checkRate finds windows in which more ran than the limit and its tolerance.
-func checkRate(executions []time.Time) (violations []string) {
+// findRateViolations returns the first window in which more requests of the limited
+// workspace executed than its limit and the tolerance allow.
+func findRateViolations(executions []time.Time) (violations []string) {
 	allowed := (limitedRate*rateWindow.Seconds()+limitedBurst)*(1+rateOvershoot) + rateSlack
 	slices.SortFunc(executions, time.Time.Compare)
 	for first, last := 0, 0; last < len(executions); last++ {
@@ -280,7 +282,7 @@
 			first++
 		}
 		if n := last - first + 1; float64(n) > allowed {
-			return []string{fmt.Sprintf("%d requests of the limited workspace ran in one window, %.0f may", n, allowed)}
+			return []string{fmt.Sprintf("%d requests of the limited workspace executed in one rate window, at most %.0f allowed", n, allowed)}
 		}
 	}
 	return nil
@@ -289,8 +291,8 @@
 func (c *cluster) outcomeCounts() (served, refused, failed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.requests {
-		switch r.status {
+	for _, req := range c.requests {
+		switch req.status {
 		case http.StatusOK:
 			served++
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -24,21 +24,28 @@
 )
 
 const (
-	revocationBound     = 3 * time.Second
-	drainBound      = 2 * time.Second
-	serverCount    = 6
-	callerCount    = 8
-	recoveryTimeout   = 8 * time.Second
+	// revocationBound is how long after its withdrawal a key may still be accepted.
+	revocationBound = 3 * time.Second
+	// drainBound is how long after it starts draining a backend server may still
+	// receive new requests.
+	drainBound  = 2 * time.Second
+	serverCount = 6
+	callerCount = 8
+	// recoveryTimeout is how long after the end of the faults service may stay degraded.
+	recoveryTimeout = 8 * time.Second
+	// settlePeriod is added to drainBound and evacuationBound after a disturbance,
+	// until instances have caught up with the store again.
 	settlePeriod = 3 * time.Second
 
-	// A workspace that sends several times what it may: its limit, and the
-	// platform's tolerance in a window.
-	limitedKey   = "key-limited"
-	limitedRate  = 10
-	limitedBurst = 10
-	rateWindow   = 5 * time.Second
-	rateOvershoot    = 0.1
-	rateSlack        = 20
+	// The limited workspace sends several times its rate limit of limitedRate
+	// requests per second with bursts of limitedBurst. In any rateWindow the platform
+	// tolerates the fraction rateOvershoot and rateSlack requests above the limit.
+	limitedKey    = "key-limited"
+	limitedRate   = 10
+	limitedBurst  = 10
+	rateWindow    = 5 * time.Second
+	rateOvershoot = 0.1
+	rateSlack     = 20
 )
 
 func buildEdge(t *testing.T) string {
@@ -49,58 +56,61 @@
 	return path
 }
 
-// cluster is a fleet of real processes, the stand-in of the store and backend
-// servers in this process, and callers.
+// cluster runs instances as separate processes, and the stand-in of the store, the
+// backend servers and the callers in the test process.
 type cluster struct {
-	t      *testing.T
-	binary string
-	dir    string
-	subnet    int
-	ports  [5]int
-	store  *rowstore.Store
-	storeServer   *httptest.Server
-	client *http.Client
-	backends  []*backend
-	processes  []*process
-	// storeLinks and callerLinks are the links of each instance to the store and of
-	// callers to it.
+	t           *testing.T
+	binary      string
+	dir         string
+	subnet      int
+	ports       [5]int
+	store       *rowstore.Store
+	storeServer *httptest.Server
+	client      *http.Client
+	backends    []*backend
+	processes   []*process
+	// storeLinks and callerLinks are the links from each instance to the store and
+	// from the callers to each instance.
 	storeLinks, callerLinks []*standin.Link
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	version int
-	currentKey     string
-	// withdrawnAt is when each key was taken away.
+	mu         sync.Mutex
+	rng        *rand.Rand
+	version    int
+	currentKey string
+	// withdrawnAt is when each key was withdrawn.
 	withdrawnAt map[string]time.Time
-	requests  map[string]*request
-	executions      map[string][]time.Time
-	// lastDisturbance is when a fault last excused late knowledge.
+	requests    map[string]*request
+	executions  map[string][]time.Time
+	// lastDisturbance is the last time a fault began or ended that may delay
+	// instances in learning of changes.
 	lastDisturbance time.Time
-	violations    []string
-	// evacuatedSince is since when nothing may reach each evacuatedSince data centre.
+	violations      []string
+	// evacuatedSince is when the evacuation of each evacuated data centre was written.
 	evacuatedSince map[string]time.Time
-	// limitedExecutions is when requests of the limitedExecutions workspace ran.
+	// limitedExecutions has the times at which requests of the limited workspace
+	// executed.
 	limitedExecutions []time.Time
-	// launchTimes is when each process was started again; restores and limits count
-	// drills of the store and limits that servers named.
-	launchTimes         []time.Time
+	// launchTimes has the start times of all processes, including restarts.
+	// restoreCount and limitCount count store restores and limits announced by
+	// backend servers.
+	launchTimes              []time.Time
 	restoreCount, limitCount int
-	stop             chan struct{}
-	wg               sync.WaitGroup
+	stop                     chan struct{}
+	wg                       sync.WaitGroup
 }
 
 type request struct {
 	key    string
 	order  bool
-	sentAt   time.Time
+	sentAt time.Time
 	status int
 	failed bool
 }
 
 type process struct {
-	index     int
-	cmd   *exec.Cmd
-	done  chan struct{}
+	index      int
+	cmd        *exec.Cmd
+	done       chan struct{}
 	restarting bool
 }
 
@@ -121,7 +131,7 @@
 	for i := range c.ports {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		must.NoError(t, err)
-		// All are held until the last is drawn, so that none is drawn twice.
+		// All listeners stay open until the last port is chosen, so that the ports differ.
 		defer func() { _ = l.Close() }()
 		c.ports[i] = l.Addr().(*net.TCPAddr).Port
 	}
@@ -136,7 +146,8 @@
 	return l
 }
 
-// dialThroughLinks has callers reach the instances over their links.
+// dialThroughLinks replaces the callers' address of an instance by that of its
+// caller link.
 func (c *cluster) dialThroughLinks(ctx context.Context, network, address string) (net.Conn, error) {
 	for n, l := range c.callerLinks {
 		if address == c.instanceAddress(n, 0) {
@@ -147,7 +158,7 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// allLinks are all allLinks, each a place where the network can fail.
+// allLinks returns the links on which network faults can be injected.
 func (c *cluster) allLinks() []*standin.Link {
 	all := append(append([]*standin.Link(nil), c.storeLinks...), c.callerLinks...)
 	for _, b := range c.backends {
@@ -156,7 +167,9 @@
 	return all
 }
 
-func (c *cluster) instanceAddress(n, port int) string { return fmt.Sprintf("%s:%d", c.instanceIP(n), c.ports[port]) }
+func (c *cluster) instanceAddress(n, port int) string {
+	return fmt.Sprintf("%s:%d", c.instanceIP(n), c.ports[port])
+}
 
 func (c *cluster) start() {
 	for i := range serverCount {
@@ -172,7 +185,7 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for n := range *instanceCount {
 		for !c.ready(n) {
-			must.True(c.t, time.Now().Before(deadline), must.Sprintf("instance %d isn't ready", n))
+			must.True(c.t, time.Now().Before(deadline), must.Sprintf("instance %d is not ready", n))
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
@@ -181,8 +194,7 @@
 	}
 }
 
-// publishConfig puts a configuration with a new key in force. The old key is taken
-// away by it.
+// publishConfig writes a configuration with a new key, which withdraws the old key.
 func (c *cluster) publishConfig() {
 	c.mu.Lock()
 	old := c.currentKey
@@ -243,14 +255,14 @@
 	done := make(chan struct{})
 	p.done = done
 	go func() {
-		// How it ended is in its log.
+		// The process's log shows why it exited.
 		_ = p.cmd.Wait()
 		_ = log.Close()
 		close(done)
 	}()
 }
 
-// signal signals a process that this test started and hasn't ended yet.
+// signal sends s to the process unless it has exited.
 func (p *process) signal(s syscall.Signal) {
 	select {
 	case <-p.done:
@@ -288,7 +300,8 @@
 	c.storeServer.Close()
 }
 
-// saveLogs moves the processes' logs to where they outlast the test.
+// saveLogs copies the processes' logs to a directory that is kept after the test and
+// returns its path, or the error message if that fails.
 func (c *cluster) saveLogs() string {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -10,7 +10,7 @@
 	"foxtailspoke/internal/standin/rowstore"
 )
 
-// injectFaults injects faults for a while, one or two at a time.
+// injectFaults injects random, possibly overlapping faults for d and then ends them.
 func (c *cluster) injectFaults(d time.Duration) {
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); {
 		c.injectFault()
@@ -88,15 +88,16 @@
 	}
 }
 
-// recordDisturbance notes a fault that excuses knowledge being late.
+// recordDisturbance records the beginning or end of a fault that may delay instances in
+// learning of changes. See settlePeriod.
 func (c *cluster) recordDisturbance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastDisturbance = time.Now()
 }
 
-// restart ends a process and starts it again. A second signal for one that is
-// on its way already does nothing.
+// restart ends a process with s and starts it again once it has exited and the delay
+// after has passed. It does nothing for a process that is already being restarted.
 func (c *cluster) restart(p *process, s syscall.Signal, after time.Duration) {
 	if p.restarting {
 		return
@@ -126,7 +127,7 @@
 	})
 }
 
-// failStore fails the store for all instances, or for a call in two.
+// failStore makes all calls to the store, or about one in two, fail for d.
 func (c *cluster) failStore(d time.Duration) {
 	faults := []rowstore.Fault{rowstore.Busy, rowstore.TooMany, rowstore.Reset, rowstore.Silent, rowstore.Lost}
 	fault := faults[c.randomInt(len(faults))]
@@ -143,7 +144,8 @@
 	})
 }
 
-// disruptLink delays a link, cuts it one way, or silences it, for a while.
+// disruptLink cuts a link in one or both directions, or delays one direction, for a
+// random time.
 func (c *cluster) disruptLink(l *standin.Link) {
 	states := []standin.LinkState{
 		{Forward: standin.Cut},
--- a/internal/soak/placement_test.go
+++ b/internal/soak/placement_test.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// evacuationBound is how long after it is written an evacuationBound may go unheeded.
+	// evacuationBound is how long after an evacuation is written its data centre may
+	// still receive requests.
 	evacuationBound = 2500 * time.Millisecond
 
-	// A cold server bears coldRate requests a second, and the platform tolerates
-	// so much more.
-	warmupDuration        = 2 * time.Second
+	// A backend server that is warming up takes warmupRate requests per second. In any
+	// second the platform tolerates warmupRate*warmupOvershoot+warmupSlack requests.
+	warmupDuration  = 2 * time.Second
 	warmupRate      = 5.0
 	warmupOvershoot = 1.5
 	warmupSlack     = 8.0
 )
 
-// evacuate evacuates a data centre for a while.
+// evacuate evacuates a data centre for d, unless it is already evacuated.
 func (c *cluster) evacuate(dataCentre string, d time.Duration) {
 	c.mu.Lock()
 	_, evacuated := c.evacuatedSince[dataCentre]
@@ -37,13 +38,14 @@
 	})
 }
 
-// checkPlacement checks a request that has reached a server against evacuations and
-// what a cold server bears. The lock must be held.
+// checkPlacement checks that the data centre of a backend server that received a
+// request is not evacuated, and that the server's warm-up rate is respected. c.mu must
+// be held.
 func (c *cluster) checkPlacement(b *backend, id string, now time.Time) {
 	since, evacuated := c.evacuatedSince[b.dataCentre]
 	settled := now.Sub(c.lastDisturbance) > settlePeriod+evacuationBound
 	if evacuated && settled && now.Sub(since) > evacuationBound {
-		c.violations = append(c.violations, fmt.Sprintf("%s reached %s %v after its data centre was evacuated", id, b.id, now.Sub(since)))
+		c.violations = append(c.violations, fmt.Sprintf("request %s reached backend server %s %v after its data centre was evacuated", id, b.id, now.Sub(since)))
 	}
 	if !now.Before(b.warmupEnd) {
 		return
@@ -56,6 +58,6 @@
 		}
 	}
 	if float64(recent) > warmupRate*warmupOvershoot+warmupSlack {
-		c.violations = append(c.violations, fmt.Sprintf("%s is the request %d within a second at the cold server %s", id, recent, b.id))
+		c.violations = append(c.violations, fmt.Sprintf("request %s is number %d within one second at backend server %s, which is warming up", id, recent, b.id))
 	}
 }
--- a/internal/soak/restores_limits_test.go
+++ b/internal/soak/restores_limits_test.go
@@ -9,26 +9,29 @@
 )
 
 const (
-	// limitGracePeriod is how long after a server first named a limit nothing is
-	// counted yet, and limitWindow the span over which it is.
+	// limitGracePeriod is how long after a backend server announces a limit its
+	// requests are not counted. limitWindow is the window over which they are counted.
 	limitGracePeriod = 3 * time.Second
-	limitWindow  = 4 * time.Second
-	// limitRestartAllowance is what an instance may send to a limited server before it is
-	// told: its requests until the first answer.
+	limitWindow      = 4 * time.Second
+	// limitRestartAllowance is how many requests a restarted instance may send to a
+	// limited backend server before the first response tells it the limit.
 	limitRestartAllowance = 10
-	// maxRewriteDelay is how long operators and servers take to write again what the
-	// store has lost.
+	// maxRewriteDelay bounds how long operators and backend servers take to rewrite
+	// what the store has lost.
 	maxRewriteDelay = 500 * time.Millisecond
 )
 
-// requestLimit is what a backend server names in its answers. It is guarded by world.mu.
+// requestLimit is the limit a backend server announces in its responses, in requests
+// per second, since when, and the requests counted against it. It is guarded by
+// cluster.mu.
 type requestLimit struct {
 	perSecond float64
 	since     time.Time
-	arrivals   []time.Time
+	arrivals  []time.Time
 }
 
-// injectRestoresAndLimits has the store come back from copies and servers name limits, for a while.
+// injectRestoresAndLimits restores the store from copies and has backend servers
+// announce limits, in random order for d.
 func (c *cluster) injectRestoresAndLimits(backends []*backend, seed uint64, d time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	randomDuration := func(shortest, longest time.Duration) time.Duration {
@@ -48,8 +51,9 @@
 	}
 }
 
-// restoreStore has the store away for a moment and come back from a copy; what its own
-// writers had written since then is written again a little later.
+// restoreStore makes the store unavailable for the outage and restores it from the
+// backup. What the platform's own writers wrote since the backup is rewritten after
+// rewriteDelay.
 func (c *cluster) restoreStore(backup rowstore.Copy, outage, rewriteDelay time.Duration) {
 	c.recordDisturbance()
 	c.store.SetFault(func(string) rowstore.Fault { return rowstore.Busy })
@@ -79,15 +83,16 @@
 	})
 }
 
-// announcedLimit is the limit that a server's answers name, 0 if none.
+// announcedLimit returns the limit that the server's responses announce, or 0 if there
+// is none.
 func (b *backend) announcedLimit() float64 {
 	b.cluster.mu.Lock()
 	defer b.cluster.mu.Unlock()
 	return b.limit.perSecond
 }
 
-// checkLimit checks a request that has reached a server against its limit, whatever
-// else is going on. The lock must be held.
+// checkLimit checks a request that reached a backend server against the server's limit.
+// Unlike checkPlacement it excuses no disturbance. c.mu must be held.
 func (c *cluster) checkLimit(b *backend, now time.Time) {
 	l := &b.limit
 	if l.perSecond == 0 || now.Sub(l.since) < limitGracePeriod {
@@ -108,6 +113,6 @@
 	allowed := 1.5*l.perSecond*limitWindow.Seconds() + 5 + float64(limitRestartAllowance*launches)
 	if float64(recent) > allowed {
 		c.violations = append(c.violations, fmt.Sprintf(
-			"%s named %.1f a second and got %d requests in %v, %.0f may", b.id, l.perSecond, recent, limitWindow, allowed))
+			"backend server %s announced %.1f requests/s and received %d requests in %v, at most %.0f allowed", b.id, l.perSecond, recent, limitWindow, allowed))
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,26 +9,32 @@
 )
 
 var (
-	firstSeed = flag.Uint64("soak.seed", 1, "first seed")
+	firstSeed     = flag.Uint64("soak.seed", 1, "first seed")
 	seedCount     = flag.Int("soak.seeds", 1, "number of seeds")
-	faultPeriod    = flag.Duration("soak.for", 8*time.Second, "time under faults for each seed")
-	instanceCount = flag.Int("soak.instances", 5, "instances of the fleet")
+	faultPeriod   = flag.Duration("soak.for", 8*time.Second, "duration of fault injection per seed")
+	instanceCount = flag.Int("soak.instances", 5, "number of instances")
 )
 
-// regressionSeeds are the seeds that ever failed, each with its cause.
+// regressionSeeds maps each seed that has failed to the cause of its failure.
 var regressionSeeds = map[uint64]string{
-	118:  "instances that knew the configuration and no servers took themselves for ready",
-	9142: "no fault of the fleet: lookups were sent with a key that was given while the store was away, 40 ms after its return",
-	9000: "two kills of all within a window gave the limited workspace half of the tolerance each",
+	118:  "instances that had a configuration but knew no backend servers reported themselves ready",
+	9142: "fault of the test, not of the instances: lookups used a key published while the store was unavailable, 40 ms after the store came back",
+	9000: "two kills of all instances within one rate window each gave the limited workspace half of the tolerance",
 }
 
-// Instances are killed, stopped, paused and restarted in overlapping series,
-// and the store fails, is slow, and forgets, while callers go on. What they and
-// the backend servers see must keep the promises: no order runs twice, a
-// refusal that says "not run" is true, an answer belongs to its request, a key
-// that was taken away stops, a leaving server gets nothing new, one that names a
-// limit no more than that; and once the faults end, everybody is served again. In
-// drills the store comes back from a copy.
+// TestSoak sends requests continuously while instances are killed, stopped,
+// paused and restarted, links are cut or delayed, and the store fails, slows down
+// or loses its change history. It checks what callers and backend servers observe:
+//   - No order executes twice, and no order that was refused executes.
+//   - Every successful response belongs to its request.
+//   - A withdrawn key stops working.
+//   - A draining backend server and an evacuated data centre receive no new requests.
+//   - Backend servers that announce a limit or are warming up, and the limited
+//     workspace, stay within their limits.
+//   - Lookups are served again after the faults end.
+//
+// Seeds other than regressionSeeds also restore the store from a copy and have
+// backend servers announce limits.
 func TestSoak(t *testing.T) {
 	binary := buildEdge(t)
 	for seed := range regressionSeeds {
@@ -39,8 +45,9 @@
 	}
 }
 
-// runSeed plays a seed. Drills are a series of faults of their own beside the others:
-// seeds that were found without them stay as they were.
+// runSeed runs the test with one seed. Store restores and announced limits run beside
+// the other faults with a random source of their own; regression seeds found
+// without them run without them, so that their fault sequence stays the same.
 func runSeed(t *testing.T, binary string, seed uint64, restoresAndLimits bool) {
 	t.Helper()
 	c := newCluster(t, binary, seed)
@@ -52,15 +59,15 @@
 	}
 	c.injectFaults(*faultPeriod)
 	c.verifyRecovery()
-	for _, violation := range c.checkRequests() {
+	for _, violation := range c.findViolations() {
 		t.Errorf("seed %d: %s", seed, violation)
 	}
 	served, refused, failed := c.outcomeCounts()
-	t.Logf("seed %d: %d drills of the store, %d limits named", seed, c.restoreCount, c.limitCount)
+	t.Logf("seed %d: %d store restores, %d limits announced", seed, c.restoreCount, c.limitCount)
 	t.Logf("seed %d: %d served, %d refused, %d failed", seed, served, refused, failed)
 	must.Positive(t, served)
 	if t.Failed() {
-		t.Logf("seed %d: logs in %s", seed, c.saveLogs())
+		t.Logf("seed %d: process logs in %s", seed, c.saveLogs())
 		t.FailNow()
 	}
 }
