--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,6 @@
-// Package instances is the platform's list of instances in memory. It lags:
-// a change shows only after a delay. It is pure; time is an argument.
+// Package instances is an in-memory instance registry that is eventually
+// consistent, like the platform's: changes become visible after a lag. It does
+// not read the clock; the time is an argument.
 package instances
 
 import (
@@ -12,26 +13,27 @@
 	"foxtailspoke/storage"
 )
 
-// ErrEnded reports an announcement by an instance that was declared ended.
-// An ended instance never comes back: users of the list may already have
-// acted on its end.
+// ErrEnded reports an announcement of an instance that is registered as ended.
+// The state is final because readers of the registry may already have acted on
+// it.
 var ErrEnded = errors.New("instance has ended")
 
-// Registry is the list of instances. It is safe for concurrent use. Every method
-// takes now, a reading of one monotonic clock.
+// Registry is an in-memory instance registry. It is safe for concurrent use. The
+// argument now of its methods is the reading of a single monotonic clock.
 type Registry struct {
 	mu       sync.Mutex
 	endAfter time.Duration
 	records  map[string]*record
-	// changeLog has every change; its version is its index plus one.
+	// changeLog holds all changes; the version of each is its index plus one.
 	changeLog []change
-	// publishedVersion is the highest version ever publishedVersion. It never goes down.
+	// publishedVersion is the latest version that Changes has returned. It never
+	// decreases, even if the lag grows.
 	publishedVersion uint64
 }
 
 type record struct {
 	instance storage.Instance
-	// lastAnnounced is when the instance last lastAnnounced itself.
+	// lastAnnounced is the time of the instance's latest announcement.
 	lastAnnounced time.Duration
 }
 
@@ -40,52 +42,54 @@
 	instance storage.Instance
 }
 
-// New returns an empty list. An instance that was silent for endAfter is
-// shown as ended; 0 leaves silent instances as they are.
+// New returns an empty registry. An instance that does not announce itself for
+// endAfter is registered as ended; 0 disables this.
 func New(endAfter time.Duration) *Registry {
 	return &Registry{endAfter: endAfter, records: map[string]*record{}}
 }
 
-// Announce takes down an instance's state. A state never goes back: an
-// announcement that was overtaken by a later state counts as a sign of life
-// only.
-func (l *Registry) Announce(now time.Duration, i storage.Instance) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.endSilent(now)
-	e, ok := l.records[i.ID]
+// Announce registers an instance or updates it. The state never returns to an
+// earlier one: a delayed announcement with an earlier state updates everything
+// but the state. An instance that has ended can only be announced as ended
+// again; otherwise Announce fails with ErrEnded.
+func (r *Registry) Announce(now time.Duration, i storage.Instance) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.endSilent(now)
+	rec, ok := r.records[i.ID]
 	if !ok {
-		l.records[i.ID] = &record{instance: i, lastAnnounced: now}
-		l.changeLog = append(l.changeLog, change{now, i})
+		r.records[i.ID] = &record{instance: i, lastAnnounced: now}
+		r.changeLog = append(r.changeLog, change{now, i})
 		return nil
 	}
-	if e.instance.State == storage.Ended {
+	if rec.instance.State == storage.Ended {
 		if i.State == storage.Ended {
 			return nil
 		}
 		return errors.Wrapf(ErrEnded, "%q", i.ID)
 	}
-	e.lastAnnounced = now
-	if lifecycleRank(i.State) < lifecycleRank(e.instance.State) {
-		i.State = e.instance.State
+	rec.lastAnnounced = now
+	if lifecycleRank(i.State) < lifecycleRank(rec.instance.State) {
+		i.State = rec.instance.State
 	}
-	l.update(now, e, i)
+	r.update(now, rec, i)
 	return nil
 }
 
-// Changes returns what changed after version since, as the list showed it lag
-// ago. While frozen it shows nothing new.
-func (l *Registry) Changes(now time.Duration, since uint64, lag time.Duration, frozen bool) storage.InstanceChanges {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.endSilent(now)
+// Changes returns the instances that changed after version since, as of now
+// minus lag. If frozen is set, it returns no changes later than those that
+// previous calls returned.
+func (r *Registry) Changes(now time.Duration, since uint64, lag time.Duration, frozen bool) storage.InstanceChanges {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.endSilent(now)
 	if !frozen {
-		l.publishedVersion = max(l.publishedVersion, l.versionAt(now-lag))
+		r.publishedVersion = max(r.publishedVersion, r.versionAt(now-lag))
 	}
-	c := storage.InstanceChanges{Version: l.publishedVersion, Full: since == 0}
+	c := storage.InstanceChanges{Version: r.publishedVersion, Full: since == 0}
 	latest := map[string]int{}
-	for n := since; n < l.publishedVersion; n++ {
-		latest[l.changeLog[n].instance.ID] = int(n)
+	for n := since; n < r.publishedVersion; n++ {
+		latest[r.changeLog[n].instance.ID] = int(n)
 	}
 	indexes := make([]int, 0, len(latest))
 	for _, n := range latest {
@@ -93,43 +97,44 @@
 	}
 	slices.Sort(indexes)
 	for _, n := range indexes {
-		c.Changed = append(c.Changed, l.changeLog[n].instance)
+		c.Changed = append(c.Changed, r.changeLog[n].instance)
 	}
 	return c
 }
 
-func (l *Registry) update(now time.Duration, e *record, i storage.Instance) {
-	if e.instance == i {
+func (r *Registry) update(now time.Duration, rec *record, i storage.Instance) {
+	if rec.instance == i {
 		return
 	}
-	e.instance = i
-	l.changeLog = append(l.changeLog, change{now, i})
+	rec.instance = i
+	r.changeLog = append(r.changeLog, change{now, i})
 }
 
-// endSilent declares the instances ended that were silent for too long.
-func (l *Registry) endSilent(now time.Duration) {
-	if l.endAfter <= 0 {
+// endSilent sets the state of the instances to ended that have not announced
+// themselves for endAfter.
+func (r *Registry) endSilent(now time.Duration) {
+	if r.endAfter <= 0 {
 		return
 	}
 	var silent []string
-	for id, e := range l.records {
-		if e.instance.State != storage.Ended && now-e.lastAnnounced >= l.endAfter {
+	for id, rec := range r.records {
+		if rec.instance.State != storage.Ended && now-rec.lastAnnounced >= r.endAfter {
 			silent = append(silent, id)
 		}
 	}
 	slices.Sort(silent)
 	for _, id := range silent {
-		e := l.records[id]
-		ended := e.instance
+		rec := r.records[id]
+		ended := rec.instance
 		ended.State = storage.Ended
-		l.update(now, e, ended)
+		r.update(now, rec, ended)
 	}
 }
 
-// versionAt returns the version that the list had at a time.
-func (l *Registry) versionAt(at time.Duration) uint64 {
-	n, _ := slices.BinarySearchFunc(l.changeLog, at, func(e change, at time.Duration) int {
-		if e.at <= at {
+// versionAt returns the version of the registry at a given time.
+func (r *Registry) versionAt(at time.Duration) uint64 {
+	n, _ := slices.BinarySearchFunc(r.changeLog, at, func(c change, at time.Duration) int {
+		if c.at <= at {
 			return -1
 		}
 		return 1
@@ -137,6 +142,7 @@
 	return uint64(n)
 }
 
+// lifecycleRank returns a number that increases from each state to the next.
 func lifecycleRank(s storage.State) int {
 	switch s {
 	case storage.Ended:
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -16,7 +16,7 @@
 	return storage.Instance{ID: id, Kind: storage.Entry, State: s}
 }
 
-// idStates returns the list as id:state, in the order shown.
+// idStates returns the changed instances as "id:state", in the order given.
 func idStates(c storage.InstanceChanges) []string {
 	out := []string{}
 	for _, i := range c.Changed {
@@ -25,52 +25,52 @@
 	return out
 }
 
-// A server announces that it leaves. Readers see it as live until the lag has
-// passed; while the list is frozen they see nothing new, however late it is.
+// An instance announces that it is leaving. Readers see it as live until the lag
+// has passed. While the registry is frozen, they see no changes at all.
 func TestRegistryLagAndFreeze(t *testing.T) {
-	l := instances.New(0)
-	must.NoError(t, l.Announce(0, entryInstance("a", storage.Live)))
-	must.NoError(t, l.Announce(1*second, entryInstance("b", storage.Live)))
-	must.NoError(t, l.Announce(5*second, entryInstance("a", storage.Leaving)))
+	r := instances.New(0)
+	must.NoError(t, r.Announce(0, entryInstance("a", storage.Live)))
+	must.NoError(t, r.Announce(1*second, entryInstance("b", storage.Live)))
+	must.NoError(t, r.Announce(5*second, entryInstance("a", storage.Leaving)))
 	lag := 2 * second
 
-	must.Eq(t, storage.InstanceChanges{Full: true}, l.Changes(1999*time.Millisecond, 0, lag, false))
-	c := l.Changes(3*second, 0, lag, false)
+	must.Eq(t, storage.InstanceChanges{Full: true}, r.Changes(1999*time.Millisecond, 0, lag, false))
+	c := r.Changes(3*second, 0, lag, false)
 	must.Eq(t, []string{"a:live", "b:live"}, idStates(c))
 	must.Eq(t, 2, c.Version)
-	must.Eq(t, storage.InstanceChanges{Version: 2}, l.Changes(7*second, 2, lag, true))
-	must.Eq(t, []string{"a:leaving"}, idStates(l.Changes(7*second, 2, lag, false)))
-	must.Eq(t, []string{"b:live", "a:leaving"}, idStates(l.Changes(7*second, 0, lag, false)))
-	must.Eq(t, 3, l.Changes(7*second, 0, time.Hour, false).Version, must.Sprint("a longer lag takes nothing back"))
-	must.Eq(t, storage.InstanceChanges{Version: 3}, l.Changes(7*second, 99, lag, false))
+	must.Eq(t, storage.InstanceChanges{Version: 2}, r.Changes(7*second, 2, lag, true))
+	must.Eq(t, []string{"a:leaving"}, idStates(r.Changes(7*second, 2, lag, false)))
+	must.Eq(t, []string{"b:live", "a:leaving"}, idStates(r.Changes(7*second, 0, lag, false)))
+	must.Eq(t, 3, r.Changes(7*second, 0, time.Hour, false).Version, must.Sprint("a longer lag must not lower the version"))
+	must.Eq(t, storage.InstanceChanges{Version: 3}, r.Changes(7*second, 99, lag, false))
 }
 
-// An instance is frozen and wakes after the platform has declared it ended.
-// Others have acted on its end, so its old id must not come back to life.
+// A suspended instance resumes after the platform has declared it ended. Other
+// instances have already acted on that, so its ID must not become live again.
 func TestSilentInstanceEndsPermanently(t *testing.T) {
-	l := instances.New(10 * second)
-	must.NoError(t, l.Announce(0, entryInstance("frozen", storage.Live)))
-	must.NoError(t, l.Announce(0, entryInstance("well", storage.Live)))
-	must.NoError(t, l.Announce(9*second, entryInstance("well", storage.Live)))
-	must.Eq(t, []string{"frozen:live", "well:live"}, idStates(l.Changes(9*second, 0, 0, false)))
-	must.Eq(t, []string{"frozen:ended"}, idStates(l.Changes(10*second, 2, 0, false)))
-	must.ErrorIs(t, l.Announce(11*second, entryInstance("frozen", storage.Live)), instances.ErrEnded)
-	must.NoError(t, l.Announce(11*second, entryInstance("frozen", storage.Ended)))
-	must.Eq(t, []string{"well:live", "frozen:ended"}, idStates(l.Changes(11*second, 0, 0, false)))
+	r := instances.New(10 * second)
+	must.NoError(t, r.Announce(0, entryInstance("suspended", storage.Live)))
+	must.NoError(t, r.Announce(0, entryInstance("healthy", storage.Live)))
+	must.NoError(t, r.Announce(9*second, entryInstance("healthy", storage.Live)))
+	must.Eq(t, []string{"suspended:live", "healthy:live"}, idStates(r.Changes(9*second, 0, 0, false)))
+	must.Eq(t, []string{"suspended:ended"}, idStates(r.Changes(10*second, 2, 0, false)))
+	must.ErrorIs(t, r.Announce(11*second, entryInstance("suspended", storage.Live)), instances.ErrEnded)
+	must.NoError(t, r.Announce(11*second, entryInstance("suspended", storage.Ended)))
+	must.Eq(t, []string{"healthy:live", "suspended:ended"}, idStates(r.Changes(11*second, 0, 0, false)))
 }
 
-// The announcement that a server leaves overtakes one from before. The list
-// must not show it as live again, or it would get new work.
+// The announcement that an instance is leaving overtakes an earlier one. The
+// registry must not return it as live again, or it would receive new requests.
 func TestStateNeverRegresses(t *testing.T) {
-	l := instances.New(0)
+	r := instances.New(0)
 	for _, s := range []storage.State{storage.Live, storage.Leaving, storage.Live} {
-		must.NoError(t, l.Announce(0, entryInstance("a", s)))
+		must.NoError(t, r.Announce(0, entryInstance("a", s)))
 	}
-	must.Eq(t, []string{"a:leaving"}, idStates(l.Changes(0, 0, 0, false)))
+	must.Eq(t, []string{"a:leaving"}, idStates(r.Changes(0, 0, 0, false)))
 	readdressed := entryInstance("a", storage.Live)
 	readdressed.Address = "127.0.0.1:1"
-	must.NoError(t, l.Announce(0, readdressed))
-	c := l.Changes(0, 2, 0, false)
+	must.NoError(t, r.Announce(0, readdressed))
+	c := r.Changes(0, 2, 0, false)
 	must.Eq(t, []string{"a:leaving"}, idStates(c))
 	must.Eq(t, "127.0.0.1:1", c.Changed[0].Address)
 }
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -1,11 +1,11 @@
-// Package tables is a transactional table service in memory: what the
-// platform's service promises, and no more.
+// Package tables is an in-memory transactional table store. It provides the
+// guarantees of the platform's table store and no others.
 //
-// A transaction commits as a whole or not at all. It isn't remembered by its
-// attempt id: sent twice, it is tried twice. That is the weaker of the
-// guarantees that a platform may give, so that users who depend on the
-// stronger one fail here; what protects them is a condition on a row that
-// the transaction itself changes.
+// Transactions are atomic. They are not deduplicated by attempt ID: a
+// transaction that is sent twice is evaluated twice. A platform may or may not
+// deduplicate, so this package does not, and clients that rely on it fail in
+// tests. A client makes a transaction safe to resend by a condition on a row
+// that the transaction itself changes.
 package tables
 
 import (
@@ -18,10 +18,10 @@
 	"foxtailspoke/storage"
 )
 
-// ErrMalformed reports a transaction that no state of the tables would take.
+// ErrMalformed reports a request that is invalid in every state of the tables.
 var ErrMalformed = errors.New("malformed transaction")
 
-// Store is a set of tables. It is safe for concurrent use.
+// Store holds all tables of package storage. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	tables map[storage.TableName]*table
@@ -30,8 +30,8 @@
 type table struct {
 	revision storage.Revision
 	rows     map[string]storage.Row
-	// changeLog has an entry per change, by ascending revision. An entry counts
-	// only while its row has the entry's revision.
+	// changeLog has one entry per put, in ascending order of revision. An entry
+	// is obsolete once its row has a later revision.
 	changeLog []change
 }
 
@@ -40,7 +40,7 @@
 	key      string
 }
 
-// New returns empty tables.
+// New returns a store with empty tables.
 func New() *Store {
 	s := &Store{tables: map[storage.TableName]*table{}}
 	for _, name := range []storage.TableName{storage.Control, storage.Audit, storage.Claims} {
@@ -49,7 +49,8 @@
 	return s
 }
 
-// Read returns the newest state, as far as it differs from r.Since.
+// Read returns the rows that changed after r.Since. A full read omits deleted
+// rows.
 func (s *Store) Read(r storage.ReadRequest) (storage.Changes, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +72,8 @@
 	return c, nil
 }
 
-// Write commits the transaction if all its conditions hold.
+// Write commits the transaction if all its conditions hold, and otherwise
+// returns a conflict with the current rows of the failed conditions.
 func (s *Store) Write(txn storage.Txn) (storage.WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +97,7 @@
 	return result, nil
 }
 
-// Clone returns tables with the same content that don't change with s.
+// Clone returns an independent copy of the store.
 func (s *Store) Clone() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,7 @@
 	return out
 }
 
-// Revisions returns each table's revision.
+// Revisions returns the current revision of each table.
 func (s *Store) Revisions() map[storage.TableName]storage.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +146,8 @@
 	return nil
 }
 
-// checkConditions returns the present rows of the conditions that don't.
+// checkConditions reports whether all conditions hold, and returns the existing
+// rows of those that do not.
 func (s *Store) checkConditions(conditions []storage.Condition) ([]storage.Row, bool) {
 	var current []storage.Row
 	ok := true
@@ -161,7 +164,7 @@
 	return current, ok
 }
 
-// liveRow returns a row; its zero value if it is absent or deleted.
+// liveRow returns a row, or false if it does not exist or is deleted.
 func (t *table) liveRow(key string) (storage.Row, bool) {
 	row, ok := t.rows[key]
 	if !ok || row.Deleted {
@@ -177,15 +180,17 @@
 	}
 	t.rows[p.Key] = row
 	t.changeLog = append(t.changeLog, change{t.revision, p.Key})
+	// Compact when more than half of the entries are obsolete, so that the
+	// amortised cost per put is constant, and small tables rarely.
 	if len(t.changeLog) > 2*len(t.rows)+64 {
 		t.compact()
 	}
 }
 
-// indexAfter returns the index of the first log entry above a revision.
+// indexAfter returns the index of the first change log entry after a revision.
 func (t *table) indexAfter(since storage.Revision) int {
-	i, _ := slices.BinarySearchFunc(t.changeLog, since, func(c change, since storage.Revision) int {
-		if c.revision <= since {
+	i, _ := slices.BinarySearchFunc(t.changeLog, since, func(entry change, since storage.Revision) int {
+		if entry.revision <= since {
 			return -1
 		}
 		return 1
@@ -193,10 +198,10 @@
 	return i
 }
 
-// compact drops the log entries that no longer count.
+// compact removes obsolete entries from the change log.
 func (t *table) compact() {
-	t.changeLog = slices.DeleteFunc(t.changeLog, func(c change) bool {
-		return t.rows[c.key].Revision != c.revision
+	t.changeLog = slices.DeleteFunc(t.changeLog, func(entry change) bool {
+		return t.rows[entry.key].Revision != entry.revision
 	})
 }
 
--- a/internal/standin/tables/tables_test.go
+++ b/internal/standin/tables/tables_test.go
@@ -25,8 +25,8 @@
 
 var tableNames = []storage.TableName{storage.Control, storage.Audit, storage.Claims}
 
-// model is the plainest description of the service: a row list per table
-// that is searched from end to end.
+// model is a reference implementation of the store: an unsorted list of rows
+// per table, searched linearly.
 type model map[storage.TableName][]storage.Row
 
 func (m model) revision(t storage.TableName) storage.Revision {
@@ -132,8 +132,8 @@
 	})
 }
 
-// requireSameChanges compares rows without the order of those of one revision, and
-// checks that revisions ascend.
+// requireSameChanges checks that the rows of got are in ascending order of
+// revision and compares the changes, ignoring the order within a revision.
 func requireSameChanges(t *rapid.T, want, got storage.Changes) {
 	must.True(t, slices.IsSortedFunc(got.Rows, func(a, b storage.Row) int { return int(a.Revision) - int(b.Revision) }))
 	byKey := func(a, b storage.Row) int { return strings.Compare(a.Key, b.Key) }
@@ -142,9 +142,9 @@
 	must.Eq(t, want, got)
 }
 
-// A writer's transaction meets a row that another changed, a row that is
-// gone, and one that holds. It must learn the present state of the first
-// only, and nothing may take effect in any table.
+// A transaction has a condition on a row that another transaction changed, one
+// on a deleted row and one that holds. The conflict must return the current
+// state of the first row only, and no table may change.
 func TestConflictReturnsCurrentRows(t *testing.T) {
 	s := tables.New()
 	puts := []storage.Put{
