--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of foxtailspoke-standin.
+// Package command implements the command line of foxtailspoke-standin.
 package command
 
 import (
@@ -11,60 +11,61 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes of Run.
+// Exit statuses.
 const (
-	exitOK    = 0
-	exitError = 1
-	exitUsage = 2
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
 )
 
-// program is what the subcommands share.
-type program struct {
+// environment holds what the subcommands share.
+type environment struct {
 	ctx    context.Context
 	stdout io.Writer
 	log    *slog.Logger
 }
 
-// Run runs the command line with these arguments, without the program's
-// name, until the context ends. It returns the exit code.
+// Run runs the command given by args, which exclude the program name, until ctx
+// is cancelled. It returns the exit status.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	p := &program{ctx: ctx, stdout: stdout, log: slog.New(slog.NewTextHandler(stderr, nil))}
+	env := &environment{ctx: ctx, stdout: stdout, log: slog.New(slog.NewTextHandler(stderr, nil))}
 	parser := flags.NewNamedParser("foxtailspoke-standin", flags.HelpFlag|flags.PassDoubleDash)
-	parser.ShortDescription = "stand-ins of what surrounds foxtailspoke"
+	parser.ShortDescription = "test doubles of the systems around foxtailspoke"
 	parser.LongDescription = longDescription
-	p.addCommands(parser)
+	env.addCommands(parser)
 	_, err := parser.ParseArgs(args)
-	return report(err, stdout, stderr)
+	return exitCode(err, stdout, stderr)
 }
 
-const longDescription = `Small stand-ins of the platform, of backend servers and of network links,
-for trials and tests. Each prints a line "listening WHAT ADDRESS" per listener
-and runs until it gets SIGTERM.`
+const longDescription = `Test doubles of the platform, of backend servers and of network links. Each
+command prints a line "listening NAME ADDRESS" per listener and runs until
+SIGTERM.`
 
-func (p *program) addCommands(parser *flags.Parser) {
+func (env *environment) addCommands(parser *flags.Parser) {
 	commands := []struct {
 		name, short, long string
 		data              any
 	}{
-		{"platform", "the tables, objects and list of instances", platformHelp, &platformCommand{program: p}},
-		{"backend", "a backend server of a service", backendHelp, &backendCommand{program: p}},
-		{"link", "TCP relays that can be cut one way", linkHelp, &linkCommand{program: p}},
+		{"platform", "tables, objects and instance registry of the platform", platformHelp, &platformCommand{env: env}},
+		{"backend", "backend server of a service", backendHelp, &backendCommand{env: env}},
+		{"link", "TCP relays whose directions can be cut", linkHelp, &linkCommand{env: env}},
 	}
 	for _, c := range commands {
 		if _, err := parser.AddCommand(c.name, c.short, c.long, c.data); err != nil {
-			panic(errors.NewAssertionErrorWithWrappedErrf(err, "command %s", c.name))
+			panic(errors.NewAssertionErrorWithWrappedErrf(err, "add command %s", c.name))
 		}
 	}
 }
 
-func report(err error, stdout, stderr io.Writer) int {
+// exitCode prints err, if any, and returns the exit status for it.
+func exitCode(err error, stdout, stderr io.Writer) int {
 	var flagsErr *flags.Error
 	switch {
 	case err == nil:
 		return exitOK
 	case !errors.As(err, &flagsErr):
 		fmt.Fprintln(stderr, "foxtailspoke-standin:", err)
-		return exitError
+		return exitFailed
 	case flagsErr.Type == flags.ErrHelp:
 		fmt.Fprintln(stdout, flagsErr.Message)
 		return exitOK
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -25,14 +25,14 @@
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// running is a command that runs in this process.
-type running struct {
+// runningCommand is a command that runs in the test process.
+type runningCommand struct {
 	lines *bufio.Scanner
 	stop  context.CancelFunc
 	code  <-chan int
 }
 
-func run(t *testing.T, args ...string) running {
+func startCommand(t *testing.T, args ...string) runningCommand {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	reader, writer := io.Pipe()
@@ -42,47 +42,48 @@
 		_ = writer.Close()
 	}()
 	t.Cleanup(cancel)
-	return running{lines: bufio.NewScanner(reader), stop: cancel, code: code}
+	return runningCommand{lines: bufio.NewScanner(reader), stop: cancel, code: code}
 }
 
-// listening reads the next line and returns the address that it gives.
-func (r running) listening(t *testing.T, what string) string {
+// nextListener reads the next line of output, which must be that of the named
+// listener, and returns the address in it.
+func (c runningCommand) nextListener(t *testing.T, name string) string {
 	t.Helper()
-	must.True(t, r.lines.Scan())
-	address, ok := strings.CutPrefix(r.lines.Text(), "listening "+what+" ")
-	must.True(t, ok, must.Sprint(r.lines.Text()))
+	must.True(t, c.lines.Scan())
+	address, ok := strings.CutPrefix(c.lines.Text(), "listening "+name+" ")
+	must.True(t, ok, must.Sprint(c.lines.Text()))
 	return address
 }
 
 func get(t *testing.T, url string) string {
 	t.Helper()
-	r, err := http.Get(url)
+	resp, err := http.Get(url)
 	must.NoError(t, err)
-	defer r.Body.Close()
-	body, err := io.ReadAll(r.Body)
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
 	must.NoError(t, err)
-	must.Eq(t, http.StatusOK, r.StatusCode)
+	must.Eq(t, http.StatusOK, resp.StatusCode)
 	return string(body)
 }
 
-func TestCommandsRunTogether(t *testing.T) {
+func TestBackendReachesPlatformThroughLink(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "addresses")
-	p := run(t, "platform", "--lag", "0s", "--address-file", file)
-	address := p.listening(t, "platform")
-	must.StrContains(t, get(t, "http://"+p.listening(t, "control")+"/control/faults"), `"lag":"0s"`)
+	p := startCommand(t, "platform", "--lag", "0s", "--address-file", file)
+	address := p.nextListener(t, "platform")
+	must.StrContains(t, get(t, "http://"+p.nextListener(t, "control")+"/control/faults"), `"lag":"0s"`)
 
 	links := filepath.Join(t.TempDir(), "links.json")
 	text := `[ // to the platform
 		{"name": "up", "to": "` + address + `"}]`
 	must.NoError(t, os.WriteFile(links, []byte(text), 0o600))
-	l := run(t, "link", "--links", links)
-	control := l.listening(t, "control")
-	up := l.listening(t, "up")
+	l := startCommand(t, "link", "--links", links)
+	control := l.nextListener(t, "control")
+	up := l.nextListener(t, "up")
 	must.StrContains(t, get(t, "http://"+control+"/control/links"), `"up":`)
 
-	b := run(t, "backend", "--service", "catalogue", "--platform", "http://"+up, "--announce-every", "10ms", "--linger", "1ms")
-	must.StrContains(t, get(t, "http://"+b.listening(t, "backend")+"/x"), "catalogue GET /x")
-	b.listening(t, "control")
+	b := startCommand(t, "backend", "--service", "catalogue", "--platform", "http://"+up, "--announce-every", "10ms", "--linger", "1ms")
+	must.StrContains(t, get(t, "http://"+b.nextListener(t, "backend")+"/x"), "catalogue GET /x")
+	b.nextListener(t, "control")
 	b.stop()
 	must.Zero(t, <-b.code)
 	must.StrContains(t, get(t, "http://"+address+"/v1/instances"), `"state":"ended"`)
@@ -93,14 +94,15 @@
 	must.NoError(t, json.Unmarshal(bytes.SplitN(content, []byte("\n"), 2)[0], &first))
 	must.Eq(t, address, first.Address)
 	must.Eq(t, "platform", first.What)
-	for _, r := range []running{l, p} {
-		r.stop()
-		must.Zero(t, <-r.code)
+	for _, c := range []runningCommand{l, p} {
+		c.stop()
+		must.Zero(t, <-c.code)
 	}
 }
 
-// The help names each field of the structs of faults.
-func TestHelpShowsEveryFault(t *testing.T) {
+// The help of each command must contain the JSON names of all faults that can
+// be set.
+func TestHelpNamesEveryFault(t *testing.T) {
 	for name, faults := range map[string]any{
 		"platform": standin.PlatformFaults{},
 		"backend":  standin.BackendFaults{},
@@ -109,14 +111,15 @@
 		var out bytes.Buffer
 		must.Zero(t, command.Run(t.Context(), []string{name, "--help"}, &out, io.Discard))
 		must.StrContains(t, out.String(), "Example:")
-		for _, field := range fields(reflect.TypeOf(faults)) {
+		for _, field := range jsonNames(reflect.TypeOf(faults)) {
 			must.StrContains(t, out.String(), `"`+field+`"`, must.Sprint(name))
 		}
 	}
 }
 
-// fields returns the JSON names of a struct's fields and of those in them.
-func fields(t reflect.Type) []string {
+// jsonNames returns the JSON names of a struct's fields, including those of
+// nested structs.
+func jsonNames(t reflect.Type) []string {
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
@@ -125,14 +128,14 @@
 		if tag := t.Field(i).Tag.Get("json"); tag != "" {
 			names = append(names, tag)
 		}
-		names = append(names, fields(t.Field(i).Type)...)
+		names = append(names, jsonNames(t.Field(i).Type)...)
 	}
 	return names
 }
 
-func TestWrongUse(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.json")
-	must.NoError(t, os.WriteFile(bad, []byte(`[{"nam":"x"}]`), 0o600))
+func TestInvalidUsageExitCodes(t *testing.T) {
+	invalid := filepath.Join(t.TempDir(), "bad.json")
+	must.NoError(t, os.WriteFile(invalid, []byte(`[{"nam":"x"}]`), 0o600))
 	for _, c := range []struct {
 		args []string
 		code int
@@ -145,10 +148,10 @@
 		{[]string{"backend", "--service", "s", "--platform", "::"}, 1},
 		{[]string{"link"}, 1},
 		{[]string{"link", "--links", "/nosuch"}, 1},
-		{[]string{"link", "--links", bad}, 1},
+		{[]string{"link", "--links", invalid}, 1},
 	} {
-		var errors bytes.Buffer
-		must.Eq(t, c.code, command.Run(t.Context(), c.args, io.Discard, &errors), must.Sprint(c.args))
-		must.Positive(t, errors.Len())
+		var stderr bytes.Buffer
+		must.Eq(t, c.code, command.Run(t.Context(), c.args, io.Discard, &stderr), must.Sprint(c.args))
+		must.Positive(t, stderr.Len())
 	}
 }
--- a/internal/standin/command/link.go
+++ b/internal/standin/command/link.go
@@ -11,33 +11,33 @@
 	"foxtailspoke/internal/standin"
 )
 
-const linkHelp = `Relays TCP connections. Either direction can be cut, delayed and restored.
-A cut holds the bytes; neither side is told.
+const linkHelp = `Relays TCP connections. Each direction can be cut, delayed and restored. While
+a direction is cut, its data is held back and neither side is notified.
 
 Example:
 foxtailspoke-standin link --listen 127.0.0.1:7200 --to 127.0.0.1:7000 \
 --control 127.0.0.1:7201
 
 With L=http://127.0.0.1:7201/control/links:
-curl -d '{"forward":"open","backward":"cut"}' $L/link -- cut one way
+curl -d '{"forward":"open","backward":"cut"}' $L/link -- cut one direction
 curl -d '{"forwardDelay":"20ms","backwardDelay":"5ms"}' $L/link -- delay
 curl -X DELETE $L/link -- restore
-curl $L -- shows all links
+curl $L -- show all links
 
-Several links take a file, in JSON with comments, in place of --listen and
---to, and one call can switch several of them:
+Several links are defined in a file, in JSON with comments, that --links names
+in place of --listen and --to. One request can change several of them:
 [{"name": "a-b", "listen": "127.0.0.1:7210", "to": "127.0.0.1:7310"}]
 curl -d '{"a-b":{"forward":"cut"},"b-a":{}}' $L`
 
 type linkCommand struct {
-	program *program
+	env *environment
 
-	Name        string `long:"name" default:"link" description:"name of the one link"`
-	Listen      string `long:"listen" default:"127.0.0.1:0" description:"address that takes the connections"`
-	To          string `long:"to" description:"address that they go to"`
-	Links       string `long:"links" description:"file with several links"`
-	Control     string `long:"control" default:"127.0.0.1:0" description:"address of the switches"`
-	AddressFile string `long:"address-file" description:"file to write the addresses to, a JSON object a line"`
+	Name        string `long:"name" default:"link" description:"name of the link, if --links is not given"`
+	Listen      string `long:"listen" default:"127.0.0.1:0" description:"address to accept connections on"`
+	To          string `long:"to" description:"address to relay connections to"`
+	Links       string `long:"links" description:"file that defines several links"`
+	Control     string `long:"control" default:"127.0.0.1:0" description:"address of the control endpoint"`
+	AddressFile string `long:"address-file" description:"file to write the listener addresses to, one JSON object per line"`
 }
 
 // Execute implements flags.Commander.
@@ -46,19 +46,19 @@
 	if err != nil {
 		return err
 	}
-	links, err := standin.StartLinks(c.Control, options, c.program.log)
+	links, err := standin.StartLinks(c.Control, options, c.env.log)
 	if err != nil {
 		return err
 	}
 	defer links.Close()
-	listeners := []listener{{"control", hostOf(links.ControlURL())}}
+	listeners := []listener{{"control", hostPort(links.ControlURL())}}
 	for _, o := range options {
 		listeners = append(listeners, listener{o.Name, links.Link(o.Name).Address()})
 	}
-	if err := announce(c.program.stdout, c.AddressFile, listeners); err != nil {
+	if err := reportListeners(c.env.stdout, c.AddressFile, listeners); err != nil {
 		return err
 	}
-	<-c.program.ctx.Done()
+	<-c.env.ctx.Done()
 	return nil
 }
 
@@ -68,26 +68,26 @@
 	}
 	text, err := os.ReadFile(c.Links)
 	if err != nil {
-		return nil, errors.Wrap(err, "links")
+		return nil, errors.Wrap(err, "read links file")
 	}
 	options, err := parseLinks(text)
-	return options, errors.Wrapf(err, "links %s", c.Links)
+	return options, errors.Wrapf(err, "parse links file %s", c.Links)
 }
 
-// parseLinks reads a file of links: JSON with comments.
+// parseLinks parses the content of a links file, which is JSON with comments.
 func parseLinks(text []byte) ([]standin.LinkOptions, error) {
-	plain, err := hujson.Standardize(text)
+	standard, err := hujson.Standardize(text)
 	if err != nil {
 		return nil, err
 	}
 	var options []standin.LinkOptions
-	decoder := json.NewDecoder(bytes.NewReader(plain))
+	decoder := json.NewDecoder(bytes.NewReader(standard))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&options); err != nil {
 		return nil, err
 	}
 	if len(options) == 0 {
-		return nil, errors.New("no links")
+		return nil, errors.New("no links defined")
 	}
 	return options, nil
 }
--- a/internal/standin/command/links_internal_test.go
+++ b/internal/standin/command/link_fuzz_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzParseLinks checks that a file of links is taken whole or refused.
+// FuzzParseLinks checks that parseLinks returns either links or an error.
 func FuzzParseLinks(f *testing.F) {
 	for _, text := range []string{
 		`[{"name":"a","listen":"127.0.0.1:1","to":"127.0.0.1:2"}, /* c */ ]`,
