--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -34,18 +34,18 @@
 // Platform is a running platform stand-in: tables, objects and the list of
 // instances in memory, served over the API of api/platform.
 type Platform struct {
-	faults  *faultSwitch[PlatformFaults]
-	tables  *tables.Store
-	objects *objectStore
-	list    *instances.List
-	start   time.Time
-	api     *server
-	control *server
-
-	mu      sync.Mutex
-	rand    *rand.Rand
-	oldCopy *tables.Store
-	counts  PlatformCounts
+	faults    *faultSwitch[PlatformFaults]
+	tables    *tables.Store
+	objects   *objectStore
+	instances *instances.List
+	startTime time.Time
+	api       *server
+	control   *server
+
+	mu          sync.Mutex
+	rand        *rand.Rand
+	staleTables *tables.Store
+	counts      PlatformCounts
 	// readLimits and writeLimits are by service.
 	readLimits, writeLimits [serviceCount]rateLimit
 }
@@ -61,13 +61,13 @@
 // StartPlatform starts a platform stand-in. Close ends it.
 func StartPlatform(o PlatformOptions) (*Platform, error) {
 	p := &Platform{
-		tables:  tables.New(),
-		objects: newObjectStore(),
-		list:    instances.New(o.InstanceTimeout),
-		start:   time.Now(),
-		rand:    rand.New(rand.NewPCG(o.Seed, 0)),
+		tables:    tables.New(),
+		objects:   newObjectStore(),
+		instances: instances.New(o.InstanceTimeout),
+		startTime: time.Now(),
+		rand:      rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	p.faults = newFaultSwitch(PlatformFaults.validate, p.keepOldCopy)
+	p.faults = newFaultSwitch(PlatformFaults.validate, p.updateStaleTables)
 	if err := p.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 	p.control.close()
 }
 
-func (p *Platform) count(f func(*PlatformCounts)) {
+func (p *Platform) updateCounts(f func(*PlatformCounts)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.counts)
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -99,8 +99,8 @@
 	serviceCount
 )
 
-// serviceOf returns the service that a request is for.
-func serviceOf(r *http.Request) service {
+// serviceForRequest returns the service that a request is for.
+func serviceForRequest(r *http.Request) service {
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/objects"):
 		return objectService
@@ -111,8 +111,8 @@
 	}
 }
 
-// of returns a service's part of the faults.
-func (f *PlatformFaults) of(s service) *ServiceFaults {
+// forService returns a service's part forService the faults.
+func (f *PlatformFaults) forService(s service) *ServiceFaults {
 	switch s {
 	case objectService:
 		return &f.Objects
--- a/internal/standin/platform_handler.go
+++ b/internal/standin/platform_handler.go
@@ -21,10 +21,10 @@
 
 var _ oas.Handler = platformHandler{}
 
-var errPathMismatch = errors.New("the id in the path differs from the body's")
+var errIDMismatch = errors.New("the id in the path differs from the body's")
 
 func (h platformHandler) ReadRows(_ context.Context, params oas.ReadRowsParams) (*oas.Changes, error) {
-	c, err := h.p.readable().Read(storage.ReadRequest{
+	c, err := h.p.tablesForReads().Read(storage.ReadRequest{
 		Table:  storage.TableName(params.Table),
 		Since:  storage.Revision(params.Since.Or(0)),
 		Prefix: params.Prefix.Or(""),
@@ -65,21 +65,21 @@
 
 func (h platformHandler) ListInstances(_ context.Context, params oas.ListInstancesParams) (*oas.InstanceChanges, error) {
 	faults := h.p.Faults().Instances
-	c := h.p.list.Show(time.Since(h.p.start), params.Since.Or(0), time.Duration(faults.Lag), faults.Frozen)
+	c := h.p.instances.Show(time.Since(h.p.startTime), params.Since.Or(0), time.Duration(faults.Lag), faults.Frozen)
 	return convert.InstanceChangesToAPI(c), nil
 }
 
 func (h platformHandler) AnnounceInstance(_ context.Context, req *oas.Instance, params oas.AnnounceInstanceParams) error {
 	if req.ID != params.ID {
-		return errPathMismatch
+		return errIDMismatch
 	}
-	return h.p.list.Announce(time.Since(h.p.start), convert.InstanceFromAPI(req))
+	return h.p.instances.Announce(time.Since(h.p.startTime), convert.InstanceFromAPI(req))
 }
 
 func (h platformHandler) NewError(_ context.Context, err error) *oas.ProblemStatusCode {
 	status := http.StatusInternalServerError
 	switch {
-	case errors.Is(err, tables.ErrMalformed), errors.Is(err, errPathMismatch):
+	case errors.Is(err, tables.ErrMalformed), errors.Is(err, errIDMismatch):
 		status = http.StatusBadRequest
 	case errors.Is(err, instances.ErrEnded):
 		status = http.StatusGone
--- a/internal/standin/platform_middleware.go
+++ b/internal/standin/platform_middleware.go
@@ -10,31 +10,31 @@
 	"foxtailspoke/internal/standin/tables"
 )
 
-// maxAPIBody bounds a request to the platform's API, in bytes.
-const maxAPIBody = 64 << 20
+// maxAPIBodyBytes bounds a request to the platform's API, in bytes.
+const maxAPIBodyBytes = 64 << 20
 
 // withFaults puts the faults in front of the API.
 func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s := serviceOf(r)
+		s := serviceForRequest(r)
 		write := r.Method != http.MethodGet
 		p.countRequest(write)
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAPIBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAPIBodyBytes))
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		faults, changed := p.faults.get()
-		f := *faults.of(s)
+		f := *faults.forService(s)
 		if f.Down != DownNone {
-			fail(w, r, f.Down, changed)
+			failRequest(w, r, f.Down, changed)
 			return
 		}
 		if !p.allow(s, f, write) {
 			writeProblemStatus(w, http.StatusTooManyRequests, "above the service's limit")
 			return
 		}
-		p.delay(r.Context(), time.Duration(f.Delay), write)
+		p.waitDelay(r.Context(), time.Duration(f.Delay), write)
 		if write {
 			p.serveWrite(w, r, next)
 			return
@@ -44,7 +44,7 @@
 }
 
 func (p *Platform) countRequest(write bool) {
-	p.count(func(c *PlatformCounts) {
+	p.updateCounts(func(c *PlatformCounts) {
 		if write {
 			c.Writes++
 		} else {
@@ -57,15 +57,15 @@
 func (p *Platform) allow(s service, f ServiceFaults, write bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := time.Since(p.start)
+	now := time.Since(p.startTime)
 	if write {
 		return p.writeLimits[s].allow(now, f.MaxWritesPerSecond)
 	}
 	return p.readLimits[s].allow(now, f.MaxReadsPerSecond)
 }
 
-// fail answers as a service that is down.
-func fail(w http.ResponseWriter, r *http.Request, mode DownMode, changed <-chan struct{}) {
+// failRequest answers as a service that is down.
+func failRequest(w http.ResponseWriter, r *http.Request, mode DownMode, changed <-chan struct{}) {
 	switch mode {
 	case DownError:
 		writeProblemStatus(w, http.StatusServiceUnavailable, "the service is down")
@@ -79,8 +79,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// delay waits. The wait for a write doesn't end when its writer goes away.
-func (p *Platform) delay(ctx context.Context, d time.Duration, write bool) {
+// waitDelay waits. The wait for a write doesn't end when its writer goes away.
+func (p *Platform) waitDelay(ctx context.Context, d time.Duration, write bool) {
 	if d <= 0 {
 		return
 	}
@@ -99,26 +99,26 @@
 // serveWrite does a write, unless it is to be lost, and answers, unless the
 // answer is.
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request, next http.Handler) {
-	s := serviceOf(r)
-	if p.faults.consume(func(f *PlatformFaults) *int { return &f.of(s).DropWrites }) {
-		p.count(func(c *PlatformCounts) { c.DroppedWrites++ })
+	s := serviceForRequest(r)
+	if p.faults.consume(func(f *PlatformFaults) *int { return &f.forService(s).DropWrites }) {
+		p.updateCounts(func(c *PlatformCounts) { c.DroppedWrites++ })
 		panic(http.ErrAbortHandler)
 	}
-	if !p.loseAnswer(s) {
+	if !p.dropsResponse(s) {
 		next.ServeHTTP(w, r)
 		return
 	}
-	next.ServeHTTP(discardAnswer{header: http.Header{}}, r)
-	p.count(func(c *PlatformCounts) { c.DroppedResponses++ })
+	next.ServeHTTP(discardResponseWriter{header: http.Header{}}, r)
+	p.updateCounts(func(c *PlatformCounts) { c.DroppedResponses++ })
 	panic(http.ErrAbortHandler)
 }
 
-func (p *Platform) loseAnswer(s service) bool {
-	if p.faults.consume(func(f *PlatformFaults) *int { return &f.of(s).DropResponses }) {
+func (p *Platform) dropsResponse(s service) bool {
+	if p.faults.consume(func(f *PlatformFaults) *int { return &f.forService(s).DropResponses }) {
 		return true
 	}
 	faults := p.Faults()
-	ratio := faults.of(s).DropResponseRatio
+	ratio := faults.forService(s).DropResponseRatio
 	if ratio == 0 {
 		return false
 	}
@@ -127,31 +127,31 @@
 	return p.rand.Float64() < ratio
 }
 
-// keepOldCopy makes the copy that reads are answered from while OldCopy is on.
-func (p *Platform) keepOldCopy(f PlatformFaults) {
+// updateStaleTables makes the copy that reads are answered from while OldCopy is on.
+func (p *Platform) updateStaleTables(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case !f.Table.StaleReads:
-		p.oldCopy = nil
-	case p.oldCopy == nil:
-		p.oldCopy = p.tables.Copy()
+		p.staleTables = nil
+	case p.staleTables == nil:
+		p.staleTables = p.tables.Copy()
 	}
 }
 
-// readable returns the tables that reads are answered from.
-func (p *Platform) readable() *tables.Store {
+// tablesForReads returns the tables that reads are answered from.
+func (p *Platform) tablesForReads() *tables.Store {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.oldCopy != nil {
-		return p.oldCopy
+	if p.staleTables != nil {
+		return p.staleTables
 	}
 	return p.tables
 }
 
-// discardAnswer takes an answer that nobody gets.
-type discardAnswer struct{ header http.Header }
+// discardResponseWriter takes an answer that nobody gets.
+type discardResponseWriter struct{ header http.Header }
 
-func (d discardAnswer) Header() http.Header         { return d.header }
-func (d discardAnswer) Write(b []byte) (int, error) { return len(b), nil }
-func (d discardAnswer) WriteHeader(int)             {}
+func (d discardResponseWriter) Header() http.Header         { return d.header }
+func (d discardResponseWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d discardResponseWriter) WriteHeader(int)             {}
