--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -17,8 +17,8 @@
 	"foxtailspoke/internal/standin"
 )
 
-// far is the server behind a link. Its connections go to the test.
-func far(t *testing.T) (string, <-chan net.Conn) {
+// startTarget is the server behind a link. Its connections go to the test.
+func startTarget(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -41,15 +41,15 @@
 	return l.Addr().String(), conns
 }
 
-// linked returns a link and the two ends of a connection over it.
-func linked(t *testing.T) (l *standin.Link, near, behind net.Conn) {
+// startConnectedLink returns a link and the two ends of a connection over it.
+func startConnectedLink(t *testing.T) (l *standin.Link, near, behind net.Conn) {
 	t.Helper()
-	address, conns := far(t)
+	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near = dial(t, l.Address())
-	return l, near, accepted(t, conns)
+	return l, near, waitAccepted(t, conns)
 }
 
 func dial(t *testing.T, address string) net.Conn {
@@ -60,7 +60,7 @@
 	return conn
 }
 
-func accepted(t *testing.T, conns <-chan net.Conn) net.Conn {
+func waitAccepted(t *testing.T, conns <-chan net.Conn) net.Conn {
 	t.Helper()
 	select {
 	case conn := <-conns:
@@ -72,13 +72,13 @@
 	}
 }
 
-func send(t *testing.T, conn net.Conn, text string) {
+func mustSend(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	_, err := io.WriteString(conn, text)
 	must.NoError(t, err)
 }
 
-func receives(t *testing.T, conn net.Conn, text string) {
+func mustReceive(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
 	got := make([]byte, len(text))
@@ -87,7 +87,7 @@
 	must.Eq(t, text, string(got))
 }
 
-func receivesNothing(t *testing.T, conn net.Conn) {
+func mustReceiveNothing(t *testing.T, conn net.Conn) {
 	t.Helper()
 	must.NoError(t, conn.SetReadDeadline(time.Now().Add(glance)))
 	_, err := conn.Read(make([]byte, 1))
@@ -101,81 +101,81 @@
 // is lost when the link is restored.
 func TestLinkCutOneWay(t *testing.T) {
 	for _, forward := range []bool{true, false} {
-		l, near, behind := linked(t)
+		l, near, behind := startConnectedLink(t)
 		from, to := near, behind
 		cut := standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowOpen}
 		if !forward {
 			from, to = behind, near
 			cut = standin.LinkState{Backward: standin.FlowCut}
 		}
-		send(t, from, "1")
-		receives(t, to, "1")
+		mustSend(t, from, "1")
+		mustReceive(t, to, "1")
 		must.NoError(t, l.SetState(cut))
-		send(t, from, "held")
-		receivesNothing(t, to)
-		send(t, to, "heard")
-		receives(t, from, "heard")
+		mustSend(t, from, "held")
+		mustReceiveNothing(t, to)
+		mustSend(t, to, "heard")
+		mustReceive(t, from, "heard")
 		must.NoError(t, l.SetState(standin.LinkState{}))
-		receives(t, to, "held")
+		mustReceive(t, to, "held")
 	}
 }
 
 // A side that closes its connection behind a cut isn't noticed on the other
 // side until the link is restored.
-func TestLinkHoldsEndOfConnection(t *testing.T) {
-	l, near, behind := linked(t)
+func TestLinkCutDelaysEOF(t *testing.T) {
+	l, near, behind := startConnectedLink(t)
 	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut}))
-	send(t, near, "last")
+	mustSend(t, near, "last")
 	must.NoError(t, near.(*net.TCPConn).CloseWrite())
-	receivesNothing(t, behind)
+	mustReceiveNothing(t, behind)
 	must.NoError(t, l.SetState(standin.LinkState{}))
-	receives(t, behind, "last")
+	mustReceive(t, behind, "last")
 	_, err := behind.Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
-	send(t, behind, "reply")
-	receives(t, near, "reply")
+	mustSend(t, behind, "reply")
+	mustReceive(t, near, "reply")
 }
 
 // A connection made during a cut of either direction doesn't reach the other
 // side, as a handshake wouldn't. It does after the link is restored.
-func TestLinkConnectsWhenWhole(t *testing.T) {
-	address, conns := far(t)
+func TestLinkConnectsOnlyWithBothDirectionsOpen(t *testing.T) {
+	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	for _, s := range []standin.LinkState{{Forward: standin.FlowCut}, {Backward: standin.FlowCut}} {
 		must.NoError(t, l.SetState(s))
 		near := dial(t, l.Address())
-		send(t, near, "hello")
-		receivesNothing(t, near)
+		mustSend(t, near, "hello")
+		mustReceiveNothing(t, near)
 		must.Zero(t, len(conns))
 		must.NoError(t, l.SetState(standin.LinkState{}))
-		receives(t, accepted(t, conns), "hello")
+		mustReceive(t, waitAccepted(t, conns), "hello")
 	}
 }
 
 func TestLinkDelays(t *testing.T) {
-	l, near, behind := linked(t)
+	l, near, behind := startConnectedLink(t)
 	const delay = 40 * time.Millisecond
 	must.NoError(t, l.SetState(standin.LinkState{ForwardDelay: config.Duration(delay)}))
 	began := time.Now()
-	send(t, near, "x")
-	receives(t, behind, "x")
+	mustSend(t, near, "x")
+	mustReceive(t, behind, "x")
 	must.GreaterEq(t, delay, time.Since(began))
 }
 
 // Much data in both directions at once arrives whole and in order.
-func TestLinkRelaysMuch(t *testing.T) {
-	_, near, behind := linked(t)
+func TestLinkRelaysLargeTransfers(t *testing.T) {
+	_, near, behind := startConnectedLink(t)
 	text := strings.Repeat("0123456789abcdef", 1<<17)
 	go func() { _, _ = io.WriteString(near, text) }()
 	go func() { _, _ = io.WriteString(behind, text) }()
-	receives(t, near, text)
-	receives(t, behind, text)
+	mustReceive(t, near, text)
+	mustReceive(t, behind, text)
 }
 
 // Nobody listens behind the link: the connection ends, as if refused.
-func TestLinkToNowhere(t *testing.T) {
+func TestLinkToClosedPort(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, dead.Close())
@@ -196,9 +196,9 @@
 
 // The links are closed while they hold bytes: nothing waits for ever.
 func TestLinkClosesDuringCut(t *testing.T) {
-	l, near, _ := linked(t)
+	l, near, _ := startConnectedLink(t)
 	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowCut}))
-	send(t, near, "held")
+	mustSend(t, near, "held")
 	waiting := dial(t, l.Address())
 	l.Close()
 	for _, conn := range []net.Conn{near, waiting} {
@@ -209,8 +209,8 @@
 	}
 }
 
-func TestLinksOverHTTP(t *testing.T) {
-	address, _ := far(t)
+func TestLinksControlAPI(t *testing.T) {
+	address, _ := startTarget(t)
 	ls, err := standin.StartLinks("", []standin.LinkOptions{{Name: "a-b", Target: address}, {Name: "b-a", Target: address}}, nil)
 	must.NoError(t, err)
 	t.Cleanup(ls.Close)
@@ -241,14 +241,14 @@
 
 // Something on the way resets all connections. Both ends see it at once, and
 // the next connection works.
-func TestResetEndsOpenConnectionsOnBothSides(t *testing.T) {
-	address, conns := far(t)
+func TestLinkResetConnectionsReachesBothSides(t *testing.T) {
+	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
 	near := dial(t, l.Address())
-	behind := accepted(t, conns)
-	send(t, near, "a")
+	behind := waitAccepted(t, conns)
+	mustSend(t, near, "a")
 	_, err = io.ReadFull(behind, make([]byte, 1))
 	must.NoError(t, err)
 	l.ResetConnections()
@@ -257,7 +257,7 @@
 		_, err := conn.Read(make([]byte, 1))
 		must.ErrorIs(t, err, syscall.ECONNRESET)
 	}
-	send(t, dial(t, l.Address()), "b")
-	_, err = io.ReadFull(accepted(t, conns), make([]byte, 1))
+	mustSend(t, dial(t, l.Address()), "b")
+	_, err = io.ReadFull(waitAccepted(t, conns), make([]byte, 1))
 	must.NoError(t, err)
 }
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -23,7 +23,7 @@
 	return p, c
 }
 
-func TestFaultsOverHTTP(t *testing.T) {
+func TestPlatformFaultsControlAPI(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
 	url := p.ControlURL() + "/control/faults"
 	set := func(body string) int { return control(t, http.MethodPost, url, body).status }
@@ -49,7 +49,7 @@
 
 // The old copy is the state at the moment of the switch: a write after it
 // must not show, and must once the fault has ended.
-func TestOldCopyIsFromTheSwitch(t *testing.T) {
+func TestStaleReadsShowStateAtActivation(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	write := func(key string) {
 		r, err := c.Write(t.Context(), storage.Txn{Attempt: key, Puts: []storage.Put{{Table: storage.Control, Key: key}}})
@@ -73,7 +73,7 @@
 
 // A lost write and a lost answer look the same to their writers; only the
 // table knows the difference.
-func TestLostWriteLooksLikeLostAnswer(t *testing.T) {
+func TestDroppedWriteLooksLikeDroppedResponse(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	for i, f := range []standin.ServiceFaults{{DropWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
 		must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: f}}))
@@ -87,7 +87,7 @@
 
 // The store is slow: a writer gives up, and its write takes effect after
 // that. What it was told, that the outcome is unknown, was true.
-func TestSlowWriteTakesEffectLate(t *testing.T) {
+func TestDelayedWriteTakesEffectAfterClientTimeout(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
 	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: glance})
 	must.NoError(t, err)
@@ -103,7 +103,7 @@
 
 // The store is asked more than it gives. Those above the limit have no
 // effect; a writer that isn't told so exactly must take it as unknown.
-func TestStoreAboveItsLimit(t *testing.T) {
+func TestRequestsAboveRateLimit(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	limited := standin.ServiceFaults{MaxReadsPerSecond: 1, MaxWritesPerSecond: 1}
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: limited}, Objects: limited}))
