--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -13,10 +13,11 @@
 	"foxtailspoke/storage/client"
 )
 
-// announceTimeout bounds one announcement.
+// announceTimeout is the timeout of one announcement, including the repetition
+// under a new id.
 const announceTimeout = 2 * time.Second
 
-// announcer repeats a backend server's announcement to the platform.
+// announcer periodically announces a backend server to the platform.
 type announcer struct {
 	instances storage.Instances
 	interval  time.Duration
@@ -24,7 +25,8 @@
 	cancel    context.CancelFunc
 	done      chan struct{}
 
-	// announceMu orders the announcements.
+	// announceMu serializes announcements, so that an older state can't
+	// overwrite a newer one on the platform.
 	announceMu sync.Mutex
 	mu         sync.Mutex
 	self       storage.Instance
@@ -50,7 +52,7 @@
 	return a.self
 }
 
-// report announces a new state at once.
+// report sets the state and announces it without waiting for the next interval.
 func (a *announcer) report(s storage.State) {
 	a.mu.Lock()
 	a.self.State = s
@@ -92,8 +94,9 @@
 	}
 }
 
-// renewID takes a new id. A server that was frozen for so long that the
-// platform declared it ended may not come back under its old one.
+// renewID assigns a new instance id. The platform rejects announcements under an
+// id that it has declared ended, as happens to a server that was suspended for
+// longer than the platform's instance timeout.
 func (a *announcer) renewID() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,14 +1,16 @@
-// Package standin has small stand-ins for what surrounds foxtailspoke: the
-// platform, backend servers, and network links that can be cut. They run in a
-// test's own process or, by the program foxtailspoke-standin, on their own.
+// Package standin provides stand-ins (test doubles) for the systems around
+// foxtailspoke: the platform, backend servers, and network links whose
+// directions can be cut. They run inside a test process or, through the
+// program foxtailspoke-standin, as separate processes.
 //
-// Each has a set of faults, a plain struct that is switched as a whole or in
-// part: from Go by SetFaults, or over HTTP on the control address by
+// The platform and the backend servers each inject a set of faults, a plain
+// struct that can be replaced or updated at run time: from Go by SetFaults, or
+// over HTTP on the control address by
 //
-//	GET    /control/faults   shows the faults
-//	POST   /control/faults   sets the fields given, and leaves the others
-//	DELETE /control/faults   ends all faults
+//	GET    /control/faults   returns the current faults
+//	POST   /control/faults   sets the fields in the body and keeps the others
+//	DELETE /control/faults   clears all faults
 //
 // The JSON field names are those of the struct tags of PlatformFaults and
-// BackendFaults.
+// BackendFaults. Links have a control API of their own; see Links.
 package standin
--- a/internal/standin/fault_switch.go
+++ b/internal/standin/fault_switch.go
@@ -6,19 +6,22 @@
 	"sync"
 )
 
-// maxControlBody bounds a request to a control address, in bytes.
+// maxControlBody is the maximum size of a request body on a control address, in
+// bytes.
 const maxControlBody = 1 << 20
 
-// faultSwitch holds a set of faults. It is safe for concurrent use. T is a
-// flat struct, so that a copy shares nothing with the original.
+// faultSwitch holds a set of faults and serves the HTTP calls that change it.
+// It is safe for concurrent use. T must be a struct without references, so that
+// a copy shares no memory with the original.
 type faultSwitch[T any] struct {
 	mu     sync.Mutex
 	faults T
-	// changed is closed, and replaced, at every change.
+	// changed is closed and replaced on every update.
 	changed chan struct{}
-	// validate refuses a set of faults that makes no sense.
+	// validate rejects an invalid set of faults.
 	validate func(T) error
-	// onUpdate is called with every new set, before anybody else sees it.
+	// onUpdate is called with every new set, with mu held, before get returns
+	// it.
 	onUpdate func(T)
 }
 
@@ -26,14 +29,15 @@
 	return &faultSwitch[T]{changed: make(chan struct{}), validate: validate, onUpdate: onUpdate}
 }
 
-// get returns the faults and a channel that is closed when they change.
+// get returns the faults and a channel that is closed on the next update.
 func (s *faultSwitch[T]) get() (T, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults, s.changed
 }
 
-// update changes the faults by f. If f or the validation fails, they stay.
+// update applies f to the faults. If f or the validation fails, the faults stay
+// unchanged.
 func (s *faultSwitch[T]) update(f func(*T) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +55,8 @@
 	return nil
 }
 
-// consume uses up one of a counted fault: it returns whether any was left.
+// consume decrements the counter of a fault that applies to a limited number of
+// requests. It returns false if the counter is already zero.
 func (s *faultSwitch[T]) consume(counter func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +68,7 @@
 	return true
 }
 
-// ServeHTTP implements the control calls.
+// ServeHTTP implements GET, POST and DELETE of the control API.
 func (s *faultSwitch[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var err error
 	switch r.Method {
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,27 +12,27 @@
 	"foxtailspoke/config"
 )
 
-// dialTimeout bounds making the connection behind a link.
+// dialTimeout is the timeout of the connection from a link to its target.
 const dialTimeout = 2 * time.Second
 
-// Flow is what a direction of a link does with bytes.
+// Flow says whether a direction of a link passes bytes on.
 type Flow string
 
 const (
-	// FlowOpen lets bytes through; so does the empty string.
+	// FlowOpen passes bytes on; so does the empty string.
 	FlowOpen Flow = "open"
-	// FlowCut holds bytes, and the end of a connection, without a sign to
-	// either side.
+	// FlowCut buffers bytes and the end of a connection; neither side gets
+	// an error or an EOF.
 	FlowCut Flow = "cut"
 )
 
 // LinkState is the state of a link's two directions. Forward is from the
-// side that connects to the side that is connected to.
+// client to the target, Backward from the target to the client.
 type LinkState struct {
 	Forward  Flow `json:"forward"`
 	Backward Flow `json:"backward"`
-	// ForwardDelay and BackwardDelay are the latencies of the directions,
-	// like "10ms".
+	// ForwardDelay and BackwardDelay are the latencies added to the
+	// directions, such as "10ms".
 	ForwardDelay  config.Duration `json:"forwardDelay"`
 	BackwardDelay config.Duration `json:"backwardDelay"`
 }
@@ -40,36 +40,37 @@
 func (s LinkState) validate() error {
 	for _, f := range []Flow{s.Forward, s.Backward} {
 		if f != "" && f != FlowOpen && f != FlowCut {
-			return errors.Newf("%q is neither open nor cut", f)
+			return errors.Newf("invalid flow %q: must be open or cut", f)
 		}
 	}
 	if s.ForwardDelay < 0 || s.BackwardDelay < 0 {
-		return errors.New("a delay can't be negative")
+		return errors.New("forwardDelay and backwardDelay must not be negative")
 	}
 	return nil
 }
 
-// bothOpen reports whether both directions are open. No TCP connection can be
-// made otherwise.
+// bothOpen reports whether both directions are open, which a TCP handshake
+// needs.
 func (s LinkState) bothOpen() bool {
 	return s.Forward != FlowCut && s.Backward != FlowCut
 }
 
-// LinkOptions of one link.
+// LinkOptions configures one link.
 type LinkOptions struct {
 	Name string `json:"name"`
 	// Listen is "ip:port"; empty means DefaultListen.
 	Listen string `json:"listen"`
-	// Target is where connections go: "ip:port".
+	// Target is the address that connections are relayed to: "ip:port".
 	Target string `json:"to"`
 }
 
 // Link is a running TCP relay whose directions can be cut and delayed
 // independently.
 //
-// While a direction is cut, bytes in it wait, up to a bound, and go on when
-// it is restored. A connection that is made while either direction is cut
-// reaches the relay only: its other half is made after the link is restored.
+// While a direction is cut, the relay buffers a bounded number of its bytes
+// and delivers them when the direction is restored. A connection that is opened
+// while either direction is cut is accepted by the relay, which connects to the
+// target only once both directions are open.
 type Link struct {
 	options  LinkOptions
 	log      *slog.Logger
@@ -83,11 +84,11 @@
 	conns map[*relayedConn]struct{}
 }
 
-// StartLink starts a link. Close ends it.
+// StartLink starts a link. Close stops it.
 func StartLink(o LinkOptions, log *slog.Logger) (*Link, error) {
 	listener, err := net.Listen("tcp", orDefault(o.Listen))
 	if err != nil {
-		return nil, errors.Wrapf(err, "link %s", o.Name)
+		return nil, errors.Wrapf(err, "start link %s", o.Name)
 	}
 	l := &Link{
 		options:  o,
@@ -101,16 +102,16 @@
 	return l, nil
 }
 
-// Address takes the connections: "ip:port".
+// Address returns the address that the link listens on: "ip:port".
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// State returns the state of the directions.
+// State returns the state of both directions.
 func (l *Link) State() LinkState {
 	s, _ := l.state.get()
 	return s
 }
 
-// SetState changes the state of the directions.
+// SetState replaces the state of both directions.
 func (l *Link) SetState(s LinkState) error {
 	return l.state.update(func(current *LinkState) error {
 		*current = s
@@ -118,8 +119,8 @@
 	})
 }
 
-// ResetConnections resets the connections that are open, on both sides. New ones can be
-// made at once.
+// ResetConnections sends a TCP reset to both sides of every open connection. New
+// connections are accepted as before.
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +129,7 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops the link and closes its connections.
 func (l *Link) Close() {
 	l.cancel()
 	_ = l.listener.Close()
@@ -153,7 +154,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(l.ctx, "tcp", l.options.Target)
 	if err != nil {
-		l.log.Debug("link can't connect", "link", l.options.Name, "error", err)
+		l.log.Debug("link failed to connect to its target", "link", l.options.Name, "error", err)
 		_ = client.SetLinger(0)
 		return
 	}
@@ -182,8 +183,8 @@
 	delete(l.conns, c)
 }
 
-// awaitState waits until the state is as wanted. It returns false if the
-// link was closed or the channel was, if there is one.
+// awaitState waits for a state that accept returns true for. It returns false if
+// the link or abort is closed first; abort may be nil.
 func (l *Link) awaitState(accept func(LinkState) bool, abort <-chan struct{}) bool {
 	for {
 		s, changed := l.state.get()
--- a/internal/standin/link_conn.go
+++ b/internal/standin/link_conn.go
@@ -7,26 +7,30 @@
 )
 
 const (
-	// chunkSizeBytes and maxChunks bound what a direction of a connection holds.
+	// chunkSizeBytes and maxQueuedChunks bound the bytes that are buffered for
+	// each direction of a connection.
 	chunkSizeBytes  = 16 << 10
 	maxQueuedChunks = 64
 )
 
-// relayedConn is the two halves of one relayed connection.
+// relayedConn is a client's connection to a link and the link's connection to
+// the target.
 type relayedConn struct {
 	link           *Link
 	client, target *net.TCPConn
-	// bothEnded is closed when both sides have ended their sending: what is held
-	// then has nobody left to wait for it.
+	// bothEnded is closed when both sides have finished sending. Data still held
+	// by a cut is discarded then, because neither side waits for it any more.
 	bothEnded chan struct{}
 
 	mu              sync.Mutex
 	endedDirections int
-	// wasReset keeps the usual end of one side from reaching the other.
+	// wasReset keeps the end of one side from being relayed to the other as a
+	// FIN.
 	wasReset bool
 }
 
-// chunk is what one read brought. The last one of a direction is the end.
+// chunk is the result of one read. The last chunk of a direction carries the end
+// of the stream, and possibly data.
 type chunk struct {
 	data   []byte
 	readAt time.Time
@@ -37,7 +41,7 @@
 	return &relayedConn{link: l, client: client, target: target, bothEnded: make(chan struct{})}
 }
 
-// reset ends the connection on both sides without its usual end.
+// reset closes both sides with a TCP reset instead of a FIN.
 func (r *relayedConn) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,8 +68,8 @@
 	directions.Wait()
 }
 
-// relayDirection relays one direction. Reading goes on while bytes are held, so that
-// the end of a connection is noticed.
+// relayDirection relays one direction. It keeps reading while the direction is
+// cut, so that the end of a connection is detected.
 func (r *relayedConn) relayDirection(from, to *net.TCPConn, flowOf func(LinkState) (Flow, time.Duration)) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	writerDone := make(chan struct{})
@@ -105,7 +109,8 @@
 	}
 }
 
-// writeChunks sends what was read, as the link's state allows.
+// writeChunks writes the chunks when the flow and the delay of the direction
+// allow it.
 func (r *relayedConn) writeChunks(to *net.TCPConn, chunks <-chan chunk, flowOf func(LinkState) (Flow, time.Duration)) {
 	open := func(s LinkState) bool {
 		flow, _ := flowOf(s)
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -8,20 +8,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Links are several links with one control address:
+// Links is a set of links with one control address:
 //
-//	GET  /control/links        shows the state of all links
-//	POST /control/links        sets the states of several, by their names
-//	GET  /control/links/NAME   shows one
-//	POST /control/links/NAME   sets the fields given, and leaves the others
-//	DELETE /control/links/NAME opens both directions without a delay
+//	GET    /control/links       returns the states of all links by name
+//	POST   /control/links       replaces the states of the links named in the body
+//	GET    /control/links/NAME  returns the state of one link
+//	POST   /control/links/NAME  sets the fields in the body and keeps the others
+//	DELETE /control/links/NAME  opens both directions and clears their delays
 type Links struct {
 	links   map[string]*Link
 	control *server
 }
 
-// StartLinks starts links with different names. Control is "ip:port"; empty
-// means DefaultListen. Close ends them.
+// StartLinks starts links, whose names must be unique. Control is the "ip:port"
+// of the control address; empty means DefaultListenAddress. Close stops all of
+// them.
 func StartLinks(control string, options []LinkOptions, log *slog.Logger) (*Links, error) {
 	ls := &Links{links: map[string]*Link{}}
 	for _, o := range options {
@@ -40,10 +41,10 @@
 
 func (ls *Links) add(o LinkOptions, log *slog.Logger) error {
 	if o.Name == "" || o.Target == "" {
-		return errors.New("a link needs a name and an address to go to")
+		return errors.New("a link needs a name and a target address")
 	}
 	if ls.links[o.Name] != nil {
-		return errors.Newf("two links are named %q", o.Name)
+		return errors.Newf("duplicate link name %q", o.Name)
 	}
 	l, err := StartLink(o, log)
 	if err != nil {
@@ -53,13 +54,13 @@
 	return nil
 }
 
-// Link returns a link by its name; nil if there is none.
+// Link returns the link with the given name, or nil.
 func (ls *Links) Link(name string) *Link { return ls.links[name] }
 
-// ControlURL is where the links are switched over HTTP.
+// ControlURL returns the base URL of the control API.
 func (ls *Links) ControlURL() string { return ls.control.url() }
 
-// Close ends all links.
+// Close stops the control server and all links.
 func (ls *Links) Close() {
 	if ls.control != nil {
 		ls.control.close()
@@ -112,11 +113,12 @@
 	writeJSON(w, ls.states())
 }
 
-// validateStates lets a call that names one link wrongly change none.
+// validateStates rejects a request that names an unknown link or contains an
+// invalid state, before any link is changed.
 func (ls *Links) validateStates(states map[string]LinkState) error {
 	for name, s := range states {
 		if ls.links[name] == nil {
-			return errors.Newf("there is no link %q", name)
+			return errors.Newf("unknown link %q", name)
 		}
 		if err := s.validate(); err != nil {
 			return err
--- a/internal/standin/object_store.go
+++ b/internal/standin/object_store.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// objectStore is an object store in memory.
+// objectStore is an in-memory object store.
 type objectStore struct {
 	mu      sync.Mutex
 	objects map[string][]byte
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,27 +12,27 @@
 	"foxtailspoke/internal/standin/tables"
 )
 
-// DefaultListenAddress takes a free port on the loopback interface.
+// DefaultListenAddress selects a free port on the loopback interface.
 const DefaultListenAddress = "127.0.0.1:0"
 
-// PlatformOptions of a platform stand-in.
+// PlatformOptions configures a platform stand-in.
 type PlatformOptions struct {
 	// Listen and Control are "ip:port"; empty means DefaultListen.
 	Listen  string
 	Control string
-	// InstanceTimeout is how long an instance may be silent before the list shows
-	// it as ended; 0 means for ever.
+	// InstanceTimeout is the time without an announcement after which the
+	// list of instances shows an instance as ended; 0 means never.
 	InstanceTimeout time.Duration
-	// Faults from the start.
+	// Faults are the initial faults.
 	Faults PlatformFaults
-	// Seed of the random faults.
+	// Seed seeds the generator that selects the requests with random faults.
 	Seed uint64
 	// Log may be nil.
 	Log *slog.Logger
 }
 
-// Platform is a running platform stand-in: tables, objects and the list of
-// instances in memory, served over the API of api/platform.
+// Platform is a running platform stand-in: it serves the API of api/platform
+// from in-memory tables, objects and a list of instances.
 type Platform struct {
 	faults    *faultSwitch[PlatformFaults]
 	tables    *tables.Store
@@ -46,11 +46,11 @@
 	rand        *rand.Rand
 	staleTables *tables.Store
 	counts      PlatformCounts
-	// readLimits and writeLimits are by service.
+	// readLimits and writeLimits are indexed by service.
 	readLimits, writeLimits [serviceCount]rateLimit
 }
 
-// PlatformCounts are the requests seen since the start.
+// PlatformCounts counts requests since the start of the stand-in.
 type PlatformCounts struct {
 	Reads            int `json:"reads"`
 	Writes           int `json:"writes"`
@@ -58,7 +58,7 @@
 	DroppedWrites    int `json:"lostWrites"`
 }
 
-// StartPlatform starts a platform stand-in. Close ends it.
+// StartPlatform starts a platform stand-in. Close stops it.
 func StartPlatform(o PlatformOptions) (*Platform, error) {
 	p := &Platform{
 		tables:    tables.New(),
@@ -86,16 +86,16 @@
 	return p, nil
 }
 
-// URL of the API, for the client.
+// URL returns the base URL of the API.
 func (p *Platform) URL() string { return p.api.url() }
 
-// Address of the API: "ip:port".
+// Address returns the address of the API: "ip:port".
 func (p *Platform) Address() string { return p.api.address() }
 
-// ControlURL is where the faults are switched over HTTP.
+// ControlURL returns the base URL of the control API.
 func (p *Platform) ControlURL() string { return p.control.url() }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (p *Platform) Faults() PlatformFaults {
 	f, _ := p.faults.get()
 	return f
@@ -106,7 +106,7 @@
 	return p.UpdateFaults(func(current *PlatformFaults) { *current = f })
 }
 
-// UpdateFaults changes the faults by f.
+// UpdateFaults applies f to the current faults.
 func (p *Platform) UpdateFaults(f func(*PlatformFaults)) error {
 	return p.faults.update(func(current *PlatformFaults) error {
 		f(current)
@@ -114,24 +114,25 @@
 	})
 }
 
-// Tables are the tables themselves, for tests that look at them or change
-// them past all faults.
+// Tables returns the tables, for tests that read or change them without the
+// faults.
 func (p *Platform) Tables() *tables.Store { return p.tables }
 
-// Object returns an object past all faults.
+// Object returns an object; faults don't apply.
 func (p *Platform) Object(name string) ([]byte, bool) { return p.objects.get(name) }
 
-// ObjectNames returns the names of all objects past all faults, ascending.
+// ObjectNames returns the names of all objects in ascending order; faults don't
+// apply.
 func (p *Platform) ObjectNames() []string { return p.objects.list("") }
 
-// Counts returns the requests seen since the start.
+// Counts returns the request counts.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Close ends the stand-in and all its connections.
+// Close stops the stand-in and closes all its connections.
 func (p *Platform) Close() {
 	p.api.close()
 	p.control.close()
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -9,63 +9,66 @@
 	"foxtailspoke/config"
 )
 
-// DownMode is how a service of the platform fails while it is down.
+// DownMode is how a platform service fails while it is down.
 type DownMode string
 
 const (
-	// DownNone is no failure.
+	// DownNone means that the service is up.
 	DownNone DownMode = ""
-	// DownClosed closes the connection without an answer.
+	// DownClosed closes the connection without a response.
 	DownClosed DownMode = "closed"
-	// DownSilent never answers and keeps the connection open.
+	// DownSilent keeps the connection open and sends no response.
 	DownSilent DownMode = "silent"
-	// DownError answers with status 503.
+	// DownError responds with status 503.
 	DownError DownMode = "error"
 )
 
-// PlatformFaults are the faults that a platform stand-in can show. The zero
-// value is none.
+// PlatformFaults are the faults that a platform stand-in can inject. The zero
+// value injects none.
 type PlatformFaults struct {
 	Table     TableFaults    `json:"table"`
 	Objects   ServiceFaults  `json:"objects"`
 	Instances InstanceFaults `json:"instances"`
 }
 
-// ServiceFaults are those of any of the platform's three services.
+// ServiceFaults are the faults that each of the platform's three services has.
 type ServiceFaults struct {
-	// Down is "closed", "silent" or "error"; empty when up.
+	// Down is "closed", "silent" or "error"; empty means that the service is
+	// up.
 	Down DownMode `json:"down"`
-	// Delay before the service does anything, like "250ms". A write takes
-	// effect after it also if its writer has gone away in the meantime.
+	// Delay is the time before a request is processed, such as "250ms". A
+	// write still takes effect after it if the client has disconnected in the
+	// meantime.
 	Delay config.Duration `json:"delay"`
-	// DropResponses is for how many of the next writes the answer is lost
-	// after they took effect.
+	// DropResponses is the number of upcoming writes that take effect but get
+	// no response.
 	DropResponses int `json:"loseAnswers"`
-	// DropResponseRatio of writes lose their answer, from 0 to 1.
+	// DropResponseRatio is the fraction of writes, from 0 to 1, that take
+	// effect but get no response.
 	DropResponseRatio float64 `json:"loseAnswersRatio"`
-	// DropWrites is how many of the next writes are lost before they take
-	// effect. Their writers see what they see by LoseAnswers.
+	// DropWrites is the number of upcoming writes that are dropped before they
+	// take effect. To the client they look the same as those of DropResponses.
 	DropWrites int `json:"loseWrites"`
-	// MaxReadsPerSecond and MaxWrites a second; those above get status 429 and have
-	// no effect. 0 is no limit.
+	// MaxReadsPerSecond and MaxWritesPerSecond are rate limits. Requests
+	// above them get status 429 and have no effect. 0 means no limit.
 	MaxReadsPerSecond  int `json:"maxReads"`
 	MaxWritesPerSecond int `json:"maxWrites"`
 }
 
-// TableFaults are those of the table service.
+// TableFaults are the faults of the table service.
 type TableFaults struct {
 	ServiceFaults
-	// StaleReads answers reads from a copy of the tables made when this was
-	// switched on. It breaks what the platform promises.
+	// StaleReads serves reads from a copy of the tables made when the fault
+	// was switched on. This violates the platform's consistency guarantees.
 	StaleReads bool `json:"oldCopy"`
 }
 
-// InstanceFaults are those of the list of instances.
+// InstanceFaults are the faults of the list of instances.
 type InstanceFaults struct {
 	ServiceFaults
-	// Lag is how late the list shows a change, like "2s".
+	// Lag is the delay before the list shows a change, such as "2s".
 	Lag config.Duration `json:"lag"`
-	// Frozen stops the list from showing anything new.
+	// Frozen keeps the list from showing new changes.
 	Frozen bool `json:"frozen"`
 }
 
@@ -74,17 +77,17 @@
 		switch s.Down {
 		case DownNone, DownClosed, DownSilent, DownError:
 		default:
-			return errors.Newf("down: %q is none of closed, silent, error", s.Down)
+			return errors.Newf("invalid down mode %q: must be closed, silent, error or empty", s.Down)
 		}
 		if s.Delay < 0 || min(s.DropResponses, s.DropWrites, s.MaxReadsPerSecond, s.MaxWritesPerSecond) < 0 {
-			return errors.New("delays, counts and limits can't be negative")
+			return errors.New("delays, counts and rate limits must not be negative")
 		}
 		if !(s.DropResponseRatio >= 0 && s.DropResponseRatio <= 1) {
-			return errors.New("loseAnswersRatio must be from 0 to 1")
+			return errors.New("loseAnswersRatio must be between 0 and 1")
 		}
 	}
 	if f.Instances.Lag < 0 {
-		return errors.New("lag can't be negative")
+		return errors.New("lag must not be negative")
 	}
 	return nil
 }
@@ -99,7 +102,8 @@
 	serviceCount
 )
 
-// serviceForRequest returns the service that a request is for.
+// serviceForRequest returns the service that a request is addressed to, by its
+// path.
 func serviceForRequest(r *http.Request) service {
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/objects"):
@@ -111,7 +115,7 @@
 	}
 }
 
-// forService returns a service's part forService the faults.
+// forService returns the ServiceFaults of one service.
 func (f *PlatformFaults) forService(s service) *ServiceFaults {
 	switch s {
 	case objectService:
--- a/internal/standin/platform_handler.go
+++ b/internal/standin/platform_handler.go
@@ -16,7 +16,7 @@
 	"foxtailspoke/storage"
 )
 
-// platformHandler implements the platform's API on the stand-in's stores.
+// platformHandler implements the platform's API on the in-memory stores.
 type platformHandler struct{ p *Platform }
 
 var _ oas.Handler = platformHandler{}
@@ -95,7 +95,8 @@
 	}
 }
 
-// writeProblem answers requests that didn't get as far as the handler.
+// writeProblem responds to requests that were rejected before they reached the
+// handler.
 func writeProblem(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	writeProblemStatus(w, ogenerrors.ErrorCode(err), err.Error())
 }
--- a/internal/standin/platform_middleware.go
+++ b/internal/standin/platform_middleware.go
@@ -10,10 +10,10 @@
 	"foxtailspoke/internal/standin/tables"
 )
 
-// maxAPIBodyBytes bounds a request to the platform's API, in bytes.
+// maxAPIBodyBytes is the maximum size of a request body to the platform's API.
 const maxAPIBodyBytes = 64 << 20
 
-// withFaults puts the faults in front of the API.
+// withFaults wraps next with the injection of the current faults.
 func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s := serviceForRequest(r)
@@ -53,7 +53,7 @@
 	})
 }
 
-// allow reports whether a request is within its service's limit.
+// allow reports whether a request is within the rate limit of its service.
 func (p *Platform) allow(s service, f ServiceFaults, write bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,8 @@
 	return p.readLimits[s].allow(now, f.MaxReadsPerSecond)
 }
 
-// failRequest answers as a service that is down.
+// failRequest fails a request the way a service that is down does. In
+// DownSilent, it waits until the faults change or the client disconnects.
 func failRequest(w http.ResponseWriter, r *http.Request, mode DownMode, changed <-chan struct{}) {
 	switch mode {
 	case DownError:
@@ -79,7 +80,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// waitDelay waits. The wait for a write doesn't end when its writer goes away.
+// waitDelay waits for the configured delay. If the client disconnects, a read is
+// aborted, but a write still takes effect after the delay.
 func (p *Platform) waitDelay(ctx context.Context, d time.Duration, write bool) {
 	if d <= 0 {
 		return
@@ -96,8 +98,7 @@
 	}
 }
 
-// serveWrite does a write, unless it is to be lost, and answers, unless the
-// answer is.
+// serveWrite serves a write, unless a fault drops the write or its response.
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	s := serviceForRequest(r)
 	if p.faults.consume(func(f *PlatformFaults) *int { return &f.forService(s).DropWrites }) {
@@ -127,7 +128,8 @@
 	return p.rand.Float64() < ratio
 }
 
-// updateStaleTables makes the copy that reads are answered from while OldCopy is on.
+// updateStaleTables copies the tables when StaleReads is switched on and discards
+// the copy when it is switched off.
 func (p *Platform) updateStaleTables(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// tablesForReads returns the tables that reads are answered from.
+// tablesForReads returns the tables that reads are served from.
 func (p *Platform) tablesForReads() *tables.Store {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +151,7 @@
 	return p.tables
 }
 
-// discardResponseWriter takes an answer that nobody gets.
+// discardResponseWriter discards the response of a write that took effect.
 type discardResponseWriter struct{ header http.Header }
 
 func (d discardResponseWriter) Header() http.Header         { return d.header }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -20,8 +20,9 @@
 	done     chan struct{}
 }
 
-// startServer listens on address ("ip:port"; port 0 takes a free one) and
-// serves until stopped. The handler's requests end with the server.
+// startServer listens on address ("ip:port"; port 0 selects a free port) and
+// serves until close or shutdown. Closing the server cancels the contexts of
+// the requests that are being handled.
 func startServer(address string, handler http.Handler, log *slog.Logger) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -55,20 +56,21 @@
 
 func (s *server) url() string { return "http://" + s.address() }
 
-// close ends all connections at once.
+// close closes all connections immediately and cancels running requests.
 func (s *server) close() {
 	s.cancel()
 	_ = s.http.Close()
 	<-s.done
 }
 
-// shutdown lets running requests finish until the context ends.
+// shutdown waits for running requests until the context ends, then closes the
+// server.
 func (s *server) shutdown(ctx context.Context) {
 	_ = s.http.Shutdown(ctx)
 	s.close()
 }
 
-// logOr returns a logger that drops everything in place of nil.
+// logOr returns log, or a logger that discards everything if log is nil.
 func logOr(log *slog.Logger) *slog.Logger {
 	if log == nil {
 		return slog.New(slog.DiscardHandler)
