--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -58,7 +58,8 @@
 // LinkOptions configures one link.
 type LinkOptions struct {
 	Name string `json:"name"`
-	// Listen is "ip:port"; empty means DefaultListen.
+	// Listen is the listen address, "ip:port"; empty means
+	// DefaultListenAddress.
 	Listen string `json:"listen"`
 	// Target is the address that connections are relayed to: "ip:port".
 	Target string `json:"to"`
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -17,7 +17,8 @@
 	"foxtailspoke/internal/standin"
 )
 
-// startTarget is the server behind a link. Its connections go to the test.
+// startTarget starts a listener for links to connect to. It returns its address
+// and a channel of the connections it accepts.
 func startTarget(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,15 +42,15 @@
 	return l.Addr().String(), conns
 }
 
-// startConnectedLink returns a link and the two ends of a connection over it.
-func startConnectedLink(t *testing.T) (l *standin.Link, near, behind net.Conn) {
+// startConnectedLink returns a link and both ends of a connection through it.
+func startConnectedLink(t *testing.T) (l *standin.Link, clientConn, targetConn net.Conn) {
 	t.Helper()
 	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
-	near = dial(t, l.Address())
-	return l, near, waitAccepted(t, conns)
+	clientConn = dial(t, l.Address())
+	return l, clientConn, waitAccepted(t, conns)
 }
 
 func dial(t *testing.T, address string) net.Conn {
@@ -67,7 +68,7 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	case <-time.After(patience):
-		t.Fatal("no connection")
+		t.Fatal("the target accepted no connection in time")
 		return nil
 	}
 }
@@ -96,16 +97,16 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// One side hears the other but not the reverse. Bytes in the cut direction
-// wait without a sign to either side, those in the other go on, and nothing
-// is lost when the link is restored.
+// With one direction cut, bytes in that direction are buffered without an error
+// on either side, bytes in the other direction are delivered, and no byte is
+// lost when the link is restored.
 func TestLinkCutOneWay(t *testing.T) {
 	for _, forward := range []bool{true, false} {
-		l, near, behind := startConnectedLink(t)
-		from, to := near, behind
+		l, clientConn, targetConn := startConnectedLink(t)
+		from, to := clientConn, targetConn
 		cut := standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowOpen}
 		if !forward {
-			from, to = behind, near
+			from, to = targetConn, clientConn
 			cut = standin.LinkState{Backward: standin.FlowCut}
 		}
 		mustSend(t, from, "1")
@@ -120,24 +121,25 @@
 	}
 }
 
-// A side that closes its connection behind a cut isn't noticed on the other
-// side until the link is restored.
+// The end of a connection that is closed during a cut must not reach the other
+// side before the link is restored.
 func TestLinkCutDelaysEOF(t *testing.T) {
-	l, near, behind := startConnectedLink(t)
+	l, clientConn, targetConn := startConnectedLink(t)
 	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut}))
-	mustSend(t, near, "last")
-	must.NoError(t, near.(*net.TCPConn).CloseWrite())
-	mustReceiveNothing(t, behind)
+	mustSend(t, clientConn, "last")
+	must.NoError(t, clientConn.(*net.TCPConn).CloseWrite())
+	mustReceiveNothing(t, targetConn)
 	must.NoError(t, l.SetState(standin.LinkState{}))
-	mustReceive(t, behind, "last")
-	_, err := behind.Read(make([]byte, 1))
+	mustReceive(t, targetConn, "last")
+	_, err := targetConn.Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
-	mustSend(t, behind, "reply")
-	mustReceive(t, near, "reply")
+	mustSend(t, targetConn, "reply")
+	mustReceive(t, clientConn, "reply")
 }
 
-// A connection made during a cut of either direction doesn't reach the other
-// side, as a handshake wouldn't. It does after the link is restored.
+// A connection opened while either direction is cut must not reach the target,
+// because a TCP handshake would not complete. It reaches the target after the
+// link is restored.
 func TestLinkConnectsOnlyWithBothDirectionsOpen(t *testing.T) {
 	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
@@ -145,9 +147,9 @@
 	t.Cleanup(l.Close)
 	for _, s := range []standin.LinkState{{Forward: standin.FlowCut}, {Backward: standin.FlowCut}} {
 		must.NoError(t, l.SetState(s))
-		near := dial(t, l.Address())
-		mustSend(t, near, "hello")
-		mustReceiveNothing(t, near)
+		clientConn := dial(t, l.Address())
+		mustSend(t, clientConn, "hello")
+		mustReceiveNothing(t, clientConn)
 		must.Zero(t, len(conns))
 		must.NoError(t, l.SetState(standin.LinkState{}))
 		mustReceive(t, waitAccepted(t, conns), "hello")
@@ -155,53 +157,55 @@
 }
 
 func TestLinkDelays(t *testing.T) {
-	l, near, behind := startConnectedLink(t)
+	l, clientConn, targetConn := startConnectedLink(t)
 	const delay = 40 * time.Millisecond
 	must.NoError(t, l.SetState(standin.LinkState{ForwardDelay: config.Duration(delay)}))
-	began := time.Now()
-	mustSend(t, near, "x")
-	mustReceive(t, behind, "x")
-	must.GreaterEq(t, delay, time.Since(began))
+	start := time.Now()
+	mustSend(t, clientConn, "x")
+	mustReceive(t, targetConn, "x")
+	must.GreaterEq(t, delay, time.Since(start))
 }
 
-// Much data in both directions at once arrives whole and in order.
+// Large transfers in both directions at once arrive complete and in order.
 func TestLinkRelaysLargeTransfers(t *testing.T) {
-	_, near, behind := startConnectedLink(t)
+	_, clientConn, targetConn := startConnectedLink(t)
 	text := strings.Repeat("0123456789abcdef", 1<<17)
-	go func() { _, _ = io.WriteString(near, text) }()
-	go func() { _, _ = io.WriteString(behind, text) }()
-	mustReceive(t, near, text)
-	mustReceive(t, behind, text)
+	go func() { _, _ = io.WriteString(clientConn, text) }()
+	go func() { _, _ = io.WriteString(targetConn, text) }()
+	mustReceive(t, clientConn, text)
+	mustReceive(t, targetConn, text)
 }
 
-// Nobody listens behind the link: the connection ends, as if refused.
+// Nothing listens on the target address: the client's connection is closed, as
+// if it were refused.
 func TestLinkToClosedPort(t *testing.T) {
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	must.NoError(t, dead.Close())
-	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: dead.Addr().String()}, nil)
+	must.NoError(t, closed.Close())
+	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: closed.Addr().String()}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
-	near, err := net.Dial("tcp", l.Address())
+	clientConn, err := net.Dial("tcp", l.Address())
 	if err != nil {
-		must.ErrorIs(t, err, syscall.ECONNRESET, must.Sprint("the end may come before Dial returns"))
+		must.ErrorIs(t, err, syscall.ECONNRESET, must.Sprint("the reset may arrive before Dial returns"))
 		return
 	}
-	t.Cleanup(func() { _ = near.Close() })
-	must.NoError(t, near.SetReadDeadline(time.Now().Add(patience)))
-	_, err = near.Read(make([]byte, 1))
+	t.Cleanup(func() { _ = clientConn.Close() })
+	must.NoError(t, clientConn.SetReadDeadline(time.Now().Add(patience)))
+	_, err = clientConn.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.False(t, isTimeout(err))
 }
 
-// The links are closed while they hold bytes: nothing waits for ever.
+// Closing a link that buffers bytes and has a connection waiting for the target
+// must end both connections, not block.
 func TestLinkClosesDuringCut(t *testing.T) {
-	l, near, _ := startConnectedLink(t)
+	l, clientConn, _ := startConnectedLink(t)
 	must.NoError(t, l.SetState(standin.LinkState{Forward: standin.FlowCut, Backward: standin.FlowCut}))
-	mustSend(t, near, "held")
-	waiting := dial(t, l.Address())
+	mustSend(t, clientConn, "held")
+	pending := dial(t, l.Address())
 	l.Close()
-	for _, conn := range []net.Conn{near, waiting} {
+	for _, conn := range []net.Conn{clientConn, pending} {
 		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
 		_, err := conn.Read(make([]byte, 1))
 		must.Error(t, err)
@@ -239,20 +243,20 @@
 	must.Error(t, err)
 }
 
-// Something on the way resets all connections. Both ends see it at once, and
-// the next connection works.
+// All connections are reset on the way, as by a middlebox: both ends of an open
+// connection get the reset at once, and a new connection works.
 func TestLinkResetConnectionsReachesBothSides(t *testing.T) {
 	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
 	must.NoError(t, err)
 	t.Cleanup(l.Close)
-	near := dial(t, l.Address())
-	behind := waitAccepted(t, conns)
-	mustSend(t, near, "a")
-	_, err = io.ReadFull(behind, make([]byte, 1))
+	clientConn := dial(t, l.Address())
+	targetConn := waitAccepted(t, conns)
+	mustSend(t, clientConn, "a")
+	_, err = io.ReadFull(targetConn, make([]byte, 1))
 	must.NoError(t, err)
 	l.ResetConnections()
-	for _, conn := range []net.Conn{near, behind} {
+	for _, conn := range []net.Conn{clientConn, targetConn} {
 		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
 		_, err := conn.Read(make([]byte, 1))
 		must.ErrorIs(t, err, syscall.ECONNRESET)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -17,7 +17,8 @@
 
 // PlatformOptions configures a platform stand-in.
 type PlatformOptions struct {
-	// Listen and Control are "ip:port"; empty means DefaultListen.
+	// Listen and Control are the addresses of the API and the control API,
+	// "ip:port"; empty means DefaultListenAddress.
 	Listen  string
 	Control string
 	// InstanceTimeout is the time without an announcement after which the
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -47,8 +47,9 @@
 	must.Eq(t, http.StatusMethodNotAllowed, control(t, http.MethodPut, url, "").status)
 }
 
-// The old copy is the state at the moment of the switch: a write after it
-// must not show, and must once the fault has ended.
+// Stale reads return the state at the moment the fault is switched on, also
+// after other faults change: later writes are visible only once it is switched
+// off.
 func TestStaleReadsShowStateAtActivation(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	write := func(key string) {
@@ -71,8 +72,8 @@
 	must.Eq(t, 2, revision())
 }
 
-// A lost write and a lost answer look the same to their writers; only the
-// table knows the difference.
+// A dropped write and a dropped response give the client the same outcome,
+// Unknown; only the table's revision tells them apart.
 func TestDroppedWriteLooksLikeDroppedResponse(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	for i, f := range []standin.ServiceFaults{{DropWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
@@ -85,8 +86,8 @@
 	must.Eq(t, standin.PlatformCounts{Writes: 3, DroppedResponses: 2, DroppedWrites: 1}, p.Counts())
 }
 
-// The store is slow: a writer gives up, and its write takes effect after
-// that. What it was told, that the outcome is unknown, was true.
+// A write that is delayed beyond the client's timeout takes effect after the
+// client has given up, so Unknown is the only outcome that the client may report.
 func TestDelayedWriteTakesEffectAfterClientTimeout(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
 	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: glance})
@@ -98,11 +99,11 @@
 	must.NoError(t, err)
 	must.Eq(t, storage.Unknown, r.Outcome)
 	must.Zero(t, p.Tables().Revisions()[storage.Control])
-	eventually(t, "takes effect", func() bool { return p.Tables().Revisions()[storage.Control] == 1 })
+	eventually(t, "the write takes effect", func() bool { return p.Tables().Revisions()[storage.Control] == 1 })
 }
 
-// The store is asked more than it gives. Those above the limit have no
-// effect; a writer that isn't told so exactly must take it as unknown.
+// Requests above the rate limit have no effect. The client can't conclude that
+// from status 429 and must report such a write as Unknown.
 func TestRequestsAboveRateLimit(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	limited := standin.ServiceFaults{MaxReadsPerSecond: 1, MaxWritesPerSecond: 1}
@@ -124,10 +125,10 @@
 	must.NoError(t, c.Objects().Put(t.Context(), "o", nil), must.Sprint("each service has its own limit"))
 }
 
-// The link to the platform is cut one way: the platform hears the writer, the
-// writer doesn't hear the platform. The write takes effect, its answer is
-// lost, and reads fail, until the link is restored and the writer recognises
-// its own write. The other way, nothing takes effect.
+// One direction of the link to the platform is cut. With the responses cut, a
+// write takes effect but its outcome is Unknown and reads fail; after the link is
+// restored, the client finds its attempt in the table. With the requests cut, the
+// write has no effect.
 func TestOneWayCutToPlatform(t *testing.T) {
 	for _, cut := range []standin.LinkState{{Backward: standin.FlowCut}, {Forward: standin.FlowCut}} {
 		p, _ := startPlatform(t, standin.PlatformOptions{})
@@ -152,7 +153,7 @@
 			continue
 		}
 		must.NoError(t, l.SetState(standin.LinkState{}))
-		eventually(t, "reads again", func() bool {
+		eventually(t, "reads return the write again", func() bool {
 			changes, err := c.Read(t.Context(), read)
 			return err == nil && len(changes.Rows) == 1 && changes.Rows[0].Attempt == "mine"
 		})
