--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -120,8 +120,8 @@
 	})
 }
 
-// ResetConnections sends a TCP reset to both sides of every open connection. New
-// connections are accepted as before.
+// ResetConnections sends a TCP reset to both sides of every connection that has
+// reached the target. New connections can be opened at once.
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/link_conn.go
+++ b/internal/standin/link_conn.go
@@ -69,7 +69,7 @@
 }
 
 // relayDirection relays one direction. It keeps reading while the direction is
-// cut, so that the end of a connection is detected.
+// cut, up to the bound of the buffer, so that the end of a connection is detected.
 func (r *relayedConn) relayDirection(from, to *net.TCPConn, flowOf func(LinkState) (Flow, time.Duration)) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	writerDone := make(chan struct{})
--- a/internal/standin/platform_middleware.go
+++ b/internal/standin/platform_middleware.go
@@ -105,7 +105,7 @@
 		p.updateCounts(func(c *PlatformCounts) { c.DroppedWrites++ })
 		panic(http.ErrAbortHandler)
 	}
-	if !p.dropsResponse(s) {
+	if !p.shouldDropResponse(s) {
 		next.ServeHTTP(w, r)
 		return
 	}
@@ -114,7 +114,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (p *Platform) dropsResponse(s service) bool {
+func (p *Platform) shouldDropResponse(s service) bool {
 	if p.faults.consume(func(f *PlatformFaults) *int { return &f.forService(s).DropResponses }) {
 		return true
 	}
