--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -56,24 +56,24 @@
 
 // Backend is a running backend server stand-in.
 type Backend struct {
-	o          BackendOptions
+	options          BackendOptions
 	log        *slog.Logger
 	start      time.Time
 	faults     *faultSwitch[BackendFaults]
 	slots      *slots
 	executions *executionLog
-	raw        *rawLog
-	work       *server
-	control    *server
+	rawCapture        *rawLog
+	workServer       *server
+	controlServer    *server
 	announcer  *announcer
 
 	mu        sync.Mutex
-	rand      *rand.Rand
-	served    int
+	rng      *rand.Rand
+	requestsStarted    int
 	draining  bool
-	drainedAt time.Duration
-	// recent are the latest answers, to cross with others.
-	recent []answer
+	drainingSince time.Duration
+	// recentResponses are the latest answers, to cross with others.
+	recentResponses []response
 }
 
 // StartBackend starts a backend server stand-in. Close ends it at once,
@@ -81,25 +81,25 @@
 func StartBackend(o BackendOptions) (*Backend, error) {
 	o = o.withDefaults()
 	b := &Backend{
-		o:          o,
+		options:          o,
 		log:        logOr(o.Log),
 		start:      time.Now(),
 		executions: newExecutionLog(),
-		raw:        newRawLog(),
-		rand:       rand.New(rand.NewPCG(o.Seed, 0)),
+		rawCapture:        newRawLog(),
+		rng:       rand.New(rand.NewPCG(o.Seed, 0)),
 	}
 	b.slots = newSlots(o.Slots, o.Queue, b.now)
 	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
-	listener, err := listenGated(orDefault(o.Listen), b.gates, b.raw)
+	listener, err := listenGated(orDefault(o.Listen), b.gates, b.rawCapture)
 	if err != nil {
 		return nil, err
 	}
-	b.work = serve(listener, b.workHandler(), b.log)
-	if b.control, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
-		b.work.close()
+	b.workServer = serve(listener, b.workHandler(), b.log)
+	if b.controlServer, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
+		b.workServer.close()
 		return nil, err
 	}
 	if o.Instances != nil {
@@ -109,13 +109,13 @@
 }
 
 // Address takes the entry instances' requests: "ip:port".
-func (b *Backend) Address() string { return b.work.address() }
+func (b *Backend) Address() string { return b.workServer.address() }
 
 // URL of Address.
-func (b *Backend) URL() string { return b.work.url() }
+func (b *Backend) URL() string { return b.workServer.url() }
 
 // ControlURL is where faults are switched and executions read over HTTP.
-func (b *Backend) ControlURL() string { return b.control.url() }
+func (b *Backend) ControlURL() string { return b.controlServer.url() }
 
 // ID is the id that the server has in the platform's list; empty if it
 // doesn't announce itself.
@@ -161,7 +161,7 @@
 		return
 	}
 	b.draining = true
-	b.drainedAt = b.now()
+	b.drainingSince = b.now()
 	b.mu.Unlock()
 	if b.announcer != nil {
 		b.announcer.report(storage.Leaving)
@@ -172,7 +172,7 @@
 // has, reports the end and stops.
 func (b *Backend) Shutdown(ctx context.Context) {
 	b.Drain()
-	b.work.shutdown(ctx)
+	b.workServer.shutdown(ctx)
 	if b.announcer != nil {
 		b.announcer.report(storage.Ended)
 	}
@@ -184,8 +184,8 @@
 	if b.announcer != nil {
 		b.announcer.stop()
 	}
-	b.work.close()
-	b.control.close()
+	b.workServer.close()
+	b.controlServer.close()
 }
 
 func (b *Backend) now() time.Duration { return time.Since(b.start) }
@@ -199,22 +199,22 @@
 func (b *Backend) random() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.rand.Float64()
+	return b.rng.Float64()
 }
 
 func (b *Backend) instance() storage.Instance {
-	address := b.o.Advertise
+	address := b.options.Advertise
 	if address == "" {
 		address = b.Address()
 	}
 	return storage.Instance{
 		ID:         uuid.NewString(),
 		Kind:       storage.BackendServer,
-		Service:    b.o.Service,
-		DataCentre: b.o.DataCentre,
-		Region:     b.o.Region,
+		Service:    b.options.Service,
+		DataCentre: b.options.DataCentre,
+		Region:     b.options.Region,
 		Address:    address,
-		Slots:      b.o.Slots,
+		Slots:      b.options.Slots,
 		State:      storage.Live,
 	}
 }
--- a/internal/standin/backend_answer.go
+++ b/internal/standin/backend_answer.go
@@ -11,108 +11,108 @@
 )
 
 const (
-	// maxAnswerSize bounds the size that a request may ask for, in bytes.
-	maxAnswerSize = 64 << 20
-	// maxRecent bounds the answers kept to cross with others.
-	maxRecent = 16
+	// maxResponseSize bounds the size that a request may ask for, in bytes.
+	maxResponseSize = 64 << 20
+	// maxRecentResponses bounds the answers kept to cross with others.
+	maxRecentResponses = 16
 	// duplicateLinger is how long a connection stays open after an answer
 	// was sent twice, so that the copy can arrive.
 	duplicateLinger = 200 * time.Millisecond
 )
 
-// answer is what a request gets.
-type answer struct {
+// response is what a request gets.
+type response struct {
 	attempt string
 	status  int
 	body    []byte
 }
 
-// answerTo returns the true answer to a request: a line that names what was
+// executionResponse returns the true answer to a request: a line that names what was
 // done, padded to size bytes if the request asks for more.
-func answerTo(e Execution, service string, times int, size string) answer {
-	line := fmt.Sprintf("%s %s %s workspace=%s", service, e.Method, e.Path, e.Workspace)
-	if e.Method != http.MethodGet && e.Method != http.MethodHead {
-		line += fmt.Sprintf(" length=%d sha256=%s", e.BodyLength, e.BodySHA256)
+func executionResponse(execution Execution, service string, completions int, size string) response {
+	line := fmt.Sprintf("%s %s %s workspace=%s", service, execution.Method, execution.Path, execution.Workspace)
+	if execution.Method != http.MethodGet && execution.Method != http.MethodHead {
+		line += fmt.Sprintf(" length=%d sha256=%s", execution.BodyLength, execution.BodySHA256)
 	}
-	if e.Operation != "" {
-		line += fmt.Sprintf(" operation=%s times=%d", e.Operation, times)
+	if execution.Operation != "" {
+		line += fmt.Sprintf(" operation=%s times=%d", execution.Operation, completions)
 	}
 	body := []byte(line + "\n")
-	if n, err := strconv.Atoi(size); err == nil && n > len(body) && n <= maxAnswerSize {
+	if n, err := strconv.Atoi(size); err == nil && n > len(body) && n <= maxResponseSize {
 		body = append(body, bytes.Repeat([]byte{'.'}, n-len(body))...)
 	}
-	return answer{attempt: e.Attempt, status: http.StatusOK, body: body}
+	return response{attempt: execution.Attempt, status: http.StatusOK, body: body}
 }
 
-// answer sends an answer, or what the quirk makes of it.
-func (b *Backend) answer(w http.ResponseWriter, r *http.Request, q quirk, a answer) {
-	switch q {
-	case errorAnswer:
-		a.status = http.StatusInternalServerError
-		a.body = []byte("internal error\n")
-	case crossedAnswer:
-		a = b.otherAnswer(a)
-	case noEcho:
-		a.attempt = ""
-	case halfAnswer:
-		writeHalf(w, a)
+// sendResponse sends an sendResponse, or what the quirk makes of it.
+func (b *Backend) sendResponse(w http.ResponseWriter, r *http.Request, fault responseFault, resp response) {
+	switch fault {
+	case errorResponse:
+		resp.status = http.StatusInternalServerError
+		resp.body = []byte("internal error\n")
+	case mismatchedResponse:
+		resp = b.otherResponse(resp)
+	case missingAttempt:
+		resp.attempt = ""
+	case truncatedResponse:
+		writeTruncated(w, resp)
 		panic(http.ErrAbortHandler)
-	case stalledAnswer:
-		writeHalf(w, a)
+	case stalledResponse:
+		writeTruncated(w, resp)
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case duplicateAnswer:
-		writeTwice(w, a)
+	case duplicatedResponse:
+		writeDuplicated(w, resp)
 		return
 	default:
-		b.remember(a)
+		b.addRecent(resp)
 	}
-	a.writeHeader(w)
-	_, _ = w.Write(a.body)
+	resp.writeHeader(w)
+	_, _ = w.Write(resp.body)
 }
 
-func (a answer) writeHeader(w http.ResponseWriter) {
-	for name, values := range a.header() {
+func (resp response) writeHeader(w http.ResponseWriter) {
+	for name, values := range resp.header() {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(a.status)
+	w.WriteHeader(resp.status)
 }
 
-func (a answer) header() http.Header {
+func (resp response) header() http.Header {
 	h := http.Header{}
-	if a.attempt != "" {
-		h.Set(AttemptHeader, a.attempt)
+	if resp.attempt != "" {
+		h.Set(AttemptHeader, resp.attempt)
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
+	h.Set("Content-Length", strconv.Itoa(len(resp.body)))
 	return h
 }
 
-// writeHalf declares the whole length and sends half.
-func writeHalf(w http.ResponseWriter, a answer) {
-	a.writeHeader(w)
-	_, _ = w.Write(a.body[:len(a.body)/2])
+// writeTruncated declares the whole length and sends half.
+func writeTruncated(w http.ResponseWriter, resp response) {
+	resp.writeHeader(w)
+	_, _ = w.Write(resp.body[:len(resp.body)/2])
 	_ = http.NewResponseController(w).Flush()
 }
 
-// writeTwice sends the same answer twice. The second would be taken for the
+// writeDuplicated sends the same answer twice. The second would be taken for the
 // answer to the next request on the connection.
-func writeTwice(w http.ResponseWriter, a answer) {
+func writeDuplicated(w http.ResponseWriter, resp response) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer conn.Close()
 	var wire bytes.Buffer
-	resp := &http.Response{
-		StatusCode:    a.status,
+	message := &http.Response{
+		StatusCode:    resp.status,
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		Header:        a.header(),
-		ContentLength: int64(len(a.body)),
-		Body:          io.NopCloser(bytes.NewReader(a.body)),
+		Header:        resp.header(),
+		ContentLength: int64(len(resp.body)),
+		Body:          io.NopCloser(bytes.NewReader(resp.body)),
 	}
-	if resp.Write(&wire) != nil {
+	if message.Write(&wire) != nil {
 		return
 	}
 	_, _ = conn.Write(bytes.Repeat(wire.Bytes(), 2))
@@ -120,26 +120,26 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// remember keeps an answer to cross with a later one.
-func (b *Backend) remember(a answer) {
+// addRecent keeps an answer to cross with a later one.
+func (b *Backend) addRecent(resp response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.recent) >= maxRecent {
-		b.recent = b.recent[1:]
+	if len(b.recentResponses) >= maxRecentResponses {
+		b.recentResponses = b.recentResponses[1:]
 	}
-	b.recent = append(b.recent, a)
+	b.recentResponses = append(b.recentResponses, resp)
 }
 
-// otherAnswer returns the answer to another request.
-func (b *Backend) otherAnswer(a answer) answer {
+// otherResponse returns the answer to another request.
+func (b *Backend) otherResponse(resp response) response {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, other := range b.recent {
-		if other.attempt != a.attempt {
+	for _, other := range b.recentResponses {
+		if other.attempt != resp.attempt {
 			return other
 		}
 	}
-	a.attempt = "other-" + a.attempt
-	a.body = []byte(strings.Repeat("x", len(a.body)))
-	return a
+	resp.attempt = "other-" + resp.attempt
+	resp.body = []byte(strings.Repeat("x", len(resp.body)))
+	return resp
 }
--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -55,11 +55,11 @@
 }
 
 // RawHeaders returns the latest requests' header blocks, as received.
-func (b *Backend) RawHeaders() RawHeadersReport { return b.raw.report() }
+func (b *Backend) RawHeaders() RawHeadersReport { return b.rawCapture.report() }
 
 // WatchSecrets lets the server look for secrets, such as callers' keys, in
 // everything that it receives from now on.
-func (b *Backend) WatchSecrets(secrets ...string) { b.raw.watch(secrets) }
+func (b *Backend) WatchSecrets(secrets ...string) { b.rawCapture.watch(secrets) }
 
 // DetectedSecrets returns the watched secrets that came in, sorted.
-func (b *Backend) DetectedSecrets() []string { return b.raw.secretsSeen() }
+func (b *Backend) DetectedSecrets() []string { return b.rawCapture.secretsSeen() }
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -85,19 +85,19 @@
 	return errors.Newf("health: %q is neither ok nor bad", f.HealthOverride)
 }
 
-// quirk is the way in which one answer goes wrong.
-type quirk int
+// responseFault is the way in which one answer goes wrong.
+type responseFault int
 
 const (
-	noQuirk quirk = iota
-	halfAnswer
-	errorAnswer
-	hang
-	crossedAnswer
-	noEcho
-	lateAnswer
-	duplicateAnswer
-	stalledAnswer
+	noFault responseFault = iota
+	truncatedResponse
+	errorResponse
+	hangingRequest
+	mismatchedResponse
+	missingAttempt
+	lateResponse
+	duplicatedResponse
+	stalledResponse
 )
 
 // ratios returns the ratio of each quirk, in the order of the constants.
@@ -108,23 +108,23 @@
 	}
 }
 
-// quirk returns what a request meets, by a random number from 0 to 1.
-func (f BackendFaults) quirk(workspace string, random float64) quirk {
+// responseFault returns what a request meets, by a random number from 0 to 1.
+func (f BackendFaults) responseFault(workspace string, random float64) responseFault {
 	for i, ratio := range f.ratios() {
 		if random < ratio {
-			q := quirk(i + 1)
-			if q == errorAnswer && f.ErrorWorkspace != "" && f.ErrorWorkspace != workspace {
-				return noQuirk
+			fault := responseFault(i + 1)
+			if fault == errorResponse && f.ErrorWorkspace != "" && f.ErrorWorkspace != workspace {
+				return noFault
 			}
-			return q
+			return fault
 		}
 		random -= ratio
 	}
-	return noQuirk
+	return noFault
 }
 
-// at returns the faults in force at a time since the start.
-func (f BackendFaults) at(now time.Duration) BackendFaults {
+// activeAt returns the faults in force activeAt a time since the start.
+func (f BackendFaults) activeAt(now time.Duration) BackendFaults {
 	period := time.Duration(f.FlapPeriod)
 	if period == 0 || (now/period)%2 == 1 {
 		return f
@@ -138,10 +138,10 @@
 	}
 }
 
-// workTime returns how long the work takes that takes d without faults.
-func (f BackendFaults) workTime(d time.Duration) time.Duration {
+// latency returns how long the work takes that takes d without faults.
+func (f BackendFaults) latency(base time.Duration) time.Duration {
 	if f.LatencyFactor > 0 {
-		d = time.Duration(float64(d) * f.LatencyFactor)
+		base = time.Duration(float64(base) * f.LatencyFactor)
 	}
-	return d + time.Duration(f.AddedLatency)
+	return base + time.Duration(f.AddedLatency)
 }
--- a/internal/standin/backend_report.go
+++ b/internal/standin/backend_report.go
@@ -31,7 +31,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.draining && b.now()-b.drainedAt >= time.Duration(f.ReportLag) {
+	if b.draining && b.now()-b.drainingSince >= time.Duration(f.ReportLag) {
 		return healthDraining
 	}
 	return healthOK
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -99,18 +99,18 @@
 // run does the work and answers.
 func (b *Backend) run(ctx context.Context, w http.ResponseWriter, r *http.Request, e Execution) {
 	now := b.now()
-	faults := b.Faults().at(now)
-	q := faults.quirk(e.Workspace, b.random())
-	duration := faults.workTime(b.baseTime(now))
+	faults := b.Faults().activeAt(now)
+	q := faults.responseFault(e.Workspace, b.random())
+	duration := faults.latency(b.baseTime(now))
 	e.StartedAt = now
 	index := b.executions.begin(e)
 
-	if q == hang {
+	if q == hangingRequest {
 		<-r.Context().Done()
 		b.executions.finish(index, b.now(), ExecutionCancelled, "")
 		panic(http.ErrAbortHandler)
 	}
-	if q == lateAnswer {
+	if q == lateResponse {
 		ctx = context.WithoutCancel(ctx)
 	}
 	if end := wait(ctx, r.Context(), duration); end != ExecutionCompleted {
@@ -120,21 +120,21 @@
 		return
 	}
 	times := b.executions.finish(index, b.now(), ExecutionCompleted, e.Operation)
-	if q == lateAnswer {
+	if q == lateResponse {
 		_ = wait(ctx, ctx, time.Duration(faults.LateDelay))
 	}
-	b.answer(w, r, q, answerTo(e, b.o.Service, times, r.URL.Query().Get("size")))
+	b.sendResponse(w, r, q, executionResponse(e, b.options.Service, times, r.URL.Query().Get("size")))
 }
 
 // baseTime returns how long work takes without faults.
 func (b *Backend) baseTime(now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.served++
-	if now < b.o.ColdStartDuration || b.served <= b.o.ColdStartRequests {
-		return time.Duration(float64(b.o.Latency) * b.o.ColdStartFactor)
+	b.requestsStarted++
+	if now < b.options.ColdStartDuration || b.requestsStarted <= b.options.ColdStartRequests {
+		return time.Duration(float64(b.options.Latency) * b.options.ColdStartFactor)
 	}
-	return b.o.Latency
+	return b.options.Latency
 }
 
 // wait returns Done after d, or how the request ended before.
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -15,15 +15,15 @@
 		TruncatedRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, MismatchedRatio: 0.1,
 		MissingAttemptRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, ErrorWorkspace: "w",
 	}
-	found := map[quirk]int{}
+	found := map[responseFault]int{}
 	for i := range 1000 {
-		found[f.quirk("w", (float64(i)+0.5)/1000)]++
+		found[f.responseFault("w", (float64(i)+0.5)/1000)]++
 	}
-	must.Eq(t, map[quirk]int{
-		halfAnswer: 100, errorAnswer: 100, hang: 100, crossedAnswer: 100,
-		noEcho: 100, lateAnswer: 100, duplicateAnswer: 100, stalledAnswer: 100, noQuirk: 200,
+	must.Eq(t, map[responseFault]int{
+		truncatedResponse: 100, errorResponse: 100, hangingRequest: 100, mismatchedResponse: 100,
+		missingAttempt: 100, lateResponse: 100, duplicatedResponse: 100, stalledResponse: 100, noFault: 200,
 	}, found)
-	must.Eq(t, noQuirk, f.quirk("other", 0.15))
+	must.Eq(t, noFault, f.responseFault("other", 0.15))
 }
 
 func TestFlappingFaults(t *testing.T) {
@@ -34,7 +34,7 @@
 	for at, want := range map[time.Duration]BackendFaults{
 		0: good, 999 * time.Millisecond: good, time.Second: f, 2 * time.Second: good, 3 * time.Second: f,
 	} {
-		must.Eq(t, want, f.at(at), must.Sprint(at))
+		must.Eq(t, want, f.activeAt(at), must.Sprint(at))
 	}
 }
 
