--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -93,11 +93,11 @@
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
-	listener, err := listenGated(orDefault(o.Listen), b.gates, b.rawCapture)
+	listener, err := listenWithFaults(orDefault(o.Listen), b.connPolicy, b.rawCapture)
 	if err != nil {
 		return nil, err
 	}
-	b.workServer = serve(listener, b.workHandler(), b.log)
+	b.workServer = serve(listener, b.requestHandler(), b.log)
 	if b.controlServer, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
 		b.workServer.close()
 		return nil, err
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -16,73 +16,73 @@
 	"foxtailspoke/wire"
 )
 
-// maxWorkBody bounds a request's body, in bytes.
-const maxWorkBody = 64 << 20
+// maxRequestBody bounds a request's body, in bytes.
+const maxRequestBody = 64 << 20
 
 // connKey is the context key of the connection that a request came on.
 type connKey struct{}
 
-func (b *Backend) workHandler() http.Handler {
+func (b *Backend) requestHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(HealthPath, b.serveHealth)
 	mux.HandleFunc(LoadPath, b.serveLoad)
-	mux.HandleFunc("/", b.serveWork)
+	mux.HandleFunc("/", b.serveRequest)
 	return mux
 }
 
-// gates returns what connections may do.
-func (b *Backend) gates() gates {
+// connPolicy returns what connections may do.
+func (b *Backend) connPolicy() connPolicy {
 	f, changed := b.faults.get()
-	return gates{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
+	return connPolicy{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-func (b *Backend) serveWork(w http.ResponseWriter, r *http.Request) {
-	if conn, ok := r.Context().Value(connKey{}).(*gatedConn); ok {
-		conn.raw.request(r.Method + " " + r.RequestURI + " HTTP/")
+func (b *Backend) serveRequest(w http.ResponseWriter, r *http.Request) {
+	if conn, ok := r.Context().Value(connKey{}).(*faultConn); ok {
+		conn.capture.request(r.Method + " " + r.RequestURI + " HTTP/")
 	}
-	e, err := b.receive(r)
+	execution, err := b.readRequest(r)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	ctx, cancel, err := requestTime(r)
+	ctx, cancel, err := withRequestTimeout(r)
 	if err != nil {
-		refuse(w, r, http.StatusBadRequest, err.Error())
+		rejectRequest(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	defer cancel()
 	if b.isDraining() {
 		w.Header().Set(wire.HeaderLeaving, "1")
-		shed(w, r)
+		shedRequest(w, r)
 		return
 	}
 	switch err := b.slots.acquire(ctx); {
 	case errors.Is(err, errFull):
-		shed(w, r)
+		shedRequest(w, r)
 		return
 	case err != nil:
-		refuse(w, r, http.StatusGatewayTimeout, "no slot within the request's time")
+		rejectRequest(w, r, http.StatusGatewayTimeout, "no slot within the request's time")
 		return
 	}
 	defer b.slots.release()
 	if ctx.Err() != nil {
-		refuse(w, r, http.StatusGatewayTimeout, "no slot within the request's time")
+		rejectRequest(w, r, http.StatusGatewayTimeout, "no slot within the request's time")
 		return
 	}
-	b.run(ctx, w, r, e)
+	b.execute(ctx, w, r, execution)
 }
 
-// receive reads the whole request. A request that isn't whole doesn't run.
-func (b *Backend) receive(r *http.Request) (Execution, error) {
+// readRequest reads the whole request. A request that isn't whole doesn't run.
+func (b *Backend) readRequest(r *http.Request) (Execution, error) {
 	hash := sha256.New()
-	n, err := io.Copy(hash, io.LimitReader(r.Body, maxWorkBody+1))
+	n, err := io.Copy(hash, io.LimitReader(r.Body, maxRequestBody+1))
 	if err != nil {
 		return Execution{}, err
 	}
-	if n > maxWorkBody {
+	if n > maxRequestBody {
 		return Execution{}, errors.New("body too long")
 	}
 	return Execution{
@@ -96,38 +96,38 @@
 	}, nil
 }
 
-// run does the work and answers.
-func (b *Backend) run(ctx context.Context, w http.ResponseWriter, r *http.Request, e Execution) {
+// execute does the work and answers.
+func (b *Backend) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, execution Execution) {
 	now := b.now()
 	faults := b.Faults().activeAt(now)
-	q := faults.responseFault(e.Workspace, b.random())
-	duration := faults.latency(b.baseTime(now))
-	e.StartedAt = now
-	index := b.executions.begin(e)
+	fault := faults.responseFault(execution.Workspace, b.random())
+	latency := faults.latency(b.baseLatency(now))
+	execution.StartedAt = now
+	index := b.executions.begin(execution)
 
-	if q == hangingRequest {
+	if fault == hangingRequest {
 		<-r.Context().Done()
 		b.executions.finish(index, b.now(), ExecutionCancelled, "")
 		panic(http.ErrAbortHandler)
 	}
-	if q == lateResponse {
+	if fault == lateResponse {
 		ctx = context.WithoutCancel(ctx)
 	}
-	if end := wait(ctx, r.Context(), duration); end != ExecutionCompleted {
-		b.executions.finish(index, b.now(), end, "")
+	if state := waitFor(ctx, r.Context(), latency); state != ExecutionCompleted {
+		b.executions.finish(index, b.now(), state, "")
 		w.Header().Set(OutcomeHeader, OutcomeGaveUp)
-		writeEchoed(w, r, http.StatusGatewayTimeout, "gave up\n")
+		writeText(w, r, http.StatusGatewayTimeout, "gave up\n")
 		return
 	}
-	times := b.executions.finish(index, b.now(), ExecutionCompleted, e.Operation)
-	if q == lateResponse {
-		_ = wait(ctx, ctx, time.Duration(faults.LateDelay))
+	completions := b.executions.finish(index, b.now(), ExecutionCompleted, execution.Operation)
+	if fault == lateResponse {
+		_ = waitFor(ctx, ctx, time.Duration(faults.LateDelay))
 	}
-	b.sendResponse(w, r, q, executionResponse(e, b.options.Service, times, r.URL.Query().Get("size")))
+	b.sendResponse(w, r, fault, executionResponse(execution, b.options.Service, completions, r.URL.Query().Get("size")))
 }
 
-// baseTime returns how long work takes without faults.
-func (b *Backend) baseTime(now time.Duration) time.Duration {
+// baseLatency returns how long work takes without faults.
+func (b *Backend) baseLatency(now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requestsStarted++
@@ -137,8 +137,8 @@
 	return b.options.Latency
 }
 
-// wait returns Done after d, or how the request ended before.
-func wait(ctx, connection context.Context, d time.Duration) ExecutionState {
+// waitFor returns Done after d, or how the request ended before.
+func waitFor(ctx, connCtx context.Context, d time.Duration) ExecutionState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -146,14 +146,14 @@
 		return ExecutionCompleted
 	case <-ctx.Done():
 	}
-	if connection.Err() != nil {
+	if connCtx.Err() != nil {
 		return ExecutionCancelled
 	}
 	return ExecutionTimedOut
 }
 
-// requestTime returns a context that ends with the request's time.
-func requestTime(r *http.Request) (context.Context, context.CancelFunc, error) {
+// withRequestTimeout returns a context that ends with the request's time.
+func withRequestTimeout(r *http.Request) (context.Context, context.CancelFunc, error) {
 	value := r.Header.Get(TimeoutHeader)
 	if value == "" {
 		ctx, cancel := context.WithCancel(r.Context())
@@ -182,19 +182,19 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// shed refuses work that there is no room for.
-func shed(w http.ResponseWriter, r *http.Request) {
+// shedRequest refuses work that there is no room for.
+func shedRequest(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Retry-After", "1")
-	refuse(w, r, http.StatusServiceUnavailable, "shed")
+	rejectRequest(w, r, http.StatusServiceUnavailable, "shed")
 }
 
-// refuse answers a request that wasn't run.
-func refuse(w http.ResponseWriter, r *http.Request, status int, reason string) {
+// rejectRequest answers a request that wasn't run.
+func rejectRequest(w http.ResponseWriter, r *http.Request, status int, reason string) {
 	w.Header().Set(OutcomeHeader, OutcomeNotRun)
-	writeEchoed(w, r, status, reason+"\n")
+	writeText(w, r, status, reason+"\n")
 }
 
-func writeEchoed(w http.ResponseWriter, r *http.Request, status int, body string) {
+func writeText(w http.ResponseWriter, r *http.Request, status int, body string) {
 	if attempt := r.Header.Get(AttemptHeader); attempt != "" {
 		w.Header().Set(AttemptHeader, attempt)
 	}
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -9,40 +9,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// relistenPause is the time between two tries to take a port again.
-const relistenPause = 20 * time.Millisecond
+// relistenInterval is the time between two tries to take a port again.
+const relistenInterval = 20 * time.Millisecond
 
-// gates says what connections may do now, and when that changes.
-type gates struct {
+// connPolicy says what connections may do now, and when that changes.
+type connPolicy struct {
 	refuse      bool
 	stopReading bool
 	changed     <-chan struct{}
 }
 
-// gatedListener is a listener that can refuse connections and whose
+// faultListener is a listener that can refuse connections and whose
 // connections can stop reading.
-type gatedListener struct {
-	gates   func() gates
-	raw     *rawLog
+type faultListener struct {
+	policy   func() connPolicy
+	capture     *rawLog
 	address net.Addr
 	closed  chan struct{}
-	once    sync.Once
-	conns   chan net.Conn
+	closeOnce    sync.Once
+	accepted   chan net.Conn
 	done    chan struct{}
 }
 
-// listenGated listens on address ("ip:port") while gates allows it.
-func listenGated(address string, gates func() gates, raw *rawLog) (*gatedListener, error) {
+// listenWithFaults listens on address ("ip:port") while gates allows it.
+func listenWithFaults(address string, policy func() connPolicy, capture *rawLog) (*faultListener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
-	l := &gatedListener{
-		gates:   gates,
-		raw:     raw,
+	l := &faultListener{
+		policy:   policy,
+		capture:     capture,
 		address: inner.Addr(),
 		closed:  make(chan struct{}),
-		conns:   make(chan net.Conn),
+		accepted:   make(chan net.Conn),
 		done:    make(chan struct{}),
 	}
 	go l.run(inner)
@@ -50,86 +50,86 @@
 }
 
 // Accept implements net.Listener.
-func (l *gatedListener) Accept() (net.Conn, error) {
+func (l *faultListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.conns:
-		return l.wrap(conn), nil
+	case conn := <-l.accepted:
+		return l.wrapConn(conn), nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (l *gatedListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+func (l *faultListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	<-l.done
 	return nil
 }
 
 // Addr implements net.Listener.
-func (l *gatedListener) Addr() net.Addr { return l.address }
+func (l *faultListener) Addr() net.Addr { return l.address }
 
 // run opens and closes the inner listener as the gates say. Only a closed
 // listener makes the system refuse connections.
-func (l *gatedListener) run(inner net.Listener) {
+func (l *faultListener) run(inner net.Listener) {
 	defer close(l.done)
 	for {
-		g := l.gates()
-		if g.refuse && inner != nil {
+		policy := l.policy()
+		if policy.refuse && inner != nil {
 			_ = inner.Close()
 			inner = nil
 		}
-		if !g.refuse && inner == nil {
-			inner = l.listenAgain()
+		if !policy.refuse && inner == nil {
+			inner = l.relisten()
 		}
-		accepted := l.acceptFrom(inner)
+		stopped := l.acceptLoop(inner)
 		select {
-		case <-g.changed:
-			l.stopAccepting(inner, accepted)
+		case <-policy.changed:
+			l.stopAccepting(inner, stopped)
 		case <-l.closed:
 			if inner != nil {
 				_ = inner.Close()
 			}
-			<-accepted
+			<-stopped
 			return
 		}
 	}
 }
 
-// acceptFrom hands over connections until the listener's deadline or end.
+// acceptLoop hands over connections until the listener's deadline or end.
 // The channel returned is closed then.
-func (l *gatedListener) acceptFrom(inner net.Listener) <-chan struct{} {
-	ended := make(chan struct{})
+func (l *faultListener) acceptLoop(inner net.Listener) <-chan struct{} {
+	stopped := make(chan struct{})
 	if inner == nil {
-		close(ended)
-		return ended
+		close(stopped)
+		return stopped
 	}
 	_ = inner.(*net.TCPListener).SetDeadline(time.Time{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		for {
 			conn, err := inner.Accept()
 			if err != nil {
 				return
 			}
 			select {
-			case l.conns <- conn:
+			case l.accepted <- conn:
 			case <-l.closed:
 				_ = conn.Close()
 			}
 		}
 	}()
-	return ended
+	return stopped
 }
 
-func (l *gatedListener) stopAccepting(inner net.Listener, accepted <-chan struct{}) {
+func (l *faultListener) stopAccepting(inner net.Listener, stopped <-chan struct{}) {
 	if inner != nil {
 		_ = inner.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
 	}
-	<-accepted
+	<-stopped
 }
 
-func (l *gatedListener) listenAgain() net.Listener {
+func (l *faultListener) relisten() net.Listener {
 	for {
 		inner, err := net.Listen("tcp", l.address.String())
 		if err == nil {
@@ -138,67 +138,67 @@
 		select {
 		case <-l.closed:
 			return nil
-		case <-time.After(relistenPause):
+		case <-time.After(relistenInterval):
 		}
 	}
 }
 
-func (l *gatedListener) wrap(conn net.Conn) net.Conn {
-	return &gatedConn{
+func (l *faultListener) wrapConn(conn net.Conn) net.Conn {
+	return &faultConn{
 		Conn:   conn,
-		gates:  l.gates,
-		raw:    &rawStream{log: l.raw},
+		policy:  l.policy,
+		capture:    &rawStream{log: l.capture},
 		closed: make(chan struct{}),
 		wake:   make(chan struct{}, 1),
 	}
 }
 
-// gatedConn is a connection that can stop reading. It keeps what it reads.
-type gatedConn struct {
+// faultConn is a connection that can stop reading. It keeps what it reads.
+type faultConn struct {
 	net.Conn
-	gates  func() gates
-	raw    *rawStream
-	once   sync.Once
+	policy  func() connPolicy
+	capture    *rawStream
+	closeOnce   sync.Once
 	closed chan struct{}
 	// wake ends a wait of Read after a change of the deadline.
 	wake chan struct{}
 
 	mu       sync.Mutex
-	deadline time.Time
+	readDeadline time.Time
 }
 
 // Read implements net.Conn.
-func (c *gatedConn) Read(p []byte) (int, error) {
+func (c *faultConn) Read(p []byte) (int, error) {
 	if err := c.waitReadable(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.raw.received(p[:n])
+	c.capture.received(p[:n])
 	return n, err
 }
 
 // Close implements net.Conn.
-func (c *gatedConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+func (c *faultConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 // SetReadDeadline implements net.Conn. The HTTP server ends a pending read
 // by a deadline in the past, and waits for it.
-func (c *gatedConn) SetReadDeadline(t time.Time) error {
+func (c *faultConn) SetReadDeadline(t time.Time) error {
 	c.setDeadline(t)
 	return c.Conn.SetReadDeadline(t)
 }
 
 // SetDeadline implements net.Conn.
-func (c *gatedConn) SetDeadline(t time.Time) error {
+func (c *faultConn) SetDeadline(t time.Time) error {
 	c.setDeadline(t)
 	return c.Conn.SetDeadline(t)
 }
 
-func (c *gatedConn) setDeadline(t time.Time) {
+func (c *faultConn) setDeadline(t time.Time) {
 	c.mu.Lock()
-	c.deadline = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -206,37 +206,37 @@
 	}
 }
 
-func (c *gatedConn) waitReadable() error {
+func (c *faultConn) waitReadable() error {
 	for {
-		g := c.gates()
-		if !g.stopReading {
+		policy := c.policy()
+		if !policy.stopReading {
 			return nil
 		}
-		left, bounded := c.left()
-		if bounded && left <= 0 {
+		remaining, hasDeadline := c.untilDeadline()
+		if hasDeadline && remaining <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		if !c.waitChange(g.changed, left, bounded) {
+		if !c.waitForChange(policy.changed, remaining, hasDeadline) {
 			return net.ErrClosed
 		}
 	}
 }
 
-// left returns the time until the read deadline, if there is one.
-func (c *gatedConn) left() (time.Duration, bool) {
+// untilDeadline returns the time until the read deadline, if there is one.
+func (c *faultConn) untilDeadline() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.deadline.IsZero() {
+	if c.readDeadline.IsZero() {
 		return 0, false
 	}
-	return time.Until(c.deadline), true
+	return time.Until(c.readDeadline), true
 }
 
-// waitChange returns false if the connection was closed.
-func (c *gatedConn) waitChange(changed <-chan struct{}, left time.Duration, bounded bool) bool {
+// waitForChange returns false if the connection was closed.
+func (c *faultConn) waitForChange(changed <-chan struct{}, remaining time.Duration, hasDeadline bool) bool {
 	var expired <-chan time.Time
-	if bounded {
-		timer := time.NewTimer(left)
+	if hasDeadline {
+		timer := time.NewTimer(remaining)
 		defer timer.Stop()
 		expired = timer.C
 	}
