--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -60,9 +60,9 @@
 	log        *slog.Logger
 	start      time.Time
 	faults     *faultSwitch[BackendFaults]
-	slots      *slots
+	slots      *slotPool
 	executions *executionLog
-	rawCapture        *rawLog
+	rawCapture        *rawCapture
 	workServer       *server
 	controlServer    *server
 	announcer  *announcer
@@ -85,10 +85,10 @@
 		log:        logOr(o.Log),
 		start:      time.Now(),
 		executions: newExecutionLog(),
-		rawCapture:        newRawLog(),
+		rawCapture:        newRawCapture(),
 		rng:       rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	b.slots = newSlots(o.Slots, o.Queue, b.now)
+	b.slots = newSlotPool(o.Slots, o.Queue, b.now)
 	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
@@ -147,10 +147,10 @@
 
 // Executions returns the requests that the server began to work on, in that
 // order, and how many more there were than it keeps.
-func (b *Backend) Executions() ([]Execution, int) { return b.executions.all() }
+func (b *Backend) Executions() ([]Execution, int) { return b.executions.snapshot() }
 
 // Load returns the true load.
-func (b *Backend) Load() Load { return b.slots.at(b.now()) }
+func (b *Backend) Load() Load { return b.slots.loadAt(b.now()) }
 
 // Drain announces that the server leaves, and refuses new work as not run
 // from now on. Work under way goes on.
@@ -241,10 +241,10 @@
 func (b *Backend) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/control/faults", b.faults)
-	mux.HandleFunc("GET /control/executions", b.showExecutions)
-	mux.HandleFunc("GET /control/raw", b.showRaw)
-	mux.HandleFunc("POST /control/secrets", b.watchSecrets)
-	mux.HandleFunc("GET /control/secrets", b.showSecrets)
+	mux.HandleFunc("GET /control/executions", b.serveExecutions)
+	mux.HandleFunc("GET /control/raw", b.serveRawHeaders)
+	mux.HandleFunc("POST /control/secrets", b.serveWatchSecrets)
+	mux.HandleFunc("GET /control/secrets", b.serveDetectedSecrets)
 	mux.HandleFunc("POST /control/drain", func(w http.ResponseWriter, _ *http.Request) {
 		b.Drain()
 		w.WriteHeader(http.StatusNoContent)
@@ -252,4 +252,4 @@
 	return mux
 }
 
-var errNoSecrets = errors.New("give a JSON array of strings that aren't empty")
+var errInvalidSecrets = errors.New("give a JSON array of strings that aren't empty")
--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -27,24 +27,24 @@
 	Incomplete int `json:"incomplete"`
 }
 
-func (b *Backend) showExecutions(w http.ResponseWriter, _ *http.Request) {
+func (b *Backend) serveExecutions(w http.ResponseWriter, _ *http.Request) {
 	executions, dropped := b.Executions()
 	writeJSON(w, ExecutionsReport{Executions: executions, Dropped: dropped})
 }
 
-func (b *Backend) showRaw(w http.ResponseWriter, _ *http.Request) {
+func (b *Backend) serveRawHeaders(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, b.RawHeaders())
 }
 
-func (b *Backend) showSecrets(w http.ResponseWriter, _ *http.Request) {
+func (b *Backend) serveDetectedSecrets(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, SecretsReport{Detected: b.DetectedSecrets()})
 }
 
-func (b *Backend) watchSecrets(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) serveWatchSecrets(w http.ResponseWriter, r *http.Request) {
 	var secrets []string
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBody)).Decode(&secrets)
 	if err == nil && slices.Contains(secrets, "") {
-		err = errNoSecrets
+		err = errInvalidSecrets
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -59,7 +59,7 @@
 
 // WatchSecrets lets the server look for secrets, such as callers' keys, in
 // everything that it receives from now on.
-func (b *Backend) WatchSecrets(secrets ...string) { b.rawCapture.watch(secrets) }
+func (b *Backend) WatchSecrets(secrets ...string) { b.rawCapture.watchSecrets(secrets) }
 
 // DetectedSecrets returns the watched secrets that came in, sorted.
-func (b *Backend) DetectedSecrets() []string { return b.rawCapture.secretsSeen() }
+func (b *Backend) DetectedSecrets() []string { return b.rawCapture.detectedSecrets() }
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -25,63 +25,63 @@
 	for _, c := range []struct {
 		name   string
 		faults standin.BackendFaults
-		check  func(t *testing.T, r reply)
+		check  func(t *testing.T, r response)
 	}{
-		{"half", standin.BackendFaults{TruncatedRatio: 1}, func(t *testing.T, r reply) {
+		{"half", standin.BackendFaults{TruncatedRatio: 1}, func(t *testing.T, r response) {
 			must.ErrorIs(t, r.err, io.ErrUnexpectedEOF)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
 		}},
-		{"stalled", standin.BackendFaults{StalledRatio: 1}, func(t *testing.T, r reply) {
+		{"stalled", standin.BackendFaults{StalledRatio: 1}, func(t *testing.T, r response) {
 			must.ErrorIs(t, r.err, context.DeadlineExceeded)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
 		}},
-		{"error", standin.BackendFaults{ErrorRatio: 1}, func(t *testing.T, r reply) {
+		{"error", standin.BackendFaults{ErrorRatio: 1}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusInternalServerError, r.status)
 			must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
 			must.Eq(t, "", r.header.Get(standin.OutcomeHeader))
 		}},
-		{"error for one", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "cebu"}, func(t *testing.T, r reply) {
+		{"error for one", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "cebu"}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusInternalServerError, r.status)
 		}},
-		{"error for another", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r reply) {
+		{"error for another", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
-		{"crossed", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r reply) {
+		{"crossed", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.Eq(t, "a0", r.header.Get(standin.AttemptHeader))
 			must.StrContains(t, r.body, "/before")
 		}},
-		{"no echo", standin.BackendFaults{MissingAttemptRatio: 1}, func(t *testing.T, r reply) {
+		{"no echo", standin.BackendFaults{MissingAttemptRatio: 1}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
 		{"late", standin.BackendFaults{
 			LateRatio: 1, LateDelay: config.Duration(20 * time.Millisecond), AddedLatency: config.Duration(20 * time.Millisecond),
-		}, func(t *testing.T, r reply) {
+		}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := startBackend(t, standin.BackendOptions{Latency: time.Millisecond})
-			before := call{path: "/before", header: map[string]string{standin.AttemptHeader: "a0"}}
-			must.Eq(t, http.StatusOK, before.send(t, client(t), b.URL()).status)
+			before := request{path: "/before", header: map[string]string{standin.AttemptHeader: "a0"}}
+			must.Eq(t, http.StatusOK, before.send(t, newClient(t), b.URL()).status)
 			must.NoError(t, b.SetFaults(c.faults))
 			header := map[string]string{}
 			if c.faults.LateRatio > 0 {
 				header[standin.TimeoutHeader] = "10"
 			}
-			one := call{path: "/x", header: header}
+			one := request{path: "/x", header: header}
 			if c.faults.StalledRatio > 0 {
 				one.timeout = glance
 			}
-			r := one.send(t, client(t), b.URL())
+			r := one.send(t, newClient(t), b.URL())
 			must.Eq(t, c.faults.TruncatedRatio+c.faults.StalledRatio > 0, r.err != nil)
 			c.check(t, r)
 			log, _ := b.Executions()
 			must.Eq(t, standin.ExecutionCompleted, log[1].State)
-			must.Eq(t, http.StatusOK, call{path: standin.HealthPath}.send(t, client(t), b.URL()).status)
+			must.Eq(t, http.StatusOK, request{path: standin.HealthPath}.send(t, newClient(t), b.URL()).status)
 		})
 	}
 }
@@ -110,14 +110,14 @@
 // A slow server runs into the request's time; a hanging one ignores it and
 // keeps its slot until the connection is closed.
 func TestBackendSlowAndHanging(t *testing.T) {
-	timed := call{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
+	timed := request{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
 	b := startBackend(t, standin.BackendOptions{Latency: time.Millisecond})
 	for _, f := range []standin.BackendFaults{{LatencyFactor: 1e6}, {AddedLatency: config.Duration(time.Hour)}} {
 		must.NoError(t, b.SetFaults(f))
-		must.Eq(t, http.StatusGatewayTimeout, timed.send(t, client(t), b.URL()).status)
+		must.Eq(t, http.StatusGatewayTimeout, timed.send(t, newClient(t), b.URL()).status)
 	}
 	must.NoError(t, b.SetFaults(standin.BackendFaults{HangRatio: 1}))
-	must.ErrorIs(t, timed.send(t, client(t), b.URL()).err, context.DeadlineExceeded)
+	must.ErrorIs(t, timed.send(t, newClient(t), b.URL()).err, context.DeadlineExceeded)
 	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
 	log, _ := b.Executions()
 	must.Eq(t, standin.ExecutionCancelled, log[2].State)
@@ -127,16 +127,16 @@
 // again on the same address.
 func TestBackendRefusesConnections(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
-	standing := client(t)
-	must.Eq(t, http.StatusOK, call{}.send(t, standing, b.URL()).status)
+	standing := newClient(t)
+	must.Eq(t, http.StatusOK, request{}.send(t, standing, b.URL()).status)
 	for range 3 {
 		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 		eventually(t, "refused", func() bool {
-			return errors.Is(call{}.send(t, client(t), b.URL()).err, syscall.ECONNREFUSED)
+			return errors.Is(request{}.send(t, newClient(t), b.URL()).err, syscall.ECONNREFUSED)
 		})
-		must.Eq(t, http.StatusOK, call{}.send(t, standing, b.URL()).status)
+		must.Eq(t, http.StatusOK, request{}.send(t, standing, b.URL()).status)
 		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = false }))
-		eventually(t, "taken", func() bool { return call{}.send(t, client(t), b.URL()).status == http.StatusOK })
+		eventually(t, "taken", func() bool { return request{}.send(t, newClient(t), b.URL()).status == http.StatusOK })
 	}
 	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 }
@@ -145,8 +145,8 @@
 // it reads again the request that waited gets its answer.
 func TestBackendStopsReading(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Faults: standin.BackendFaults{StopReading: true}})
-	must.Error(t, call{timeout: glance}.send(t, client(t), b.URL()).err)
-	waiting := call{path: "/waits"}.async(t.Context(), t, b.URL())
+	must.Error(t, request{timeout: glance}.send(t, newClient(t), b.URL()).err)
+	waiting := request{path: "/waits"}.sendAsync(t.Context(), t, b.URL())
 	log, _ := b.Executions()
 	must.Len(t, 0, log)
 	must.NoError(t, b.SetFaults(standin.BackendFaults{}))
@@ -155,7 +155,7 @@
 	must.StrContains(t, r.body, "/waits")
 
 	must.NoError(t, b.SetFaults(standin.BackendFaults{StopReading: true}))
-	must.Error(t, call{timeout: glance}.send(t, client(t), b.URL()).err)
+	must.Error(t, request{timeout: glance}.send(t, newClient(t), b.URL()).err)
 }
 
 // The server stops reading while it works on a request. It can still write,
@@ -165,7 +165,7 @@
 	b := startBackend(t, standin.BackendOptions{
 		Latency: 30 * time.Millisecond, Faults: standin.BackendFaults{DuplicateRatio: 1},
 	})
-	running := call{path: "/x"}.async(t.Context(), t, b.URL())
+	running := request{path: "/x"}.sendAsync(t.Context(), t, b.URL())
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 	must.NoError(t, b.SetFaults(standin.BackendFaults{StopReading: true}))
 	r := <-running
--- a/internal/standin/backend_report.go
+++ b/internal/standin/backend_report.go
@@ -39,7 +39,7 @@
 
 func (b *Backend) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	f := b.Faults()
-	load := b.slots.at(b.now() - time.Duration(f.ReportLag))
+	load := b.slots.loadAt(b.now() - time.Duration(f.ReportLag))
 	if f.ReportZeroLoad {
 		load = Load{Slots: load.Slots}
 	}
--- a/internal/standin/backend_serve.go
+++ b/internal/standin/backend_serve.go
@@ -42,7 +42,7 @@
 
 func (b *Backend) serveRequest(w http.ResponseWriter, r *http.Request) {
 	if conn, ok := r.Context().Value(connKey{}).(*faultConn); ok {
-		conn.capture.request(r.Method + " " + r.RequestURI + " HTTP/")
+		conn.capture.addRequest(r.Method + " " + r.RequestURI + " HTTP/")
 	}
 	execution, err := b.readRequest(r)
 	if err != nil {
@@ -103,7 +103,7 @@
 	fault := faults.responseFault(execution.Workspace, b.random())
 	latency := faults.latency(b.baseLatency(now))
 	execution.StartedAt = now
-	index := b.executions.begin(execution)
+	index := b.executions.start(execution)
 
 	if fault == hangingRequest {
 		<-r.Context().Done()
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -20,20 +20,20 @@
 func TestBackendResponses(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	sum := fmt.Sprintf("%x", sha256.Sum256([]byte("glue")))
-	order := call{
+	order := request{
 		method: http.MethodPost, path: "/orders", body: "glue",
 		header: map[string]string{standin.OperationHeader: "op1"},
 	}
 	for _, c := range []struct {
-		call call
+		call request
 		want string
 	}{
-		{call{path: "/woods/narra?q=1"}, "catalogue GET /woods/narra workspace=cebu\n"},
-		{call{path: "/x?size=100"}, "catalogue GET /x workspace=cebu\n" + strings.Repeat(".", 68)},
+		{request{path: "/woods/narra?q=1"}, "catalogue GET /woods/narra workspace=cebu\n"},
+		{request{path: "/x?size=100"}, "catalogue GET /x workspace=cebu\n" + strings.Repeat(".", 68)},
 		{order, "length=4 sha256=" + sum + " operation=op1 times=1\n"},
 		{order, "length=4 sha256=" + sum + " operation=op1 times=2\n"},
 	} {
-		r := c.call.send(t, client(t), b.URL())
+		r := c.call.send(t, newClient(t), b.URL())
 		must.NoError(t, r.err)
 		must.Eq(t, http.StatusOK, r.status)
 		must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
@@ -57,15 +57,15 @@
 	})
 	first, endFirst := context.WithCancel(t.Context())
 	defer endFirst()
-	running := call{path: "/first"}.async(first, t, b.URL())
+	running := request{path: "/first"}.sendAsync(first, t, b.URL())
 	eventually(t, "first runs", func() bool { return b.Load().InFlight == 1 })
-	late := call{path: "/late", header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, client(t), b.URL())
-	notRun(t, late, http.StatusGatewayTimeout)
+	late := request{path: "/late", header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, newClient(t), b.URL())
+	requireNotExecuted(t, late, http.StatusGatewayTimeout)
 
-	queued := call{path: "/queued"}.async(t.Context(), t, b.URL())
+	queued := request{path: "/queued"}.sendAsync(t.Context(), t, b.URL())
 	eventually(t, "second waits", func() bool { return b.Load().Queued == 1 })
-	shed := call{path: "/shed"}.send(t, client(t), b.URL())
-	notRun(t, shed, http.StatusServiceUnavailable)
+	shed := request{path: "/shed"}.send(t, newClient(t), b.URL())
+	requireNotExecuted(t, shed, http.StatusServiceUnavailable)
 	must.NotEq(t, "", shed.header.Get("Retry-After"))
 
 	must.NoError(t, b.SetFaults(standin.BackendFaults{}))
@@ -78,26 +78,26 @@
 	must.Eq(t, standin.Load{Slots: 1}, b.Load())
 }
 
-func notRun(t *testing.T, r reply, status int) {
+func requireNotExecuted(t *testing.T, resp response, status int) {
 	t.Helper()
-	must.NoError(t, r.err)
-	must.Eq(t, status, r.status)
-	must.Eq(t, standin.OutcomeNotRun, r.header.Get(standin.OutcomeHeader))
-	must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
+	must.NoError(t, resp.err)
+	must.Eq(t, status, resp.status)
+	must.Eq(t, standin.OutcomeNotRun, resp.header.Get(standin.OutcomeHeader))
+	must.Eq(t, "a1", resp.header.Get(standin.AttemptHeader))
 }
 
 // A request's time runs out, or its connection is closed, while the server
 // works on it. The server gives up and its slot is free again.
 func TestBackendAbortsExecution(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Latency: time.Hour})
-	expired := call{header: map[string]string{standin.TimeoutHeader: "0"}}
-	notRun(t, expired.send(t, client(t), b.URL()), http.StatusGatewayTimeout)
-	r := call{header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, client(t), b.URL())
+	expired := request{header: map[string]string{standin.TimeoutHeader: "0"}}
+	requireNotExecuted(t, expired.send(t, newClient(t), b.URL()), http.StatusGatewayTimeout)
+	r := request{header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, newClient(t), b.URL())
 	must.Eq(t, http.StatusGatewayTimeout, r.status)
 	must.Eq(t, standin.OutcomeGaveUp, r.header.Get(standin.OutcomeHeader))
 
 	ctx, cancel := context.WithCancel(t.Context())
-	running := call{method: http.MethodPost, body: "x"}.async(ctx, t, b.URL())
+	running := request{method: http.MethodPost, body: "x"}.sendAsync(ctx, t, b.URL())
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 	cancel()
 	must.Error(t, (<-running).err)
@@ -110,8 +110,8 @@
 func TestBackendRejectsMalformedTimeout(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	for _, value := range []string{"-1", "1s", "+1", "0x1", "99999999999999999999", "3600001"} {
-		r := call{header: map[string]string{standin.TimeoutHeader: value}}.send(t, client(t), b.URL())
-		notRun(t, r, http.StatusBadRequest)
+		r := request{header: map[string]string{standin.TimeoutHeader: value}}.send(t, newClient(t), b.URL())
+		requireNotExecuted(t, r, http.StatusBadRequest)
 	}
 	log, _ := b.Executions()
 	must.Len(t, 0, log)
@@ -124,10 +124,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
-			c := call{header: map[string]string{standin.TimeoutHeader: "500"}}
-			must.Eq(t, http.StatusGatewayTimeout, c.send(t, client(t), b.URL()).status)
+			c := request{header: map[string]string{standin.TimeoutHeader: "500"}}
+			must.Eq(t, http.StatusGatewayTimeout, c.send(t, newClient(t), b.URL()).status)
 			if o.ColdStartRequests > 0 {
-				must.Eq(t, http.StatusOK, c.send(t, client(t), b.URL()).status)
+				must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
 			}
 		})
 	}
@@ -168,12 +168,12 @@
 		return i.Service + " " + i.DataCentre + " " + i.Region + " " + string(i.State)
 	}
 	eventually(t, "announced", func() bool { return state() == "catalogue a luzon live" })
-	running := call{}.async(t.Context(), t, b.URL())
+	running := request{}.sendAsync(t.Context(), t, b.URL())
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 
 	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/drain", "").status)
 	must.Eq(t, "catalogue a luzon leaving", state())
-	notRun(t, call{}.send(t, client(t), b.URL()), http.StatusServiceUnavailable)
+	requireNotExecuted(t, request{}.send(t, newClient(t), b.URL()), http.StatusServiceUnavailable)
 	must.Eq(t, http.StatusOK, (<-running).status)
 	b.Shutdown(t.Context())
 	must.Eq(t, "catalogue a luzon ended", state())
@@ -193,7 +193,7 @@
 func TestBackendReportFaults(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Faults: standin.BackendFaults{HangRatio: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
-	running := call{}.async(ctx, t, b.URL())
+	running := request{}.sendAsync(ctx, t, b.URL())
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 	b.Drain()
 	hour := config.Duration(time.Hour)
@@ -208,11 +208,11 @@
 		{standin.BackendFaults{HealthOverride: "bad"}, "bad", 1},
 	} {
 		must.NoError(t, b.SetFaults(c.faults))
-		health := call{path: standin.HealthPath}.send(t, client(t), b.URL())
+		health := request{path: standin.HealthPath}.send(t, newClient(t), b.URL())
 		must.Eq(t, c.health == "ok", health.status == http.StatusOK)
 		must.StrContains(t, health.body, `"`+c.health+`"`)
 		var load standin.Load
-		must.NoError(t, json.Unmarshal([]byte(call{path: standin.LoadPath}.send(t, client(t), b.URL()).body), &load))
+		must.NoError(t, json.Unmarshal([]byte(request{path: standin.LoadPath}.send(t, newClient(t), b.URL()).body), &load))
 		must.Eq(t, standin.Load{Slots: 1, InFlight: c.inFlight}, load)
 	}
 	cancel()
@@ -226,10 +226,10 @@
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
 	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
 	must.Eq(t, http.StatusBadRequest, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
-	c := call{method: http.MethodPost, path: "/p", body: "..fsk_body..", header: map[string]string{"X-odd": "fsk_header"}}
-	must.Eq(t, http.StatusOK, c.send(t, client(t), b.URL()).status)
+	c := request{method: http.MethodPost, path: "/p", body: "..fsk_body..", header: map[string]string{"X-odd": "fsk_header"}}
+	must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
 
-	must.Eq(t, http.StatusOK, call{path: "/fsk_path"}.send(t, client(t), b.URL()).status)
+	must.Eq(t, http.StatusOK, request{path: "/fsk_path"}.send(t, newClient(t), b.URL()).status)
 
 	must.Eq(t, []string{"fsk_body", "fsk_header", "fsk_path"}, b.DetectedSecrets())
 	raw := b.RawHeaders()
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -43,44 +43,44 @@
 	mu      sync.Mutex
 	entries []Execution
 	dropped int
-	// done counts the completed executions by operation.
-	done map[string]int
+	// completions counts the completed executions by operation.
+	completions map[string]int
 }
 
 func newExecutionLog() *executionLog {
-	return &executionLog{done: map[string]int{}}
+	return &executionLog{completions: map[string]int{}}
 }
 
-// begin takes down that work begins, and returns the entry's index; -1 if
+// start takes down that work begins, and returns the entry's index; -1 if
 // the log is full.
-func (l *executionLog) begin(e Execution) int {
+func (l *executionLog) start(execution Execution) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.entries) >= maxExecutions {
 		l.dropped++
 		return -1
 	}
-	e.State = ExecutionRunning
-	l.entries = append(l.entries, e)
+	execution.State = ExecutionRunning
+	l.entries = append(l.entries, execution)
 	return len(l.entries) - 1
 }
 
 // finish takes down how it ended. It returns how often the operation has
 // been completed, for an operation with an id.
-func (l *executionLog) finish(index int, now time.Duration, end ExecutionState, operation string) int {
+func (l *executionLog) finish(index int, now time.Duration, state ExecutionState, operation string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if index >= 0 {
 		l.entries[index].EndedAt = now
-		l.entries[index].State = end
+		l.entries[index].State = state
 	}
-	if end == ExecutionCompleted && operation != "" {
-		l.done[operation]++
+	if state == ExecutionCompleted && operation != "" {
+		l.completions[operation]++
 	}
-	return l.done[operation]
+	return l.completions[operation]
 }
 
-func (l *executionLog) all() ([]Execution, int) {
+func (l *executionLog) snapshot() ([]Execution, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.entries), l.dropped
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -23,7 +23,7 @@
 // connections can stop reading.
 type faultListener struct {
 	policy   func() connPolicy
-	capture     *rawLog
+	capture     *rawCapture
 	address net.Addr
 	closed  chan struct{}
 	closeOnce    sync.Once
@@ -32,7 +32,7 @@
 }
 
 // listenWithFaults listens on address ("ip:port") while gates allows it.
-func listenWithFaults(address string, policy func() connPolicy, capture *rawLog) (*faultListener, error) {
+func listenWithFaults(address string, policy func() connPolicy, capture *rawCapture) (*faultListener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
@@ -147,9 +147,9 @@
 	return &faultConn{
 		Conn:   conn,
 		policy:  l.policy,
-		capture:    &rawStream{log: l.capture},
+		capture:    &connCapture{capture: l.capture},
 		closed: make(chan struct{}),
-		wake:   make(chan struct{}, 1),
+		deadlineChanged:   make(chan struct{}, 1),
 	}
 }
 
@@ -157,11 +157,11 @@
 type faultConn struct {
 	net.Conn
 	policy  func() connPolicy
-	capture    *rawStream
+	capture    *connCapture
 	closeOnce   sync.Once
 	closed chan struct{}
-	// wake ends a wait of Read after a change of the deadline.
-	wake chan struct{}
+	// deadlineChanged ends a wait of Read after a change of the deadline.
+	deadlineChanged chan struct{}
 
 	mu       sync.Mutex
 	readDeadline time.Time
@@ -173,7 +173,7 @@
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.capture.received(p[:n])
+	c.capture.addReceived(p[:n])
 	return n, err
 }
 
@@ -201,7 +201,7 @@
 	c.readDeadline = t
 	c.mu.Unlock()
 	select {
-	case c.wake <- struct{}{}:
+	case c.deadlineChanged <- struct{}{}:
 	default:
 	}
 }
@@ -242,7 +242,7 @@
 	}
 	select {
 	case <-changed:
-	case <-c.wake:
+	case <-c.deadlineChanged:
 	case <-expired:
 	case <-c.closed:
 		return false
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -64,22 +64,22 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r"), uint8(200))
 	f.Fuzz(func(t *testing.T, data []byte, size uint8) {
 		const secret = "fsk_1"
-		l := newRawLog()
-		l.watch([]string{secret})
-		s := &rawStream{log: l}
+		l := newRawCapture()
+		l.watchSecrets([]string{secret})
+		s := &connCapture{capture: l}
 		step := int(size) + 1
 		for i := 0; i < len(data); i += step {
-			s.received(data[i:min(i+step, len(data))])
+			s.addReceived(data[i:min(i+step, len(data))])
 		}
-		must.Eq(t, bytes.Contains(data, []byte(secret)), len(l.secretsSeen()) == 1)
-		s.request("GET / HTTP/")
+		must.Eq(t, bytes.Contains(data, []byte(secret)), len(l.detectedSecrets()) == 1)
+		s.addRequest("GET / HTTP/")
 		begin := bytes.LastIndex(data, []byte("GET / HTTP/"))
-		whole := begin >= 0 && len(data) <= maxPending && bytes.Contains(data[begin:], []byte("\r\n\r\n"))
+		whole := begin >= 0 && len(data) <= maxPendingBytes && bytes.Contains(data[begin:], []byte("\r\n\r\n"))
 		if whole {
 			must.SliceLen(t, 1, l.report().Headers)
 			return
 		}
-		must.Eq(t, len(data) <= maxPending, l.report().Incomplete == 1)
+		must.Eq(t, len(data) <= maxPendingBytes, l.report().Incomplete == 1)
 	})
 }
 
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -23,9 +23,9 @@
 // glance bounds the look for something that mustn't happen.
 const glance = 60 * time.Millisecond
 
-func eventually(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint(condition))
 }
 
 func startBackend(t *testing.T, o standin.BackendOptions) *standin.Backend {
@@ -37,8 +37,8 @@
 	return b
 }
 
-// call is one request and what came of it.
-type call struct {
+// request is one request and what came of it.
+type request struct {
 	method  string
 	path    string
 	body    string
@@ -46,62 +46,62 @@
 	timeout time.Duration
 }
 
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// client returns an HTTP client with its own connections.
-func client(t *testing.T) *http.Client {
+// newClient returns an HTTP newClient with its own connections.
+func newClient(t *testing.T) *http.Client {
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-func (c call) send(t *testing.T, hc *http.Client, url string) reply {
-	if c.timeout == 0 {
-		c.timeout = patience
+func (req request) send(t *testing.T, client *http.Client, url string) response {
+	if req.timeout == 0 {
+		req.timeout = patience
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
+	ctx, cancel := context.WithTimeout(t.Context(), req.timeout)
 	defer cancel()
-	return c.sendWith(ctx, hc, url)
+	return req.sendContext(ctx, client, url)
 }
 
-func (c call) sendWith(ctx context.Context, hc *http.Client, url string) reply {
-	if c.method == "" {
-		c.method = http.MethodGet
+func (req request) sendContext(ctx context.Context, client *http.Client, url string) response {
+	if req.method == "" {
+		req.method = http.MethodGet
 	}
-	r, err := http.NewRequestWithContext(ctx, c.method, url+c.path, strings.NewReader(c.body))
+	httpReq, err := http.NewRequestWithContext(ctx, req.method, url+req.path, strings.NewReader(req.body))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
-	r.Header.Set(standin.AttemptHeader, "a1")
-	r.Header.Set(standin.WorkspaceHeader, "cebu")
-	for name, value := range c.header {
-		r.Header.Set(name, value)
+	httpReq.Header.Set(standin.AttemptHeader, "a1")
+	httpReq.Header.Set(standin.WorkspaceHeader, "cebu")
+	for name, value := range req.header {
+		httpReq.Header.Set(name, value)
 	}
-	resp, err := hc.Do(r)
+	resp, err := client.Do(httpReq)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// async sends the call and returns the reply later.
-func (c call) async(ctx context.Context, t *testing.T, url string) <-chan reply {
-	hc := client(t)
-	out := make(chan reply, 1)
-	go func() { out <- c.sendWith(ctx, hc, url) }()
-	return out
+// sendAsync sends the call and returns the reply later.
+func (req request) sendAsync(ctx context.Context, t *testing.T, url string) <-chan response {
+	client := newClient(t)
+	responses := make(chan response, 1)
+	go func() { responses <- req.sendContext(ctx, client, url) }()
+	return responses
 }
 
-func control(t *testing.T, method, url, body string) reply {
+func control(t *testing.T, method, url, body string) response {
 	t.Helper()
-	r := call{method: method, body: body}.send(t, client(t), url)
-	must.NoError(t, r.err)
-	return r
+	resp := request{method: method, body: body}.send(t, newClient(t), url)
+	must.NoError(t, resp.err)
+	return resp
 }
--- a/internal/standin/rate.go
+++ b/internal/standin/rate.go
@@ -5,8 +5,8 @@
 // rateLimit is a token bucket that holds one second's worth.
 type rateLimit struct {
 	tokens float64
-	at     time.Duration
-	begun  bool
+	refilledAt     time.Duration
+	initialized  bool
 }
 
 // allow takes a token, at most perSecond in a second. 0 is no limit.
@@ -15,12 +15,12 @@
 		*l = rateLimit{}
 		return true
 	}
-	limit := float64(perSecond)
-	if !l.begun {
-		*l = rateLimit{tokens: limit, at: now, begun: true}
+	capacity := float64(perSecond)
+	if !l.initialized {
+		*l = rateLimit{tokens: capacity, refilledAt: now, initialized: true}
 	}
-	l.tokens = min(limit, l.tokens+(now-l.at).Seconds()*limit)
-	l.at = now
+	l.tokens = min(capacity, l.tokens+(now-l.refilledAt).Seconds()*capacity)
+	l.refilledAt = now
 	if l.tokens < 1 {
 		return false
 	}
--- a/internal/standin/raw.go
+++ b/internal/standin/raw.go
@@ -8,79 +8,79 @@
 )
 
 const (
-	// maxRawHeaders bounds the header blocks kept.
-	maxRawHeaders = 2000
-	// maxPending bounds what a connection keeps for finding its next
+	// maxCapturedHeaders bounds the header blocks kept.
+	maxCapturedHeaders = 2000
+	// maxPendingBytes bounds what a connection keeps for finding its next
 	// request's header block, in bytes.
-	maxPending = 64 << 10
+	maxPendingBytes = 64 << 10
 )
 
-// rawLog keeps what came in on the wire, before any parsing.
-type rawLog struct {
+// rawCapture keeps what came in on the wire, before any parsing.
+type rawCapture struct {
 	mu         sync.Mutex
 	headers    [][]byte
 	incomplete int
 	secrets    [][]byte
-	seen       map[string]bool
-	longest    int
+	detected       map[string]bool
+	maxSecretLength    int
 }
 
-func newRawLog() *rawLog { return &rawLog{seen: map[string]bool{}} }
+func newRawCapture() *rawCapture { return &rawCapture{detected: map[string]bool{}} }
 
-func (l *rawLog) watch(secrets []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *rawCapture) watchSecrets(secrets []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, s := range secrets {
-		l.secrets = append(l.secrets, []byte(s))
-		l.longest = max(l.longest, len(s))
+		c.secrets = append(c.secrets, []byte(s))
+		c.maxSecretLength = max(c.maxSecretLength, len(s))
 	}
 }
 
-func (l *rawLog) secretsSeen() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Sorted(maps.Keys(l.seen))
+func (c *rawCapture) detectedSecrets() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Sorted(maps.Keys(c.detected))
 }
 
-func (l *rawLog) report() RawHeadersReport {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	report := RawHeadersReport{Incomplete: l.incomplete, Headers: []string{}}
-	for _, h := range l.headers {
+func (c *rawCapture) report() RawHeadersReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	report := RawHeadersReport{Incomplete: c.incomplete, Headers: []string{}}
+	for _, h := range c.headers {
 		report.Headers = append(report.Headers, string(h))
 	}
 	return report
 }
 
-func (l *rawLog) keep(header []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *rawCapture) addHeader(header []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if header == nil {
-		l.incomplete++
+		c.incomplete++
 		return
 	}
-	if len(l.headers) >= maxRawHeaders {
-		l.headers = l.headers[1:]
+	if len(c.headers) >= maxCapturedHeaders {
+		c.headers = c.headers[1:]
 	}
-	l.headers = append(l.headers, header)
+	c.headers = append(c.headers, header)
 }
 
 // scan looks for the secrets in data, and returns how many bytes at its end
 // must be looked at again together with what follows.
-func (l *rawLog) scan(data []byte) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, s := range l.secrets {
+func (c *rawCapture) scan(data []byte) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, s := range c.secrets {
 		if bytes.Contains(data, s) {
-			l.seen[string(s)] = true
+			c.detected[string(s)] = true
 		}
 	}
-	return min(len(data), max(0, l.longest-1))
+	return min(len(data), max(0, c.maxSecretLength-1))
 }
 
-// rawStream is what came in on one connection.
-type rawStream struct {
-	log *rawLog
+// connCapture is what came in on one connection.
+type connCapture struct {
+	capture *rawCapture
 
 	mu sync.Mutex
 	// pending are the latest bytes received.
@@ -89,28 +89,28 @@
 	overlap []byte
 }
 
-func (s *rawStream) received(data []byte) {
+func (s *connCapture) addReceived(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = append(s.pending, data...)
-	if excess := len(s.pending) - maxPending; excess > 0 {
+	if excess := len(s.pending) - maxPendingBytes; excess > 0 {
 		s.pending = append(s.pending[:0], s.pending[excess:]...)
 	}
 	window := append(s.overlap, data...)
-	again := s.log.scan(window)
-	s.overlap = slices.Clone(window[len(window)-again:])
+	overlapLength := s.capture.scan(window)
+	s.overlap = slices.Clone(window[len(window)-overlapLength:])
 }
 
-// request keeps the header block of the request that is being served, whose
+// addRequest keeps the header block of the addRequest that is being served, whose
 // first line begins with startLine.
-func (s *rawStream) request(startLine string) {
+func (s *connCapture) addRequest(requestLine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.keep(s.cutHeader([]byte(startLine)))
+	s.capture.addHeader(s.extractHeader([]byte(requestLine)))
 }
 
-func (s *rawStream) cutHeader(startLine []byte) []byte {
-	begin := bytes.LastIndex(s.pending, startLine)
+func (s *connCapture) extractHeader(requestLine []byte) []byte {
+	begin := bytes.LastIndex(s.pending, requestLine)
 	if begin < 0 {
 		return nil
 	}
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -20,9 +20,9 @@
 	Queued   int `json:"queued"`
 }
 
-// slots bounds the requests that are worked on and those that wait.
-type slots struct {
-	free  chan struct{}
+// slotPool bounds the requests that are worked on and those that wait.
+type slotPool struct {
+	held  chan struct{}
 	queue int
 	now   func() time.Duration
 
@@ -36,21 +36,21 @@
 	load Load
 }
 
-func newSlots(n, queue int, now func() time.Duration) *slots {
-	return &slots{
-		free:  make(chan struct{}, n),
+func newSlotPool(size, queue int, now func() time.Duration) *slotPool {
+	return &slotPool{
+		held:  make(chan struct{}, size),
 		queue: queue,
 		now:   now,
-		load:  Load{Slots: n},
+		load:  Load{Slots: size},
 	}
 }
 
 // acquire takes a slot, if need be after a wait in the queue. It fails with
 // errFull at once, or with the context's error.
-func (s *slots) acquire(ctx context.Context) error {
+func (s *slotPool) acquire(ctx context.Context) error {
 	select {
-	case s.free <- struct{}{}:
-		s.change(func(l *Load) { l.InFlight++ })
+	case s.held <- struct{}{}:
+		s.updateLoad(func(l *Load) { l.InFlight++ })
 		return nil
 	default:
 	}
@@ -58,47 +58,47 @@
 		return errFull
 	}
 	select {
-	case s.free <- struct{}{}:
-		s.change(func(l *Load) { l.Queued--; l.InFlight++ })
+	case s.held <- struct{}{}:
+		s.updateLoad(func(l *Load) { l.Queued--; l.InFlight++ })
 		return nil
 	case <-ctx.Done():
-		s.change(func(l *Load) { l.Queued-- })
+		s.updateLoad(func(l *Load) { l.Queued-- })
 		return ctx.Err()
 	}
 }
 
-func (s *slots) release() {
-	s.change(func(l *Load) { l.InFlight-- })
-	<-s.free
+func (s *slotPool) release() {
+	s.updateLoad(func(l *Load) { l.InFlight-- })
+	<-s.held
 }
 
-func (s *slots) enqueue() bool {
+func (s *slotPool) enqueue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.load.Queued >= s.queue {
 		return false
 	}
 	s.load.Queued++
-	s.sample()
+	s.recordSample()
 	return true
 }
 
-func (s *slots) change(f func(*Load)) {
+func (s *slotPool) updateLoad(update func(*Load)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.load)
-	s.sample()
+	update(&s.load)
+	s.recordSample()
 }
 
-func (s *slots) sample() {
+func (s *slotPool) recordSample() {
 	if len(s.samples) >= maxLoadSamples {
 		s.samples = append(s.samples[:0], s.samples[maxLoadSamples/2:]...)
 	}
 	s.samples = append(s.samples, loadSample{s.now(), s.load})
 }
 
-// at returns the load at a time, as far as it is still known.
-func (s *slots) at(at time.Duration) Load {
+// loadAt returns the load loadAt a time, as far as it is still known.
+func (s *slotPool) loadAt(at time.Duration) Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := len(s.samples) - 1; i >= 0; i-- {
