--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -16,8 +16,8 @@
 
 // Defaults of BackendOptions.
 const (
-	DefaultSlots         = 2
-	DefaultLatency       = 5 * time.Millisecond
+	DefaultSlots            = 2
+	DefaultLatency          = 5 * time.Millisecond
 	DefaultAnnounceInterval = 2 * time.Second
 )
 
@@ -40,11 +40,11 @@
 	Latency time.Duration
 	// ColdStartDuration and ColdRequests set a cold start: work takes ColdFactor times
 	// as long for this time, and for this number of requests.
-	ColdStartDuration      time.Duration
+	ColdStartDuration time.Duration
 	ColdStartRequests int
 	ColdStartFactor   float64
 	// Instances is where the server announces itself; nil if nowhere.
-	Instances     storage.Instances
+	Instances        storage.Instances
 	AnnounceInterval time.Duration
 	// Faults from the start.
 	Faults BackendFaults
@@ -56,22 +56,22 @@
 
 // Backend is a running backend server stand-in.
 type Backend struct {
-	options          BackendOptions
-	log        *slog.Logger
-	start      time.Time
-	faults     *faultSwitch[BackendFaults]
-	slots      *slotPool
-	executions *executionLog
-	rawCapture        *rawCapture
-	workServer       *server
-	controlServer    *server
-	announcer  *announcer
-
-	mu        sync.Mutex
-	rng      *rand.Rand
-	requestsStarted    int
-	draining  bool
-	drainingSince time.Duration
+	options       BackendOptions
+	log           *slog.Logger
+	start         time.Time
+	faults        *faultSwitch[BackendFaults]
+	slots         *slotPool
+	executions    *executionLog
+	rawCapture    *rawCapture
+	workServer    *server
+	controlServer *server
+	announcer     *announcer
+
+	mu              sync.Mutex
+	rng             *rand.Rand
+	requestsStarted int
+	draining        bool
+	drainingSince   time.Duration
 	// recentResponses are the latest answers, to cross with others.
 	recentResponses []response
 }
@@ -81,12 +81,12 @@
 func StartBackend(o BackendOptions) (*Backend, error) {
 	o = o.withDefaults()
 	b := &Backend{
-		options:          o,
+		options:    o,
 		log:        logOr(o.Log),
 		start:      time.Now(),
 		executions: newExecutionLog(),
-		rawCapture:        newRawCapture(),
-		rng:       rand.New(rand.NewPCG(o.Seed, 0)),
+		rawCapture: newRawCapture(),
+		rng:        rand.New(rand.NewPCG(o.Seed, 0)),
 	}
 	b.slots = newSlotPool(o.Slots, o.Queue, b.now)
 	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -36,7 +36,7 @@
 	// LateRatio of answers come LateBy after the work was done, whatever the
 	// request's time, and also if it was cancelled.
 	LateRatio float64         `json:"lateRatio"`
-	LateDelay    config.Duration `json:"lateBy"`
+	LateDelay config.Duration `json:"lateBy"`
 	// DuplicateRatio of answers are sent twice on their connection.
 	DuplicateRatio float64 `json:"duplicateRatio"`
 
@@ -130,11 +130,11 @@
 		return f
 	}
 	return BackendFaults{
-		HealthOverride:      f.HealthOverride,
-		ReportLag:   f.ReportLag,
+		HealthOverride:    f.HealthOverride,
+		ReportLag:         f.ReportLag,
 		ReportZeroLoad:    f.ReportZeroLoad,
-		RefuseConnections:      f.RefuseConnections,
-		StopReading: f.StopReading,
+		RefuseConnections: f.RefuseConnections,
+		StopReading:       f.StopReading,
 	}
 }
 
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -26,16 +26,16 @@
 // Execution is one request that a backend server began to work on. A request
 // that it shed isn't here.
 type Execution struct {
-	Attempt    string        `json:"attempt"`
-	Workspace  string        `json:"workspace"`
-	Method     string        `json:"method"`
-	Path       string        `json:"path"`
-	Operation  string        `json:"operation,omitempty"`
-	BodyLength int64         `json:"bodyLength"`
-	BodySHA256 string        `json:"bodySha256"`
-	StartedAt      time.Duration `json:"begin"`
-	EndedAt     time.Duration `json:"finish"`
-	State        ExecutionState           `json:"end"`
+	Attempt    string         `json:"attempt"`
+	Workspace  string         `json:"workspace"`
+	Method     string         `json:"method"`
+	Path       string         `json:"path"`
+	Operation  string         `json:"operation,omitempty"`
+	BodyLength int64          `json:"bodyLength"`
+	BodySHA256 string         `json:"bodySha256"`
+	StartedAt  time.Duration  `json:"begin"`
+	EndedAt    time.Duration  `json:"finish"`
+	State      ExecutionState `json:"end"`
 }
 
 // executionLog keeps the executions in the order of their beginnings.
--- a/internal/standin/gate.go
+++ b/internal/standin/fault_listener.go
@@ -22,13 +22,13 @@
 // faultListener is a listener that can refuse connections and whose
 // connections can stop reading.
 type faultListener struct {
-	policy   func() connPolicy
-	capture     *rawCapture
-	address net.Addr
-	closed  chan struct{}
-	closeOnce    sync.Once
-	accepted   chan net.Conn
-	done    chan struct{}
+	policy    func() connPolicy
+	capture   *rawCapture
+	address   net.Addr
+	closed    chan struct{}
+	closeOnce sync.Once
+	accepted  chan net.Conn
+	done      chan struct{}
 }
 
 // listenWithFaults listens on address ("ip:port") while gates allows it.
@@ -39,11 +39,11 @@
 	}
 	l := &faultListener{
 		policy:   policy,
-		capture:     capture,
-		address: inner.Addr(),
-		closed:  make(chan struct{}),
-		accepted:   make(chan net.Conn),
-		done:    make(chan struct{}),
+		capture:  capture,
+		address:  inner.Addr(),
+		closed:   make(chan struct{}),
+		accepted: make(chan net.Conn),
+		done:     make(chan struct{}),
 	}
 	go l.run(inner)
 	return l, nil
@@ -145,25 +145,25 @@
 
 func (l *faultListener) wrapConn(conn net.Conn) net.Conn {
 	return &faultConn{
-		Conn:   conn,
-		policy:  l.policy,
-		capture:    &connCapture{capture: l.capture},
-		closed: make(chan struct{}),
-		deadlineChanged:   make(chan struct{}, 1),
+		Conn:            conn,
+		policy:          l.policy,
+		capture:         &connCapture{capture: l.capture},
+		closed:          make(chan struct{}),
+		deadlineChanged: make(chan struct{}, 1),
 	}
 }
 
 // faultConn is a connection that can stop reading. It keeps what it reads.
 type faultConn struct {
 	net.Conn
-	policy  func() connPolicy
-	capture    *connCapture
-	closeOnce   sync.Once
-	closed chan struct{}
+	policy    func() connPolicy
+	capture   *connCapture
+	closeOnce sync.Once
+	closed    chan struct{}
 	// deadlineChanged ends a wait of Read after a change of the deadline.
 	deadlineChanged chan struct{}
 
-	mu       sync.Mutex
+	mu           sync.Mutex
 	readDeadline time.Time
 }
 
--- a/internal/standin/raw.go
+++ b/internal/standin/header_capture.go
@@ -17,12 +17,12 @@
 
 // rawCapture keeps what came in on the wire, before any parsing.
 type rawCapture struct {
-	mu         sync.Mutex
-	headers    [][]byte
-	incomplete int
-	secrets    [][]byte
-	detected       map[string]bool
-	maxSecretLength    int
+	mu              sync.Mutex
+	headers         [][]byte
+	incomplete      int
+	secrets         [][]byte
+	detected        map[string]bool
+	maxSecretLength int
 }
 
 func newRawCapture() *rawCapture { return &rawCapture{detected: map[string]bool{}} }
--- a/internal/standin/rate.go
+++ b/internal/standin/rate_limit.go
@@ -4,9 +4,9 @@
 
 // rateLimit is a token bucket that holds one second's worth.
 type rateLimit struct {
-	tokens float64
-	refilledAt     time.Duration
-	initialized  bool
+	tokens      float64
+	refilledAt  time.Duration
+	initialized bool
 }
 
 // allow takes a token, at most perSecond in a second. 0 is no limit.
