--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -14,47 +14,52 @@
 	"foxtailspoke/storage"
 )
 
-// Defaults of BackendOptions.
+// Defaults for BackendOptions.
 const (
 	DefaultSlots            = 2
 	DefaultLatency          = 5 * time.Millisecond
 	DefaultAnnounceInterval = 2 * time.Second
 )
 
-// BackendOptions of a backend server stand-in. A zero field takes its
+// BackendOptions configures a Backend. A field with the zero value gets its
 // default.
 type BackendOptions struct {
-	// Listen and Control are "ip:port"; empty means DefaultListen.
+	// Listen and Control are the addresses, "ip:port", for requests of entry
+	// instances and for the control interface. Empty means DefaultListen.
 	Listen  string
 	Control string
-	// Advertise is the address to announce, if it isn't the one listened on.
+	// Advertise is the address to announce if it differs from the address
+	// listened on.
 	Advertise  string
 	Service    string
 	DataCentre string
 	Region     string
-	// Slots is how many requests are worked on at the same time; Queue is
-	// how many more may wait. Queue 0 means as many as Slots.
+	// Slots is the maximum number of requests executed concurrently, Queue the
+	// maximum number of requests waiting for a slot. Queue 0 means as many as
+	// Slots.
 	Slots int
 	Queue int
-	// Latency is the time that the work on one request takes.
+	// Latency is the execution time of a request.
 	Latency time.Duration
-	// ColdStartDuration and ColdRequests set a cold start: work takes ColdFactor times
-	// as long for this time, and for this number of requests.
+	// ColdStartDuration and ColdStartRequests simulate a cold start: Latency is
+	// multiplied by ColdStartFactor for that time after the start and for that
+	// number of first requests. ColdStartFactor 0 means 1.
 	ColdStartDuration time.Duration
 	ColdStartRequests int
 	ColdStartFactor   float64
-	// Instances is where the server announces itself; nil if nowhere.
+	// Instances is the platform's list of instances, to which the server
+	// announces itself. If nil, the server is not announced.
 	Instances        storage.Instances
 	AnnounceInterval time.Duration
-	// Faults from the start.
+	// Faults are the initial faults.
 	Faults BackendFaults
-	// Seed of the random faults.
+	// Seed seeds the random choice of faults.
 	Seed uint64
-	// Log may be nil.
+	// Log may be nil, which discards all messages.
 	Log *slog.Logger
 }
 
-// Backend is a running backend server stand-in.
+// Backend is a running test double of a backend server.
 type Backend struct {
 	options       BackendOptions
 	log           *slog.Logger
@@ -63,7 +68,7 @@
 	slots         *slotPool
 	executions    *executionLog
 	rawCapture    *rawCapture
-	workServer    *server
+	requestServer    *server
 	controlServer *server
 	announcer     *announcer
 
@@ -72,12 +77,13 @@
 	requestsStarted int
 	draining        bool
 	drainingSince   time.Duration
-	// recentResponses are the latest answers, to cross with others.
+	// recentResponses holds the latest responses, which MismatchedRatio sends
+	// in response to other requests.
 	recentResponses []response
 }
 
-// StartBackend starts a backend server stand-in. Close ends it at once,
-// Shutdown gracefully.
+// StartBackend starts a test double of a backend server. Close stops it
+// immediately, Shutdown gracefully.
 func StartBackend(o BackendOptions) (*Backend, error) {
 	o = o.withDefaults()
 	b := &Backend{
@@ -97,9 +103,9 @@
 	if err != nil {
 		return nil, err
 	}
-	b.workServer = serve(listener, b.requestHandler(), b.log)
+	b.requestServer = serve(listener, b.requestHandler(), b.log)
 	if b.controlServer, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
-		b.workServer.close()
+		b.requestServer.close()
 		return nil, err
 	}
 	if o.Instances != nil {
@@ -108,17 +114,17 @@
 	return b, nil
 }
 
-// Address takes the entry instances' requests: "ip:port".
-func (b *Backend) Address() string { return b.workServer.address() }
+// Address returns the address, "ip:port", for requests of entry instances.
+func (b *Backend) Address() string { return b.requestServer.address() }
 
-// URL of Address.
-func (b *Backend) URL() string { return b.workServer.url() }
+// URL returns the HTTP URL of Address.
+func (b *Backend) URL() string { return b.requestServer.url() }
 
-// ControlURL is where faults are switched and executions read over HTTP.
+// ControlURL returns the HTTP URL of the control interface.
 func (b *Backend) ControlURL() string { return b.controlServer.url() }
 
-// ID is the id that the server has in the platform's list; empty if it
-// doesn't announce itself.
+// ID returns the server's ID in the platform's list of instances. It is empty
+// if the server is not announced.
 func (b *Backend) ID() string {
 	if b.announcer == nil {
 		return ""
@@ -126,7 +132,7 @@
 	return b.announcer.current().ID
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults, without regard to flapping.
 func (b *Backend) Faults() BackendFaults {
 	f, _ := b.faults.get()
 	return f
@@ -137,7 +143,8 @@
 	return b.UpdateFaults(func(current *BackendFaults) { *current = f })
 }
 
-// UpdateFaults changes the faults by f.
+// UpdateFaults applies f to the faults. If the result is invalid, the faults
+// stay as they are.
 func (b *Backend) UpdateFaults(f func(*BackendFaults)) error {
 	return b.faults.update(func(current *BackendFaults) error {
 		f(current)
@@ -145,15 +152,16 @@
 	})
 }
 
-// Executions returns the requests that the server began to work on, in that
-// order, and how many more there were than it keeps.
+// Executions returns the recorded executions in the order of their start, and
+// the number of executions dropped because the log was full.
 func (b *Backend) Executions() ([]Execution, int) { return b.executions.snapshot() }
 
-// Load returns the true load.
+// Load returns the actual current load, irrespective of ReportLag and
+// ReportZeroLoad.
 func (b *Backend) Load() Load { return b.slots.loadAt(b.now()) }
 
-// Drain announces that the server leaves, and refuses new work as not run
-// from now on. Work under way goes on.
+// Drain announces that the server is leaving and rejects all further requests
+// as not executed. Executions in progress continue.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	if b.draining {
@@ -168,26 +176,28 @@
 	}
 }
 
-// Shutdown drains, waits until the work under way has ended or the context
-// has, reports the end and stops.
+// Shutdown drains the server, waits until the executions in progress have
+// ended or ctx is done, announces the end and stops the server.
 func (b *Backend) Shutdown(ctx context.Context) {
 	b.Drain()
-	b.workServer.shutdown(ctx)
+	b.requestServer.shutdown(ctx)
 	if b.announcer != nil {
 		b.announcer.report(storage.Ended)
 	}
 	b.Close()
 }
 
-// Close ends the server and its connections at once, and reports nothing.
+// Close stops the server and closes its connections immediately, without
+// announcing the end.
 func (b *Backend) Close() {
 	if b.announcer != nil {
 		b.announcer.stop()
 	}
-	b.workServer.close()
+	b.requestServer.close()
 	b.controlServer.close()
 }
 
+// now returns the time since the start of the server.
 func (b *Backend) now() time.Duration { return time.Since(b.start) }
 
 func (b *Backend) isDraining() bool {
--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -6,24 +6,26 @@
 	"slices"
 )
 
-// ExecutionsReport is the answer to GET /control/executions.
+// ExecutionsReport is the response to GET /control/executions.
 type ExecutionsReport struct {
 	Executions []Execution `json:"executions"`
-	// Dropped counts those that were too many to keep.
+	// Dropped counts the executions not recorded because the log was full.
 	Dropped int `json:"dropped"`
 }
 
-// SecretsReport is the answer to GET /control/secrets.
+// SecretsReport is the response to GET /control/secrets.
 type SecretsReport struct {
-	// Detected are the secrets that came in on any connection, anywhere.
+	// Detected lists the watched secrets received on any connection, in any
+	// part of a request.
 	Detected []string `json:"seen"`
 }
 
-// RawHeadersReport is the answer to GET /control/raw.
+// RawHeadersReport is the response to GET /control/raw.
 type RawHeadersReport struct {
-	// Headers are the latest requests' header blocks, as received.
+	// Headers holds the header blocks of the latest requests as received.
 	Headers []string `json:"headers"`
-	// Incomplete counts the requests whose block couldn't be kept whole.
+	// Incomplete counts the requests whose header block could not be captured
+	// completely.
 	Incomplete int `json:"incomplete"`
 }
 
@@ -54,12 +56,12 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// RawHeaders returns the latest requests' header blocks, as received.
+// RawHeaders returns the header blocks of the latest requests as received.
 func (b *Backend) RawHeaders() RawHeadersReport { return b.rawCapture.report() }
 
-// WatchSecrets lets the server look for secrets, such as callers' keys, in
-// everything that it receives from now on.
+// WatchSecrets adds secrets, such as callers' API keys, to search for in all
+// bytes received from now on.
 func (b *Backend) WatchSecrets(secrets ...string) { b.rawCapture.watchSecrets(secrets) }
 
-// DetectedSecrets returns the watched secrets that came in, sorted.
+// DetectedSecrets returns the watched secrets that were received, sorted.
 func (b *Backend) DetectedSecrets() []string { return b.rawCapture.detectedSecrets() }
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -8,62 +8,69 @@
 	"foxtailspoke/config"
 )
 
-// BackendFaults are the faults that a backend server stand-in can show. The
-// zero value is none. Ratios are shares of requests from 0 to 1; a request
-// meets at most one of them, so they add up to at most 1.
+// BackendFaults are the faults of a Backend. The zero value means no faults.
+// Ratios are shares of requests from 0 to 1. At most one of them applies to a
+// request, so their sum is at most 1.
 type BackendFaults struct {
-	// LatencyFactor multiplies the time that work takes; 0 means 1.
+	// LatencyFactor multiplies the execution time; 0 means 1.
 	LatencyFactor float64 `json:"factor"`
-	// AddedLatency is added to the time that work takes, like "250ms".
+	// AddedLatency is added to the execution time, for example "250ms".
 	AddedLatency config.Duration `json:"delay"`
 
-	// TruncatedRatio of answers end before their declared length.
+	// TruncatedRatio is the share of responses that end, with the connection,
+	// before their declared length.
 	TruncatedRatio float64 `json:"halfRatio"`
-	// StalledRatio of answers stop halfway, and the connection stays open until
-	// the other side closes it.
+	// StalledRatio is the share of responses that stop halfway, with the
+	// connection left open until the client closes it.
 	StalledRatio float64 `json:"stallRatio"`
-	// ErrorRatio of answers have status 500, after the work was done.
+	// ErrorRatio is the share of requests that are executed and get a response
+	// with status 500.
 	ErrorRatio float64 `json:"errorRatio"`
-	// ErrorWorkspace restricts the errors to one workspace.
+	// ErrorWorkspace restricts ErrorRatio to one workspace.
 	ErrorWorkspace string `json:"errorWorkspace"`
-	// HangRatio of requests get no answer and keep their slot until the
-	// connection is closed, whatever their time.
+	// HangRatio is the share of requests that get no response and occupy their
+	// slot until the connection is closed, irrespective of their timeout.
 	HangRatio float64 `json:"hangRatio"`
-	// MismatchedRatio of requests get another request's answer.
+	// MismatchedRatio is the share of requests that get the response to another
+	// request.
 	MismatchedRatio float64 `json:"crossedRatio"`
-	// MissingAttemptRatio of answers lack the attempt's id.
+	// MissingAttemptRatio is the share of responses without the attempt ID.
 	MissingAttemptRatio float64 `json:"noEchoRatio"`
-	// LateRatio of answers come LateBy after the work was done, whatever the
-	// request's time, and also if it was cancelled.
+	// LateRatio is the share of requests that are executed irrespective of
+	// timeout and cancellation, with the response sent LateDelay after the
+	// execution.
 	LateRatio float64         `json:"lateRatio"`
 	LateDelay config.Duration `json:"lateBy"`
-	// DuplicateRatio of answers are sent twice on their connection.
+	// DuplicateRatio is the share of responses sent twice on their connection.
 	DuplicateRatio float64 `json:"duplicateRatio"`
 
-	// FlapPeriod, if set, lets all of the above come and go: off for one
-	// period, on for the next.
+	// FlapPeriod, if not 0, makes all faults above flap: inactive for one
+	// period, active for the next.
 	FlapPeriod config.Duration `json:"flapPeriod"`
 
-	// HealthOverride is "ok" or "bad" to report that whatever is the case; empty
-	// reports what the server believes. It never knows of its faults.
+	// HealthOverride is the health to report, "ok" or "bad", irrespective of the
+	// actual state. If empty, the report shows whether the server is draining;
+	// it never reflects the faults.
 	HealthOverride string `json:"health"`
-	// ReportLag is how old the health and load reports are.
+	// ReportLag is the age of the state shown in health and load reports.
 	ReportLag config.Duration `json:"reportLag"`
-	// ReportZeroLoad reports an idle server.
+	// ReportZeroLoad makes load reports show an idle server.
 	ReportZeroLoad bool `json:"hideLoad"`
 
-	// RefuseConnections refuses new connections; those that stand go on.
+	// RefuseConnections refuses new connections. Established connections are
+	// not affected.
 	RefuseConnections bool `json:"refuse"`
-	// StopReading reads nothing from any connection.
+	// StopReading stops reading from all connections.
 	StopReading bool `json:"stopReading"`
 }
 
-// Health reports.
+// Values of HealthReport.Status that HealthOverride accepts.
 const (
 	healthOK  = "ok"
 	healthBad = "bad"
 )
 
+// validate uses negated comparisons because they also reject NaN.
 func (f BackendFaults) validate() error {
 	sum := 0.0
 	for _, ratio := range f.ratios() {
@@ -85,7 +92,7 @@
 	return errors.Newf("health: %q is neither ok nor bad", f.HealthOverride)
 }
 
-// responseFault is the way in which one answer goes wrong.
+// responseFault is the fault that applies to a single request.
 type responseFault int
 
 const (
@@ -100,7 +107,8 @@
 	stalledResponse
 )
 
-// ratios returns the ratio of each quirk, in the order of the constants.
+// ratios returns the ratio of each responseFault after noFault, in the order of
+// the constants.
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
 		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.MismatchedRatio,
@@ -108,7 +116,8 @@
 	}
 }
 
-// responseFault returns what a request meets, by a random number from 0 to 1.
+// responseFault selects the fault for a request of the workspace. Random is a
+// number from 0 to 1.
 func (f BackendFaults) responseFault(workspace string, random float64) responseFault {
 	for i, ratio := range f.ratios() {
 		if random < ratio {
@@ -123,7 +132,8 @@
 	return noFault
 }
 
-// activeAt returns the faults in force activeAt a time since the start.
+// activeAt returns the faults that are active at now, the time since the start
+// of the server, with regard to FlapPeriod.
 func (f BackendFaults) activeAt(now time.Duration) BackendFaults {
 	period := time.Duration(f.FlapPeriod)
 	if period == 0 || (now/period)%2 == 1 {
@@ -138,7 +148,7 @@
 	}
 }
 
-// latency returns how long the work takes that takes d without faults.
+// latency returns the execution time with faults, given the one without.
 func (f BackendFaults) latency(base time.Duration) time.Duration {
 	if f.LatencyFactor > 0 {
 		base = time.Duration(float64(base) * f.LatencyFactor)
--- a/internal/standin/backend_health.go
+++ b/internal/standin/backend_health.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// HealthReport is the answer to GET HealthPath.
+// HealthReport is the response to GET HealthPath.
 type HealthReport struct {
 	// Status is "ok", "bad" or "draining".
 	Status string `json:"status"`
@@ -22,8 +22,8 @@
 	writeJSON(w, HealthReport{Status: status})
 }
 
-// health returns what the server reports: it lags, it can be told to lie,
-// and it never knows of the server's own faults.
+// health returns the status to report. HealthOverride takes precedence over
+// the actual state, ReportLag delays it, and other faults do not affect it.
 func (b *Backend) health() string {
 	f := b.Faults()
 	if f.HealthOverride != "" {
--- a/internal/standin/backend_requests.go
+++ b/internal/standin/backend_requests.go
@@ -16,10 +16,10 @@
 	"foxtailspoke/wire"
 )
 
-// maxRequestBody bounds a request's body, in bytes.
+// maxRequestBody limits the size of a request body, in bytes.
 const maxRequestBody = 64 << 20
 
-// connKey is the context key of the connection that a request came on.
+// connKey is the context key of the connection on which a request arrived.
 type connKey struct{}
 
 func (b *Backend) requestHandler() http.Handler {
@@ -30,7 +30,7 @@
 	return mux
 }
 
-// connPolicy returns what connections may do.
+// connPolicy returns the restrictions on connections under the current faults.
 func (b *Backend) connPolicy() connPolicy {
 	f, changed := b.faults.get()
 	return connPolicy{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
@@ -75,7 +75,8 @@
 	b.execute(ctx, w, r, execution)
 }
 
-// readRequest reads the whole request. A request that isn't whole doesn't run.
+// readRequest reads the entire request body. It fails for truncated requests,
+// which must not be executed.
 func (b *Backend) readRequest(r *http.Request) (Execution, error) {
 	hash := sha256.New()
 	n, err := io.Copy(hash, io.LimitReader(r.Body, maxRequestBody+1))
@@ -83,7 +84,7 @@
 		return Execution{}, err
 	}
 	if n > maxRequestBody {
-		return Execution{}, errors.New("body too long")
+		return Execution{}, errors.New("request body exceeds the size limit")
 	}
 	return Execution{
 		Attempt:    r.Header.Get(AttemptHeader),
@@ -96,7 +97,7 @@
 	}, nil
 }
 
-// execute does the work and answers.
+// execute simulates the execution of a request and sends the response.
 func (b *Backend) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, execution Execution) {
 	now := b.now()
 	faults := b.Faults().activeAt(now)
@@ -126,7 +127,8 @@
 	b.sendResponse(w, r, fault, executionResponse(execution, b.options.Service, completions, r.URL.Query().Get("size")))
 }
 
-// baseLatency returns how long work takes without faults.
+// baseLatency counts a request and returns its execution time without faults,
+// which is longer during the cold start.
 func (b *Backend) baseLatency(now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,7 +139,8 @@
 	return b.options.Latency
 }
 
-// waitFor returns Done after d, or how the request ended before.
+// waitFor returns ExecutionCompleted after d. If ctx is done before, it returns
+// ExecutionCancelled if connCtx is done too, otherwise ExecutionTimedOut.
 func waitFor(ctx, connCtx context.Context, d time.Duration) ExecutionState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -152,7 +155,8 @@
 	return ExecutionTimedOut
 }
 
-// withRequestTimeout returns a context that ends with the request's time.
+// withRequestTimeout returns the request's context with the timeout of
+// TimeoutHeader, if there is one.
 func withRequestTimeout(r *http.Request) (context.Context, context.CancelFunc, error) {
 	value := r.Header.Get(TimeoutHeader)
 	if value == "" {
@@ -167,10 +171,11 @@
 	return ctx, cancel, nil
 }
 
-// maxTimeout bounds what TimeoutHeader may ask for.
+// maxTimeout is the largest value accepted in TimeoutHeader.
 const maxTimeout = time.Hour
 
-// parseTimeout reads the value of TimeoutHeader: milliseconds, digits only.
+// parseTimeout parses the value of TimeoutHeader, a number of milliseconds that
+// consists of digits only.
 func parseTimeout(value string) (time.Duration, error) {
 	if strings.Trim(value, "0123456789") != "" {
 		return 0, errors.Newf("%s: %q isn't a number of milliseconds", TimeoutHeader, value)
@@ -182,18 +187,20 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// shedRequest refuses work that there is no room for.
+// shedRequest rejects a request because the server is overloaded or draining.
 func shedRequest(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Retry-After", "1")
 	rejectRequest(w, r, http.StatusServiceUnavailable, "shed")
 }
 
-// rejectRequest answers a request that wasn't run.
+// rejectRequest sends the response to a request that was not executed and never
+// will be.
 func rejectRequest(w http.ResponseWriter, r *http.Request, status int, reason string) {
 	w.Header().Set(OutcomeHeader, OutcomeNotRun)
 	writeText(w, r, status, reason+"\n")
 }
 
+// writeText sends a plain-text response that echoes the attempt ID.
 func writeText(w http.ResponseWriter, r *http.Request, status int, body string) {
 	if attempt := r.Header.Get(AttemptHeader); attempt != "" {
 		w.Header().Set(AttemptHeader, attempt)
--- a/internal/standin/backend_response.go
+++ b/internal/standin/backend_response.go
@@ -11,24 +11,27 @@
 )
 
 const (
-	// maxResponseSize bounds the size that a request may ask for, in bytes.
+	// maxResponseSize limits the response size, in bytes, that a request can
+	// ask for.
 	maxResponseSize = 64 << 20
-	// maxRecentResponses bounds the answers kept to cross with others.
+	// maxRecentResponses limits the responses kept for MismatchedRatio.
 	maxRecentResponses = 16
-	// duplicateLinger is how long a connection stays open after an answer
-	// was sent twice, so that the copy can arrive.
+	// duplicateLinger is how long a connection stays open after a duplicated
+	// response, so that the client receives the duplicate before the close.
 	duplicateLinger = 200 * time.Millisecond
 )
 
-// response is what a request gets.
 type response struct {
+	// attempt is the attempt ID to echo; empty omits the header.
 	attempt string
 	status  int
 	body    []byte
 }
 
-// executionResponse returns the true answer to a request: a line that names what was
-// done, padded to size bytes if the request asks for more.
+// executionResponse returns the correct response to an executed request: a line
+// that describes the execution, padded to size bytes if the request asks for a
+// larger response. Completions is the number of completed executions of the
+// operation.
 func executionResponse(execution Execution, service string, completions int, size string) response {
 	line := fmt.Sprintf("%s %s %s workspace=%s", service, execution.Method, execution.Path, execution.Workspace)
 	if execution.Method != http.MethodGet && execution.Method != http.MethodHead {
@@ -44,7 +47,7 @@
 	return response{attempt: execution.Attempt, status: http.StatusOK, body: body}
 }
 
-// sendResponse sends an sendResponse, or what the quirk makes of it.
+// sendResponse sends the response as modified by the fault.
 func (b *Backend) sendResponse(w http.ResponseWriter, r *http.Request, fault responseFault, resp response) {
 	switch fault {
 	case errorResponse:
@@ -88,15 +91,15 @@
 	return h
 }
 
-// writeTruncated declares the whole length and sends half.
+// writeTruncated declares the full Content-Length and sends half of the body.
 func writeTruncated(w http.ResponseWriter, resp response) {
 	resp.writeHeader(w)
 	_, _ = w.Write(resp.body[:len(resp.body)/2])
 	_ = http.NewResponseController(w).Flush()
 }
 
-// writeDuplicated sends the same answer twice. The second would be taken for the
-// answer to the next request on the connection.
+// writeDuplicated sends the same response twice. A client that reuses the
+// connection would take the second for the response to its next request.
 func writeDuplicated(w http.ResponseWriter, resp response) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -120,7 +123,7 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// addRecent keeps an answer to cross with a later one.
+// addRecent keeps a response for otherResponse.
 func (b *Backend) addRecent(resp response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,7 +133,8 @@
 	b.recentResponses = append(b.recentResponses, resp)
 }
 
-// otherResponse returns the answer to another request.
+// otherResponse returns a recent response to another attempt, or a made-up one
+// of the same length if there is none.
 func (b *Backend) otherResponse(resp response) response {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/header_capture.go
+++ b/internal/standin/header_capture.go
@@ -89,36 +89,36 @@
 	overlap []byte
 }
 
-func (s *connCapture) addReceived(data []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.pending = append(s.pending, data...)
-	if excess := len(s.pending) - maxPendingBytes; excess > 0 {
-		s.pending = append(s.pending[:0], s.pending[excess:]...)
+func (c *connCapture) addReceived(data []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending = append(c.pending, data...)
+	if excess := len(c.pending) - maxPendingBytes; excess > 0 {
+		c.pending = append(c.pending[:0], c.pending[excess:]...)
 	}
-	window := append(s.overlap, data...)
-	overlapLength := s.capture.scan(window)
-	s.overlap = slices.Clone(window[len(window)-overlapLength:])
+	window := append(c.overlap, data...)
+	overlapLength := c.capture.scan(window)
+	c.overlap = slices.Clone(window[len(window)-overlapLength:])
 }
 
 // addRequest keeps the header block of the addRequest that is being served, whose
 // first line begins with startLine.
-func (s *connCapture) addRequest(requestLine string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.capture.addHeader(s.extractHeader([]byte(requestLine)))
+func (c *connCapture) addRequest(requestLine string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.capture.addHeader(c.extractHeader([]byte(requestLine)))
 }
 
-func (s *connCapture) extractHeader(requestLine []byte) []byte {
-	begin := bytes.LastIndex(s.pending, requestLine)
+func (c *connCapture) extractHeader(requestLine []byte) []byte {
+	begin := bytes.LastIndex(c.pending, requestLine)
 	if begin < 0 {
 		return nil
 	}
-	length := bytes.Index(s.pending[begin:], []byte("\r\n\r\n"))
+	length := bytes.Index(c.pending[begin:], []byte("\r\n\r\n"))
 	if length < 0 {
 		return nil
 	}
-	header := slices.Clone(s.pending[begin : begin+length])
-	s.pending = append(s.pending[:0], s.pending[begin+length:]...)
+	header := slices.Clone(c.pending[begin : begin+length])
+	c.pending = append(c.pending[:0], c.pending[begin+length:]...)
 	return header
 }
--- a/internal/standin/protocol.go
+++ b/internal/standin/protocol.go
@@ -2,7 +2,8 @@
 
 import "foxtailspoke/wire"
 
-// Headers between an entry instance and a backend server.
+// Headers of requests from entry instances to backend servers and of the
+// responses.
 const (
 	AttemptHeader   = wire.HeaderAttempt
 	WorkspaceHeader = wire.HeaderWorkspace
@@ -17,7 +18,8 @@
 	OutcomeGaveUp = wire.OutcomeGaveUp
 )
 
-// Paths that a backend server keeps for itself.
+// Paths that a backend server does not treat as requests of its service.
+// ReservedPrefix is the prefix common to them.
 const (
 	ReservedPrefix = "/-/"
 	HealthPath     = "/-/health"
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -47,64 +47,64 @@
 
 // acquire takes a slot, if need be after a wait in the queue. It fails with
 // errFull at once, or with the context's error.
-func (s *slotPool) acquire(ctx context.Context) error {
+func (p *slotPool) acquire(ctx context.Context) error {
 	select {
-	case s.held <- struct{}{}:
-		s.updateLoad(func(l *Load) { l.InFlight++ })
+	case p.held <- struct{}{}:
+		p.updateLoad(func(l *Load) { l.InFlight++ })
 		return nil
 	default:
 	}
-	if !s.enqueue() {
+	if !p.enqueue() {
 		return errFull
 	}
 	select {
-	case s.held <- struct{}{}:
-		s.updateLoad(func(l *Load) { l.Queued--; l.InFlight++ })
+	case p.held <- struct{}{}:
+		p.updateLoad(func(l *Load) { l.Queued--; l.InFlight++ })
 		return nil
 	case <-ctx.Done():
-		s.updateLoad(func(l *Load) { l.Queued-- })
+		p.updateLoad(func(l *Load) { l.Queued-- })
 		return ctx.Err()
 	}
 }
 
-func (s *slotPool) release() {
-	s.updateLoad(func(l *Load) { l.InFlight-- })
-	<-s.held
+func (p *slotPool) release() {
+	p.updateLoad(func(l *Load) { l.InFlight-- })
+	<-p.held
 }
 
-func (s *slotPool) enqueue() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.load.Queued >= s.queue {
+func (p *slotPool) enqueue() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.load.Queued >= p.queue {
 		return false
 	}
-	s.load.Queued++
-	s.recordSample()
+	p.load.Queued++
+	p.recordSample()
 	return true
 }
 
-func (s *slotPool) updateLoad(update func(*Load)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	update(&s.load)
-	s.recordSample()
+func (p *slotPool) updateLoad(update func(*Load)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	update(&p.load)
+	p.recordSample()
 }
 
-func (s *slotPool) recordSample() {
-	if len(s.samples) >= maxLoadSamples {
-		s.samples = append(s.samples[:0], s.samples[maxLoadSamples/2:]...)
+func (p *slotPool) recordSample() {
+	if len(p.samples) >= maxLoadSamples {
+		p.samples = append(p.samples[:0], p.samples[maxLoadSamples/2:]...)
 	}
-	s.samples = append(s.samples, loadSample{s.now(), s.load})
+	p.samples = append(p.samples, loadSample{p.now(), p.load})
 }
 
 // loadAt returns the load loadAt a time, as far as it is still known.
-func (s *slotPool) loadAt(at time.Duration) Load {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := len(s.samples) - 1; i >= 0; i-- {
-		if s.samples[i].at <= at {
-			return s.samples[i].load
+func (p *slotPool) loadAt(at time.Duration) Load {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := len(p.samples) - 1; i >= 0; i-- {
+		if p.samples[i].at <= at {
+			return p.samples[i].load
 		}
 	}
-	return Load{Slots: s.load.Slots}
+	return Load{Slots: p.load.Slots}
 }
