--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -68,7 +68,7 @@
 	slots         *slotPool
 	executions    *executionLog
 	rawCapture    *rawCapture
-	requestServer    *server
+	requestServer *server
 	controlServer *server
 	announcer     *announcer
 
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -18,16 +18,15 @@
 	"foxtailspoke/internal/standin"
 )
 
-// Each way in which a server goes wrong while its health report is fine.
-// Whatever comes back, the work was done, and what the caller's side can see
-// of it is what tells it from a good answer.
+// Each response fault must be visible to the client as described, although the
+// request is executed and the server reports itself as healthy.
 func TestBackendResponseFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.BackendFaults
 		check  func(t *testing.T, r response)
 	}{
-		{"half", standin.BackendFaults{TruncatedRatio: 1}, func(t *testing.T, r response) {
+		{"truncated", standin.BackendFaults{TruncatedRatio: 1}, func(t *testing.T, r response) {
 			must.ErrorIs(t, r.err, io.ErrUnexpectedEOF)
 			must.Eq(t, http.StatusOK, r.status)
 			must.Positive(t, len(r.body))
@@ -42,18 +41,18 @@
 			must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
 			must.Eq(t, "", r.header.Get(standin.OutcomeHeader))
 		}},
-		{"error for one", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "cebu"}, func(t *testing.T, r response) {
+		{"error in the workspace", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "cebu"}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusInternalServerError, r.status)
 		}},
-		{"error for another", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r response) {
+		{"error in another workspace", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
-		{"crossed", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r response) {
+		{"mismatched", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.Eq(t, "a0", r.header.Get(standin.AttemptHeader))
 			must.StrContains(t, r.body, "/before")
 		}},
-		{"no echo", standin.BackendFaults{MissingAttemptRatio: 1}, func(t *testing.T, r response) {
+		{"missing attempt", standin.BackendFaults{MissingAttemptRatio: 1}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
@@ -72,22 +71,22 @@
 			if c.faults.LateRatio > 0 {
 				header[standin.TimeoutHeader] = "10"
 			}
-			one := request{path: "/x", header: header}
+			req := request{path: "/x", header: header}
 			if c.faults.StalledRatio > 0 {
-				one.timeout = glance
+				req.timeout = glance
 			}
-			r := one.send(t, newClient(t), b.URL())
+			r := req.send(t, newClient(t), b.URL())
 			must.Eq(t, c.faults.TruncatedRatio+c.faults.StalledRatio > 0, r.err != nil)
 			c.check(t, r)
-			log, _ := b.Executions()
-			must.Eq(t, standin.ExecutionCompleted, log[1].State)
+			executions, _ := b.Executions()
+			must.Eq(t, standin.ExecutionCompleted, executions[1].State)
 			must.Eq(t, http.StatusOK, request{path: standin.HealthPath}.send(t, newClient(t), b.URL()).status)
 		})
 	}
 }
 
-// The same answer comes twice on one connection. The copy would be taken for
-// the answer to the next request.
+// A duplicated response must arrive twice on the connection: the client could
+// take the duplicate for the response to its next request.
 func TestBackendDuplicatesResponse(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Faults: standin.BackendFaults{DuplicateRatio: 1}})
 	conn, err := net.Dial("tcp", b.Address())
@@ -103,52 +102,52 @@
 		_, err = io.Copy(io.Discard, r.Body)
 		must.NoError(t, err)
 	}
-	log, _ := b.Executions()
-	must.Len(t, 1, log)
+	executions, _ := b.Executions()
+	must.Len(t, 1, executions)
 }
 
-// A slow server runs into the request's time; a hanging one ignores it and
-// keeps its slot until the connection is closed.
+// A slow execution must be aborted at the request's timeout. A hanging request
+// must ignore the timeout and occupy its slot until the connection is closed.
 func TestBackendSlowAndHanging(t *testing.T) {
-	timed := request{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
+	withTimeout := request{header: map[string]string{standin.TimeoutHeader: "30"}, timeout: 200 * time.Millisecond}
 	b := startBackend(t, standin.BackendOptions{Latency: time.Millisecond})
 	for _, f := range []standin.BackendFaults{{LatencyFactor: 1e6}, {AddedLatency: config.Duration(time.Hour)}} {
 		must.NoError(t, b.SetFaults(f))
-		must.Eq(t, http.StatusGatewayTimeout, timed.send(t, newClient(t), b.URL()).status)
+		must.Eq(t, http.StatusGatewayTimeout, withTimeout.send(t, newClient(t), b.URL()).status)
 	}
 	must.NoError(t, b.SetFaults(standin.BackendFaults{HangRatio: 1}))
-	must.ErrorIs(t, timed.send(t, newClient(t), b.URL()).err, context.DeadlineExceeded)
-	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
-	log, _ := b.Executions()
-	must.Eq(t, standin.ExecutionCancelled, log[2].State)
+	must.ErrorIs(t, withTimeout.send(t, newClient(t), b.URL()).err, context.DeadlineExceeded)
+	eventually(t, "slot is released", func() bool { return b.Load().InFlight == 0 })
+	executions, _ := b.Executions()
+	must.Eq(t, standin.ExecutionCancelled, executions[2].State)
 }
 
-// New connections are refused while those that stand go on; then all is well
-// again on the same address.
+// RefuseConnections must refuse new connections and leave established ones alone.
+// When it ends, connections must be accepted on the same address again.
 func TestBackendRefusesConnections(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
-	standing := newClient(t)
-	must.Eq(t, http.StatusOK, request{}.send(t, standing, b.URL()).status)
+	established := newClient(t)
+	must.Eq(t, http.StatusOK, request{}.send(t, established, b.URL()).status)
 	for range 3 {
 		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
-		eventually(t, "refused", func() bool {
+		eventually(t, "connection is refused", func() bool {
 			return errors.Is(request{}.send(t, newClient(t), b.URL()).err, syscall.ECONNREFUSED)
 		})
-		must.Eq(t, http.StatusOK, request{}.send(t, standing, b.URL()).status)
+		must.Eq(t, http.StatusOK, request{}.send(t, established, b.URL()).status)
 		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = false }))
-		eventually(t, "taken", func() bool { return request{}.send(t, newClient(t), b.URL()).status == http.StatusOK })
+		eventually(t, "connection is accepted", func() bool { return request{}.send(t, newClient(t), b.URL()).status == http.StatusOK })
 	}
 	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 }
 
-// The server's process is stuck: it takes connections and reads nothing. Once
-// it reads again the request that waited gets its answer.
+// StopReading simulates a blocked server process: connections are accepted and
+// nothing is read. When it ends, the waiting request must get its response.
 func TestBackendStopsReading(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Faults: standin.BackendFaults{StopReading: true}})
 	must.Error(t, request{timeout: glance}.send(t, newClient(t), b.URL()).err)
 	waiting := request{path: "/waits"}.sendAsync(t.Context(), t, b.URL())
-	log, _ := b.Executions()
-	must.Len(t, 0, log)
+	executions, _ := b.Executions()
+	must.Len(t, 0, executions)
 	must.NoError(t, b.SetFaults(standin.BackendFaults{}))
 	r := <-waiting
 	must.NoError(t, r.err)
@@ -158,9 +157,9 @@
 	must.Error(t, request{timeout: glance}.send(t, newClient(t), b.URL()).err)
 }
 
-// The server stops reading while it works on a request. It can still write,
-// so the answer comes; here twice, for which the server takes the connection
-// over and must not wait for a read that never ends.
+// A server that stops reading during an execution must still send the response.
+// DuplicateRatio makes the server hijack the connection, which must not wait for
+// the pending Read: it does not return while reading is stopped.
 func TestBackendRespondsWithoutReading(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
 		Latency: 30 * time.Millisecond, Faults: standin.BackendFaults{DuplicateRatio: 1},
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -39,42 +39,42 @@
 		must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
 		must.StrContains(t, r.body, c.want)
 	}
-	log, dropped := b.Executions()
+	executions, dropped := b.Executions()
 	must.Zero(t, dropped)
-	must.Len(t, 4, log)
-	must.Eq(t, fmt.Sprintf("%x", sha256.Sum256(nil)), log[0].BodySHA256)
-	must.Eq(t, sum, log[2].BodySHA256)
-	must.Eq(t, "op1", log[2].Operation)
-	must.Eq(t, standin.ExecutionCompleted, log[3].State)
+	must.Len(t, 4, executions)
+	must.Eq(t, fmt.Sprintf("%x", sha256.Sum256(nil)), executions[0].BodySHA256)
+	must.Eq(t, sum, executions[2].BodySHA256)
+	must.Eq(t, "op1", executions[2].Operation)
+	must.Eq(t, standin.ExecutionCompleted, executions[3].State)
 }
 
-// More requests come than the server has room for. It must refuse at once
-// and say that they weren't run, and that has to stay true; one that waits in
-// the queue is refused when its time runs out, and another gets its place.
+// With all slots in use and the queue full, the server must reject a request
+// immediately as not executed, and must not execute it later. A queued request is
+// rejected when its timeout expires, which frees its place in the queue.
 func TestBackendShedsLoad(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
 		Slots: 1, Queue: 1, Faults: standin.BackendFaults{HangRatio: 1},
 	})
-	first, endFirst := context.WithCancel(t.Context())
-	defer endFirst()
+	first, cancelFirst := context.WithCancel(t.Context())
+	defer cancelFirst()
 	running := request{path: "/first"}.sendAsync(first, t, b.URL())
-	eventually(t, "first runs", func() bool { return b.Load().InFlight == 1 })
-	late := request{path: "/late", header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, newClient(t), b.URL())
-	requireNotExecuted(t, late, http.StatusGatewayTimeout)
+	eventually(t, "first request is running", func() bool { return b.Load().InFlight == 1 })
+	expired := request{path: "/late", header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, newClient(t), b.URL())
+	requireNotExecuted(t, expired, http.StatusGatewayTimeout)
 
 	queued := request{path: "/queued"}.sendAsync(t.Context(), t, b.URL())
-	eventually(t, "second waits", func() bool { return b.Load().Queued == 1 })
+	eventually(t, "second request is queued", func() bool { return b.Load().Queued == 1 })
 	shed := request{path: "/shed"}.send(t, newClient(t), b.URL())
 	requireNotExecuted(t, shed, http.StatusServiceUnavailable)
 	must.NotEq(t, "", shed.header.Get("Retry-After"))
 
 	must.NoError(t, b.SetFaults(standin.BackendFaults{}))
-	endFirst()
+	cancelFirst()
 	must.Error(t, (<-running).err)
 	must.Eq(t, http.StatusOK, (<-queued).status)
-	log, _ := b.Executions()
-	must.Len(t, 2, log)
-	must.Eq(t, "/queued", log[1].Path)
+	executions, _ := b.Executions()
+	must.Len(t, 2, executions)
+	must.Eq(t, "/queued", executions[1].Path)
 	must.Eq(t, standin.Load{Slots: 1}, b.Load())
 }
 
@@ -86,8 +86,8 @@
 	must.Eq(t, "a1", resp.header.Get(standin.AttemptHeader))
 }
 
-// A request's time runs out, or its connection is closed, while the server
-// works on it. The server gives up and its slot is free again.
+// An execution must be aborted and its slot released when the request's timeout
+// expires or its connection is closed.
 func TestBackendAbortsExecution(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Latency: time.Hour})
 	expired := request{header: map[string]string{standin.TimeoutHeader: "0"}}
@@ -101,10 +101,10 @@
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 	cancel()
 	must.Error(t, (<-running).err)
-	eventually(t, "the slot is free", func() bool { return b.Load().InFlight == 0 })
-	log, _ := b.Executions()
-	must.Eq(t, standin.ExecutionTimedOut, log[0].State)
-	must.Eq(t, standin.ExecutionCancelled, log[1].State)
+	eventually(t, "slot is released", func() bool { return b.Load().InFlight == 0 })
+	executions, _ := b.Executions()
+	must.Eq(t, standin.ExecutionTimedOut, executions[0].State)
+	must.Eq(t, standin.ExecutionCancelled, executions[1].State)
 }
 
 func TestBackendRejectsMalformedTimeout(t *testing.T) {
@@ -113,8 +113,8 @@
 		r := request{header: map[string]string{standin.TimeoutHeader: value}}.send(t, newClient(t), b.URL())
 		requireNotExecuted(t, r, http.StatusBadRequest)
 	}
-	log, _ := b.Executions()
-	must.Len(t, 0, log)
+	executions, _ := b.Executions()
+	must.Len(t, 0, executions)
 }
 
 func TestBackendColdStart(t *testing.T) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// A body ends before its declared length. A request that isn't whole must
-// not run, or half an order would be taken.
+// A request whose body ends before its declared length must not be executed,
+// because that would accept a partial order.
 func TestBackendDoesNotExecuteTruncatedRequest(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	conn, err := net.Dial("tcp", b.Address())
@@ -146,12 +146,12 @@
 	must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
 	_, err = conn.Read(make([]byte, 1))
 	must.Error(t, err)
-	log, _ := b.Executions()
-	must.Len(t, 0, log)
+	executions, _ := b.Executions()
+	must.Len(t, 0, executions)
 }
 
-// The server drains. It tells the platform, refuses new work as not run, and
-// finishes what it has.
+// A draining server must announce this to the platform, reject new requests as
+// not executed and complete the executions in progress.
 func TestBackendDrains(t *testing.T) {
 	p, instances := startPlatform(t, standin.PlatformOptions{})
 	b := startBackend(t, standin.BackendOptions{
@@ -167,7 +167,7 @@
 		must.Eq(t, 3, i.Slots)
 		return i.Service + " " + i.DataCentre + " " + i.Region + " " + string(i.State)
 	}
-	eventually(t, "announced", func() bool { return state() == "catalogue a luzon live" })
+	eventually(t, "instance is announced", func() bool { return state() == "catalogue a luzon live" })
 	running := request{}.sendAsync(t.Context(), t, b.URL())
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 
@@ -180,16 +180,17 @@
 	must.Positive(t, p.Counts().Writes)
 }
 
-// The platform declares a server ended that was only slow to announce. It
-// must come back under a new id, since its old one can't.
+// The platform may declare a server ended that announced itself too late. The
+// server must announce itself under a new ID, because an ended ID stays ended.
 func TestBackendRegistersUnderNewID(t *testing.T) {
 	_, instances := startPlatform(t, standin.PlatformOptions{EndAfter: time.Nanosecond})
 	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceInterval: time.Millisecond})
 	first := b.ID()
-	eventually(t, "a new id", func() bool { return b.ID() != first })
+	eventually(t, "ID is replaced", func() bool { return b.ID() != first })
 }
 
-// Health and load reports are old, hide what is the case, or claim it.
+// Health and load reports must follow ReportLag, HealthOverride and
+// ReportZeroLoad instead of the actual state.
 func TestBackendReportFaults(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Faults: standin.BackendFaults{HangRatio: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -219,8 +220,8 @@
 	<-running
 }
 
-// A key must never get as far as a backend server. The stand-in sees all
-// bytes that come in, and keeps the headers, so that a test can tell.
+// Callers' API keys must not reach a backend server. For tests to check this, the
+// test double must detect secrets in all bytes received and capture the headers.
 func TestBackendDetectsSecrets(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
--- a/internal/standin/executions.go
+++ b/internal/standin/executions.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// ExecutionState says how the work on a request ended.
+// ExecutionState is the state of an Execution.
 type ExecutionState string
 
 const (
-	// ExecutionRunning work hasn't ended yet.
+	// ExecutionRunning means that the execution has not ended.
 	ExecutionRunning ExecutionState = "running"
-	// ExecutionCompleted work was completed and had its effect.
+	// ExecutionCompleted means that the execution took effect.
 	ExecutionCompleted ExecutionState = "done"
-	// ExecutionTimedOut work was given up when the request's time ran out.
+	// ExecutionTimedOut means that the execution was aborted when the request's
+	// timeout expired.
 	ExecutionTimedOut ExecutionState = "timed-out"
-	// ExecutionCancelled work was given up because the connection was closed.
+	// ExecutionCancelled means that the execution was aborted because the
+	// connection was closed.
 	ExecutionCancelled ExecutionState = "cancelled"
 )
 
-// maxExecutions bounds the log of executions.
+// maxExecutions limits the length of an executionLog.
 const maxExecutions = 500_000
 
-// Execution is one request that a backend server began to work on. A request
-// that it shed isn't here.
+// Execution is the execution of a request by a backend server. Rejected
+// requests have none. StartedAt and EndedAt count from the start of the server.
 type Execution struct {
 	Attempt    string         `json:"attempt"`
 	Workspace  string         `json:"workspace"`
@@ -38,12 +40,12 @@
 	State      ExecutionState `json:"end"`
 }
 
-// executionLog keeps the executions in the order of their beginnings.
+// executionLog records executions in the order of their start.
 type executionLog struct {
 	mu      sync.Mutex
 	entries []Execution
 	dropped int
-	// completions counts the completed executions by operation.
+	// completions counts the completed executions of each operation.
 	completions map[string]int
 }
 
@@ -51,8 +53,8 @@
 	return &executionLog{completions: map[string]int{}}
 }
 
-// start takes down that work begins, and returns the entry's index; -1 if
-// the log is full.
+// start records the start of an execution and returns the index of its entry,
+// or -1 if the log is full.
 func (l *executionLog) start(execution Execution) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,8 +67,8 @@
 	return len(l.entries) - 1
 }
 
-// finish takes down how it ended. It returns how often the operation has
-// been completed, for an operation with an id.
+// finish records the end of an execution. It returns the number of completed
+// executions of the operation, 0 if the operation is empty.
 func (l *executionLog) finish(index int, now time.Duration, state ExecutionState, operation string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,6 +82,7 @@
 	return l.completions[operation]
 }
 
+// snapshot returns the entries and the number of dropped ones.
 func (l *executionLog) snapshot() ([]Execution, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/fault_listener.go
+++ b/internal/standin/fault_listener.go
@@ -9,18 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// relistenInterval is the time between two tries to take a port again.
+// relistenInterval is the time between two attempts to listen on the port again.
 const relistenInterval = 20 * time.Millisecond
 
-// connPolicy says what connections may do now, and when that changes.
+// connPolicy holds the current restrictions on connections. Changed is closed
+// when they change.
 type connPolicy struct {
 	refuse      bool
 	stopReading bool
 	changed     <-chan struct{}
 }
 
-// faultListener is a listener that can refuse connections and whose
-// connections can stop reading.
+// faultListener is a listener that can refuse connections and whose connections
+// can stop reading.
 type faultListener struct {
 	policy    func() connPolicy
 	capture   *rawCapture
@@ -31,7 +32,8 @@
 	done      chan struct{}
 }
 
-// listenWithFaults listens on address ("ip:port") while gates allows it.
+// listenWithFaults listens on address, "ip:port", whenever the policy does not
+// refuse connections.
 func listenWithFaults(address string, policy func() connPolicy, capture *rawCapture) (*faultListener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,8 +71,8 @@
 // Addr implements net.Listener.
 func (l *faultListener) Addr() net.Addr { return l.address }
 
-// run opens and closes the inner listener as the gates say. Only a closed
-// listener makes the system refuse connections.
+// run opens and closes the inner listener according to the policy. The operating
+// system refuses connections only if the listener is closed.
 func (l *faultListener) run(inner net.Listener) {
 	defer close(l.done)
 	for {
@@ -96,8 +98,8 @@
 	}
 }
 
-// acceptLoop hands over connections until the listener's deadline or end.
-// The channel returned is closed then.
+// acceptLoop starts passing connections to Accept until the inner listener's
+// deadline expires or it is closed. The returned channel is closed then.
 func (l *faultListener) acceptLoop(inner net.Listener) <-chan struct{} {
 	stopped := make(chan struct{})
 	if inner == nil {
@@ -122,6 +124,8 @@
 	return stopped
 }
 
+// stopAccepting ends the accept loop with a deadline in the past, which leaves
+// the inner listener open.
 func (l *faultListener) stopAccepting(inner net.Listener, stopped <-chan struct{}) {
 	if inner != nil {
 		_ = inner.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
@@ -153,14 +157,14 @@
 	}
 }
 
-// faultConn is a connection that can stop reading. It keeps what it reads.
+// faultConn is a connection that can stop reading. It captures what it reads.
 type faultConn struct {
 	net.Conn
 	policy    func() connPolicy
 	capture   *connCapture
 	closeOnce sync.Once
 	closed    chan struct{}
-	// deadlineChanged ends a wait of Read after a change of the deadline.
+	// deadlineChanged makes a waiting Read check readDeadline again.
 	deadlineChanged chan struct{}
 
 	mu           sync.Mutex
@@ -183,8 +187,9 @@
 	return c.Conn.Close()
 }
 
-// SetReadDeadline implements net.Conn. The HTTP server ends a pending read
-// by a deadline in the past, and waits for it.
+// SetReadDeadline implements net.Conn. It must also end a Read that waits because
+// of stopReading: the HTTP server aborts a pending Read by a deadline in the past
+// and waits until Read returns.
 func (c *faultConn) SetReadDeadline(t time.Time) error {
 	c.setDeadline(t)
 	return c.Conn.SetReadDeadline(t)
@@ -206,6 +211,8 @@
 	}
 }
 
+// waitReadable waits until reading is allowed, the read deadline expires or the
+// connection is closed.
 func (c *faultConn) waitReadable() error {
 	for {
 		policy := c.policy()
@@ -222,7 +229,7 @@
 	}
 }
 
-// untilDeadline returns the time until the read deadline, if there is one.
+// untilDeadline returns the time until the read deadline and whether there is one.
 func (c *faultConn) untilDeadline() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,7 +239,8 @@
 	return time.Until(c.readDeadline), true
 }
 
-// waitForChange returns false if the connection was closed.
+// waitForChange waits until the policy or the deadline changes or the deadline
+// expires. It returns false if the connection was closed.
 func (c *faultConn) waitForChange(changed <-chan struct{}, remaining time.Duration, hasDeadline bool) bool {
 	var expired <-chan time.Time
 	if hasDeadline {
--- a/internal/standin/header_capture.go
+++ b/internal/standin/header_capture.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// maxCapturedHeaders bounds the header blocks kept.
+	// maxCapturedHeaders limits the number of header blocks kept.
 	maxCapturedHeaders = 2000
-	// maxPendingBytes bounds what a connection keeps for finding its next
-	// request's header block, in bytes.
+	// maxPendingBytes limits the received bytes that a connection keeps to
+	// extract the header block of its next request from.
 	maxPendingBytes = 64 << 10
 )
 
-// rawCapture keeps what came in on the wire, before any parsing.
+// rawCapture captures header blocks and detects secrets in the bytes received,
+// before any parsing.
 type rawCapture struct {
 	mu              sync.Mutex
 	headers         [][]byte
@@ -52,6 +53,7 @@
 	return report
 }
 
+// addHeader keeps a header block; nil counts as incomplete.
 func (c *rawCapture) addHeader(header []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,8 +67,9 @@
 	c.headers = append(c.headers, header)
 }
 
-// scan looks for the secrets in data, and returns how many bytes at its end
-// must be looked at again together with what follows.
+// scan searches data for the secrets. It returns how many bytes at the end of
+// data must be scanned again together with the next data, because a secret may
+// be split between the two.
 func (c *rawCapture) scan(data []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,14 +81,14 @@
 	return min(len(data), max(0, c.maxSecretLength-1))
 }
 
-// connCapture is what came in on one connection.
+// connCapture captures the bytes received on one connection.
 type connCapture struct {
 	capture *rawCapture
 
 	mu sync.Mutex
-	// pending are the latest bytes received.
+	// pending holds the latest bytes received.
 	pending []byte
-	// overlap are the last bytes of the previous scan.
+	// overlap holds the last bytes of the previous scan.
 	overlap []byte
 }
 
@@ -101,14 +104,17 @@
 	c.overlap = slices.Clone(window[len(window)-overlapLength:])
 }
 
-// addRequest keeps the header block of the addRequest that is being served, whose
-// first line begins with startLine.
+// addRequest captures the header block of the request being served, whose first
+// line begins with requestLine.
 func (c *connCapture) addRequest(requestLine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capture.addHeader(c.extractHeader([]byte(requestLine)))
 }
 
+// extractHeader returns the header block of the latest request that begins with
+// requestLine and discards pending up to its end. It returns nil if pending does
+// not contain the complete header block.
 func (c *connCapture) extractHeader(requestLine []byte) []byte {
 	begin := bytes.LastIndex(c.pending, requestLine)
 	if begin < 0 {
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -15,14 +15,14 @@
 		TruncatedRatio: 0.1, ErrorRatio: 0.1, HangRatio: 0.1, MismatchedRatio: 0.1,
 		MissingAttemptRatio: 0.1, LateRatio: 0.1, DuplicateRatio: 0.1, StalledRatio: 0.1, ErrorWorkspace: "w",
 	}
-	found := map[responseFault]int{}
+	counts := map[responseFault]int{}
 	for i := range 1000 {
-		found[f.responseFault("w", (float64(i)+0.5)/1000)]++
+		counts[f.responseFault("w", (float64(i)+0.5)/1000)]++
 	}
 	must.Eq(t, map[responseFault]int{
 		truncatedResponse: 100, errorResponse: 100, hangingRequest: 100, mismatchedResponse: 100,
 		missingAttempt: 100, lateResponse: 100, duplicatedResponse: 100, stalledResponse: 100, noFault: 200,
-	}, found)
+	}, counts)
 	must.Eq(t, noFault, f.responseFault("other", 0.15))
 }
 
@@ -30,9 +30,9 @@
 	f := BackendFaults{
 		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), RefuseConnections: true, HealthOverride: healthOK,
 	}
-	good := BackendFaults{RefuseConnections: true, HealthOverride: healthOK}
+	inactive := BackendFaults{RefuseConnections: true, HealthOverride: healthOK}
 	for at, want := range map[time.Duration]BackendFaults{
-		0: good, 999 * time.Millisecond: good, time.Second: f, 2 * time.Second: good, 3 * time.Second: f,
+		0: inactive, 999 * time.Millisecond: inactive, time.Second: f, 2 * time.Second: inactive, 3 * time.Second: f,
 	} {
 		must.Eq(t, want, f.activeAt(at), must.Sprint(at))
 	}
@@ -40,24 +40,24 @@
 
 func TestRateLimit(t *testing.T) {
 	var l rateLimit
-	taken := func(now time.Duration, perSecond int) int {
+	allowed := func(now time.Duration, perSecond int) int {
 		n := 0
 		for n < 100 && l.allow(now, perSecond) {
 			n++
 		}
 		return n
 	}
-	must.Eq(t, 10, taken(5*time.Second, 10))
-	must.Eq(t, 0, taken(5*time.Second, 10))
-	must.Eq(t, 5, taken(5500*time.Millisecond, 10))
-	must.Eq(t, 10, taken(time.Hour, 10))
-	must.Eq(t, 100, taken(time.Hour, 0))
-	must.Eq(t, 3, taken(time.Hour, 3))
+	must.Eq(t, 10, allowed(5*time.Second, 10))
+	must.Eq(t, 0, allowed(5*time.Second, 10))
+	must.Eq(t, 5, allowed(5500*time.Millisecond, 10))
+	must.Eq(t, 10, allowed(time.Hour, 10))
+	must.Eq(t, 100, allowed(time.Hour, 0))
+	must.Eq(t, 3, allowed(time.Hour, 3))
 }
 
-// FuzzRawStream gives a connection's bytes in pieces. A secret must be seen
-// wherever it is cut, and a whole header block kept.
-func FuzzRawStream(f *testing.F) {
+// FuzzConnCapture feeds a connection's bytes in chunks. A secret must be detected
+// wherever it is split, and a complete header block must be captured.
+func FuzzConnCapture(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nK: fsk_1\r\n\r\nbody"), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\n\r\nfsk_"), uint8(1))
 	f.Add([]byte("abcdfsk_1"), uint8(3))
@@ -74,8 +74,8 @@
 		must.Eq(t, bytes.Contains(data, []byte(secret)), len(l.detectedSecrets()) == 1)
 		s.addRequest("GET / HTTP/")
 		begin := bytes.LastIndex(data, []byte("GET / HTTP/"))
-		whole := begin >= 0 && len(data) <= maxPendingBytes && bytes.Contains(data[begin:], []byte("\r\n\r\n"))
-		if whole {
+		complete := begin >= 0 && len(data) <= maxPendingBytes && bytes.Contains(data[begin:], []byte("\r\n\r\n"))
+		if complete {
 			must.SliceLen(t, 1, l.report().Headers)
 			return
 		}
@@ -83,8 +83,8 @@
 	})
 }
 
-// FuzzParseTimeout checks that what is taken is in bounds and what isn't a
-// plain number isn't taken.
+// FuzzParseTimeout checks that accepted timeouts are within bounds and that only
+// values consisting of digits are accepted.
 func FuzzParseTimeout(f *testing.F) {
 	for _, value := range []string{"0", "1500", "3600000", "3600001", "-1", "+1", "1e3", "١", "", "00000000000000000001"} {
 		f.Add(value)
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -17,10 +17,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait for something that must happen.
+// patience is the timeout for conditions that must become true.
 const patience = 10 * time.Second
 
-// glance bounds the look for something that mustn't happen.
+// glance is how long tests wait for something that must not happen.
 const glance = 60 * time.Millisecond
 
 func eventually(t *testing.T, condition string, holds func() bool) {
@@ -37,7 +37,8 @@
 	return b
 }
 
-// request is one request and what came of it.
+// request is an HTTP request to send. Method defaults to GET, timeout to
+// patience.
 type request struct {
 	method  string
 	path    string
@@ -53,7 +54,7 @@
 	err    error
 }
 
-// newClient returns an HTTP newClient with its own connections.
+// newClient returns an HTTP client with its own connections.
 func newClient(t *testing.T) *http.Client {
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
@@ -91,7 +92,7 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// sendAsync sends the call and returns the reply later.
+// sendAsync sends the request in the background, on connections of its own.
 func (req request) sendAsync(ctx context.Context, t *testing.T, url string) <-chan response {
 	client := newClient(t)
 	responses := make(chan response, 1)
--- a/internal/standin/protocol.go
+++ b/internal/standin/protocol.go
@@ -18,8 +18,8 @@
 	OutcomeGaveUp = wire.OutcomeGaveUp
 )
 
-// Paths that a backend server does not treat as requests of its service.
-// ReservedPrefix is the prefix common to them.
+// Paths reserved for the backend server itself. ReservedPrefix is their common
+// prefix.
 const (
 	ReservedPrefix = "/-/"
 	HealthPath     = "/-/health"
--- a/internal/standin/rate_limit.go
+++ b/internal/standin/rate_limit.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// rateLimit is a token bucket that holds one second's worth.
+// rateLimit is a token bucket whose capacity is one second's worth of tokens.
 type rateLimit struct {
 	tokens      float64
 	refilledAt  time.Duration
 	initialized bool
 }
 
-// allow takes a token, at most perSecond in a second. 0 is no limit.
+// allow takes a token from the bucket, which is refilled at a rate of perSecond,
+// and reports whether there was one. If perSecond is 0, the rate is not limited.
 func (l *rateLimit) allow(now time.Duration, perSecond int) bool {
 	if perSecond <= 0 {
 		*l = rateLimit{}
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -10,18 +10,20 @@
 
 var errFull = errors.New("slots and queue are full")
 
-// maxLoadSamples bounds what a lagging load report can look back on.
+// maxLoadSamples limits how far back ReportLag can reach.
 const maxLoadSamples = 4096
 
-// Load is what a backend server reports about its work.
+// Load is the load of a backend server as it reports it.
 type Load struct {
 	Slots    int `json:"slots"`
 	InFlight int `json:"inFlight"`
 	Queued   int `json:"queued"`
 }
 
-// slotPool bounds the requests that are worked on and those that wait.
+// slotPool limits the number of requests executed concurrently and the number of
+// requests waiting.
 type slotPool struct {
+	// held has an element for each slot in use.
 	held  chan struct{}
 	queue int
 	now   func() time.Duration
@@ -45,8 +47,8 @@
 	}
 }
 
-// acquire takes a slot, if need be after a wait in the queue. It fails with
-// errFull at once, or with the context's error.
+// acquire takes a slot, waiting in the queue if there is none. It fails with
+// errFull if the queue is full, or with the error of ctx.
 func (p *slotPool) acquire(ctx context.Context) error {
 	select {
 	case p.held <- struct{}{}:
@@ -97,7 +99,7 @@
 	p.samples = append(p.samples, loadSample{p.now(), p.load})
 }
 
-// loadAt returns the load loadAt a time, as far as it is still known.
+// loadAt returns the load at a time. If no sample is that old, the load is zero.
 func (p *slotPool) loadAt(at time.Duration) Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
