--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -41,10 +41,10 @@
 			must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
 			must.Eq(t, "", r.header.Get(standin.OutcomeHeader))
 		}},
-		{"error in the workspace", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "cebu"}, func(t *testing.T, r response) {
+		{"error in workspace", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "cebu"}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusInternalServerError, r.status)
 		}},
-		{"error in another workspace", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r response) {
+		{"error elsewhere", standin.BackendFaults{ErrorRatio: 1, ErrorWorkspace: "davao"}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
 		{"mismatched", standin.BackendFaults{MismatchedRatio: 1}, func(t *testing.T, r response) {
@@ -57,7 +57,8 @@
 			must.MapNotContainsKey(t, r.header, standin.AttemptHeader)
 		}},
 		{"late", standin.BackendFaults{
-			LateRatio: 1, LateDelay: config.Duration(20 * time.Millisecond), AddedLatency: config.Duration(20 * time.Millisecond),
+			LateRatio: 1, LateDelay: config.Duration(20 * time.Millisecond),
+			AddedLatency: config.Duration(20 * time.Millisecond),
 		}, func(t *testing.T, r response) {
 			must.Eq(t, http.StatusOK, r.status)
 		}},
@@ -135,7 +136,9 @@
 		})
 		must.Eq(t, http.StatusOK, request{}.send(t, established, b.URL()).status)
 		must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = false }))
-		eventually(t, "connection is accepted", func() bool { return request{}.send(t, newClient(t), b.URL()).status == http.StatusOK })
+		eventually(t, "connection is accepted", func() bool {
+			return request{}.send(t, newClient(t), b.URL()).status == http.StatusOK
+		})
 	}
 	must.NoError(t, b.UpdateFaults(func(f *standin.BackendFaults) { f.RefuseConnections = true }))
 }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -59,8 +59,8 @@
 	defer cancelFirst()
 	running := request{path: "/first"}.sendAsync(first, t, b.URL())
 	eventually(t, "first request is running", func() bool { return b.Load().InFlight == 1 })
-	expired := request{path: "/late", header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, newClient(t), b.URL())
-	requireNotExecuted(t, expired, http.StatusGatewayTimeout)
+	late := request{path: "/late", header: map[string]string{standin.TimeoutHeader: "20"}}.send(t, newClient(t), b.URL())
+	requireNotExecuted(t, late, http.StatusGatewayTimeout)
 
 	queued := request{path: "/queued"}.sendAsync(t.Context(), t, b.URL())
 	eventually(t, "second request is queued", func() bool { return b.Load().Queued == 1 })
@@ -227,7 +227,10 @@
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
 	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
 	must.Eq(t, http.StatusBadRequest, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
-	c := request{method: http.MethodPost, path: "/p", body: "..fsk_body..", header: map[string]string{"X-odd": "fsk_header"}}
+	c := request{
+		method: http.MethodPost, path: "/p", body: "..fsk_body..",
+		header: map[string]string{"X-odd": "fsk_header"},
+	}
 	must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
 
 	must.Eq(t, http.StatusOK, request{path: "/fsk_path"}.send(t, newClient(t), b.URL()).status)
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -28,7 +28,8 @@
 
 func TestFlappingFaults(t *testing.T) {
 	f := BackendFaults{
-		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second), RefuseConnections: true, HealthOverride: healthOK,
+		TruncatedRatio: 1, LatencyFactor: 2, FlapPeriod: config.Duration(time.Second),
+		RefuseConnections: true, HealthOverride: healthOK,
 	}
 	inactive := BackendFaults{RefuseConnections: true, HealthOverride: healthOK}
 	for at, want := range map[time.Duration]BackendFaults{
