--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -49,8 +49,8 @@
 	FlapPeriod config.Duration `json:"flapPeriod"`
 
 	// HealthOverride is the health to report, "ok" or "bad", irrespective of the
-	// actual state. If empty, the report shows whether the server is draining;
-	// it never reflects the faults.
+	// actual state. If empty, the report shows whether the server is draining
+	// and, apart from ReportLag, does not reflect faults.
 	HealthOverride string `json:"health"`
 	// ReportLag is the age of the state shown in health and load reports.
 	ReportLag config.Duration `json:"reportLag"`
