--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -14,92 +14,98 @@
 	"foxtailspoke/storage"
 )
 
-// Defaults of BackendOptions.
+// Defaults for BackendOptions.
 const (
-	DefaultSlots         = 2
-	DefaultLatency       = 5 * time.Millisecond
+	DefaultSlots            = 2
+	DefaultLatency          = 5 * time.Millisecond
 	DefaultAnnounceInterval = 2 * time.Second
 )
 
-// BackendOptions of a backend server stand-in. A zero field takes its
+// BackendOptions configures a Backend. A field with the zero value gets its
 // default.
 type BackendOptions struct {
-	// Listen and Control are "ip:port"; empty means DefaultListen.
+	// Listen and Control are the addresses, "ip:port", for requests of entry
+	// instances and for the control interface. Empty means DefaultListen.
 	Listen  string
 	Control string
-	// Advertise is the address to announce, if it isn't the one listened on.
+	// Advertise is the address to announce if it differs from the address
+	// listened on.
 	Advertise  string
 	Service    string
 	DataCentre string
 	Region     string
-	// Slots is how many requests are worked on at the same time; Queue is
-	// how many more may wait. Queue 0 means as many as Slots.
+	// Slots is the maximum number of requests executed concurrently, Queue the
+	// maximum number of requests waiting for a slot. Queue 0 means as many as
+	// Slots.
 	Slots int
 	Queue int
-	// Latency is the time that the work on one request takes.
+	// Latency is the execution time of a request.
 	Latency time.Duration
-	// ColdStartDuration and ColdRequests set a cold start: work takes ColdFactor times
-	// as long for this time, and for this number of requests.
-	ColdStartDuration      time.Duration
+	// ColdStartDuration and ColdStartRequests simulate a cold start: Latency is
+	// multiplied by ColdStartFactor for that time after the start and for that
+	// number of first requests. ColdStartFactor 0 means 1.
+	ColdStartDuration time.Duration
 	ColdStartRequests int
 	ColdStartFactor   float64
-	// Instances is where the server announces itself; nil if nowhere.
-	Instances     storage.Instances
+	// Instances is the platform's list of instances, to which the server
+	// announces itself. If nil, the server is not announced.
+	Instances        storage.Instances
 	AnnounceInterval time.Duration
-	// Faults from the start.
+	// Faults are the initial faults.
 	Faults BackendFaults
-	// Seed of the random faults.
+	// Seed seeds the random choice of faults.
 	Seed uint64
-	// Log may be nil.
+	// Log may be nil, which discards all messages.
 	Log *slog.Logger
 }
 
-// Backend is a running backend server stand-in.
+// Backend is a running test double of a backend server.
 type Backend struct {
-	o          BackendOptions
-	log        *slog.Logger
-	start      time.Time
-	faults     *faultSwitch[BackendFaults]
-	slots      *slots
-	executions *executionLog
-	raw        *rawLog
-	work       *server
-	control    *server
-	announcer  *announcer
-
-	mu        sync.Mutex
-	rand      *rand.Rand
-	served    int
-	draining  bool
-	drainedAt time.Duration
-	// recent are the latest answers, to cross with others.
-	recent []answer
+	options       BackendOptions
+	log           *slog.Logger
+	start         time.Time
+	faults        *faultSwitch[BackendFaults]
+	slots         *slotPool
+	executions    *executionLog
+	rawCapture    *rawCapture
+	requestServer *server
+	controlServer *server
+	announcer     *announcer
+
+	mu              sync.Mutex
+	rng             *rand.Rand
+	requestsStarted int
+	draining        bool
+	drainingSince   time.Duration
+	// recentResponses holds the latest responses, which MismatchedRatio sends
+	// in response to other requests.
+	recentResponses []response
 }
 
-// StartBackend starts a backend server stand-in. Close ends it at once,
-// Shutdown gracefully.
+// StartBackend starts a test double of a backend server. Close stops it
+// immediately, Shutdown gracefully.
 func StartBackend(o BackendOptions) (*Backend, error) {
 	o = o.withDefaults()
 	b := &Backend{
-		o:          o,
+		options:    o,
 		log:        logOr(o.Log),
 		start:      time.Now(),
 		executions: newExecutionLog(),
-		raw:        newRawLog(),
-		rand:       rand.New(rand.NewPCG(o.Seed, 0)),
+		rawCapture: newRawCapture(),
+		rng:        rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	b.slots = newSlots(o.Slots, o.Queue, b.now)
+	b.slots = newSlotPool(o.Slots, o.Queue, b.now)
 	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
-	listener, err := listenGated(orDefault(o.Listen), b.gates, b.raw)
+	listener, err := listenWithFaults(orDefault(o.Listen), b.connPolicy, b.rawCapture)
 	if err != nil {
 		return nil, err
 	}
-	b.work = serve(listener, b.workHandler(), b.log)
-	if b.control, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
-		b.work.close()
+	b.requestServer = serve(listener, b.requestHandler(), b.log)
+	if b.controlServer, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
+		b.requestServer.close()
 		return nil, err
 	}
 	if o.Instances != nil {
@@ -108,17 +114,17 @@
 	return b, nil
 }
 
-// Address takes the entry instances' requests: "ip:port".
-func (b *Backend) Address() string { return b.work.address() }
+// Address returns the address, "ip:port", for requests of entry instances.
+func (b *Backend) Address() string { return b.requestServer.address() }
 
-// URL of Address.
-func (b *Backend) URL() string { return b.work.url() }
+// URL returns the HTTP URL of Address.
+func (b *Backend) URL() string { return b.requestServer.url() }
 
-// ControlURL is where faults are switched and executions read over HTTP.
-func (b *Backend) ControlURL() string { return b.control.url() }
+// ControlURL returns the HTTP URL of the control interface.
+func (b *Backend) ControlURL() string { return b.controlServer.url() }
 
-// ID is the id that the server has in the platform's list; empty if it
-// doesn't announce itself.
+// ID returns the server's ID in the platform's list of instances. It is empty
+// if the server is not announced.
 func (b *Backend) ID() string {
 	if b.announcer == nil {
 		return ""
@@ -126,7 +132,7 @@
 	return b.announcer.current().ID
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults, without regard to flapping.
 func (b *Backend) Faults() BackendFaults {
 	f, _ := b.faults.get()
 	return f
@@ -137,7 +143,8 @@
 	return b.UpdateFaults(func(current *BackendFaults) { *current = f })
 }
 
-// UpdateFaults changes the faults by f.
+// UpdateFaults applies f to the faults. If the result is invalid, the faults
+// stay as they are.
 func (b *Backend) UpdateFaults(f func(*BackendFaults)) error {
 	return b.faults.update(func(current *BackendFaults) error {
 		f(current)
@@ -145,15 +152,16 @@
 	})
 }
 
-// Executions returns the requests that the server began to work on, in that
-// order, and how many more there were than it keeps.
-func (b *Backend) Executions() ([]Execution, int) { return b.executions.all() }
+// Executions returns the recorded executions in the order of their start, and
+// the number of executions dropped because the log was full.
+func (b *Backend) Executions() ([]Execution, int) { return b.executions.snapshot() }
 
-// Load returns the true load.
-func (b *Backend) Load() Load { return b.slots.at(b.now()) }
+// Load returns the actual current load, irrespective of ReportLag and
+// ReportZeroLoad.
+func (b *Backend) Load() Load { return b.slots.loadAt(b.now()) }
 
-// Drain announces that the server leaves, and refuses new work as not run
-// from now on. Work under way goes on.
+// Drain announces that the server is leaving and rejects all further requests
+// as not executed. Executions in progress continue.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	if b.draining {
@@ -161,33 +169,35 @@
 		return
 	}
 	b.draining = true
-	b.drainedAt = b.now()
+	b.drainingSince = b.now()
 	b.mu.Unlock()
 	if b.announcer != nil {
 		b.announcer.report(storage.Leaving)
 	}
 }
 
-// Shutdown drains, waits until the work under way has ended or the context
-// has, reports the end and stops.
+// Shutdown drains the server, waits until the executions in progress have
+// ended or ctx is done, announces the end and stops the server.
 func (b *Backend) Shutdown(ctx context.Context) {
 	b.Drain()
-	b.work.shutdown(ctx)
+	b.requestServer.shutdown(ctx)
 	if b.announcer != nil {
 		b.announcer.report(storage.Ended)
 	}
 	b.Close()
 }
 
-// Close ends the server and its connections at once, and reports nothing.
+// Close stops the server and closes its connections immediately, without
+// announcing the end.
 func (b *Backend) Close() {
 	if b.announcer != nil {
 		b.announcer.stop()
 	}
-	b.work.close()
-	b.control.close()
+	b.requestServer.close()
+	b.controlServer.close()
 }
 
+// now returns the time since the start of the server.
 func (b *Backend) now() time.Duration { return time.Since(b.start) }
 
 func (b *Backend) isDraining() bool {
@@ -199,22 +209,22 @@
 func (b *Backend) random() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.rand.Float64()
+	return b.rng.Float64()
 }
 
 func (b *Backend) instance() storage.Instance {
-	address := b.o.Advertise
+	address := b.options.Advertise
 	if address == "" {
 		address = b.Address()
 	}
 	return storage.Instance{
 		ID:         uuid.NewString(),
 		Kind:       storage.BackendServer,
-		Service:    b.o.Service,
-		DataCentre: b.o.DataCentre,
-		Region:     b.o.Region,
+		Service:    b.options.Service,
+		DataCentre: b.options.DataCentre,
+		Region:     b.options.Region,
 		Address:    address,
-		Slots:      b.o.Slots,
+		Slots:      b.options.Slots,
 		State:      storage.Live,
 	}
 }
@@ -241,10 +251,10 @@
 func (b *Backend) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/control/faults", b.faults)
-	mux.HandleFunc("GET /control/executions", b.showExecutions)
-	mux.HandleFunc("GET /control/raw", b.showRaw)
-	mux.HandleFunc("POST /control/secrets", b.watchSecrets)
-	mux.HandleFunc("GET /control/secrets", b.showSecrets)
+	mux.HandleFunc("GET /control/executions", b.serveExecutions)
+	mux.HandleFunc("GET /control/raw", b.serveRawHeaders)
+	mux.HandleFunc("POST /control/secrets", b.serveWatchSecrets)
+	mux.HandleFunc("GET /control/secrets", b.serveDetectedSecrets)
 	mux.HandleFunc("POST /control/drain", func(w http.ResponseWriter, _ *http.Request) {
 		b.Drain()
 		w.WriteHeader(http.StatusNoContent)
@@ -252,4 +262,4 @@
 	return mux
 }
 
-var errNoSecrets = errors.New("give a JSON array of strings that aren't empty")
+var errInvalidSecrets = errors.New("give a JSON array of strings that aren't empty")
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -8,62 +8,69 @@
 	"foxtailspoke/config"
 )
 
-// BackendFaults are the faults that a backend server stand-in can show. The
-// zero value is none. Ratios are shares of requests from 0 to 1; a request
-// meets at most one of them, so they add up to at most 1.
+// BackendFaults are the faults of a Backend. The zero value means no faults.
+// Ratios are shares of requests from 0 to 1. At most one of them applies to a
+// request, so their sum is at most 1.
 type BackendFaults struct {
-	// LatencyFactor multiplies the time that work takes; 0 means 1.
+	// LatencyFactor multiplies the execution time; 0 means 1.
 	LatencyFactor float64 `json:"factor"`
-	// AddedLatency is added to the time that work takes, like "250ms".
+	// AddedLatency is added to the execution time, for example "250ms".
 	AddedLatency config.Duration `json:"delay"`
 
-	// TruncatedRatio of answers end before their declared length.
+	// TruncatedRatio is the share of responses that end, with the connection,
+	// before their declared length.
 	TruncatedRatio float64 `json:"halfRatio"`
-	// StalledRatio of answers stop halfway, and the connection stays open until
-	// the other side closes it.
+	// StalledRatio is the share of responses that stop halfway, with the
+	// connection left open until the client closes it.
 	StalledRatio float64 `json:"stallRatio"`
-	// ErrorRatio of answers have status 500, after the work was done.
+	// ErrorRatio is the share of requests that are executed and get a response
+	// with status 500.
 	ErrorRatio float64 `json:"errorRatio"`
-	// ErrorWorkspace restricts the errors to one workspace.
+	// ErrorWorkspace restricts ErrorRatio to one workspace.
 	ErrorWorkspace string `json:"errorWorkspace"`
-	// HangRatio of requests get no answer and keep their slot until the
-	// connection is closed, whatever their time.
+	// HangRatio is the share of requests that get no response and occupy their
+	// slot until the connection is closed, irrespective of their timeout.
 	HangRatio float64 `json:"hangRatio"`
-	// MismatchedRatio of requests get another request's answer.
+	// MismatchedRatio is the share of requests that get the response to another
+	// request.
 	MismatchedRatio float64 `json:"crossedRatio"`
-	// MissingAttemptRatio of answers lack the attempt's id.
+	// MissingAttemptRatio is the share of responses without the attempt ID.
 	MissingAttemptRatio float64 `json:"noEchoRatio"`
-	// LateRatio of answers come LateBy after the work was done, whatever the
-	// request's time, and also if it was cancelled.
+	// LateRatio is the share of requests that are executed irrespective of
+	// timeout and cancellation, with the response sent LateDelay after the
+	// execution.
 	LateRatio float64         `json:"lateRatio"`
-	LateDelay    config.Duration `json:"lateBy"`
-	// DuplicateRatio of answers are sent twice on their connection.
+	LateDelay config.Duration `json:"lateBy"`
+	// DuplicateRatio is the share of responses sent twice on their connection.
 	DuplicateRatio float64 `json:"duplicateRatio"`
 
-	// FlapPeriod, if set, lets all of the above come and go: off for one
-	// period, on for the next.
+	// FlapPeriod, if not 0, makes all faults above flap: inactive for one
+	// period, active for the next.
 	FlapPeriod config.Duration `json:"flapPeriod"`
 
-	// HealthOverride is "ok" or "bad" to report that whatever is the case; empty
-	// reports what the server believes. It never knows of its faults.
+	// HealthOverride is the health to report, "ok" or "bad", irrespective of the
+	// actual state. If empty, the report shows whether the server is draining
+	// and, apart from ReportLag, does not reflect faults.
 	HealthOverride string `json:"health"`
-	// ReportLag is how old the health and load reports are.
+	// ReportLag is the age of the state shown in health and load reports.
 	ReportLag config.Duration `json:"reportLag"`
-	// ReportZeroLoad reports an idle server.
+	// ReportZeroLoad makes load reports show an idle server.
 	ReportZeroLoad bool `json:"hideLoad"`
 
-	// RefuseConnections refuses new connections; those that stand go on.
+	// RefuseConnections refuses new connections. Established connections are
+	// not affected.
 	RefuseConnections bool `json:"refuse"`
-	// StopReading reads nothing from any connection.
+	// StopReading stops reading from all connections.
 	StopReading bool `json:"stopReading"`
 }
 
-// Health reports.
+// Values of HealthReport.Status that HealthOverride accepts.
 const (
 	healthOK  = "ok"
 	healthBad = "bad"
 )
 
+// validate uses negated comparisons because they also reject NaN.
 func (f BackendFaults) validate() error {
 	sum := 0.0
 	for _, ratio := range f.ratios() {
@@ -85,22 +92,23 @@
 	return errors.Newf("health: %q is neither ok nor bad", f.HealthOverride)
 }
 
-// quirk is the way in which one answer goes wrong.
-type quirk int
+// responseFault is the fault that applies to a single request.
+type responseFault int
 
 const (
-	noQuirk quirk = iota
-	halfAnswer
-	errorAnswer
-	hang
-	crossedAnswer
-	noEcho
-	lateAnswer
-	duplicateAnswer
-	stalledAnswer
+	noFault responseFault = iota
+	truncatedResponse
+	errorResponse
+	hangingRequest
+	mismatchedResponse
+	missingAttempt
+	lateResponse
+	duplicatedResponse
+	stalledResponse
 )
 
-// ratios returns the ratio of each quirk, in the order of the constants.
+// ratios returns the ratio of each responseFault after noFault, in the order of
+// the constants.
 func (f BackendFaults) ratios() []float64 {
 	return []float64{
 		f.TruncatedRatio, f.ErrorRatio, f.HangRatio, f.MismatchedRatio,
@@ -108,40 +116,42 @@
 	}
 }
 
-// quirk returns what a request meets, by a random number from 0 to 1.
-func (f BackendFaults) quirk(workspace string, random float64) quirk {
+// responseFault selects the fault for a request of the workspace. Random is a
+// number from 0 to 1.
+func (f BackendFaults) responseFault(workspace string, random float64) responseFault {
 	for i, ratio := range f.ratios() {
 		if random < ratio {
-			q := quirk(i + 1)
-			if q == errorAnswer && f.ErrorWorkspace != "" && f.ErrorWorkspace != workspace {
-				return noQuirk
+			fault := responseFault(i + 1)
+			if fault == errorResponse && f.ErrorWorkspace != "" && f.ErrorWorkspace != workspace {
+				return noFault
 			}
-			return q
+			return fault
 		}
 		random -= ratio
 	}
-	return noQuirk
+	return noFault
 }
 
-// at returns the faults in force at a time since the start.
-func (f BackendFaults) at(now time.Duration) BackendFaults {
+// activeAt returns the faults that are active at now, the time since the start
+// of the server, with regard to FlapPeriod.
+func (f BackendFaults) activeAt(now time.Duration) BackendFaults {
 	period := time.Duration(f.FlapPeriod)
 	if period == 0 || (now/period)%2 == 1 {
 		return f
 	}
 	return BackendFaults{
-		HealthOverride:      f.HealthOverride,
-		ReportLag:   f.ReportLag,
+		HealthOverride:    f.HealthOverride,
+		ReportLag:         f.ReportLag,
 		ReportZeroLoad:    f.ReportZeroLoad,
-		RefuseConnections:      f.RefuseConnections,
-		StopReading: f.StopReading,
+		RefuseConnections: f.RefuseConnections,
+		StopReading:       f.StopReading,
 	}
 }
 
-// workTime returns how long the work takes that takes d without faults.
-func (f BackendFaults) workTime(d time.Duration) time.Duration {
+// latency returns the execution time with faults, given the one without.
+func (f BackendFaults) latency(base time.Duration) time.Duration {
 	if f.LatencyFactor > 0 {
-		d = time.Duration(float64(d) * f.LatencyFactor)
+		base = time.Duration(float64(base) * f.LatencyFactor)
 	}
-	return d + time.Duration(f.AddedLatency)
+	return base + time.Duration(f.AddedLatency)
 }
--- a/internal/standin/backend_report.go
+++ b/internal/standin/backend_health.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// HealthReport is the answer to GET HealthPath.
+// HealthReport is the response to GET HealthPath.
 type HealthReport struct {
 	// Status is "ok", "bad" or "draining".
 	Status string `json:"status"`
@@ -22,8 +22,8 @@
 	writeJSON(w, HealthReport{Status: status})
 }
 
-// health returns what the server reports: it lags, it can be told to lie,
-// and it never knows of the server's own faults.
+// health returns the status to report. HealthOverride takes precedence over
+// the actual state, ReportLag delays it, and other faults do not affect it.
 func (b *Backend) health() string {
 	f := b.Faults()
 	if f.HealthOverride != "" {
@@ -31,7 +31,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.draining && b.now()-b.drainedAt >= time.Duration(f.ReportLag) {
+	if b.draining && b.now()-b.drainingSince >= time.Duration(f.ReportLag) {
 		return healthDraining
 	}
 	return healthOK
@@ -39,7 +39,7 @@
 
 func (b *Backend) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	f := b.Faults()
-	load := b.slots.at(b.now() - time.Duration(f.ReportLag))
+	load := b.slots.loadAt(b.now() - time.Duration(f.ReportLag))
 	if f.ReportZeroLoad {
 		load = Load{Slots: load.Slots}
 	}
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -10,19 +10,21 @@
 
 var errFull = errors.New("slots and queue are full")
 
-// maxLoadSamples bounds what a lagging load report can look back on.
+// maxLoadSamples limits how far back ReportLag can reach.
 const maxLoadSamples = 4096
 
-// Load is what a backend server reports about its work.
+// Load is the load of a backend server as it reports it.
 type Load struct {
 	Slots    int `json:"slots"`
 	InFlight int `json:"inFlight"`
 	Queued   int `json:"queued"`
 }
 
-// slots bounds the requests that are worked on and those that wait.
-type slots struct {
-	free  chan struct{}
+// slotPool limits the number of requests executed concurrently and the number of
+// requests waiting.
+type slotPool struct {
+	// held has an element for each slot in use.
+	held  chan struct{}
 	queue int
 	now   func() time.Duration
 
@@ -36,75 +38,75 @@
 	load Load
 }
 
-func newSlots(n, queue int, now func() time.Duration) *slots {
-	return &slots{
-		free:  make(chan struct{}, n),
+func newSlotPool(size, queue int, now func() time.Duration) *slotPool {
+	return &slotPool{
+		held:  make(chan struct{}, size),
 		queue: queue,
 		now:   now,
-		load:  Load{Slots: n},
+		load:  Load{Slots: size},
 	}
 }
 
-// acquire takes a slot, if need be after a wait in the queue. It fails with
-// errFull at once, or with the context's error.
-func (s *slots) acquire(ctx context.Context) error {
+// acquire takes a slot, waiting in the queue if there is none. It fails with
+// errFull if the queue is full, or with the error of ctx.
+func (p *slotPool) acquire(ctx context.Context) error {
 	select {
-	case s.free <- struct{}{}:
-		s.change(func(l *Load) { l.InFlight++ })
+	case p.held <- struct{}{}:
+		p.updateLoad(func(l *Load) { l.InFlight++ })
 		return nil
 	default:
 	}
-	if !s.enqueue() {
+	if !p.enqueue() {
 		return errFull
 	}
 	select {
-	case s.free <- struct{}{}:
-		s.change(func(l *Load) { l.Queued--; l.InFlight++ })
+	case p.held <- struct{}{}:
+		p.updateLoad(func(l *Load) { l.Queued--; l.InFlight++ })
 		return nil
 	case <-ctx.Done():
-		s.change(func(l *Load) { l.Queued-- })
+		p.updateLoad(func(l *Load) { l.Queued-- })
 		return ctx.Err()
 	}
 }
 
-func (s *slots) release() {
-	s.change(func(l *Load) { l.InFlight-- })
-	<-s.free
+func (p *slotPool) release() {
+	p.updateLoad(func(l *Load) { l.InFlight-- })
+	<-p.held
 }
 
-func (s *slots) enqueue() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.load.Queued >= s.queue {
+func (p *slotPool) enqueue() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.load.Queued >= p.queue {
 		return false
 	}
-	s.load.Queued++
-	s.sample()
+	p.load.Queued++
+	p.recordSample()
 	return true
 }
 
-func (s *slots) change(f func(*Load)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f(&s.load)
-	s.sample()
+func (p *slotPool) updateLoad(update func(*Load)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	update(&p.load)
+	p.recordSample()
 }
 
-func (s *slots) sample() {
-	if len(s.samples) >= maxLoadSamples {
-		s.samples = append(s.samples[:0], s.samples[maxLoadSamples/2:]...)
+func (p *slotPool) recordSample() {
+	if len(p.samples) >= maxLoadSamples {
+		p.samples = append(p.samples[:0], p.samples[maxLoadSamples/2:]...)
 	}
-	s.samples = append(s.samples, loadSample{s.now(), s.load})
+	p.samples = append(p.samples, loadSample{p.now(), p.load})
 }
 
-// at returns the load at a time, as far as it is still known.
-func (s *slots) at(at time.Duration) Load {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := len(s.samples) - 1; i >= 0; i-- {
-		if s.samples[i].at <= at {
-			return s.samples[i].load
+// loadAt returns the load at a time. If no sample is that old, the load is zero.
+func (p *slotPool) loadAt(at time.Duration) Load {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := len(p.samples) - 1; i >= 0; i-- {
+		if p.samples[i].at <= at {
+			return p.samples[i].load
 		}
 	}
-	return Load{Slots: s.load.Slots}
+	return Load{Slots: p.load.Slots}
 }
