--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -24,9 +24,9 @@
 // BackendOptions configures a Backend. A field with the zero value gets its
 // default.
 type BackendOptions struct {
-	// Listen and Control are the addresses, "ip:port", for requests of entry
+	// ListenAddress and Control are the addresses, "ip:port", for requests of entry
 	// instances and for the control interface. Empty means DefaultListen.
-	Listen  string
+	ListenAddress  string
 	Control string
 	// Advertise is the address to announce if it differs from the address
 	// listened on.
@@ -99,7 +99,7 @@
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
-	listener, err := listenWithFaults(orDefault(o.Listen), b.connPolicy, b.rawCapture)
+	listener, err := listenWithFaults(orDefault(o.ListenAddress), b.connPolicy, b.rawCapture)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -103,7 +103,7 @@
 
 func (c *backendCommand) options() (standin.BackendOptions, func(), error) {
 	o := standin.BackendOptions{
-		Listen:            c.Listen,
+		ListenAddress:            c.Listen,
 		Control:           c.Control,
 		Advertise:         c.Advertise,
 		Service:           c.Service,
