--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -27,7 +27,7 @@
 	// ListenAddress and Control are the addresses, "ip:port", for requests of entry
 	// instances and for the control interface. Empty means DefaultListen.
 	ListenAddress  string
-	Control string
+	ControlAddress string
 	// Advertise is the address to announce if it differs from the address
 	// listened on.
 	Advertise  string
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	b.requestServer = serve(listener, b.requestHandler(), b.log)
-	if b.controlServer, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
+	if b.controlServer, err = startServer(orDefault(o.ControlAddress), b.controlHandler(), b.log); err != nil {
 		b.requestServer.close()
 		return nil, err
 	}
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -104,7 +104,7 @@
 func (c *backendCommand) options() (standin.BackendOptions, func(), error) {
 	o := standin.BackendOptions{
 		ListenAddress:            c.Listen,
-		Control:           c.Control,
+		ControlAddress:           c.Control,
 		Advertise:         c.Advertise,
 		Service:           c.Service,
 		DataCentre:        c.DataCentre,
