--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -28,9 +28,9 @@
 	// instances and for the control interface. Empty means DefaultListen.
 	ListenAddress  string
 	ControlAddress string
-	// Advertise is the address to announce if it differs from the address
+	// AdvertiseAddress is the address to announce if it differs from the address
 	// listened on.
-	Advertise  string
+	AdvertiseAddress  string
 	Service    string
 	DataCentre string
 	Region     string
@@ -213,7 +213,7 @@
 }
 
 func (b *Backend) instance() storage.Instance {
-	address := b.options.Advertise
+	address := b.options.AdvertiseAddress
 	if address == "" {
 		address = b.Address()
 	}
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -105,7 +105,7 @@
 	o := standin.BackendOptions{
 		ListenAddress:            c.Listen,
 		ControlAddress:           c.Control,
-		Advertise:         c.Advertise,
+		AdvertiseAddress:         c.Advertise,
 		Service:           c.Service,
 		DataCentre:        c.DataCentre,
 		Region:            c.Region,
