--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -38,7 +38,7 @@
 	// maximum number of requests waiting for a slot. Queue 0 means as many as
 	// Slots.
 	Slots int
-	Queue int
+	QueueSize int
 	// Latency is the execution time of a request.
 	Latency time.Duration
 	// ColdStartDuration and ColdStartRequests simulate a cold start: Latency is
@@ -94,7 +94,7 @@
 		rawCapture: newRawCapture(),
 		rng:        rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	b.slots = newSlotPool(o.Slots, o.Queue, b.now)
+	b.slots = newSlotPool(o.Slots, o.QueueSize, b.now)
 	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
@@ -233,8 +233,8 @@
 	if o.Slots <= 0 {
 		o.Slots = DefaultSlots
 	}
-	if o.Queue <= 0 {
-		o.Queue = o.Slots
+	if o.QueueSize <= 0 {
+		o.QueueSize = o.Slots
 	}
 	if o.Latency <= 0 {
 		o.Latency = DefaultLatency
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -53,7 +53,7 @@
 // rejected when its timeout expires, which frees its place in the queue.
 func TestBackendShedsLoad(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
-		Slots: 1, Queue: 1, Faults: standin.BackendFaults{HangRatio: 1},
+		Slots: 1, QueueSize: 1, Faults: standin.BackendFaults{HangRatio: 1},
 	})
 	first, cancelFirst := context.WithCancel(t.Context())
 	defer cancelFirst()
--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -110,7 +110,7 @@
 		DataCentre:        c.DataCentre,
 		Region:            c.Region,
 		Slots:             c.Slots,
-		Queue:             c.Queue,
+		QueueSize:             c.Queue,
 		Latency:           c.Latency,
 		ColdStartDuration: c.ColdFor,
 		ColdStartRequests: c.ColdRequests,
