--- a/internal/standin/command/platform.go
+++ b/internal/standin/command/platform.go
@@ -49,7 +49,7 @@
 // Execute implements flags.Commander.
 func (c *platformCommand) Execute([]string) error {
 	o := standin.PlatformOptions{
-		Listen:          c.Listen,
+		ListenAddress:          c.Listen,
 		Control:         c.Control,
 		InstanceTimeout: c.EndAfter,
 		Seed:            c.Seed,
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -17,9 +17,9 @@
 
 // PlatformOptions configures a platform stand-in.
 type PlatformOptions struct {
-	// Listen and Control are the addresses of the API and the control API,
+	// ListenAddress and Control are the addresses of the API and the control API,
 	// "ip:port"; empty means DefaultListenAddress.
-	Listen  string
+	ListenAddress  string
 	Control string
 	// InstanceTimeout is the time without an announcement after which the
 	// list of instances shows an instance as ended; 0 means never.
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	log := logOr(o.Log)
-	if p.api, err = startServer(orDefault(o.Listen), p.withFaults(api), log); err != nil {
+	if p.api, err = startServer(orDefault(o.ListenAddress), p.withFaults(api), log); err != nil {
 		return nil, err
 	}
 	if p.control, err = startServer(orDefault(o.Control), p.controlHandler(), log); err != nil {
