--- a/internal/standin/command/platform.go
+++ b/internal/standin/command/platform.go
@@ -50,7 +50,7 @@
 func (c *platformCommand) Execute([]string) error {
 	o := standin.PlatformOptions{
 		ListenAddress:          c.Listen,
-		Control:         c.Control,
+		ControlAddress:         c.Control,
 		InstanceTimeout: c.EndAfter,
 		Seed:            c.Seed,
 		Log:             c.env.log,
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -20,7 +20,7 @@
 	// ListenAddress and Control are the addresses of the API and the control API,
 	// "ip:port"; empty means DefaultListenAddress.
 	ListenAddress  string
-	Control string
+	ControlAddress string
 	// InstanceTimeout is the time without an announcement after which the
 	// list of instances shows an instance as ended; 0 means never.
 	InstanceTimeout time.Duration
@@ -80,7 +80,7 @@
 	if p.api, err = startServer(orDefault(o.ListenAddress), p.withFaults(api), log); err != nil {
 		return nil, err
 	}
-	if p.control, err = startServer(orDefault(o.Control), p.controlHandler(), log); err != nil {
+	if p.control, err = startServer(orDefault(o.ControlAddress), p.controlHandler(), log); err != nil {
 		p.api.close()
 		return nil, err
 	}
