--- a/internal/standin/command/link.go
+++ b/internal/standin/command/link.go
@@ -64,7 +64,7 @@
 
 func (c *linkCommand) options() ([]standin.LinkOptions, error) {
 	if c.Links == "" {
-		return []standin.LinkOptions{{Name: c.Name, Listen: c.Listen, Target: c.To}}, nil
+		return []standin.LinkOptions{{Name: c.Name, ListenAddress: c.Listen, Target: c.To}}, nil
 	}
 	text, err := os.ReadFile(c.Links)
 	if err != nil {
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -58,9 +58,9 @@
 // LinkOptions configures one link.
 type LinkOptions struct {
 	Name string `json:"name"`
-	// Listen is the listen address, "ip:port"; empty means
+	// ListenAddress is the listen address, "ip:port"; empty means
 	// DefaultListenAddress.
-	Listen string `json:"listen"`
+	ListenAddress string `json:"listen"`
 	// Target is the address that connections are relayed to: "ip:port".
 	Target string `json:"to"`
 }
@@ -87,7 +87,7 @@
 
 // StartLink starts a link. Close stops it.
 func StartLink(o LinkOptions, log *slog.Logger) (*Link, error) {
-	listener, err := net.Listen("tcp", orDefault(o.Listen))
+	listener, err := net.Listen("tcp", orDefault(o.ListenAddress))
 	if err != nil {
 		return nil, errors.Wrapf(err, "start link %s", o.Name)
 	}
