--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -29,7 +29,7 @@
 	// overwrite a newer one on the platform.
 	announceMu sync.Mutex
 	mu         sync.Mutex
-	self       storage.Instance
+	instance   storage.Instance
 }
 
 func startAnnouncer(instances storage.Instances, self storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
@@ -40,22 +40,22 @@
 		log:       log,
 		cancel:    cancel,
 		done:      make(chan struct{}),
-		self:      self,
+		instance:  self,
 	}
 	go a.run(ctx)
 	return a
 }
 
-func (a *announcer) current() storage.Instance {
+func (a *announcer) currentInstance() storage.Instance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.self
+	return a.instance
 }
 
-// report sets the state and announces it without waiting for the next interval.
-func (a *announcer) report(s storage.State) {
+// announceState sets the state and announces it without waiting for the next interval.
+func (a *announcer) announceState(s storage.State) {
 	a.mu.Lock()
-	a.self.State = s
+	a.instance.State = s
 	a.mu.Unlock()
 	a.announce(context.Background())
 }
@@ -84,10 +84,10 @@
 	defer a.announceMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	err := a.instances.Announce(ctx, a.current())
+	err := a.instances.Announce(ctx, a.currentInstance())
 	if errors.Is(err, client.ErrEnded) {
 		a.renewID()
-		err = a.instances.Announce(ctx, a.current())
+		err = a.instances.Announce(ctx, a.currentInstance())
 	}
 	if err != nil {
 		a.log.Debug("announcement failed", "error", err)
@@ -100,5 +100,5 @@
 func (a *announcer) renewID() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.self.ID = uuid.NewString()
+	a.instance.ID = uuid.NewString()
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -30,14 +30,14 @@
 	ControlAddress string
 	// AdvertiseAddress is the address to announce if it differs from the address
 	// listened on.
-	AdvertiseAddress  string
-	Service    string
-	DataCentre string
-	Region     string
+	AdvertiseAddress string
+	Service          string
+	DataCentre       string
+	Region           string
 	// Slots is the maximum number of requests executed concurrently, Queue the
 	// maximum number of requests waiting for a slot. Queue 0 means as many as
 	// Slots.
-	Slots int
+	Slots     int
 	QueueSize int
 	// Latency is the execution time of a request.
 	Latency time.Duration
@@ -63,8 +63,8 @@
 type Backend struct {
 	options       BackendOptions
 	log           *slog.Logger
-	start         time.Time
-	faults        *faultSwitch[BackendFaults]
+	startTime     time.Time
+	faults        *faultStore[BackendFaults]
 	slots         *slotPool
 	executions    *executionLog
 	rawCapture    *rawCapture
@@ -88,23 +88,23 @@
 	o = o.withDefaults()
 	b := &Backend{
 		options:    o,
-		log:        logOr(o.Log),
-		start:      time.Now(),
+		log:        loggerOrDiscard(o.Log),
+		startTime:  time.Now(),
 		executions: newExecutionLog(),
 		rawCapture: newRawCapture(),
 		rng:        rand.New(rand.NewPCG(o.Seed, 0)),
 	}
 	b.slots = newSlotPool(o.Slots, o.QueueSize, b.now)
-	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
+	b.faults = newFaultStore(BackendFaults.validate, func(BackendFaults) {})
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
-	listener, err := listenWithFaults(orDefault(o.ListenAddress), b.connPolicy, b.rawCapture)
+	listener, err := listenWithFaults(listenAddressOrDefault(o.ListenAddress), b.connPolicy, b.rawCapture)
 	if err != nil {
 		return nil, err
 	}
-	b.requestServer = serve(listener, b.requestHandler(), b.log)
-	if b.controlServer, err = startServer(orDefault(o.ControlAddress), b.controlHandler(), b.log); err != nil {
+	b.requestServer = startServerOnListener(listener, b.requestHandler(), b.log)
+	if b.controlServer, err = startServer(listenAddressOrDefault(o.ControlAddress), b.controlHandler(), b.log); err != nil {
 		b.requestServer.close()
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 	if b.announcer == nil {
 		return ""
 	}
-	return b.announcer.current().ID
+	return b.announcer.currentInstance().ID
 }
 
 // Faults returns the current faults, without regard to flapping.
@@ -172,7 +172,7 @@
 	b.drainingSince = b.now()
 	b.mu.Unlock()
 	if b.announcer != nil {
-		b.announcer.report(storage.Leaving)
+		b.announcer.announceState(storage.Leaving)
 	}
 }
 
@@ -182,7 +182,7 @@
 	b.Drain()
 	b.requestServer.shutdown(ctx)
 	if b.announcer != nil {
-		b.announcer.report(storage.Ended)
+		b.announcer.announceState(storage.Ended)
 	}
 	b.Close()
 }
@@ -198,7 +198,7 @@
 }
 
 // now returns the time since the start of the server.
-func (b *Backend) now() time.Duration { return time.Since(b.start) }
+func (b *Backend) now() time.Duration { return time.Since(b.startTime) }
 
 func (b *Backend) isDraining() bool {
 	b.mu.Lock()
--- a/internal/standin/backend_control.go
+++ b/internal/standin/backend_control.go
@@ -44,7 +44,7 @@
 
 func (b *Backend) serveWatchSecrets(w http.ResponseWriter, r *http.Request) {
 	var secrets []string
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBody)).Decode(&secrets)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBodyBytes)).Decode(&secrets)
 	if err == nil && slices.Contains(secrets, "") {
 		err = errInvalidSecrets
 	}
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -74,7 +74,7 @@
 			}
 			req := request{path: "/x", header: header}
 			if c.faults.StalledRatio > 0 {
-				req.timeout = glance
+				req.timeout = shortTimeout
 			}
 			r := req.send(t, newClient(t), b.URL())
 			must.Eq(t, c.faults.TruncatedRatio+c.faults.StalledRatio > 0, r.err != nil)
@@ -147,7 +147,7 @@
 // nothing is read. When it ends, the waiting request must get its response.
 func TestBackendStopsReading(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{Faults: standin.BackendFaults{StopReading: true}})
-	must.Error(t, request{timeout: glance}.send(t, newClient(t), b.URL()).err)
+	must.Error(t, request{timeout: shortTimeout}.send(t, newClient(t), b.URL()).err)
 	waiting := request{path: "/waits"}.sendAsync(t.Context(), t, b.URL())
 	executions, _ := b.Executions()
 	must.Len(t, 0, executions)
@@ -157,7 +157,7 @@
 	must.StrContains(t, r.body, "/waits")
 
 	must.NoError(t, b.SetFaults(standin.BackendFaults{StopReading: true}))
-	must.Error(t, request{timeout: glance}.send(t, newClient(t), b.URL()).err)
+	must.Error(t, request{timeout: shortTimeout}.send(t, newClient(t), b.URL()).err)
 }
 
 // A server that stops reading during an execution must still send the response.
@@ -178,16 +178,16 @@
 func TestBackendFaultsOverHTTP(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	url := b.ControlURL() + "/control/faults"
-	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"halfRatio":0.5,"delay":"1ms"}`).status)
-	must.Eq(t, http.StatusOK, control(t, http.MethodPost, url, `{"hangRatio":0.5}`).status)
+	must.Eq(t, http.StatusOK, callControlAPI(t, http.MethodPost, url, `{"halfRatio":0.5,"delay":"1ms"}`).status)
+	must.Eq(t, http.StatusOK, callControlAPI(t, http.MethodPost, url, `{"hangRatio":0.5}`).status)
 	want := standin.BackendFaults{TruncatedRatio: 0.5, HangRatio: 0.5, AddedLatency: config.Duration(time.Millisecond)}
 	must.Eq(t, want, b.Faults())
 	for _, bad := range []string{
 		`{"errorRatio":0.1}`, `{"halfRatio":-1}`, `{"factor":-1}`, `{"health":"fine"}`, `{"lateBy":"-1s"}`, `{"x":1}`,
 	} {
-		must.Eq(t, http.StatusBadRequest, control(t, http.MethodPost, url, bad).status, must.Sprint(bad))
+		must.Eq(t, http.StatusBadRequest, callControlAPI(t, http.MethodPost, url, bad).status, must.Sprint(bad))
 	}
 	must.Eq(t, want, b.Faults())
-	report := control(t, http.MethodGet, strings.Replace(url, "faults", "executions", 1), "").body
+	report := callControlAPI(t, http.MethodGet, strings.Replace(url, "faults", "executions", 1), "").body
 	must.Eq(t, `{"executions":null,"dropped":0}`+"\n", report)
 }
--- a/internal/standin/backend_requests.go
+++ b/internal/standin/backend_requests.go
@@ -16,8 +16,8 @@
 	"foxtailspoke/wire"
 )
 
-// maxRequestBody limits the size of a request body, in bytes.
-const maxRequestBody = 64 << 20
+// maxRequestBodyBytes limits the size of a request body, in bytes.
+const maxRequestBodyBytes = 64 << 20
 
 // connKey is the context key of the connection on which a request arrived.
 type connKey struct{}
@@ -36,7 +36,7 @@
 	return connPolicy{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
-func withConn(ctx context.Context, conn net.Conn) context.Context {
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	switch err := b.slots.acquire(ctx); {
-	case errors.Is(err, errFull):
+	case errors.Is(err, errQueueFull):
 		shedRequest(w, r)
 		return
 	case err != nil:
@@ -79,11 +79,11 @@
 // which must not be executed.
 func (b *Backend) readRequest(r *http.Request) (Execution, error) {
 	hash := sha256.New()
-	n, err := io.Copy(hash, io.LimitReader(r.Body, maxRequestBody+1))
+	n, err := io.Copy(hash, io.LimitReader(r.Body, maxRequestBodyBytes+1))
 	if err != nil {
 		return Execution{}, err
 	}
-	if n > maxRequestBody {
+	if n > maxRequestBodyBytes {
 		return Execution{}, errors.New("request body exceeds the size limit")
 	}
 	return Execution{
@@ -171,8 +171,8 @@
 	return ctx, cancel, nil
 }
 
-// maxTimeout is the largest value accepted in TimeoutHeader.
-const maxTimeout = time.Hour
+// maxRequestTimeout is the largest value accepted in TimeoutHeader.
+const maxRequestTimeout = time.Hour
 
 // parseTimeout parses the value of TimeoutHeader, a number of milliseconds that
 // consists of digits only.
@@ -181,7 +181,7 @@
 		return 0, errors.Newf("%s: %q isn't a number of milliseconds", TimeoutHeader, value)
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || ms > maxTimeout.Milliseconds() {
+	if err != nil || ms > maxRequestTimeout.Milliseconds() {
 		return 0, errors.Newf("%s: %q is out of range", TimeoutHeader, value)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
--- a/internal/standin/backend_response.go
+++ b/internal/standin/backend_response.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxResponseSize limits the response size, in bytes, that a request can
+	// maxResponseBytes limits the response size, in bytes, that a request can
 	// ask for.
-	maxResponseSize = 64 << 20
+	maxResponseBytes = 64 << 20
 	// maxRecentResponses limits the responses kept for MismatchedRatio.
 	maxRecentResponses = 16
-	// duplicateLinger is how long a connection stays open after a duplicated
+	// duplicateCloseDelay is how long a connection stays open after a duplicated
 	// response, so that the client receives the duplicate before the close.
-	duplicateLinger = 200 * time.Millisecond
+	duplicateCloseDelay = 200 * time.Millisecond
 )
 
 type response struct {
@@ -41,7 +41,7 @@
 		line += fmt.Sprintf(" operation=%s times=%d", execution.Operation, completions)
 	}
 	body := []byte(line + "\n")
-	if n, err := strconv.Atoi(size); err == nil && n > len(body) && n <= maxResponseSize {
+	if n, err := strconv.Atoi(size); err == nil && n > len(body) && n <= maxResponseBytes {
 		body = append(body, bytes.Repeat([]byte{'.'}, n-len(body))...)
 	}
 	return response{attempt: execution.Attempt, status: http.StatusOK, body: body}
@@ -119,7 +119,7 @@
 		return
 	}
 	_, _ = conn.Write(bytes.Repeat(wire.Bytes(), 2))
-	_ = conn.SetReadDeadline(time.Now().Add(duplicateLinger))
+	_ = conn.SetReadDeadline(time.Now().Add(duplicateCloseDelay))
 	_, _ = io.Copy(io.Discard, conn)
 }
 
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -143,7 +143,7 @@
 	_, err = conn.Write([]byte("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf"))
 	must.NoError(t, err)
 	must.NoError(t, conn.(*net.TCPConn).CloseWrite())
-	must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+	must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = conn.Read(make([]byte, 1))
 	must.Error(t, err)
 	executions, _ := b.Executions()
@@ -171,7 +171,7 @@
 	running := request{}.sendAsync(t.Context(), t, b.URL())
 	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
 
-	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/drain", "").status)
+	must.Eq(t, http.StatusNoContent, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/drain", "").status)
 	must.Eq(t, "catalogue a luzon leaving", state())
 	requireNotExecuted(t, request{}.send(t, newClient(t), b.URL()), http.StatusServiceUnavailable)
 	must.Eq(t, http.StatusOK, (<-running).status)
@@ -182,7 +182,7 @@
 
 // The platform may declare a server ended that announced itself too late. The
 // server must announce itself under a new ID, because an ended ID stays ended.
-func TestBackendRegistersUnderNewID(t *testing.T) {
+func TestBackendAnnouncesUnderNewID(t *testing.T) {
 	_, instances := startPlatform(t, standin.PlatformOptions{InstanceTimeout: time.Nanosecond})
 	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceInterval: time.Millisecond})
 	first := b.ID()
@@ -225,8 +225,8 @@
 func TestBackendDetectsSecrets(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
-	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
-	must.Eq(t, http.StatusBadRequest, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
+	must.Eq(t, http.StatusNoContent, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
+	must.Eq(t, http.StatusBadRequest, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
 	c := request{
 		method: http.MethodPost, path: "/p", body: "..fsk_body..",
 		header: map[string]string{"X-odd": "fsk_header"},
--- a/internal/standin/fault_listener.go
+++ b/internal/standin/fault_listener.go
@@ -84,7 +84,7 @@
 		if !policy.refuse && inner == nil {
 			inner = l.relisten()
 		}
-		stopped := l.acceptLoop(inner)
+		stopped := l.startAcceptLoop(inner)
 		select {
 		case <-policy.changed:
 			l.stopAccepting(inner, stopped)
@@ -98,9 +98,9 @@
 	}
 }
 
-// acceptLoop starts passing connections to Accept until the inner listener's
+// startAcceptLoop starts passing connections to Accept until the inner listener's
 // deadline expires or it is closed. The returned channel is closed then.
-func (l *faultListener) acceptLoop(inner net.Listener) <-chan struct{} {
+func (l *faultListener) startAcceptLoop(inner net.Listener) <-chan struct{} {
 	stopped := make(chan struct{})
 	if inner == nil {
 		close(stopped)
--- a/internal/standin/fault_switch.go
+++ b/internal/standin/fault_store.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// maxControlBody is the maximum size of a request body on a control address, in
+// maxControlBodyBytes is the maximum size of a request body on a control address, in
 // bytes.
-const maxControlBody = 1 << 20
+const maxControlBodyBytes = 1 << 20
 
-// faultSwitch holds a set of faults and serves the HTTP calls that change it.
+// faultStore holds a set of faults and serves the HTTP calls that change it.
 // It is safe for concurrent use. T must be a struct without references, so that
 // a copy shares no memory with the original.
-type faultSwitch[T any] struct {
+type faultStore[T any] struct {
 	mu     sync.Mutex
 	faults T
 	// changed is closed and replaced on every update.
@@ -25,12 +25,12 @@
 	onUpdate func(T)
 }
 
-func newFaultSwitch[T any](validate func(T) error, onUpdate func(T)) *faultSwitch[T] {
-	return &faultSwitch[T]{changed: make(chan struct{}), validate: validate, onUpdate: onUpdate}
+func newFaultStore[T any](validate func(T) error, onUpdate func(T)) *faultStore[T] {
+	return &faultStore[T]{changed: make(chan struct{}), validate: validate, onUpdate: onUpdate}
 }
 
 // get returns the faults and a channel that is closed on the next update.
-func (s *faultSwitch[T]) get() (T, <-chan struct{}) {
+func (s *faultStore[T]) get() (T, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults, s.changed
@@ -38,7 +38,7 @@
 
 // update applies f to the faults. If f or the validation fails, the faults stay
 // unchanged.
-func (s *faultSwitch[T]) update(f func(*T) error) error {
+func (s *faultStore[T]) update(f func(*T) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.faults
@@ -57,7 +57,7 @@
 
 // consume decrements the counter of a fault that applies to a limited number of
 // requests. It returns false if the counter is already zero.
-func (s *faultSwitch[T]) consume(counter func(*T) *int) bool {
+func (s *faultStore[T]) consume(counter func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := counter(&s.faults)
@@ -69,12 +69,12 @@
 }
 
 // ServeHTTP implements GET, POST and DELETE of the control API.
-func (s *faultSwitch[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *faultStore[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var err error
 	switch r.Method {
 	case http.MethodGet:
 	case http.MethodPost:
-		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBody))
+		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBodyBytes))
 		decoder.DisallowUnknownFields()
 		err = s.update(func(faults *T) error { return decoder.Decode(faults) })
 	case http.MethodDelete:
--- a/internal/standin/internal_test.go
+++ b/internal/standin/internal_test.go
@@ -65,22 +65,22 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r"), uint8(200))
 	f.Fuzz(func(t *testing.T, data []byte, size uint8) {
 		const secret = "fsk_1"
-		l := newRawCapture()
-		l.watchSecrets([]string{secret})
-		s := &connCapture{capture: l}
+		capture := newRawCapture()
+		capture.watchSecrets([]string{secret})
+		conn := &connCapture{capture: capture}
 		step := int(size) + 1
 		for i := 0; i < len(data); i += step {
-			s.addReceived(data[i:min(i+step, len(data))])
+			conn.addReceived(data[i:min(i+step, len(data))])
 		}
-		must.Eq(t, bytes.Contains(data, []byte(secret)), len(l.detectedSecrets()) == 1)
-		s.addRequest("GET / HTTP/")
+		must.Eq(t, bytes.Contains(data, []byte(secret)), len(capture.detectedSecrets()) == 1)
+		conn.addRequest("GET / HTTP/")
 		begin := bytes.LastIndex(data, []byte("GET / HTTP/"))
 		complete := begin >= 0 && len(data) <= maxPendingBytes && bytes.Contains(data[begin:], []byte("\r\n\r\n"))
 		if complete {
-			must.SliceLen(t, 1, l.report().Headers)
+			must.SliceLen(t, 1, capture.report().Headers)
 			return
 		}
-		must.Eq(t, len(data) <= maxPendingBytes, l.report().Incomplete == 1)
+		must.Eq(t, len(data) <= maxPendingBytes, capture.report().Incomplete == 1)
 	})
 }
 
@@ -95,7 +95,7 @@
 		if err != nil {
 			return
 		}
-		must.Between(t, 0, d, maxTimeout)
+		must.Between(t, 0, d, maxRequestTimeout)
 		must.Eq(t, "", string(bytes.Trim([]byte(value), "0123456789")))
 	})
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -75,7 +75,7 @@
 type Link struct {
 	options  LinkOptions
 	log      *slog.Logger
-	state    *faultSwitch[LinkState]
+	state    *faultStore[LinkState]
 	listener net.Listener
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -87,19 +87,19 @@
 
 // StartLink starts a link. Close stops it.
 func StartLink(o LinkOptions, log *slog.Logger) (*Link, error) {
-	listener, err := net.Listen("tcp", orDefault(o.ListenAddress))
+	listener, err := net.Listen("tcp", listenAddressOrDefault(o.ListenAddress))
 	if err != nil {
 		return nil, errors.Wrapf(err, "start link %s", o.Name)
 	}
 	l := &Link{
 		options:  o,
-		log:      logOr(log),
-		state:    newFaultSwitch(LinkState.validate, func(LinkState) {}),
+		log:      loggerOrDiscard(log),
+		state:    newFaultStore(LinkState.validate, func(LinkState) {}),
 		listener: listener,
 		conns:    make(map[*relayedConn]struct{}),
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.wg.Go(l.accept)
+	l.wg.Go(l.acceptLoop)
 	return l, nil
 }
 
@@ -137,7 +137,7 @@
 	l.wg.Wait()
 }
 
-func (l *Link) accept() {
+func (l *Link) acceptLoop() {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
@@ -149,7 +149,7 @@
 
 func (l *Link) relay(client *net.TCPConn) {
 	defer client.Close()
-	if !l.awaitState(LinkState.bothOpen, nil) {
+	if !l.waitForState(LinkState.bothOpen, nil) {
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -184,12 +184,12 @@
 	delete(l.conns, c)
 }
 
-// awaitState waits for a state that accept returns true for. It returns false if
+// waitForState waits for a state that accept returns true for. It returns false if
 // the link or abort is closed first; abort may be nil.
-func (l *Link) awaitState(accept func(LinkState) bool, abort <-chan struct{}) bool {
+func (l *Link) waitForState(matches func(LinkState) bool, abort <-chan struct{}) bool {
 	for {
 		s, changed := l.state.get()
-		if accept(s) {
+		if matches(s) {
 			return true
 		}
 		select {
--- a/internal/standin/link_conn.go
+++ b/internal/standin/link_conn.go
@@ -70,12 +70,12 @@
 
 // relayDirection relays one direction. It keeps reading while the direction is
 // cut, up to the bound of the buffer, so that the end of a connection is detected.
-func (r *relayedConn) relayDirection(from, to *net.TCPConn, flowOf func(LinkState) (Flow, time.Duration)) {
+func (r *relayedConn) relayDirection(from, to *net.TCPConn, flowAndDelay func(LinkState) (Flow, time.Duration)) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	writerDone := make(chan struct{})
 	var reader sync.WaitGroup
 	reader.Go(func() { r.readChunks(from, chunks, writerDone) })
-	r.writeChunks(to, chunks, flowOf)
+	r.writeChunks(to, chunks, flowAndDelay)
 	close(writerDone)
 	_ = from.CloseRead()
 	reader.Wait()
@@ -87,7 +87,7 @@
 		n, err := from.Read(buffer)
 		c := chunk{data: buffer[:n], readAt: time.Now(), last: err != nil}
 		if c.last {
-			r.directionEnded()
+			r.markDirectionEnded()
 		}
 		select {
 		case chunks <- c:
@@ -100,7 +100,7 @@
 	}
 }
 
-func (r *relayedConn) directionEnded() {
+func (r *relayedConn) markDirectionEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endedDirections++
@@ -111,15 +111,15 @@
 
 // writeChunks writes the chunks when the flow and the delay of the direction
 // allow it.
-func (r *relayedConn) writeChunks(to *net.TCPConn, chunks <-chan chunk, flowOf func(LinkState) (Flow, time.Duration)) {
+func (r *relayedConn) writeChunks(to *net.TCPConn, chunks <-chan chunk, flowAndDelay func(LinkState) (Flow, time.Duration)) {
 	open := func(s LinkState) bool {
-		flow, _ := flowOf(s)
+		flow, _ := flowAndDelay(s)
 		return flow != FlowCut
 	}
 	for c := range chunks {
-		_, delay := flowOf(r.link.State())
+		_, delay := flowAndDelay(r.link.State())
 		r.sleep(time.Until(c.readAt.Add(delay)))
-		if !r.link.awaitState(open, r.bothEnded) {
+		if !r.link.waitForState(open, r.bothEnded) {
 			return
 		}
 		if _, err := to.Write(c.data); err != nil {
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -67,7 +67,7 @@
 	case conn := <-conns:
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the target accepted no connection in time")
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 func mustReceive(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+	must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 	got := make([]byte, len(text))
 	_, err := io.ReadFull(conn, got)
 	must.NoError(t, err)
@@ -90,7 +90,7 @@
 
 func mustReceiveNothing(t *testing.T, conn net.Conn) {
 	t.Helper()
-	must.NoError(t, conn.SetReadDeadline(time.Now().Add(glance)))
+	must.NoError(t, conn.SetReadDeadline(time.Now().Add(shortTimeout)))
 	_, err := conn.Read(make([]byte, 1))
 	must.True(t, isTimeout(err), must.Sprint(err))
 }
@@ -191,7 +191,7 @@
 		return
 	}
 	t.Cleanup(func() { _ = clientConn.Close() })
-	must.NoError(t, clientConn.SetReadDeadline(time.Now().Add(patience)))
+	must.NoError(t, clientConn.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = clientConn.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.False(t, isTimeout(err))
@@ -206,7 +206,7 @@
 	pending := dial(t, l.Address())
 	l.Close()
 	for _, conn := range []net.Conn{clientConn, pending} {
-		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 		_, err := conn.Read(make([]byte, 1))
 		must.Error(t, err)
 		must.False(t, isTimeout(err))
@@ -219,7 +219,7 @@
 	must.NoError(t, err)
 	t.Cleanup(ls.Close)
 	url := ls.ControlURL() + "/control/links"
-	post := func(path, body string) int { return control(t, http.MethodPost, url+path, body).status }
+	post := func(path, body string) int { return callControlAPI(t, http.MethodPost, url+path, body).status }
 
 	must.Eq(t, http.StatusOK, post("/a-b", `{"forward":"cut","backward":"open"}`))
 	must.Eq(t, http.StatusOK, post("/a-b", `{"backwardDelay":"5ms"}`))
@@ -257,7 +257,7 @@
 	must.NoError(t, err)
 	l.ResetConnections()
 	for _, conn := range []net.Conn{clientConn, targetConn} {
-		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 		_, err := conn.Read(make([]byte, 1))
 		must.ErrorIs(t, err, syscall.ECONNRESET)
 	}
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -16,8 +16,8 @@
 //	POST   /control/links/NAME  sets the fields in the body and keeps the others
 //	DELETE /control/links/NAME  opens both directions and clears their delays
 type Links struct {
-	links   map[string]*Link
-	control *server
+	links         map[string]*Link
+	controlServer *server
 }
 
 // StartLinks starts links, whose names must be unique. Control is the "ip:port"
@@ -32,7 +32,7 @@
 		}
 	}
 	var err error
-	if ls.control, err = startServer(orDefault(control), ls.handler(), logOr(log)); err != nil {
+	if ls.controlServer, err = startServer(listenAddressOrDefault(control), ls.handler(), loggerOrDiscard(log)); err != nil {
 		ls.Close()
 		return nil, err
 	}
@@ -58,12 +58,12 @@
 func (ls *Links) Link(name string) *Link { return ls.links[name] }
 
 // ControlURL returns the base URL of the control API.
-func (ls *Links) ControlURL() string { return ls.control.url() }
+func (ls *Links) ControlURL() string { return ls.controlServer.url() }
 
 // Close stops the control server and all links.
 func (ls *Links) Close() {
-	if ls.control != nil {
-		ls.control.close()
+	if ls.controlServer != nil {
+		ls.controlServer.close()
 	}
 	for _, l := range ls.links {
 		l.Close()
@@ -88,16 +88,16 @@
 }
 
 func (ls *Links) states() map[string]LinkState {
-	out := map[string]LinkState{}
+	states := map[string]LinkState{}
 	for name, l := range ls.links {
-		out[name] = l.State()
+		states[name] = l.State()
 	}
-	return out
+	return states
 }
 
 func (ls *Links) setStates(w http.ResponseWriter, r *http.Request) {
 	var states map[string]LinkState
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBodyBytes))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&states)
 	if err == nil {
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -17,15 +17,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is the timeout for conditions that must become true.
-const patience = 10 * time.Second
+// testTimeout is the timeout for conditions that must become true.
+const testTimeout = 10 * time.Second
 
-// glance is how long tests wait for something that must not happen.
-const glance = 60 * time.Millisecond
+// shortTimeout is how long tests wait for something that must not happen.
+const shortTimeout = 60 * time.Millisecond
 
-func eventually(t *testing.T, condition string, holds func() bool) {
+func eventually(t *testing.T, condition string, isTrue func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint(condition))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(isTrue), wait.Timeout(testTimeout), wait.Gap(time.Millisecond)), must.Sprint(condition))
 }
 
 func startBackend(t *testing.T, o standin.BackendOptions) *standin.Backend {
@@ -63,7 +63,7 @@
 
 func (req request) send(t *testing.T, client *http.Client, url string) response {
 	if req.timeout == 0 {
-		req.timeout = patience
+		req.timeout = testTimeout
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), req.timeout)
 	defer cancel()
@@ -100,7 +100,7 @@
 	return responses
 }
 
-func control(t *testing.T, method, url, body string) response {
+func callControlAPI(t *testing.T, method, url, body string) response {
 	t.Helper()
 	resp := request{method: method, body: body}.send(t, newClient(t), url)
 	must.NoError(t, resp.err)
--- a/internal/standin/object_store.go
+++ b/internal/standin/object_store.go
@@ -29,7 +29,7 @@
 	return data, ok
 }
 
-func (s *objectStore) list(prefix string) []string {
+func (s *objectStore) names(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	names := []string{}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -35,16 +35,16 @@
 // Platform is a running platform stand-in: it serves the API of api/platform
 // from in-memory tables, objects and a list of instances.
 type Platform struct {
-	faults    *faultSwitch[PlatformFaults]
-	tables    *tables.Store
-	objects   *objectStore
-	instances *instances.Registry
-	startTime time.Time
-	api       *server
-	control   *server
+	faults        *faultStore[PlatformFaults]
+	tables        *tables.Store
+	objects       *objectStore
+	instances     *instances.Registry
+	startTime     time.Time
+	apiServer     *server
+	controlServer *server
 
 	mu          sync.Mutex
-	rand        *rand.Rand
+	rng         *rand.Rand
 	staleTables *tables.Store
 	counts      PlatformCounts
 	// readLimits and writeLimits are indexed by service.
@@ -66,9 +66,9 @@
 		objects:   newObjectStore(),
 		instances: instances.New(o.InstanceTimeout),
 		startTime: time.Now(),
-		rand:      rand.New(rand.NewPCG(o.Seed, 0)),
+		rng:       rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	p.faults = newFaultSwitch(PlatformFaults.validate, p.updateStaleTables)
+	p.faults = newFaultStore(PlatformFaults.validate, p.updateStaleTables)
 	if err := p.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
@@ -76,25 +76,25 @@
 	if err != nil {
 		return nil, err
 	}
-	log := logOr(o.Log)
-	if p.api, err = startServer(orDefault(o.ListenAddress), p.withFaults(api), log); err != nil {
+	log := loggerOrDiscard(o.Log)
+	if p.apiServer, err = startServer(listenAddressOrDefault(o.ListenAddress), p.withFaults(api), log); err != nil {
 		return nil, err
 	}
-	if p.control, err = startServer(orDefault(o.ControlAddress), p.controlHandler(), log); err != nil {
-		p.api.close()
+	if p.controlServer, err = startServer(listenAddressOrDefault(o.ControlAddress), p.controlHandler(), log); err != nil {
+		p.apiServer.close()
 		return nil, err
 	}
 	return p, nil
 }
 
 // URL returns the base URL of the API.
-func (p *Platform) URL() string { return p.api.url() }
+func (p *Platform) URL() string { return p.apiServer.url() }
 
 // Address returns the address of the API: "ip:port".
-func (p *Platform) Address() string { return p.api.address() }
+func (p *Platform) Address() string { return p.apiServer.address() }
 
 // ControlURL returns the base URL of the control API.
-func (p *Platform) ControlURL() string { return p.control.url() }
+func (p *Platform) ControlURL() string { return p.controlServer.url() }
 
 // Faults returns the current faults.
 func (p *Platform) Faults() PlatformFaults {
@@ -124,7 +124,7 @@
 
 // ObjectNames returns the names of all objects in ascending order; faults don't
 // apply.
-func (p *Platform) ObjectNames() []string { return p.objects.list("") }
+func (p *Platform) ObjectNames() []string { return p.objects.names("") }
 
 // Counts returns the request counts.
 func (p *Platform) Counts() PlatformCounts {
@@ -135,8 +135,8 @@
 
 // Close stops the stand-in and closes all its connections.
 func (p *Platform) Close() {
-	p.api.close()
-	p.control.close()
+	p.apiServer.close()
+	p.controlServer.close()
 }
 
 func (p *Platform) updateCounts(f func(*PlatformCounts)) {
@@ -157,7 +157,7 @@
 	return mux
 }
 
-func orDefault(listen string) string {
+func listenAddressOrDefault(listen string) string {
 	if listen == "" {
 		return DefaultListenAddress
 	}
--- a/internal/standin/platform_handler.go
+++ b/internal/standin/platform_handler.go
@@ -17,14 +17,14 @@
 )
 
 // platformHandler implements the platform's API on the in-memory stores.
-type platformHandler struct{ p *Platform }
+type platformHandler struct{ platform *Platform }
 
 var _ oas.Handler = platformHandler{}
 
 var errIDMismatch = errors.New("the id in the path differs from the body's")
 
 func (h platformHandler) ReadRows(_ context.Context, params oas.ReadRowsParams) (*oas.Changes, error) {
-	c, err := h.p.tablesForReads().Read(storage.ReadRequest{
+	c, err := h.platform.tablesForReads().Read(storage.ReadRequest{
 		Table:  storage.TableName(params.Table),
 		Since:  storage.Revision(params.Since.Or(0)),
 		Prefix: params.Prefix.Or(""),
@@ -36,7 +36,7 @@
 }
 
 func (h platformHandler) WriteTransaction(_ context.Context, req *oas.Transaction) (oas.WriteTransactionRes, error) {
-	result, err := h.p.tables.Write(convert.TxnFromAPI(req))
+	result, err := h.platform.tables.Write(convert.TxnFromAPI(req))
 	if err != nil {
 		return nil, err
 	}
@@ -47,11 +47,11 @@
 }
 
 func (h platformHandler) ListObjects(_ context.Context, params oas.ListObjectsParams) (*oas.ObjectNames, error) {
-	return &oas.ObjectNames{Names: h.p.objects.list(params.Prefix.Or(""))}, nil
+	return &oas.ObjectNames{Names: h.platform.objects.names(params.Prefix.Or(""))}, nil
 }
 
 func (h platformHandler) GetObject(_ context.Context, params oas.GetObjectParams) (oas.GetObjectRes, error) {
-	data, ok := h.p.objects.get(string(params.Name))
+	data, ok := h.platform.objects.get(string(params.Name))
 	if !ok {
 		return &oas.GetObjectNotFound{}, nil
 	}
@@ -59,13 +59,13 @@
 }
 
 func (h platformHandler) PutObject(_ context.Context, req *oas.Object, params oas.PutObjectParams) error {
-	h.p.objects.put(string(params.Name), req.Data)
+	h.platform.objects.put(string(params.Name), req.Data)
 	return nil
 }
 
 func (h platformHandler) ListInstances(_ context.Context, params oas.ListInstancesParams) (*oas.InstanceChanges, error) {
-	faults := h.p.Faults().Instances
-	c := h.p.instances.Changes(time.Since(h.p.startTime), params.Since.Or(0), time.Duration(faults.Lag), faults.Frozen)
+	faults := h.platform.Faults().Instances
+	c := h.platform.instances.Changes(time.Since(h.platform.startTime), params.Since.Or(0), time.Duration(faults.Lag), faults.Frozen)
 	return convert.InstanceChangesToAPI(c), nil
 }
 
@@ -73,7 +73,7 @@
 	if req.ID != params.ID {
 		return errIDMismatch
 	}
-	return h.p.instances.Announce(time.Since(h.p.startTime), convert.InstanceFromAPI(req))
+	return h.platform.instances.Announce(time.Since(h.platform.startTime), convert.InstanceFromAPI(req))
 }
 
 func (h platformHandler) NewError(_ context.Context, err error) *oas.ProblemStatusCode {
--- a/internal/standin/platform_middleware.go
+++ b/internal/standin/platform_middleware.go
@@ -125,7 +125,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rand.Float64() < ratio
+	return p.rng.Float64() < ratio
 }
 
 // updateStaleTables copies the tables when StaleReads is switched on and discards
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -26,14 +26,14 @@
 func TestPlatformFaultsControlAPI(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
 	url := p.ControlURL() + "/control/faults"
-	set := func(body string) int { return control(t, http.MethodPost, url, body).status }
+	set := func(body string) int { return callControlAPI(t, http.MethodPost, url, body).status }
 
 	must.Eq(t, http.StatusOK, set(`{"table":{"loseAnswers":2},"instances":{"lag":"2s"}}`))
 	must.Eq(t, http.StatusOK, set(`{"table":{"down":"silent"}}`))
 	f := p.Faults()
 	must.Eq(t, 2, f.Table.DropResponses)
 	must.Eq(t, standin.DownSilent, f.Table.Down)
-	must.StrContains(t, control(t, http.MethodGet, url, "").body, `"lag":"2s"`)
+	must.StrContains(t, callControlAPI(t, http.MethodGet, url, "").body, `"lag":"2s"`)
 
 	for _, bad := range []string{
 		`{"table":{"down":"maybe"}}`, `{"tables":{}}`, `{"table":{"loseAnswersRatio":1.1}}`, `{`, ``,
@@ -42,9 +42,9 @@
 		must.Eq(t, http.StatusBadRequest, set(bad), must.Sprint(bad))
 	}
 	must.Eq(t, f, p.Faults())
-	must.Eq(t, http.StatusOK, control(t, http.MethodDelete, url, "").status)
+	must.Eq(t, http.StatusOK, callControlAPI(t, http.MethodDelete, url, "").status)
 	must.Eq(t, standin.PlatformFaults{}, p.Faults())
-	must.Eq(t, http.StatusMethodNotAllowed, control(t, http.MethodPut, url, "").status)
+	must.Eq(t, http.StatusMethodNotAllowed, callControlAPI(t, http.MethodPut, url, "").status)
 }
 
 // Stale reads return the state at the moment the fault is switched on, also
@@ -90,10 +90,10 @@
 // client has given up, so Unknown is the only outcome that the client may report.
 func TestDelayedWriteTakesEffectAfterClientTimeout(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
-	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: glance})
+	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: shortTimeout})
 	must.NoError(t, err)
 	t.Cleanup(c.Close)
-	slow := standin.ServiceFaults{Delay: config.Duration(2 * glance)}
+	slow := standin.ServiceFaults{Delay: config.Duration(2 * shortTimeout)}
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: slow}}))
 	r, err := c.Write(t.Context(), storage.Txn{Attempt: "a", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 	must.NoError(t, err)
@@ -135,7 +135,7 @@
 		l, err := standin.StartLink(standin.LinkOptions{Name: "up", Target: p.Address()}, nil)
 		must.NoError(t, err)
 		t.Cleanup(l.Close)
-		c, err := platformclient.New("http://"+l.Address(), platformclient.Settings{Timeout: 2 * glance})
+		c, err := platformclient.New("http://"+l.Address(), platformclient.Settings{Timeout: 2 * shortTimeout})
 		must.NoError(t, err)
 		t.Cleanup(c.Close)
 		read := storage.ReadRequest{Table: storage.Control}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -14,10 +14,10 @@
 
 // server is an HTTP server on its own listener.
 type server struct {
-	listener net.Listener
-	http     *http.Server
-	cancel   context.CancelFunc
-	done     chan struct{}
+	listener   net.Listener
+	httpServer *http.Server
+	cancel     context.CancelFunc
+	done       chan struct{}
 }
 
 // startServer listens on address ("ip:port"; port 0 selects a free port) and
@@ -28,26 +28,26 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
-	return serve(listener, handler, log), nil
+	return startServerOnListener(listener, handler, log), nil
 }
 
-func serve(listener net.Listener, handler http.Handler, log *slog.Logger) *server {
+func startServerOnListener(listener net.Listener, handler http.Handler, log *slog.Logger) *server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &server{
 		listener: listener,
 		cancel:   cancel,
 		done:     make(chan struct{}),
-		http: &http.Server{
+		httpServer: &http.Server{
 			Handler:           handler,
 			ReadHeaderTimeout: readHeaderTimeout,
-			ConnContext:       withConn,
+			ConnContext:       contextWithConn,
 			BaseContext:       func(net.Listener) context.Context { return ctx },
 			ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		},
 	}
 	go func() {
 		defer close(s.done)
-		_ = s.http.Serve(listener)
+		_ = s.httpServer.Serve(listener)
 	}()
 	return s
 }
@@ -59,19 +59,19 @@
 // close closes all connections immediately and cancels running requests.
 func (s *server) close() {
 	s.cancel()
-	_ = s.http.Close()
+	_ = s.httpServer.Close()
 	<-s.done
 }
 
 // shutdown waits for running requests until the context ends, then closes the
 // server.
 func (s *server) shutdown(ctx context.Context) {
-	_ = s.http.Shutdown(ctx)
+	_ = s.httpServer.Shutdown(ctx)
 	s.close()
 }
 
-// logOr returns log, or a logger that discards everything if log is nil.
-func logOr(log *slog.Logger) *slog.Logger {
+// loggerOrDiscard returns log, or a logger that discards everything if log is nil.
+func loggerOrDiscard(log *slog.Logger) *slog.Logger {
 	if log == nil {
 		return slog.New(slog.DiscardHandler)
 	}
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-var errFull = errors.New("slots and queue are full")
+var errQueueFull = errors.New("slots and queue are full")
 
 // maxLoadSamples limits how far back ReportLag can reach.
 const maxLoadSamples = 4096
@@ -23,10 +23,10 @@
 // slotPool limits the number of requests executed concurrently and the number of
 // requests waiting.
 type slotPool struct {
-	// held has an element for each slot in use.
-	held  chan struct{}
-	queue int
-	now   func() time.Duration
+	// inUse has an element for each slot in use.
+	inUse     chan struct{}
+	queueSize int
+	now       func() time.Duration
 
 	mu      sync.Mutex
 	load    Load
@@ -40,10 +40,10 @@
 
 func newSlotPool(size, queue int, now func() time.Duration) *slotPool {
 	return &slotPool{
-		held:  make(chan struct{}, size),
-		queue: queue,
-		now:   now,
-		load:  Load{Slots: size},
+		inUse:     make(chan struct{}, size),
+		queueSize: queue,
+		now:       now,
+		load:      Load{Slots: size},
 	}
 }
 
@@ -51,16 +51,16 @@
 // errFull if the queue is full, or with the error of ctx.
 func (p *slotPool) acquire(ctx context.Context) error {
 	select {
-	case p.held <- struct{}{}:
+	case p.inUse <- struct{}{}:
 		p.updateLoad(func(l *Load) { l.InFlight++ })
 		return nil
 	default:
 	}
 	if !p.enqueue() {
-		return errFull
+		return errQueueFull
 	}
 	select {
-	case p.held <- struct{}{}:
+	case p.inUse <- struct{}{}:
 		p.updateLoad(func(l *Load) { l.Queued--; l.InFlight++ })
 		return nil
 	case <-ctx.Done():
@@ -71,13 +71,13 @@
 
 func (p *slotPool) release() {
 	p.updateLoad(func(l *Load) { l.InFlight-- })
-	<-p.held
+	<-p.inUse
 }
 
 func (p *slotPool) enqueue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.load.Queued >= p.queue {
+	if p.load.Queued >= p.queueSize {
 		return false
 	}
 	p.load.Queued++
