--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -13,8 +13,8 @@
 	"foxtailspoke/storage/client"
 )
 
-// announceTimeout is the timeout of one announcement, including the repetition
-// under a new id.
+// announceTimeout is the timeout of one announcement, including the retry under
+// a new ID.
 const announceTimeout = 2 * time.Second
 
 // announcer periodically announces a backend server to the platform.
@@ -52,7 +52,8 @@
 	return a.instance
 }
 
-// announceState sets the state and announces it without waiting for the next interval.
+// announceState sets the state and announces it immediately, without waiting for
+// the next interval.
 func (a *announcer) announceState(s storage.State) {
 	a.mu.Lock()
 	a.instance.State = s
@@ -94,8 +95,8 @@
 	}
 }
 
-// renewID assigns a new instance id. The platform rejects announcements under an
-// id that it has declared ended, as happens to a server that was suspended for
+// renewID assigns a new instance ID. The platform rejects announcements under an
+// ID that it has declared ended, as happens to a server that was suspended for
 // longer than the platform's instance timeout.
 func (a *announcer) renewID() {
 	a.mu.Lock()
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -24,22 +24,23 @@
 // BackendOptions configures a Backend. A field with the zero value gets its
 // default.
 type BackendOptions struct {
-	// ListenAddress and Control are the addresses, "ip:port", for requests of entry
-	// instances and for the control interface. Empty means DefaultListen.
+	// ListenAddress and ControlAddress are the addresses, "ip:port", for requests
+	// of entry instances and for the control API. Empty means
+	// DefaultListenAddress.
 	ListenAddress  string
 	ControlAddress string
 	// AdvertiseAddress is the address to announce if it differs from the address
-	// listened on.
+	// that the server listens on.
 	AdvertiseAddress string
 	Service          string
 	DataCentre       string
 	Region           string
-	// Slots is the maximum number of requests executed concurrently, Queue the
-	// maximum number of requests waiting for a slot. Queue 0 means as many as
-	// Slots.
+	// Slots is the maximum number of requests executed concurrently, QueueSize
+	// the maximum number of requests waiting for a slot. QueueSize 0 means as
+	// many as Slots.
 	Slots     int
 	QueueSize int
-	// Latency is the execution time of a request.
+	// Latency is the execution time of a request without faults.
 	Latency time.Duration
 	// ColdStartDuration and ColdStartRequests simulate a cold start: Latency is
 	// multiplied by ColdStartFactor for that time after the start and for that
@@ -59,7 +60,7 @@
 	Log *slog.Logger
 }
 
-// Backend is a running test double of a backend server.
+// Backend is a running stand-in for a backend server.
 type Backend struct {
 	options       BackendOptions
 	log           *slog.Logger
@@ -82,7 +83,7 @@
 	recentResponses []response
 }
 
-// StartBackend starts a test double of a backend server. Close stops it
+// StartBackend starts a stand-in for a backend server. Close stops it
 // immediately, Shutdown gracefully.
 func StartBackend(o BackendOptions) (*Backend, error) {
 	o = o.withDefaults()
@@ -117,10 +118,10 @@
 // Address returns the address, "ip:port", for requests of entry instances.
 func (b *Backend) Address() string { return b.requestServer.address() }
 
-// URL returns the HTTP URL of Address.
+// URL returns the base URL for requests of entry instances.
 func (b *Backend) URL() string { return b.requestServer.url() }
 
-// ControlURL returns the HTTP URL of the control interface.
+// ControlURL returns the base URL of the control API.
 func (b *Backend) ControlURL() string { return b.controlServer.url() }
 
 // ID returns the server's ID in the platform's list of instances. It is empty
@@ -132,7 +133,8 @@
 	return b.announcer.currentInstance().ID
 }
 
-// Faults returns the current faults, without regard to flapping.
+// Faults returns the current faults. It ignores FlapPeriod: faults are included
+// in their inactive periods too.
 func (b *Backend) Faults() BackendFaults {
 	f, _ := b.faults.get()
 	return f
@@ -262,4 +264,4 @@
 	return mux
 }
 
-var errInvalidSecrets = errors.New("give a JSON array of strings that aren't empty")
+var errInvalidSecrets = errors.New("secrets must be a JSON array of non-empty strings")
--- a/internal/standin/backend_faults.go
+++ b/internal/standin/backend_faults.go
@@ -8,7 +8,8 @@
 	"foxtailspoke/config"
 )
 
-// BackendFaults are the faults of a Backend. The zero value means no faults.
+// BackendFaults are the faults that a Backend can inject. The zero value injects
+// none.
 // Ratios are shares of requests from 0 to 1. At most one of them applies to a
 // request, so their sum is at most 1.
 type BackendFaults struct {
@@ -75,21 +76,21 @@
 	sum := 0.0
 	for _, ratio := range f.ratios() {
 		if !(ratio >= 0 && ratio <= 1) {
-			return errors.New("a ratio must be from 0 to 1")
+			return errors.New("ratios must be between 0 and 1")
 		}
 		sum += ratio
 	}
 	if sum > 1 {
-		return errors.New("the ratios add up to more than 1")
+		return errors.New("the sum of the ratios must not exceed 1")
 	}
 	if !(f.LatencyFactor >= 0) || f.AddedLatency < 0 || f.LateDelay < 0 || f.FlapPeriod < 0 || f.ReportLag < 0 {
-		return errors.New("factor and times can't be negative")
+		return errors.New("factor, delay, lateBy, flapPeriod and reportLag must not be negative")
 	}
 	switch f.HealthOverride {
 	case "", healthOK, healthBad:
 		return nil
 	}
-	return errors.Newf("health: %q is neither ok nor bad", f.HealthOverride)
+	return errors.Newf("invalid health %q: must be ok, bad or empty", f.HealthOverride)
 }
 
 // responseFault is the fault that applies to a single request.
@@ -133,7 +134,7 @@
 }
 
 // activeAt returns the faults that are active at now, the time since the start
-// of the server, with regard to FlapPeriod.
+// of the server, according to FlapPeriod.
 func (f BackendFaults) activeAt(now time.Duration) BackendFaults {
 	period := time.Duration(f.FlapPeriod)
 	if period == 0 || (now/period)%2 == 1 {
--- a/internal/standin/backend_faults_test.go
+++ b/internal/standin/backend_faults_test.go
@@ -168,7 +168,7 @@
 		Latency: 30 * time.Millisecond, Faults: standin.BackendFaults{DuplicateRatio: 1},
 	})
 	running := request{path: "/x"}.sendAsync(t.Context(), t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 	must.NoError(t, b.SetFaults(standin.BackendFaults{StopReading: true}))
 	r := <-running
 	must.NoError(t, r.err)
--- a/internal/standin/backend_requests.go
+++ b/internal/standin/backend_requests.go
@@ -16,7 +16,7 @@
 	"foxtailspoke/wire"
 )
 
-// maxRequestBodyBytes limits the size of a request body, in bytes.
+// maxRequestBodyBytes is the maximum size of a request body.
 const maxRequestBodyBytes = 64 << 20
 
 // connKey is the context key of the connection on which a request arrived.
@@ -30,12 +30,14 @@
 	return mux
 }
 
-// connPolicy returns the restrictions on connections under the current faults.
+// connPolicy returns the connection policy that follows from the current faults.
 func (b *Backend) connPolicy() connPolicy {
 	f, changed := b.faults.get()
 	return connPolicy{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
+// contextWithConn makes the connection available to serveRequest, which captures
+// the header block received on it.
 func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
@@ -139,8 +141,8 @@
 	return b.options.Latency
 }
 
-// waitFor returns ExecutionCompleted after d. If ctx is done before, it returns
-// ExecutionCancelled if connCtx is done too, otherwise ExecutionTimedOut.
+// waitFor waits for d and returns ExecutionCompleted. If ctx is done earlier, it
+// returns ExecutionCancelled if connCtx is done too, otherwise ExecutionTimedOut.
 func waitFor(ctx, connCtx context.Context, d time.Duration) ExecutionState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/standin/backend_response.go
+++ b/internal/standin/backend_response.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxResponseBytes limits the response size, in bytes, that a request can
-	// ask for.
+	// maxResponseBytes is the maximum response size that a request can ask for.
 	maxResponseBytes = 64 << 20
 	// maxRecentResponses limits the responses kept for MismatchedRatio.
 	maxRecentResponses = 16
 	// duplicateCloseDelay is how long a connection stays open after a duplicated
-	// response, so that the client receives the duplicate before the close.
+	// response, so that the client receives the duplicate before the connection
+	// is closed.
 	duplicateCloseDelay = 200 * time.Millisecond
 )
 
@@ -133,8 +133,8 @@
 	b.recentResponses = append(b.recentResponses, resp)
 }
 
-// otherResponse returns a recent response to another attempt, or a made-up one
-// of the same length if there is none.
+// otherResponse returns a recent response to another attempt, or a placeholder of
+// the same length if there is none.
 func (b *Backend) otherResponse(resp response) response {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -98,7 +98,7 @@
 
 	ctx, cancel := context.WithCancel(t.Context())
 	running := request{method: http.MethodPost, body: "x"}.sendAsync(ctx, t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 	cancel()
 	must.Error(t, (<-running).err)
 	eventually(t, "slot is released", func() bool { return b.Load().InFlight == 0 })
@@ -169,7 +169,7 @@
 	}
 	eventually(t, "instance is announced", func() bool { return state() == "catalogue a luzon live" })
 	running := request{}.sendAsync(t.Context(), t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 
 	must.Eq(t, http.StatusNoContent, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/drain", "").status)
 	must.Eq(t, "catalogue a luzon leaving", state())
@@ -195,7 +195,7 @@
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Faults: standin.BackendFaults{HangRatio: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	running := request{}.sendAsync(ctx, t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 	b.Drain()
 	hour := config.Duration(time.Hour)
 	for _, c := range []struct {
@@ -221,7 +221,7 @@
 }
 
 // Callers' API keys must not reach a backend server. For tests to check this, the
-// test double must detect secrets in all bytes received and capture the headers.
+// stand-in must detect secrets in all bytes received and capture the headers.
 func TestBackendDetectsSecrets(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -4,8 +4,8 @@
 // program foxtailspoke-standin, as separate processes.
 //
 // The platform and the backend servers each inject a set of faults, a plain
-// struct that can be replaced or updated at run time: from Go by SetFaults, or
-// over HTTP on the control address by
+// struct that can be replaced or updated at run time: from Go by SetFaults and
+// UpdateFaults, or over HTTP by the control API, which has an address of its own:
 //
 //	GET    /control/faults   returns the current faults
 //	POST   /control/faults   sets the fields in the body and keeps the others
--- a/internal/standin/fault_listener.go
+++ b/internal/standin/fault_listener.go
@@ -12,8 +12,8 @@
 // relistenInterval is the time between two attempts to listen on the port again.
 const relistenInterval = 20 * time.Millisecond
 
-// connPolicy holds the current restrictions on connections. Changed is closed
-// when they change.
+// connPolicy says which connection faults are active. Changed is closed when the
+// policy changes.
 type connPolicy struct {
 	refuse      bool
 	stopReading bool
--- a/internal/standin/fault_store.go
+++ b/internal/standin/fault_store.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// maxControlBodyBytes is the maximum size of a request body on a control address, in
-// bytes.
+// maxControlBodyBytes is the maximum size of a request body to the control API.
 const maxControlBodyBytes = 1 << 20
 
-// faultStore holds a set of faults and serves the HTTP calls that change it.
-// It is safe for concurrent use. T must be a struct without references, so that
-// a copy shares no memory with the original.
+// faultStore holds the current set of faults, or the state of a link, and serves
+// the requests of the control API that read and change it. It is safe for
+// concurrent use. T must be a struct without references, so that a copy shares no
+// memory with the original.
 type faultStore[T any] struct {
 	mu     sync.Mutex
 	faults T
--- a/internal/standin/header_capture.go
+++ b/internal/standin/header_capture.go
@@ -10,8 +10,8 @@
 const (
 	// maxCapturedHeaders limits the number of header blocks kept.
 	maxCapturedHeaders = 2000
-	// maxPendingBytes limits the received bytes that a connection keeps to
-	// extract the header block of its next request from.
+	// maxPendingBytes limits the received bytes kept for each connection, from
+	// which the header block of the next request is extracted.
 	maxPendingBytes = 64 << 10
 )
 
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,17 +12,17 @@
 	"foxtailspoke/config"
 )
 
-// dialTimeout is the timeout of the connection from a link to its target.
+// dialTimeout is the timeout for connecting a link to its target.
 const dialTimeout = 2 * time.Second
 
-// Flow says whether a direction of a link passes bytes on.
+// Flow says whether a direction of a link delivers bytes.
 type Flow string
 
 const (
-	// FlowOpen passes bytes on; so does the empty string.
+	// FlowOpen delivers bytes; so does the empty string.
 	FlowOpen Flow = "open"
-	// FlowCut buffers bytes and the end of a connection; neither side gets
-	// an error or an EOF.
+	// FlowCut holds back bytes and the end of the stream in a buffer; neither
+	// side gets an error or an EOF.
 	FlowCut Flow = "cut"
 )
 
@@ -58,7 +58,7 @@
 // LinkOptions configures one link.
 type LinkOptions struct {
 	Name string `json:"name"`
-	// ListenAddress is the listen address, "ip:port"; empty means
+	// ListenAddress is the address to listen on, "ip:port"; empty means
 	// DefaultListenAddress.
 	ListenAddress string `json:"listen"`
 	// Target is the address that connections are relayed to: "ip:port".
@@ -184,8 +184,8 @@
 	delete(l.conns, c)
 }
 
-// waitForState waits for a state that accept returns true for. It returns false if
-// the link or abort is closed first; abort may be nil.
+// waitForState waits for a state for which matches returns true. It returns false
+// if the link or abort is closed first; abort may be nil.
 func (l *Link) waitForState(matches func(LinkState) bool, abort <-chan struct{}) bool {
 	for {
 		s, changed := l.state.get()
--- a/internal/standin/link_conn.go
+++ b/internal/standin/link_conn.go
@@ -18,8 +18,9 @@
 type relayedConn struct {
 	link           *Link
 	client, target *net.TCPConn
-	// bothEnded is closed when both sides have finished sending. Data still held
-	// by a cut is discarded then, because neither side waits for it any more.
+	// bothEnded is closed when both sides have finished sending. Data still
+	// buffered by a cut is discarded then, because neither side waits for it any
+	// more.
 	bothEnded chan struct{}
 
 	mu              sync.Mutex
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -166,7 +166,8 @@
 	must.GreaterEq(t, delay, time.Since(start))
 }
 
-// Large transfers in both directions at once arrive complete and in order.
+// Large concurrent transfers in both directions must arrive complete and in
+// order.
 func TestLinkRelaysLargeTransfers(t *testing.T) {
 	_, clientConn, targetConn := startConnectedLink(t)
 	text := strings.Repeat("0123456789abcdef", 1<<17)
@@ -176,8 +177,8 @@
 	mustReceive(t, targetConn, text)
 }
 
-// Nothing listens on the target address: the client's connection is closed, as
-// if it were refused.
+// If nothing listens on the target address, the client's connection must be
+// closed, as if it were refused.
 func TestLinkToClosedPort(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -243,8 +244,8 @@
 	must.Error(t, err)
 }
 
-// All connections are reset on the way, as by a middlebox: both ends of an open
-// connection get the reset at once, and a new connection works.
+// ResetConnections simulates a middlebox that resets connections: both ends of an
+// open connection must get the reset, and a new connection must work.
 func TestLinkResetConnectionsReachesBothSides(t *testing.T) {
 	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Links is a set of links with one control address:
+// Links is a set of links with a common control API:
 //
 //	GET    /control/links       returns the states of all links by name
 //	POST   /control/links       replaces the states of the links named in the body
@@ -20,10 +20,10 @@
 	controlServer *server
 }
 
-// StartLinks starts links, whose names must be unique. Control is the "ip:port"
-// of the control address; empty means DefaultListenAddress. Close stops all of
-// them.
-func StartLinks(control string, options []LinkOptions, log *slog.Logger) (*Links, error) {
+// StartLinks starts links, whose names must be unique. ControlAddress is the
+// address of the control API, "ip:port"; empty means DefaultListenAddress. Close
+// stops all of them.
+func StartLinks(controlAddress string, options []LinkOptions, log *slog.Logger) (*Links, error) {
 	ls := &Links{links: map[string]*Link{}}
 	for _, o := range options {
 		if err := ls.add(o, log); err != nil {
@@ -32,7 +32,7 @@
 		}
 	}
 	var err error
-	if ls.controlServer, err = startServer(listenAddressOrDefault(control), ls.handler(), loggerOrDiscard(log)); err != nil {
+	if ls.controlServer, err = startServer(listenAddressOrDefault(controlAddress), ls.handler(), loggerOrDiscard(log)); err != nil {
 		ls.Close()
 		return nil, err
 	}
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -17,12 +17,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout is the timeout for conditions that must become true.
+// testTimeout is the timeout of requests and of conditions that must become true.
 const testTimeout = 10 * time.Second
 
-// shortTimeout is how long tests wait for something that must not happen.
+// shortTimeout is how long tests wait for something that must not happen, and the
+// timeout of requests that must fail by their timeout.
 const shortTimeout = 60 * time.Millisecond
 
+// eventually fails the test if isTrue does not return true within testTimeout.
 func eventually(t *testing.T, condition string, isTrue func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(isTrue), wait.Timeout(testTimeout), wait.Gap(time.Millisecond)), must.Sprint(condition))
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,10 +15,10 @@
 // DefaultListenAddress selects a free port on the loopback interface.
 const DefaultListenAddress = "127.0.0.1:0"
 
-// PlatformOptions configures a platform stand-in.
+// PlatformOptions configures a Platform.
 type PlatformOptions struct {
-	// ListenAddress and Control are the addresses of the API and the control API,
-	// "ip:port"; empty means DefaultListenAddress.
+	// ListenAddress and ControlAddress are the addresses of the API and the
+	// control API, "ip:port"; empty means DefaultListenAddress.
 	ListenAddress  string
 	ControlAddress string
 	// InstanceTimeout is the time without an announcement after which the
@@ -26,14 +26,14 @@
 	InstanceTimeout time.Duration
 	// Faults are the initial faults.
 	Faults PlatformFaults
-	// Seed seeds the generator that selects the requests with random faults.
+	// Seed seeds the random choice of faults.
 	Seed uint64
-	// Log may be nil.
+	// Log may be nil, which discards all messages.
 	Log *slog.Logger
 }
 
-// Platform is a running platform stand-in: it serves the API of api/platform
-// from in-memory tables, objects and a list of instances.
+// Platform is a running stand-in for the platform: it serves the API of
+// api/platform from in-memory tables, objects and a list of instances.
 type Platform struct {
 	faults        *faultStore[PlatformFaults]
 	tables        *tables.Store
@@ -59,7 +59,7 @@
 	DroppedWrites    int `json:"lostWrites"`
 }
 
-// StartPlatform starts a platform stand-in. Close stops it.
+// StartPlatform starts a stand-in for the platform. Close stops it.
 func StartPlatform(o PlatformOptions) (*Platform, error) {
 	p := &Platform{
 		tables:    tables.New(),
@@ -107,7 +107,8 @@
 	return p.UpdateFaults(func(current *PlatformFaults) { *current = f })
 }
 
-// UpdateFaults applies f to the current faults.
+// UpdateFaults applies f to the faults. If the result is invalid, the faults
+// stay as they are.
 func (p *Platform) UpdateFaults(f func(*PlatformFaults)) error {
 	return p.faults.update(func(current *PlatformFaults) error {
 		f(current)
@@ -115,18 +116,17 @@
 	})
 }
 
-// Tables returns the tables, for tests that read or change them without the
+// Tables returns the tables, which tests can read and change irrespective of the
 // faults.
 func (p *Platform) Tables() *tables.Store { return p.tables }
 
-// Object returns an object; faults don't apply.
+// Object returns an object irrespective of the faults.
 func (p *Platform) Object(name string) ([]byte, bool) { return p.objects.get(name) }
 
-// ObjectNames returns the names of all objects in ascending order; faults don't
-// apply.
+// ObjectNames returns the names of all objects in ascending order, irrespective
+// of the faults.
 func (p *Platform) ObjectNames() []string { return p.objects.names("") }
 
-// Counts returns the request counts.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -23,8 +23,8 @@
 	DownError DownMode = "error"
 )
 
-// PlatformFaults are the faults that a platform stand-in can inject. The zero
-// value injects none.
+// PlatformFaults are the faults that a Platform can inject. The zero value
+// injects none.
 type PlatformFaults struct {
 	Table     TableFaults    `json:"table"`
 	Objects   ServiceFaults  `json:"objects"`
@@ -43,8 +43,8 @@
 	// DropResponses is the number of upcoming writes that take effect but get
 	// no response.
 	DropResponses int `json:"loseAnswers"`
-	// DropResponseRatio is the fraction of writes, from 0 to 1, that take
-	// effect but get no response.
+	// DropResponseRatio is the share of writes, from 0 to 1, that take effect
+	// but get no response.
 	DropResponseRatio float64 `json:"loseAnswersRatio"`
 	// DropWrites is the number of upcoming writes that are dropped before they
 	// take effect. To the client they look the same as those of DropResponses.
@@ -115,7 +115,6 @@
 	}
 }
 
-// forService returns the ServiceFaults of one service.
 func (f *PlatformFaults) forService(s service) *ServiceFaults {
 	switch s {
 	case objectService:
--- a/internal/standin/platform_middleware.go
+++ b/internal/standin/platform_middleware.go
@@ -13,7 +13,7 @@
 // maxAPIBodyBytes is the maximum size of a request body to the platform's API.
 const maxAPIBodyBytes = 64 << 20
 
-// withFaults wraps next with the injection of the current faults.
+// withFaults wraps next in a handler that injects the current faults.
 func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s := serviceForRequest(r)
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -47,9 +47,9 @@
 	must.Eq(t, http.StatusMethodNotAllowed, callControlAPI(t, http.MethodPut, url, "").status)
 }
 
-// Stale reads return the state at the moment the fault is switched on, also
-// after other faults change: later writes are visible only once it is switched
-// off.
+// StaleReads must serve reads from the state at the time it was switched on, also
+// after other faults change. Later writes must be visible only once it is
+// switched off.
 func TestStaleReadsShowStateAtActivation(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	write := func(key string) {
@@ -72,8 +72,8 @@
 	must.Eq(t, 2, revision())
 }
 
-// A dropped write and a dropped response give the client the same outcome,
-// Unknown; only the table's revision tells them apart.
+// A dropped write and a dropped response must give the client the same outcome,
+// Unknown; they differ only in the table's revision.
 func TestDroppedWriteLooksLikeDroppedResponse(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	for i, f := range []standin.ServiceFaults{{DropWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
@@ -87,7 +87,7 @@
 }
 
 // A write that is delayed beyond the client's timeout takes effect after the
-// client has given up, so Unknown is the only outcome that the client may report.
+// client's request has timed out, so the client must report it as Unknown.
 func TestDelayedWriteTakesEffectAfterClientTimeout(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
 	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: shortTimeout})
@@ -126,9 +126,9 @@
 }
 
 // One direction of the link to the platform is cut. With the responses cut, a
-// write takes effect but its outcome is Unknown and reads fail; after the link is
-// restored, the client finds its attempt in the table. With the requests cut, the
-// write has no effect.
+// write must take effect with outcome Unknown, and reads must fail; after the
+// link is restored, the client must find its attempt in the table. With the
+// requests cut, the write must have no effect.
 func TestOneWayCutToPlatform(t *testing.T) {
 	for _, cut := range []standin.LinkState{{Backward: standin.FlowCut}, {Forward: standin.FlowCut}} {
 		p, _ := startPlatform(t, standin.PlatformOptions{})
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -20,9 +20,7 @@
 	done       chan struct{}
 }
 
-// startServer listens on address ("ip:port"; port 0 selects a free port) and
-// serves until close or shutdown. Closing the server cancels the contexts of
-// the requests that are being handled.
+// startServer starts a server on address, "ip:port"; port 0 selects a free port.
 func startServer(address string, handler http.Handler, log *slog.Logger) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -31,6 +29,8 @@
 	return startServerOnListener(listener, handler, log), nil
 }
 
+// startServerOnListener starts a server, which runs until close or shutdown.
+// Closing it cancels the contexts of the requests in progress.
 func startServerOnListener(listener net.Listener, handler http.Handler, log *slog.Logger) *server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &server{
@@ -56,15 +56,15 @@
 
 func (s *server) url() string { return "http://" + s.address() }
 
-// close closes all connections immediately and cancels running requests.
+// close closes all connections immediately and cancels the requests in progress.
 func (s *server) close() {
 	s.cancel()
 	_ = s.httpServer.Close()
 	<-s.done
 }
 
-// shutdown waits for running requests until the context ends, then closes the
-// server.
+// shutdown waits until the requests in progress have ended or ctx is done, then
+// closes the server.
 func (s *server) shutdown(ctx context.Context) {
 	_ = s.httpServer.Shutdown(ctx)
 	s.close()
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -10,7 +10,8 @@
 
 var errQueueFull = errors.New("slots and queue are full")
 
-// maxLoadSamples limits how far back ReportLag can reach.
+// maxLoadSamples limits the load samples kept, and so how far back ReportLag can
+// reach.
 const maxLoadSamples = 4096
 
 // Load is the load of a backend server as it reports it.
@@ -47,7 +48,7 @@
 	}
 }
 
-// acquire takes a slot, waiting in the queue if there is none. It fails with
+// acquire takes a slot, waiting in the queue if none is free. It fails with
 // errFull if the queue is full, or with the error of ctx.
 func (p *slotPool) acquire(ctx context.Context) error {
 	select {
