--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -32,7 +32,7 @@
 	instance   storage.Instance
 }
 
-func startAnnouncer(instances storage.Instances, self storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
+func startAnnouncer(instances storage.Instances, instance storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &announcer{
 		instances: instances,
@@ -40,7 +40,7 @@
 		log:       log,
 		cancel:    cancel,
 		done:      make(chan struct{}),
-		instance:  self,
+		instance:  instance,
 	}
 	go a.run(ctx)
 	return a
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	if o.Instances != nil {
-		b.announcer = startAnnouncer(o.Instances, b.instance(), o.AnnounceInterval, b.log)
+		b.announcer = startAnnouncer(o.Instances, b.newInstance(), o.AnnounceInterval, b.log)
 	}
 	return b, nil
 }
@@ -214,7 +214,8 @@
 	return b.rng.Float64()
 }
 
-func (b *Backend) instance() storage.Instance {
+// newInstance returns the instance to announce, with a new ID.
+func (b *Backend) newInstance() storage.Instance {
 	address := b.options.AdvertiseAddress
 	if address == "" {
 		address = b.Address()
--- a/internal/standin/backend_requests.go
+++ b/internal/standin/backend_requests.go
@@ -33,7 +33,7 @@
 // connPolicy returns the connection policy that follows from the current faults.
 func (b *Backend) connPolicy() connPolicy {
 	f, changed := b.faults.get()
-	return connPolicy{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
+	return connPolicy{refuseConnections: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
 // contextWithConn makes the connection available to serveRequest, which captures
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -25,7 +25,7 @@
 		header: map[string]string{standin.OperationHeader: "op1"},
 	}
 	for _, c := range []struct {
-		call request
+		req  request
 		want string
 	}{
 		{request{path: "/woods/narra?q=1"}, "catalogue GET /woods/narra workspace=cebu\n"},
@@ -33,7 +33,7 @@
 		{order, "length=4 sha256=" + sum + " operation=op1 times=1\n"},
 		{order, "length=4 sha256=" + sum + " operation=op1 times=2\n"},
 	} {
-		r := c.call.send(t, newClient(t), b.URL())
+		r := c.req.send(t, newClient(t), b.URL())
 		must.NoError(t, r.err)
 		must.Eq(t, http.StatusOK, r.status)
 		must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
@@ -124,10 +124,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
-			c := request{header: map[string]string{standin.TimeoutHeader: "500"}}
-			must.Eq(t, http.StatusGatewayTimeout, c.send(t, newClient(t), b.URL()).status)
+			req := request{header: map[string]string{standin.TimeoutHeader: "500"}}
+			must.Eq(t, http.StatusGatewayTimeout, req.send(t, newClient(t), b.URL()).status)
 			if o.ColdStartRequests > 0 {
-				must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
+				must.Eq(t, http.StatusOK, req.send(t, newClient(t), b.URL()).status)
 			}
 		})
 	}
@@ -227,11 +227,11 @@
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
 	must.Eq(t, http.StatusNoContent, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
 	must.Eq(t, http.StatusBadRequest, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
-	c := request{
+	req := request{
 		method: http.MethodPost, path: "/p", body: "..fsk_body..",
 		header: map[string]string{"X-odd": "fsk_header"},
 	}
-	must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
+	must.Eq(t, http.StatusOK, req.send(t, newClient(t), b.URL()).status)
 
 	must.Eq(t, http.StatusOK, request{path: "/fsk_path"}.send(t, newClient(t), b.URL()).status)
 
--- a/internal/standin/fault_listener.go
+++ b/internal/standin/fault_listener.go
@@ -15,9 +15,9 @@
 // connPolicy says which connection faults are active. Changed is closed when the
 // policy changes.
 type connPolicy struct {
-	refuse      bool
-	stopReading bool
-	changed     <-chan struct{}
+	refuseConnections bool
+	stopReading       bool
+	changed           <-chan struct{}
 }
 
 // faultListener is a listener that can refuse connections and whose connections
@@ -77,11 +77,11 @@
 	defer close(l.done)
 	for {
 		policy := l.policy()
-		if policy.refuse && inner != nil {
+		if policy.refuseConnections && inner != nil {
 			_ = inner.Close()
 			inner = nil
 		}
-		if !policy.refuse && inner == nil {
+		if !policy.refuseConnections && inner == nil {
 			inner = l.relisten()
 		}
 		stopped := l.startAcceptLoop(inner)
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -40,7 +40,7 @@
 }
 
 // request is an HTTP request to send. Method defaults to GET, timeout to
-// patience.
+// testTimeout.
 type request struct {
 	method  string
 	path    string
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -157,9 +157,9 @@
 	return mux
 }
 
-func listenAddressOrDefault(listen string) string {
-	if listen == "" {
+func listenAddressOrDefault(address string) string {
+	if address == "" {
 		return DefaultListenAddress
 	}
-	return listen
+	return address
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -10,8 +10,8 @@
 
 var errQueueFull = errors.New("slots and queue are full")
 
-// maxLoadSamples limits the load samples kept, and so how far back ReportLag can
-// reach.
+// maxLoadSamples limits the load samples kept and thereby the largest ReportLag
+// that is effective.
 const maxLoadSamples = 4096
 
 // Load is the load of a backend server as it reports it.
@@ -39,10 +39,10 @@
 	load Load
 }
 
-func newSlotPool(size, queue int, now func() time.Duration) *slotPool {
+func newSlotPool(size, queueSize int, now func() time.Duration) *slotPool {
 	return &slotPool{
 		inUse:     make(chan struct{}, size),
-		queueSize: queue,
+		queueSize: queueSize,
 		now:       now,
 		load:      Load{Slots: size},
 	}
