--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -13,8 +13,8 @@
 	"foxtailspoke/storage/client"
 )
 
-// announceTimeout is the timeout of one announcement, including the repetition
-// under a new id.
+// announceTimeout is the timeout of one announcement, including the retry under
+// a new ID.
 const announceTimeout = 2 * time.Second
 
 // announcer periodically announces a backend server to the platform.
@@ -29,10 +29,10 @@
 	// overwrite a newer one on the platform.
 	announceMu sync.Mutex
 	mu         sync.Mutex
-	self       storage.Instance
+	instance   storage.Instance
 }
 
-func startAnnouncer(instances storage.Instances, self storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
+func startAnnouncer(instances storage.Instances, instance storage.Instance, interval time.Duration, log *slog.Logger) *announcer {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &announcer{
 		instances: instances,
@@ -40,22 +40,23 @@
 		log:       log,
 		cancel:    cancel,
 		done:      make(chan struct{}),
-		self:      self,
+		instance:  instance,
 	}
 	go a.run(ctx)
 	return a
 }
 
-func (a *announcer) current() storage.Instance {
+func (a *announcer) currentInstance() storage.Instance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.self
+	return a.instance
 }
 
-// report sets the state and announces it without waiting for the next interval.
-func (a *announcer) report(s storage.State) {
+// announceState sets the state and announces it immediately, without waiting for
+// the next interval.
+func (a *announcer) announceState(s storage.State) {
 	a.mu.Lock()
-	a.self.State = s
+	a.instance.State = s
 	a.mu.Unlock()
 	a.announce(context.Background())
 }
@@ -84,21 +85,21 @@
 	defer a.announceMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	err := a.instances.Announce(ctx, a.current())
+	err := a.instances.Announce(ctx, a.currentInstance())
 	if errors.Is(err, client.ErrEnded) {
 		a.renewID()
-		err = a.instances.Announce(ctx, a.current())
+		err = a.instances.Announce(ctx, a.currentInstance())
 	}
 	if err != nil {
 		a.log.Debug("announcement failed", "error", err)
 	}
 }
 
-// renewID assigns a new instance id. The platform rejects announcements under an
-// id that it has declared ended, as happens to a server that was suspended for
+// renewID assigns a new instance ID. The platform rejects announcements under an
+// ID that it has declared ended, as happens to a server that was suspended for
 // longer than the platform's instance timeout.
 func (a *announcer) renewID() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.self.ID = uuid.NewString()
+	a.instance.ID = uuid.NewString()
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -24,22 +24,23 @@
 // BackendOptions configures a Backend. A field with the zero value gets its
 // default.
 type BackendOptions struct {
-	// Listen and Control are the addresses, "ip:port", for requests of entry
-	// instances and for the control interface. Empty means DefaultListen.
-	Listen  string
-	Control string
-	// Advertise is the address to announce if it differs from the address
-	// listened on.
-	Advertise  string
-	Service    string
-	DataCentre string
-	Region     string
-	// Slots is the maximum number of requests executed concurrently, Queue the
-	// maximum number of requests waiting for a slot. Queue 0 means as many as
-	// Slots.
-	Slots int
-	Queue int
-	// Latency is the execution time of a request.
+	// ListenAddress and ControlAddress are the addresses, "ip:port", for requests
+	// of entry instances and for the control API. Empty means
+	// DefaultListenAddress.
+	ListenAddress  string
+	ControlAddress string
+	// AdvertiseAddress is the address to announce if it differs from the address
+	// that the server listens on.
+	AdvertiseAddress string
+	Service          string
+	DataCentre       string
+	Region           string
+	// Slots is the maximum number of requests executed concurrently, QueueSize
+	// the maximum number of requests waiting for a slot. QueueSize 0 means as
+	// many as Slots.
+	Slots     int
+	QueueSize int
+	// Latency is the execution time of a request without faults.
 	Latency time.Duration
 	// ColdStartDuration and ColdStartRequests simulate a cold start: Latency is
 	// multiplied by ColdStartFactor for that time after the start and for that
@@ -59,12 +60,12 @@
 	Log *slog.Logger
 }
 
-// Backend is a running test double of a backend server.
+// Backend is a running stand-in for a backend server.
 type Backend struct {
 	options       BackendOptions
 	log           *slog.Logger
-	start         time.Time
-	faults        *faultSwitch[BackendFaults]
+	startTime     time.Time
+	faults        *faultStore[BackendFaults]
 	slots         *slotPool
 	executions    *executionLog
 	rawCapture    *rawCapture
@@ -82,34 +83,34 @@
 	recentResponses []response
 }
 
-// StartBackend starts a test double of a backend server. Close stops it
+// StartBackend starts a stand-in for a backend server. Close stops it
 // immediately, Shutdown gracefully.
 func StartBackend(o BackendOptions) (*Backend, error) {
 	o = o.withDefaults()
 	b := &Backend{
 		options:    o,
-		log:        logOr(o.Log),
-		start:      time.Now(),
+		log:        loggerOrDiscard(o.Log),
+		startTime:  time.Now(),
 		executions: newExecutionLog(),
 		rawCapture: newRawCapture(),
 		rng:        rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	b.slots = newSlotPool(o.Slots, o.Queue, b.now)
-	b.faults = newFaultSwitch(BackendFaults.validate, func(BackendFaults) {})
+	b.slots = newSlotPool(o.Slots, o.QueueSize, b.now)
+	b.faults = newFaultStore(BackendFaults.validate, func(BackendFaults) {})
 	if err := b.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
-	listener, err := listenWithFaults(orDefault(o.Listen), b.connPolicy, b.rawCapture)
+	listener, err := listenWithFaults(listenAddressOrDefault(o.ListenAddress), b.connPolicy, b.rawCapture)
 	if err != nil {
 		return nil, err
 	}
-	b.requestServer = serve(listener, b.requestHandler(), b.log)
-	if b.controlServer, err = startServer(orDefault(o.Control), b.controlHandler(), b.log); err != nil {
+	b.requestServer = startServerOnListener(listener, b.requestHandler(), b.log)
+	if b.controlServer, err = startServer(listenAddressOrDefault(o.ControlAddress), b.controlHandler(), b.log); err != nil {
 		b.requestServer.close()
 		return nil, err
 	}
 	if o.Instances != nil {
-		b.announcer = startAnnouncer(o.Instances, b.instance(), o.AnnounceInterval, b.log)
+		b.announcer = startAnnouncer(o.Instances, b.newInstance(), o.AnnounceInterval, b.log)
 	}
 	return b, nil
 }
@@ -117,10 +118,10 @@
 // Address returns the address, "ip:port", for requests of entry instances.
 func (b *Backend) Address() string { return b.requestServer.address() }
 
-// URL returns the HTTP URL of Address.
+// URL returns the base URL for requests of entry instances.
 func (b *Backend) URL() string { return b.requestServer.url() }
 
-// ControlURL returns the HTTP URL of the control interface.
+// ControlURL returns the base URL of the control API.
 func (b *Backend) ControlURL() string { return b.controlServer.url() }
 
 // ID returns the server's ID in the platform's list of instances. It is empty
@@ -129,10 +130,11 @@
 	if b.announcer == nil {
 		return ""
 	}
-	return b.announcer.current().ID
+	return b.announcer.currentInstance().ID
 }
 
-// Faults returns the current faults, without regard to flapping.
+// Faults returns the current faults. It ignores FlapPeriod: faults are included
+// in their inactive periods too.
 func (b *Backend) Faults() BackendFaults {
 	f, _ := b.faults.get()
 	return f
@@ -172,7 +174,7 @@
 	b.drainingSince = b.now()
 	b.mu.Unlock()
 	if b.announcer != nil {
-		b.announcer.report(storage.Leaving)
+		b.announcer.announceState(storage.Leaving)
 	}
 }
 
@@ -182,7 +184,7 @@
 	b.Drain()
 	b.requestServer.shutdown(ctx)
 	if b.announcer != nil {
-		b.announcer.report(storage.Ended)
+		b.announcer.announceState(storage.Ended)
 	}
 	b.Close()
 }
@@ -198,7 +200,7 @@
 }
 
 // now returns the time since the start of the server.
-func (b *Backend) now() time.Duration { return time.Since(b.start) }
+func (b *Backend) now() time.Duration { return time.Since(b.startTime) }
 
 func (b *Backend) isDraining() bool {
 	b.mu.Lock()
@@ -212,8 +214,9 @@
 	return b.rng.Float64()
 }
 
-func (b *Backend) instance() storage.Instance {
-	address := b.options.Advertise
+// newInstance returns the instance to announce, with a new ID.
+func (b *Backend) newInstance() storage.Instance {
+	address := b.options.AdvertiseAddress
 	if address == "" {
 		address = b.Address()
 	}
@@ -233,8 +236,8 @@
 	if o.Slots <= 0 {
 		o.Slots = DefaultSlots
 	}
-	if o.Queue <= 0 {
-		o.Queue = o.Slots
+	if o.QueueSize <= 0 {
+		o.QueueSize = o.Slots
 	}
 	if o.Latency <= 0 {
 		o.Latency = DefaultLatency
@@ -262,4 +265,4 @@
 	return mux
 }
 
-var errInvalidSecrets = errors.New("give a JSON array of strings that aren't empty")
+var errInvalidSecrets = errors.New("secrets must be a JSON array of non-empty strings")
--- a/internal/standin/backend_requests.go
+++ b/internal/standin/backend_requests.go
@@ -16,8 +16,8 @@
 	"foxtailspoke/wire"
 )
 
-// maxRequestBody limits the size of a request body, in bytes.
-const maxRequestBody = 64 << 20
+// maxRequestBodyBytes is the maximum size of a request body.
+const maxRequestBodyBytes = 64 << 20
 
 // connKey is the context key of the connection on which a request arrived.
 type connKey struct{}
@@ -30,13 +30,15 @@
 	return mux
 }
 
-// connPolicy returns the restrictions on connections under the current faults.
+// connPolicy returns the connection policy that follows from the current faults.
 func (b *Backend) connPolicy() connPolicy {
 	f, changed := b.faults.get()
-	return connPolicy{refuse: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
+	return connPolicy{refuseConnections: f.RefuseConnections, stopReading: f.StopReading, changed: changed}
 }
 
-func withConn(ctx context.Context, conn net.Conn) context.Context {
+// contextWithConn makes the connection available to serveRequest, which captures
+// the header block received on it.
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
@@ -60,7 +62,7 @@
 		return
 	}
 	switch err := b.slots.acquire(ctx); {
-	case errors.Is(err, errFull):
+	case errors.Is(err, errQueueFull):
 		shedRequest(w, r)
 		return
 	case err != nil:
@@ -79,11 +81,11 @@
 // which must not be executed.
 func (b *Backend) readRequest(r *http.Request) (Execution, error) {
 	hash := sha256.New()
-	n, err := io.Copy(hash, io.LimitReader(r.Body, maxRequestBody+1))
+	n, err := io.Copy(hash, io.LimitReader(r.Body, maxRequestBodyBytes+1))
 	if err != nil {
 		return Execution{}, err
 	}
-	if n > maxRequestBody {
+	if n > maxRequestBodyBytes {
 		return Execution{}, errors.New("request body exceeds the size limit")
 	}
 	return Execution{
@@ -139,8 +141,8 @@
 	return b.options.Latency
 }
 
-// waitFor returns ExecutionCompleted after d. If ctx is done before, it returns
-// ExecutionCancelled if connCtx is done too, otherwise ExecutionTimedOut.
+// waitFor waits for d and returns ExecutionCompleted. If ctx is done earlier, it
+// returns ExecutionCancelled if connCtx is done too, otherwise ExecutionTimedOut.
 func waitFor(ctx, connCtx context.Context, d time.Duration) ExecutionState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -171,8 +173,8 @@
 	return ctx, cancel, nil
 }
 
-// maxTimeout is the largest value accepted in TimeoutHeader.
-const maxTimeout = time.Hour
+// maxRequestTimeout is the largest value accepted in TimeoutHeader.
+const maxRequestTimeout = time.Hour
 
 // parseTimeout parses the value of TimeoutHeader, a number of milliseconds that
 // consists of digits only.
@@ -181,7 +183,7 @@
 		return 0, errors.Newf("%s: %q isn't a number of milliseconds", TimeoutHeader, value)
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || ms > maxTimeout.Milliseconds() {
+	if err != nil || ms > maxRequestTimeout.Milliseconds() {
 		return 0, errors.Newf("%s: %q is out of range", TimeoutHeader, value)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -25,7 +25,7 @@
 		header: map[string]string{standin.OperationHeader: "op1"},
 	}
 	for _, c := range []struct {
-		call request
+		req  request
 		want string
 	}{
 		{request{path: "/woods/narra?q=1"}, "catalogue GET /woods/narra workspace=cebu\n"},
@@ -33,7 +33,7 @@
 		{order, "length=4 sha256=" + sum + " operation=op1 times=1\n"},
 		{order, "length=4 sha256=" + sum + " operation=op1 times=2\n"},
 	} {
-		r := c.call.send(t, newClient(t), b.URL())
+		r := c.req.send(t, newClient(t), b.URL())
 		must.NoError(t, r.err)
 		must.Eq(t, http.StatusOK, r.status)
 		must.Eq(t, "a1", r.header.Get(standin.AttemptHeader))
@@ -53,7 +53,7 @@
 // rejected when its timeout expires, which frees its place in the queue.
 func TestBackendShedsLoad(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{
-		Slots: 1, Queue: 1, Faults: standin.BackendFaults{HangRatio: 1},
+		Slots: 1, QueueSize: 1, Faults: standin.BackendFaults{HangRatio: 1},
 	})
 	first, cancelFirst := context.WithCancel(t.Context())
 	defer cancelFirst()
@@ -98,7 +98,7 @@
 
 	ctx, cancel := context.WithCancel(t.Context())
 	running := request{method: http.MethodPost, body: "x"}.sendAsync(ctx, t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 	cancel()
 	must.Error(t, (<-running).err)
 	eventually(t, "slot is released", func() bool { return b.Load().InFlight == 0 })
@@ -124,10 +124,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, o)
-			c := request{header: map[string]string{standin.TimeoutHeader: "500"}}
-			must.Eq(t, http.StatusGatewayTimeout, c.send(t, newClient(t), b.URL()).status)
+			req := request{header: map[string]string{standin.TimeoutHeader: "500"}}
+			must.Eq(t, http.StatusGatewayTimeout, req.send(t, newClient(t), b.URL()).status)
 			if o.ColdStartRequests > 0 {
-				must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
+				must.Eq(t, http.StatusOK, req.send(t, newClient(t), b.URL()).status)
 			}
 		})
 	}
@@ -143,7 +143,7 @@
 	_, err = conn.Write([]byte("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf"))
 	must.NoError(t, err)
 	must.NoError(t, conn.(*net.TCPConn).CloseWrite())
-	must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+	must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = conn.Read(make([]byte, 1))
 	must.Error(t, err)
 	executions, _ := b.Executions()
@@ -169,9 +169,9 @@
 	}
 	eventually(t, "instance is announced", func() bool { return state() == "catalogue a luzon live" })
 	running := request{}.sendAsync(t.Context(), t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 
-	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/drain", "").status)
+	must.Eq(t, http.StatusNoContent, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/drain", "").status)
 	must.Eq(t, "catalogue a luzon leaving", state())
 	requireNotExecuted(t, request{}.send(t, newClient(t), b.URL()), http.StatusServiceUnavailable)
 	must.Eq(t, http.StatusOK, (<-running).status)
@@ -182,7 +182,7 @@
 
 // The platform may declare a server ended that announced itself too late. The
 // server must announce itself under a new ID, because an ended ID stays ended.
-func TestBackendRegistersUnderNewID(t *testing.T) {
+func TestBackendAnnouncesUnderNewID(t *testing.T) {
 	_, instances := startPlatform(t, standin.PlatformOptions{InstanceTimeout: time.Nanosecond})
 	b := startBackend(t, standin.BackendOptions{Instances: instances, AnnounceInterval: time.Millisecond})
 	first := b.ID()
@@ -195,7 +195,7 @@
 	b := startBackend(t, standin.BackendOptions{Slots: 1, Faults: standin.BackendFaults{HangRatio: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	running := request{}.sendAsync(ctx, t, b.URL())
-	eventually(t, "it runs", func() bool { return b.Load().InFlight == 1 })
+	eventually(t, "request is running", func() bool { return b.Load().InFlight == 1 })
 	b.Drain()
 	hour := config.Duration(time.Hour)
 	for _, c := range []struct {
@@ -221,17 +221,17 @@
 }
 
 // Callers' API keys must not reach a backend server. For tests to check this, the
-// test double must detect secrets in all bytes received and capture the headers.
+// stand-in must detect secrets in all bytes received and capture the headers.
 func TestBackendDetectsSecrets(t *testing.T) {
 	b := startBackend(t, standin.BackendOptions{})
 	secrets := `["fsk_header","fsk_body","fsk_path","fsk_never"]`
-	must.Eq(t, http.StatusNoContent, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
-	must.Eq(t, http.StatusBadRequest, control(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
-	c := request{
+	must.Eq(t, http.StatusNoContent, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/secrets", secrets).status)
+	must.Eq(t, http.StatusBadRequest, callControlAPI(t, http.MethodPost, b.ControlURL()+"/control/secrets", `[""]`).status)
+	req := request{
 		method: http.MethodPost, path: "/p", body: "..fsk_body..",
 		header: map[string]string{"X-odd": "fsk_header"},
 	}
-	must.Eq(t, http.StatusOK, c.send(t, newClient(t), b.URL()).status)
+	must.Eq(t, http.StatusOK, req.send(t, newClient(t), b.URL()).status)
 
 	must.Eq(t, http.StatusOK, request{path: "/fsk_path"}.send(t, newClient(t), b.URL()).status)
 
--- a/internal/standin/fault_listener.go
+++ b/internal/standin/fault_listener.go
@@ -12,12 +12,12 @@
 // relistenInterval is the time between two attempts to listen on the port again.
 const relistenInterval = 20 * time.Millisecond
 
-// connPolicy holds the current restrictions on connections. Changed is closed
-// when they change.
+// connPolicy says which connection faults are active. Changed is closed when the
+// policy changes.
 type connPolicy struct {
-	refuse      bool
-	stopReading bool
-	changed     <-chan struct{}
+	refuseConnections bool
+	stopReading       bool
+	changed           <-chan struct{}
 }
 
 // faultListener is a listener that can refuse connections and whose connections
@@ -77,14 +77,14 @@
 	defer close(l.done)
 	for {
 		policy := l.policy()
-		if policy.refuse && inner != nil {
+		if policy.refuseConnections && inner != nil {
 			_ = inner.Close()
 			inner = nil
 		}
-		if !policy.refuse && inner == nil {
+		if !policy.refuseConnections && inner == nil {
 			inner = l.relisten()
 		}
-		stopped := l.acceptLoop(inner)
+		stopped := l.startAcceptLoop(inner)
 		select {
 		case <-policy.changed:
 			l.stopAccepting(inner, stopped)
@@ -98,9 +98,9 @@
 	}
 }
 
-// acceptLoop starts passing connections to Accept until the inner listener's
+// startAcceptLoop starts passing connections to Accept until the inner listener's
 // deadline expires or it is closed. The returned channel is closed then.
-func (l *faultListener) acceptLoop(inner net.Listener) <-chan struct{} {
+func (l *faultListener) startAcceptLoop(inner net.Listener) <-chan struct{} {
 	stopped := make(chan struct{})
 	if inner == nil {
 		close(stopped)
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -67,7 +67,7 @@
 	case conn := <-conns:
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the target accepted no connection in time")
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 func mustReceive(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+	must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 	got := make([]byte, len(text))
 	_, err := io.ReadFull(conn, got)
 	must.NoError(t, err)
@@ -90,7 +90,7 @@
 
 func mustReceiveNothing(t *testing.T, conn net.Conn) {
 	t.Helper()
-	must.NoError(t, conn.SetReadDeadline(time.Now().Add(glance)))
+	must.NoError(t, conn.SetReadDeadline(time.Now().Add(shortTimeout)))
 	_, err := conn.Read(make([]byte, 1))
 	must.True(t, isTimeout(err), must.Sprint(err))
 }
@@ -166,7 +166,8 @@
 	must.GreaterEq(t, delay, time.Since(start))
 }
 
-// Large transfers in both directions at once arrive complete and in order.
+// Large concurrent transfers in both directions must arrive complete and in
+// order.
 func TestLinkRelaysLargeTransfers(t *testing.T) {
 	_, clientConn, targetConn := startConnectedLink(t)
 	text := strings.Repeat("0123456789abcdef", 1<<17)
@@ -176,8 +177,8 @@
 	mustReceive(t, targetConn, text)
 }
 
-// Nothing listens on the target address: the client's connection is closed, as
-// if it were refused.
+// If nothing listens on the target address, the client's connection must be
+// closed, as if it were refused.
 func TestLinkToClosedPort(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -191,7 +192,7 @@
 		return
 	}
 	t.Cleanup(func() { _ = clientConn.Close() })
-	must.NoError(t, clientConn.SetReadDeadline(time.Now().Add(patience)))
+	must.NoError(t, clientConn.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = clientConn.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.False(t, isTimeout(err))
@@ -206,7 +207,7 @@
 	pending := dial(t, l.Address())
 	l.Close()
 	for _, conn := range []net.Conn{clientConn, pending} {
-		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 		_, err := conn.Read(make([]byte, 1))
 		must.Error(t, err)
 		must.False(t, isTimeout(err))
@@ -219,7 +220,7 @@
 	must.NoError(t, err)
 	t.Cleanup(ls.Close)
 	url := ls.ControlURL() + "/control/links"
-	post := func(path, body string) int { return control(t, http.MethodPost, url+path, body).status }
+	post := func(path, body string) int { return callControlAPI(t, http.MethodPost, url+path, body).status }
 
 	must.Eq(t, http.StatusOK, post("/a-b", `{"forward":"cut","backward":"open"}`))
 	must.Eq(t, http.StatusOK, post("/a-b", `{"backwardDelay":"5ms"}`))
@@ -243,8 +244,8 @@
 	must.Error(t, err)
 }
 
-// All connections are reset on the way, as by a middlebox: both ends of an open
-// connection get the reset at once, and a new connection works.
+// ResetConnections simulates a middlebox that resets connections: both ends of an
+// open connection must get the reset, and a new connection must work.
 func TestLinkResetConnectionsReachesBothSides(t *testing.T) {
 	address, conns := startTarget(t)
 	l, err := standin.StartLink(standin.LinkOptions{Name: "l", Target: address}, nil)
@@ -257,7 +258,7 @@
 	must.NoError(t, err)
 	l.ResetConnections()
 	for _, conn := range []net.Conn{clientConn, targetConn} {
-		must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 		_, err := conn.Read(make([]byte, 1))
 		must.ErrorIs(t, err, syscall.ECONNRESET)
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,36 +15,36 @@
 // DefaultListenAddress selects a free port on the loopback interface.
 const DefaultListenAddress = "127.0.0.1:0"
 
-// PlatformOptions configures a platform stand-in.
+// PlatformOptions configures a Platform.
 type PlatformOptions struct {
-	// Listen and Control are the addresses of the API and the control API,
-	// "ip:port"; empty means DefaultListenAddress.
-	Listen  string
-	Control string
+	// ListenAddress and ControlAddress are the addresses of the API and the
+	// control API, "ip:port"; empty means DefaultListenAddress.
+	ListenAddress  string
+	ControlAddress string
 	// InstanceTimeout is the time without an announcement after which the
 	// list of instances shows an instance as ended; 0 means never.
 	InstanceTimeout time.Duration
 	// Faults are the initial faults.
 	Faults PlatformFaults
-	// Seed seeds the generator that selects the requests with random faults.
+	// Seed seeds the random choice of faults.
 	Seed uint64
-	// Log may be nil.
+	// Log may be nil, which discards all messages.
 	Log *slog.Logger
 }
 
-// Platform is a running platform stand-in: it serves the API of api/platform
-// from in-memory tables, objects and a list of instances.
+// Platform is a running stand-in for the platform: it serves the API of
+// api/platform from in-memory tables, objects and a list of instances.
 type Platform struct {
-	faults    *faultSwitch[PlatformFaults]
-	tables    *tables.Store
-	objects   *objectStore
-	instances *instances.Registry
-	startTime time.Time
-	api       *server
-	control   *server
+	faults        *faultStore[PlatformFaults]
+	tables        *tables.Store
+	objects       *objectStore
+	instances     *instances.Registry
+	startTime     time.Time
+	apiServer     *server
+	controlServer *server
 
 	mu          sync.Mutex
-	rand        *rand.Rand
+	rng         *rand.Rand
 	staleTables *tables.Store
 	counts      PlatformCounts
 	// readLimits and writeLimits are indexed by service.
@@ -59,16 +59,16 @@
 	DroppedWrites    int `json:"lostWrites"`
 }
 
-// StartPlatform starts a platform stand-in. Close stops it.
+// StartPlatform starts a stand-in for the platform. Close stops it.
 func StartPlatform(o PlatformOptions) (*Platform, error) {
 	p := &Platform{
 		tables:    tables.New(),
 		objects:   newObjectStore(),
 		instances: instances.New(o.InstanceTimeout),
 		startTime: time.Now(),
-		rand:      rand.New(rand.NewPCG(o.Seed, 0)),
+		rng:       rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	p.faults = newFaultSwitch(PlatformFaults.validate, p.updateStaleTables)
+	p.faults = newFaultStore(PlatformFaults.validate, p.updateStaleTables)
 	if err := p.SetFaults(o.Faults); err != nil {
 		return nil, err
 	}
@@ -76,25 +76,25 @@
 	if err != nil {
 		return nil, err
 	}
-	log := logOr(o.Log)
-	if p.api, err = startServer(orDefault(o.Listen), p.withFaults(api), log); err != nil {
+	log := loggerOrDiscard(o.Log)
+	if p.apiServer, err = startServer(listenAddressOrDefault(o.ListenAddress), p.withFaults(api), log); err != nil {
 		return nil, err
 	}
-	if p.control, err = startServer(orDefault(o.Control), p.controlHandler(), log); err != nil {
-		p.api.close()
+	if p.controlServer, err = startServer(listenAddressOrDefault(o.ControlAddress), p.controlHandler(), log); err != nil {
+		p.apiServer.close()
 		return nil, err
 	}
 	return p, nil
 }
 
 // URL returns the base URL of the API.
-func (p *Platform) URL() string { return p.api.url() }
+func (p *Platform) URL() string { return p.apiServer.url() }
 
 // Address returns the address of the API: "ip:port".
-func (p *Platform) Address() string { return p.api.address() }
+func (p *Platform) Address() string { return p.apiServer.address() }
 
 // ControlURL returns the base URL of the control API.
-func (p *Platform) ControlURL() string { return p.control.url() }
+func (p *Platform) ControlURL() string { return p.controlServer.url() }
 
 // Faults returns the current faults.
 func (p *Platform) Faults() PlatformFaults {
@@ -107,7 +107,8 @@
 	return p.UpdateFaults(func(current *PlatformFaults) { *current = f })
 }
 
-// UpdateFaults applies f to the current faults.
+// UpdateFaults applies f to the faults. If the result is invalid, the faults
+// stay as they are.
 func (p *Platform) UpdateFaults(f func(*PlatformFaults)) error {
 	return p.faults.update(func(current *PlatformFaults) error {
 		f(current)
@@ -115,18 +116,17 @@
 	})
 }
 
-// Tables returns the tables, for tests that read or change them without the
+// Tables returns the tables, which tests can read and change irrespective of the
 // faults.
 func (p *Platform) Tables() *tables.Store { return p.tables }
 
-// Object returns an object; faults don't apply.
+// Object returns an object irrespective of the faults.
 func (p *Platform) Object(name string) ([]byte, bool) { return p.objects.get(name) }
 
-// ObjectNames returns the names of all objects in ascending order; faults don't
-// apply.
-func (p *Platform) ObjectNames() []string { return p.objects.list("") }
+// ObjectNames returns the names of all objects in ascending order, irrespective
+// of the faults.
+func (p *Platform) ObjectNames() []string { return p.objects.names("") }
 
-// Counts returns the request counts.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +135,8 @@
 
 // Close stops the stand-in and closes all its connections.
 func (p *Platform) Close() {
-	p.api.close()
-	p.control.close()
+	p.apiServer.close()
+	p.controlServer.close()
 }
 
 func (p *Platform) updateCounts(f func(*PlatformCounts)) {
@@ -157,9 +157,9 @@
 	return mux
 }
 
-func orDefault(listen string) string {
-	if listen == "" {
+func listenAddressOrDefault(address string) string {
+	if address == "" {
 		return DefaultListenAddress
 	}
-	return listen
+	return address
 }
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -26,14 +26,14 @@
 func TestPlatformFaultsControlAPI(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
 	url := p.ControlURL() + "/control/faults"
-	set := func(body string) int { return control(t, http.MethodPost, url, body).status }
+	set := func(body string) int { return callControlAPI(t, http.MethodPost, url, body).status }
 
 	must.Eq(t, http.StatusOK, set(`{"table":{"loseAnswers":2},"instances":{"lag":"2s"}}`))
 	must.Eq(t, http.StatusOK, set(`{"table":{"down":"silent"}}`))
 	f := p.Faults()
 	must.Eq(t, 2, f.Table.DropResponses)
 	must.Eq(t, standin.DownSilent, f.Table.Down)
-	must.StrContains(t, control(t, http.MethodGet, url, "").body, `"lag":"2s"`)
+	must.StrContains(t, callControlAPI(t, http.MethodGet, url, "").body, `"lag":"2s"`)
 
 	for _, bad := range []string{
 		`{"table":{"down":"maybe"}}`, `{"tables":{}}`, `{"table":{"loseAnswersRatio":1.1}}`, `{`, ``,
@@ -42,14 +42,14 @@
 		must.Eq(t, http.StatusBadRequest, set(bad), must.Sprint(bad))
 	}
 	must.Eq(t, f, p.Faults())
-	must.Eq(t, http.StatusOK, control(t, http.MethodDelete, url, "").status)
+	must.Eq(t, http.StatusOK, callControlAPI(t, http.MethodDelete, url, "").status)
 	must.Eq(t, standin.PlatformFaults{}, p.Faults())
-	must.Eq(t, http.StatusMethodNotAllowed, control(t, http.MethodPut, url, "").status)
+	must.Eq(t, http.StatusMethodNotAllowed, callControlAPI(t, http.MethodPut, url, "").status)
 }
 
-// Stale reads return the state at the moment the fault is switched on, also
-// after other faults change: later writes are visible only once it is switched
-// off.
+// StaleReads must serve reads from the state at the time it was switched on, also
+// after other faults change. Later writes must be visible only once it is
+// switched off.
 func TestStaleReadsShowStateAtActivation(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	write := func(key string) {
@@ -72,8 +72,8 @@
 	must.Eq(t, 2, revision())
 }
 
-// A dropped write and a dropped response give the client the same outcome,
-// Unknown; only the table's revision tells them apart.
+// A dropped write and a dropped response must give the client the same outcome,
+// Unknown; they differ only in the table's revision.
 func TestDroppedWriteLooksLikeDroppedResponse(t *testing.T) {
 	p, c := startPlatform(t, standin.PlatformOptions{})
 	for i, f := range []standin.ServiceFaults{{DropWrites: 1}, {DropResponses: 1}, {DropResponseRatio: 1}} {
@@ -87,13 +87,13 @@
 }
 
 // A write that is delayed beyond the client's timeout takes effect after the
-// client has given up, so Unknown is the only outcome that the client may report.
+// client's request has timed out, so the client must report it as Unknown.
 func TestDelayedWriteTakesEffectAfterClientTimeout(t *testing.T) {
 	p, _ := startPlatform(t, standin.PlatformOptions{})
-	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: glance})
+	c, err := platformclient.New(p.URL(), platformclient.Settings{Timeout: shortTimeout})
 	must.NoError(t, err)
 	t.Cleanup(c.Close)
-	slow := standin.ServiceFaults{Delay: config.Duration(2 * glance)}
+	slow := standin.ServiceFaults{Delay: config.Duration(2 * shortTimeout)}
 	must.NoError(t, p.SetFaults(standin.PlatformFaults{Table: standin.TableFaults{ServiceFaults: slow}}))
 	r, err := c.Write(t.Context(), storage.Txn{Attempt: "a", Puts: []storage.Put{{Table: storage.Control, Key: "k"}}})
 	must.NoError(t, err)
@@ -126,16 +126,16 @@
 }
 
 // One direction of the link to the platform is cut. With the responses cut, a
-// write takes effect but its outcome is Unknown and reads fail; after the link is
-// restored, the client finds its attempt in the table. With the requests cut, the
-// write has no effect.
+// write must take effect with outcome Unknown, and reads must fail; after the
+// link is restored, the client must find its attempt in the table. With the
+// requests cut, the write must have no effect.
 func TestOneWayCutToPlatform(t *testing.T) {
 	for _, cut := range []standin.LinkState{{Backward: standin.FlowCut}, {Forward: standin.FlowCut}} {
 		p, _ := startPlatform(t, standin.PlatformOptions{})
 		l, err := standin.StartLink(standin.LinkOptions{Name: "up", Target: p.Address()}, nil)
 		must.NoError(t, err)
 		t.Cleanup(l.Close)
-		c, err := platformclient.New("http://"+l.Address(), platformclient.Settings{Timeout: 2 * glance})
+		c, err := platformclient.New("http://"+l.Address(), platformclient.Settings{Timeout: 2 * shortTimeout})
 		must.NoError(t, err)
 		t.Cleanup(c.Close)
 		read := storage.ReadRequest{Table: storage.Control}
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -8,9 +8,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-var errFull = errors.New("slots and queue are full")
+var errQueueFull = errors.New("slots and queue are full")
 
-// maxLoadSamples limits how far back ReportLag can reach.
+// maxLoadSamples limits the load samples kept and thereby the largest ReportLag
+// that is effective.
 const maxLoadSamples = 4096
 
 // Load is the load of a backend server as it reports it.
@@ -23,10 +24,10 @@
 // slotPool limits the number of requests executed concurrently and the number of
 // requests waiting.
 type slotPool struct {
-	// held has an element for each slot in use.
-	held  chan struct{}
-	queue int
-	now   func() time.Duration
+	// inUse has an element for each slot in use.
+	inUse     chan struct{}
+	queueSize int
+	now       func() time.Duration
 
 	mu      sync.Mutex
 	load    Load
@@ -38,29 +39,29 @@
 	load Load
 }
 
-func newSlotPool(size, queue int, now func() time.Duration) *slotPool {
+func newSlotPool(size, queueSize int, now func() time.Duration) *slotPool {
 	return &slotPool{
-		held:  make(chan struct{}, size),
-		queue: queue,
-		now:   now,
-		load:  Load{Slots: size},
+		inUse:     make(chan struct{}, size),
+		queueSize: queueSize,
+		now:       now,
+		load:      Load{Slots: size},
 	}
 }
 
-// acquire takes a slot, waiting in the queue if there is none. It fails with
+// acquire takes a slot, waiting in the queue if none is free. It fails with
 // errFull if the queue is full, or with the error of ctx.
 func (p *slotPool) acquire(ctx context.Context) error {
 	select {
-	case p.held <- struct{}{}:
+	case p.inUse <- struct{}{}:
 		p.updateLoad(func(l *Load) { l.InFlight++ })
 		return nil
 	default:
 	}
 	if !p.enqueue() {
-		return errFull
+		return errQueueFull
 	}
 	select {
-	case p.held <- struct{}{}:
+	case p.inUse <- struct{}{}:
 		p.updateLoad(func(l *Load) { l.Queued--; l.InFlight++ })
 		return nil
 	case <-ctx.Done():
@@ -71,13 +72,13 @@
 
 func (p *slotPool) release() {
 	p.updateLoad(func(l *Load) { l.InFlight-- })
-	<-p.held
+	<-p.inUse
 }
 
 func (p *slotPool) enqueue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.load.Queued >= p.queue {
+	if p.load.Queued >= p.queueSize {
 		return false
 	}
 	p.load.Queued++
