--- a/internal/standin/command/backend.go
+++ b/internal/standin/command/backend.go
@@ -103,14 +103,14 @@
 
 func (c *backendCommand) options() (standin.BackendOptions, func(), error) {
 	o := standin.BackendOptions{
-		ListenAddress:            c.Listen,
-		ControlAddress:           c.Control,
-		AdvertiseAddress:         c.Advertise,
+		ListenAddress:     c.Listen,
+		ControlAddress:    c.Control,
+		AdvertiseAddress:  c.Advertise,
 		Service:           c.Service,
 		DataCentre:        c.DataCentre,
 		Region:            c.Region,
 		Slots:             c.Slots,
-		QueueSize:             c.Queue,
+		QueueSize:         c.Queue,
 		Latency:           c.Latency,
 		ColdStartDuration: c.ColdFor,
 		ColdStartRequests: c.ColdRequests,
--- a/internal/standin/command/platform.go
+++ b/internal/standin/command/platform.go
@@ -49,8 +49,8 @@
 // Execute implements flags.Commander.
 func (c *platformCommand) Execute([]string) error {
 	o := standin.PlatformOptions{
-		ListenAddress:          c.Listen,
-		ControlAddress:         c.Control,
+		ListenAddress:   c.Listen,
+		ControlAddress:  c.Control,
 		InstanceTimeout: c.EndAfter,
 		Seed:            c.Seed,
 		Log:             c.env.log,
